--- a/fw-entry/src/connection/heartbeat.rs
+++ b/fw-entry/src/connection/heartbeat.rs
@@ -98,7 +98,7 @@
     if was_reachable {
         info!(entry = %entry.id, upstream = %side.instance.id, "side does not answer");
     }
-    see(entry, side, health::Seen::Failed);
+    see(entry, side, health::Observation::Failed);
 }
 
 async fn answered(
@@ -111,9 +111,9 @@
     note_load(entry, side, &reply);
     note_cache(entry, side, &reply);
     let seen = match (reply.leaving, reply.down) {
-        (true, _) => health::Seen::Leaving,
-        (_, true) => health::Seen::Down,
-        _ => health::Seen::Answered,
+        (true, _) => health::Observation::Leaving,
+        (_, true) => health::Observation::Down,
+        _ => health::Observation::Answered,
     };
     see(entry, side, seen);
     let mine = |shard: &id::ShardId| entry.keeper.fence(*shard).is_some();
@@ -201,11 +201,11 @@
     }
 }
 
-fn see(entry: &entry::Entry, side: &sides::Side, seen: health::Seen) {
+fn see(entry: &entry::Entry, side: &sides::Side, seen: health::Observation) {
     let now = entry.now();
     let service = entry.sides.service(&side.instance.service);
     let mut service = service.lock();
-    service.health.seen(now, &side.instance.id, seen);
+    service.health.observe(now, &side.instance.id, seen);
     service.refresh(now, &side.instance.id);
 }
 
--- a/fw-entry/src/connection/sides.rs
+++ b/fw-entry/src/connection/sides.rs
@@ -247,9 +247,9 @@
             // Unusable until its first heartbeat is answered.
             service.view.set_health(&side.instance.id, 0.0);
         }
-        let mut lines: HashMap<&id::ServiceId, Vec<health::Listed>> = HashMap::new();
+        let mut lines: HashMap<&id::ServiceId, Vec<health::ListedUpstream>> = HashMap::new();
         for instance in list {
-            let line = health::Listed {
+            let line = health::ListedUpstream {
                 upstream: instance.id.clone(),
                 leaving: instance.is_leaving(),
             };
@@ -257,7 +257,7 @@
         }
         for (name, lines) in lines {
             let service = self.service(name);
-            service.lock().health.listed(now, &lines);
+            service.lock().health.update_list(now, &lines);
         }
     }
 }
--- a/fw-entry/src/process/entry.rs
+++ b/fw-entry/src/process/entry.rs
@@ -52,7 +52,7 @@
     /// Admission of turns and plain requests.
     pub admission: admission::Admission,
     /// Requests that crash upstreams.
-    pub poison: Mutex<poison::Poison>,
+    pub poison: Mutex<poison::Tracker>,
     /// Sides and what is known of their upstreams.
     pub sides: sides::Sides,
     /// What other entries say of themselves.
--- a/fw-entry/src/process/serve.rs
+++ b/fw-entry/src/process/serve.rs
@@ -254,11 +254,11 @@
         before: recover_entries::Before::default(),
         attempts: attempts::Table::new(),
         admission: admission::Admission::new(admit_options(&settings.plan)),
-        poison: Mutex::new(poison::Poison::new(poison::Options::default())),
+        poison: Mutex::new(poison::Tracker::new(poison::Options::default())),
         sides: sides::Sides::new(sides::Options {
             connect_timeout: settings.upstream.connect_timeout,
             health: health::Options {
-                failures: settings.upstream.missed_heartbeats,
+                min_failures: settings.upstream.missed_heartbeats,
                 ..health::Options::default()
             },
             retry: retry::Options {
--- a/fw-entry/src/request/plain.rs
+++ b/fw-entry/src/request/plain.rs
@@ -99,7 +99,7 @@
     hedge: Option<Duration>,
 ) -> Result<http::Response<Incoming>, error::Error> {
     let service = entry.sides.service(&call.service);
-    service.lock().retry.earn();
+    service.lock().retry.deposit();
     let started = tokio::time::Instant::now();
     let mut tried = 0;
     let mut earlier = None;
@@ -118,7 +118,7 @@
             kind: err.kind,
             attempt: tried,
             repeatable: true,
-            deadline: call.within.saturating_sub(started.elapsed()),
+            time_left: call.within.saturating_sub(started.elapsed()),
             retry_after: None,
         };
         let now = entry.now();
@@ -160,7 +160,7 @@
         () = tokio::time::sleep(delay) => {}
     }
     let now = entry.now();
-    if !service.lock().retry.spend(now) {
+    if !service.lock().retry.withdraw(now) {
         return first.await;
     }
     metrics::counter!(HEDGED).increment(1);
--- a/fw-entry/src/request/send.rs
+++ b/fw-entry/src/request/send.rs
@@ -131,12 +131,12 @@
     let seen = match outcome {
         Ok(_) => return,
         Err(err) => match err.kind {
-            error::Kind::UpstreamLeaving => health::Seen::Leaving,
-            error::Kind::NoUpstream | error::Kind::UpstreamCrashed => health::Seen::Failed,
+            error::Kind::UpstreamLeaving => health::Observation::Leaving,
+            error::Kind::NoUpstream | error::Kind::UpstreamCrashed => health::Observation::Failed,
             _ => return,
         },
     };
-    service.health.seen(now, upstream, seen);
+    service.health.observe(now, upstream, seen);
     service.refresh(now, upstream);
 }
 
--- a/fw-entry/src/turn/run.rs
+++ b/fw-entry/src/turn/run.rs
@@ -129,7 +129,7 @@
         buf: &mut Arc<buffer::Buffer>,
     ) -> Result<attempt::Finish, error::Error> {
         let service = self.entry.sides.service(&self.plan.service);
-        service.lock().retry.earn();
+        service.lock().retry.deposit();
         let mut tried = 0;
         let mut earlier = None;
         loop {
@@ -161,7 +161,7 @@
             attempt: tried,
             // A model call has no effect but its answer, which is not committed yet.
             repeatable: true,
-            deadline: self.req.deadline.saturating_sub(self.arrived.elapsed()),
+            time_left: self.req.deadline.saturating_sub(self.arrived.elapsed()),
             retry_after: None,
         };
         let service = self.entry.sides.service(&self.plan.service);
@@ -367,7 +367,7 @@
                 let held = finish.usage.prompt + finish.usage.completion;
                 metrics::counter!(WASTED).increment(self.wasted(finish));
                 service.view.cache(&self.req.program, upstream, held);
-                self.entry.poison.lock().survived(&self.run.digest);
+                self.entry.poison.lock().record_success(&self.run.digest);
                 self.permit.queued(finish.queued);
                 metrics::histogram!(QUEUED).record(finish.queued.as_secs_f64());
             }
@@ -384,17 +384,17 @@
         let seen = match err.kind {
             error::Kind::UpstreamCrashed => {
                 let mut poison = self.entry.poison.lock();
-                poison.crashed(now, upstream, self.run.digest, current.alone);
-                Some(fw_plan::health::Seen::Down)
+                poison.record_crash(now, upstream, self.run.digest, current.alone);
+                Some(fw_plan::health::Observation::Down)
             }
-            error::Kind::UpstreamLeaving => Some(fw_plan::health::Seen::Leaving),
+            error::Kind::UpstreamLeaving => Some(fw_plan::health::Observation::Leaving),
             error::Kind::NoUpstream | error::Kind::UpstreamTimeout => {
-                Some(fw_plan::health::Seen::Failed)
+                Some(fw_plan::health::Observation::Failed)
             }
             _ => None,
         };
         if let Some(seen) = seen {
-            service.health.seen(now, upstream, seen);
+            service.health.observe(now, upstream, seen);
             service.refresh(now, upstream);
         }
     }
--- a/fw-gate/src/process/fleet/choose.rs
+++ b/fw-gate/src/process/fleet/choose.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use fw_base::{error, id};
-use fw_plan::{assign, hold};
+use fw_plan::{assign, wait_queue};
 use fw_replica::trail;
 use parking_lot::Mutex;
 use smol_str::SmolStr;
@@ -65,7 +65,7 @@
             self.hold.rank(&want.hold, self.now(), number)
         });
         let begun = tokio::time::Instant::now();
-        while begun.elapsed() < self.hold.most {
+        while begun.elapsed() < self.hold.max_wait {
             let reach = ticket.may_go(&self.hold);
             let fits = |open: &Open| {
                 let warm = Some(open.short) == warm;
@@ -80,13 +80,13 @@
                 return Ok(lease);
             }
             // Heard of or not: what is known of the load fades.
-            let _ = tokio::time::timeout(self.hold.look, ticket.turn.notified()).await;
+            let _ = tokio::time::timeout(self.hold.recheck_interval, ticket.turn.notified()).await;
         }
         drop(ticket);
         metrics::counter!("fw_gate_held_too_long_total").increment(1);
-        match self.hold.over(&want.hold, rand::random()) {
-            hold::Over::Send => self.choose(service_id, want),
-            hold::Over::Refuse(after) => {
+        match self.hold.expire(&want.hold, rand::random()) {
+            wait_queue::Expired::Send => self.choose(service_id, want),
+            wait_queue::Expired::Refuse(after) => {
                 let message = "programs under way need all slots";
                 let err = error::Error::new(error::Kind::Overloaded, message);
                 Err(err.with_retry_after(after))
@@ -115,7 +115,7 @@
         metrics::counter!("fw_gate_programs_refused_total").increment(1);
         let message = format!("programs under way have {load:.0} calls at {slots:.0} slots");
         let err = error::Error::new(error::Kind::Overloaded, message);
-        Err(err.with_retry_after(self.hold.back_after(rand::random())))
+        Err(err.with_retry_after(self.hold.draw_retry_after(rand::random())))
     }
 
     /// Slots of all upstreams of a service that take calls, and calls that are there or wait here.
@@ -209,10 +209,10 @@
         let call = if service.mean > 0.0 {
             Duration::from_secs_f64(service.mean)
         } else {
-            self.options.call
+            self.options.call_duration
         };
         assign::Options {
-            call,
+            call_duration: call,
             ..self.options.clone()
         }
     }
@@ -270,13 +270,13 @@
         };
         assign::Candidate {
             slots: upstream.listed.slots,
-            own: upstream.own,
-            others: upstream.others,
-            age: upstream.reported.elapsed(),
-            miss,
+            own_calls: upstream.own,
+            reported_calls: upstream.others,
+            report_age: upstream.reported.elapsed(),
+            prefill: miss,
             remote: upstream.listed.place != self.place,
             slowness: upstream.pace.slowness(&self.pace, self.now()),
-            failed: upstream.failed.map(|at| at.elapsed()),
+            failed_ago: upstream.failed.map(|at| at.elapsed()),
         }
     }
 }
--- a/fw-gate/src/process/fleet/lease.rs
+++ b/fw-gate/src/process/fleet/lease.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use fw_base::id;
-use fw_plan::{assign, health, hold};
+use fw_plan::{assign, health, wait_queue};
 use fw_replica::trail;
 use parking_lot::Mutex;
 use tokio::sync::Notify;
@@ -158,16 +158,16 @@
     }
 
     /// What the call showed of the upstream's health.
-    pub fn seen(&self, seen: health::Seen) {
+    pub fn seen(&self, seen: health::Observation) {
         let now = self.fleet.now();
         let mut service = self.service.lock();
         let before = service.health.decide(now, &self.id).weight() > 0.0;
-        service.health.seen(now, &self.id, seen);
+        service.health.observe(now, &self.id, seen);
         if let Some(upstream) = service.find(&self.id) {
             upstream.failed = match seen {
-                health::Seen::Answered => None,
-                health::Seen::Failed | health::Seen::Down => Some(Instant::now()),
-                health::Seen::Leaving => upstream.failed,
+                health::Observation::Answered => None,
+                health::Observation::Failed | health::Observation::Down => Some(Instant::now()),
+                health::Observation::Leaving => upstream.failed,
             };
         }
         let after = service.health.decide(now, &self.id).weight() > 0.0;
@@ -185,7 +185,7 @@
     /// The call ended well. `part` is the time of what can be compared among the calls of a
     /// service, if there was any of it: an answer of twice the length is not twice as slow.
     pub fn done(&self, part: Option<Duration>) {
-        self.seen(health::Seen::Answered);
+        self.seen(health::Observation::Answered);
         let now = self.fleet.now();
         let mut service = self.service.lock();
         smooth(&mut service.mean, self.age());
@@ -193,7 +193,7 @@
         smooth(&mut service.part, part);
         let ratio = part.as_secs_f64() / service.part.max(SHORTEST);
         if let Some(upstream) = service.find(&self.id) {
-            upstream.pace.note(&self.fleet.pace, ratio, now);
+            upstream.pace.record(&self.fleet.pace, ratio, now);
         }
     }
 }
@@ -242,7 +242,7 @@
 /// A call's place among those that wait; given up when dropped.
 pub(super) struct Ticket<'a> {
     service: &'a Mutex<Service>,
-    rank: hold::Rank,
+    rank: wait_queue::Rank,
     /// Notified when it may be the first.
     pub(super) turn: Arc<Notify>,
 }
@@ -252,7 +252,7 @@
     pub(super) fn draw(
         service: &'a Mutex<Service>,
         warm: Option<trail::Upstream>,
-        rank: impl FnOnce(u64) -> hold::Rank,
+        rank: impl FnOnce(u64) -> wait_queue::Rank,
     ) -> Self {
         let mut locked = service.lock();
         locked.arrivals += 1;
@@ -271,11 +271,11 @@
     }
 
     /// Which upstreams the call may go to by its place among those that wait.
-    pub(super) fn may_go(&self, options: &hold::Options) -> Reach {
+    pub(super) fn may_go(&self, options: &wait_queue::Options) -> Reach {
         let service = self.service.lock();
         match service.waiting.first_key_value() {
             Some((first, _)) if *first == self.rank => Reach::All,
-            Some((first, _)) if options.may_pass(*first, self.rank) => Reach::Warm,
+            Some((first, _)) if options.may_overtake(*first, self.rank) => Reach::Warm,
             _ => Reach::None,
         }
     }
--- a/fw-gate/src/process/fleet/list.rs
+++ b/fw-gate/src/process/fleet/list.rs
@@ -116,7 +116,7 @@
             first: now.saturating_sub(first),
             last: now.saturating_sub(last),
         };
-        self.reads.lock().steady.note(span);
+        self.reads.lock().steady.add_span(span);
     }
 
     /// Takes what `read` says of the list. Without a read, it is what somebody knew at some time.
@@ -125,7 +125,7 @@
         if let (Some(read), Some(at)) = (read, at) {
             let mut reads = self.reads.lock();
             reads.as_of = read.as_of;
-            reads.steady.note(lapse::Span::single(at));
+            reads.steady.add_span(lapse::Span::single(at));
         }
         let before = self.count_listed();
         let missing = match list {
--- a/fw-gate/src/process/fleet/mod.rs
+++ b/fw-gate/src/process/fleet/mod.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use fw_base::id;
-use fw_plan::{assign, confirm, health, hold, lapse, pace};
+use fw_plan::{assign, confirm, health, lapse, pace, wait_queue};
 use fw_replica::{service, trail};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -77,7 +77,7 @@
     /// Upstreams that failed this call.
     pub avoid: &'a [id::UpstreamId],
     /// What decides its place if it has to wait.
-    pub hold: hold::Call,
+    pub hold: wait_queue::Call,
 }
 
 #[derive(Debug)]
@@ -107,18 +107,18 @@
     /// Smoothed time of a call's comparable part, in seconds.
     part: f64,
     /// Calls that are held back until there is a free slot.
-    waiting: BTreeMap<hold::Rank, Waiter>,
+    waiting: BTreeMap<wait_queue::Rank, Waiter>,
     arrivals: u64,
 }
 
 impl Service {
     fn new() -> Self {
         let options = health::Options {
-            eject: Duration::from_millis(800),
-            eject_max: Duration::from_secs(4),
+            first_ejection: Duration::from_millis(800),
+            max_ejection: Duration::from_secs(4),
             slow_start: Duration::from_secs(1),
             // The list is what counts: one that is not on it may be leaving.
-            unlisted: Duration::ZERO,
+            unlisted_grace: Duration::ZERO,
             ..health::Options::default()
         };
         Self {
@@ -147,12 +147,15 @@
     }
 
     fn tell_health(&mut self, now: Duration) {
-        let lines = self.upstreams.iter().map(|upstream| health::Listed {
-            upstream: upstream.listed.id.clone(),
-            leaving: false,
-        });
+        let lines = self
+            .upstreams
+            .iter()
+            .map(|upstream| health::ListedUpstream {
+                upstream: upstream.listed.id.clone(),
+                leaving: false,
+            });
         let lines: Vec<_> = lines.collect();
-        self.health.listed(now, &lines);
+        self.health.update_list(now, &lines);
     }
 }
 
@@ -163,7 +166,7 @@
     started: Instant,
     options: assign::Options,
     pace: pace::Options,
-    hold: hold::Options,
+    hold: wait_queue::Options,
     services: Mutex<HashMap<id::ServiceId, Arc<Mutex<Service>>>>,
     /// Where this entry sent sessions, or heard that others did.
     trail: trail::Trail,
@@ -193,7 +196,7 @@
             started: Instant::now(),
             options: assign::Options::default(),
             pace: pace::Options::default(),
-            hold: hold::Options::default(),
+            hold: wait_queue::Options::default(),
             services: Mutex::default(),
             trail: trail::Trail::default(),
             known: AtomicBool::new(false),
--- a/fw-gate/src/process/fleet/proof.rs
+++ b/fw-gate/src/process/fleet/proof.rs
@@ -9,7 +9,7 @@
 /// Up to which moment the list is known. Times are since boot.
 #[derive(Debug)]
 pub struct Proof {
-    known: watch::Sender<confirm::Knowledge>,
+    known: watch::Sender<confirm::ListFreshness>,
     /// Notified when a call begins to wait.
     waiting: Notify,
 }
@@ -18,7 +18,7 @@
     /// Nothing is proven yet.
     pub fn new(opts: confirm::Options) -> Self {
         Self {
-            known: watch::Sender::new(confirm::Knowledge::new(opts)),
+            known: watch::Sender::new(confirm::ListFreshness::new(opts)),
             waiting: Notify::new(),
         }
     }
@@ -27,7 +27,7 @@
     pub fn prove(&self, asked: Duration) {
         let now = clock::since_boot();
         self.known.send_modify(|known| {
-            if known.prove(asked, now) {
+            if known.confirm(asked, now) {
                 tracing::info!("the list of upstreams is confirmed again");
             }
         });
@@ -36,13 +36,13 @@
     /// A read of the store that was asked at `asked` has failed.
     pub fn failed(&self, asked: Duration) {
         let now = clock::since_boot();
-        self.change(|known| known.failed(asked, now));
+        self.change(|known| known.read_failed(asked, now));
     }
 
     /// A read of the store that was asked at `asked` is not answered in time.
     pub fn unanswered(&self, asked: Duration) {
         let now = clock::since_boot();
-        self.change(|known| known.unanswered(asked, now));
+        self.change(|known| known.read_unanswered(asked, now));
     }
 
     /// Returns once a call may be sent by the list.
@@ -50,7 +50,7 @@
         loop {
             let begun = clock::since_boot();
             let outcome = self.known.borrow().decide(begun);
-            let confirm::Outcome::Await(wait) = outcome else {
+            let confirm::Outcome::Wait(wait) = outcome else {
                 return;
             };
             let is_settled = self.settled(wait).await;
@@ -58,7 +58,7 @@
             let waited = now.saturating_sub(begun);
             metrics::histogram!("fw_gate_confirm_seconds").record(waited.as_secs_f64());
             if !is_settled {
-                self.change(|known| known.waited(waited, now));
+                self.change(|known| known.wait_expired(waited, now));
             }
         }
     }
@@ -67,14 +67,14 @@
     async fn settled(&self, wait: Duration) -> bool {
         let mut rx = self.known.subscribe();
         self.waiting.notify_one();
-        let is_settled = |known: &confirm::Knowledge| {
+        let is_settled = |known: &confirm::ListFreshness| {
             known.decide(clock::since_boot()) == confirm::Outcome::Send
         };
         let settled = rx.wait_for(is_settled);
         tokio::time::timeout(wait, settled).await.is_ok()
     }
 
-    fn change(&self, change: impl FnOnce(&mut confirm::Knowledge)) {
+    fn change(&self, change: impl FnOnce(&mut confirm::ListFreshness)) {
         self.known.send_modify(|known| {
             let was_cut_off = known.is_cut_off();
             change(known);
@@ -96,7 +96,7 @@
             let now = clock::since_boot();
             let (is_wanted, wanted_in) = {
                 let known = rx.borrow_and_update();
-                (known.is_wanted(now), known.wanted_in(now))
+                (known.needs_refresh(now), known.refresh_due_in(now))
             };
             let due = async {
                 match wanted_in.filter(|time| !time.is_zero()) {
--- a/fw-gate/src/process/gate.rs
+++ b/fw-gate/src/process/gate.rs
@@ -94,7 +94,7 @@
     /// Turns seen lately.
     pub turns: turns::Turns,
     config: watch::Sender<Option<Arc<config::Config>>>,
-    poison: Mutex<poison::Poison>,
+    poison: Mutex<poison::Tracker>,
     retries: Mutex<HashMap<id::ServiceId, retry::Budget>>,
     started: Instant,
     stopping: AtomicBool,
@@ -105,7 +105,7 @@
     /// The read of the store that is under way.
     asked: Mutex<Asked>,
     /// Up to which moment all changes are known.
-    knowledge: watch::Sender<staleness::Knowledge>,
+    knowledge: watch::Sender<staleness::KeyFreshness>,
     /// What teams may send.
     pub quotas: Arc<quotas::Quotas>,
 }
@@ -115,14 +115,14 @@
     pub fn new(opts: Options) -> Arc<Self> {
         let place = opts.place.clone();
         let fleet = fleet::Fleet::new(place, opts.lapse.clone(), opts.confirm.clone());
-        let knowledge = staleness::Knowledge::new(opts.keys_stale_after);
+        let knowledge = staleness::KeyFreshness::new(opts.keys_stale_after);
         Arc::new(Self {
             reading: reading::Reading::new(fleet.entry()),
             fleet,
             replicas: client::Client::new(opts.faults, opts.seeds.clone()),
             turns: turns::Turns::default(),
             config: watch::Sender::default(),
-            poison: Mutex::new(poison::Poison::new(poison::Options::default())),
+            poison: Mutex::new(poison::Tracker::new(poison::Options::default())),
             retries: Mutex::default(),
             started: Instant::now(),
             stopping: AtomicBool::new(false),
@@ -207,7 +207,7 @@
     fn proven(&self, asked: Duration) {
         self.fleet.proof.prove(asked);
         self.knowledge
-            .send_modify(|knowledge| knowledge.proven(asked));
+            .send_modify(|knowledge| knowledge.confirm(asked));
     }
 
     /// Tells the replicas that the store was read, and what has changed. A read of what this entry cannot
@@ -392,7 +392,7 @@
 
     /// Whether keys may be accepted. An entry that has just started waits until it has read the store.
     async fn keys_soon(&self) -> staleness::Outcome {
-        let is_fresh = |knowledge: &staleness::Knowledge| {
+        let is_fresh = |knowledge: &staleness::KeyFreshness| {
             knowledge.decide(clock::since_boot()) == staleness::Outcome::Fresh
         };
         let left = START.saturating_sub(self.now());
@@ -450,17 +450,17 @@
         let now = self.now();
         self.poison
             .lock()
-            .crashed(now, upstream, fingerprint, false);
+            .record_crash(now, upstream, fingerprint, false);
     }
 
     /// A request like this ran to its end.
     pub fn survived(&self, fingerprint: &digest::Digest) {
-        self.poison.lock().survived(fingerprint);
+        self.poison.lock().record_success(fingerprint);
     }
 
     /// A call to `service` is sent for the first time.
     pub fn earn_retry(&self, service: &id::ServiceId) {
-        self.with_retries(service, retry::Budget::earn);
+        self.with_retries(service, retry::Budget::deposit);
     }
 
     /// Whether a failed attempt is made again.
@@ -484,12 +484,12 @@
         let budget = retries.entry(service.clone()).or_insert_with(|| {
             retry::Budget::new(retry::Options {
                 // Most failures here are refusals that another upstream can take at once.
-                base: Duration::from_millis(4),
-                cap: Duration::from_millis(100),
-                attempts: 4,
+                base_delay: Duration::from_millis(4),
+                max_delay: Duration::from_millis(100),
+                max_attempts: 4,
                 ratio: 0.3,
                 burst: 30.0,
-                trickle: 3.0,
+                refill_per_second: 3.0,
             })
         });
         with(budget)
--- a/fw-gate/src/process/quotas.rs
+++ b/fw-gate/src/process/quotas.rs
@@ -99,10 +99,10 @@
             let Some(account) = accounts.get_mut(&team.name) else {
                 continue;
             };
-            match account.due(limit, now, &self.options) {
-                quota::Due::Nothing => {}
-                quota::Due::Ask => due.ask.push(self.tell(&team.name, account)),
-                quota::Due::Tell => due.tell.push(self.tell(&team.name, account)),
+            match account.required_sync(limit, now, &self.options) {
+                quota::SyncNeed::Nothing => {}
+                quota::SyncNeed::Query => due.ask.push(self.tell(&team.name, account)),
+                quota::SyncNeed::Report => due.tell.push(self.tell(&team.name, account)),
             }
         }
         due
@@ -111,15 +111,15 @@
     fn tell(&self, team: &id::TeamId, account: &mut quota::Account) -> service::Spent {
         service::Spent {
             team: team.clone(),
-            told: account.tell(self.now(), &self.options),
+            told: account.report(self.now(), &self.options),
         }
     }
 
     /// What a replica knows of `team`.
-    pub fn heard(&self, team: &id::TeamId, heard: &quota::Heard) {
+    pub fn heard(&self, team: &id::TeamId, heard: &quota::Summary) {
         let now = self.now();
         if let Some(account) = self.shard(team).get_mut(team) {
-            account.heard(heard, now, &self.options);
+            account.merge(heard, now, &self.options);
         }
     }
 
@@ -135,7 +135,7 @@
     /// A request of `team` runs once more.
     fn charge(&self, team: &id::TeamId) {
         if let Some(account) = self.shard(team).get_mut(team) {
-            account.charge(quota::Stage::GoesOn, self.now(), &self.options);
+            account.charge(quota::Stage::Continues, self.now(), &self.options);
         }
     }
 
@@ -168,7 +168,7 @@
     /// The request that was sent has not run.
     pub fn not_run(&self) {
         if self.runs.fetch_sub(1, Ordering::Relaxed) > 1 {
-            self.quotas.refund(&self.team, quota::Stage::GoesOn);
+            self.quotas.refund(&self.team, quota::Stage::Continues);
         }
     }
 }
--- a/fw-gate/src/process/reading.rs
+++ b/fw-gate/src/process/reading.rs
@@ -12,7 +12,7 @@
 /// What is known of who reads.
 #[derive(Debug)]
 pub struct Reading {
-    me: reader::Entry,
+    me: reader::EntryNumber,
     patience: Duration,
     state: Mutex<State>,
 }
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 struct State {
     reads: bool,
-    last: Option<(reader::Entry, Instant)>,
+    last: Option<(reader::EntryNumber, Instant)>,
     /// When this entry read last.
     own: Option<Instant>,
     /// When a replica last told of a read.
@@ -29,10 +29,10 @@
 
 impl Reading {
     /// Nothing was heard yet by entry `me`.
-    pub fn new(me: reader::Entry) -> Self {
+    pub fn new(me: reader::EntryNumber) -> Self {
         Self {
             me,
-            patience: reader::Options::default().patience(rand::random()),
+            patience: reader::Options::default().takeover_timeout(rand::random()),
             state: Mutex::default(),
         }
     }
@@ -46,7 +46,7 @@
     }
 
     /// A replica tells that `by` read the store so long `ago`.
-    pub fn heard(&self, by: reader::Entry, ago: Duration) {
+    pub fn heard(&self, by: reader::EntryNumber, ago: Duration) {
         let now = Instant::now();
         let Some(at) = now.checked_sub(ago) else {
             return;
@@ -63,7 +63,7 @@
         loop {
             match self.decide() {
                 reader::Outcome::Read => return self.alone().await,
-                reader::Outcome::Rely(time) => tokio::time::sleep(time).await,
+                reader::Outcome::Follow(time) => tokio::time::sleep(time).await,
             }
         }
     }
--- a/fw-gate/src/request/attempt.rs
+++ b/fw-gate/src/request/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fw_base::{digest, error, id};
-use fw_plan::{hold, retry};
+use fw_plan::{retry, wait_queue};
 use tokio::time::Instant;
 
 use super::ingress::ms;
@@ -142,10 +142,10 @@
         let want = fleet::Want {
             warmth,
             avoid: &tries.avoid,
-            hold: hold::Call {
+            hold: wait_queue::Call {
                 priority: self.priority,
-                left: self.call.program_deadline,
-                begins,
+                time_left: self.call.program_deadline,
+                begins_program: begins,
             },
         };
         let fleet = &self.gate.fleet;
@@ -179,7 +179,7 @@
             kind: err.kind,
             attempt: tries.failed,
             repeatable: self.route.is_repeatable() && tries.ran < self.route.attempts.max(2),
-            deadline: send::left(self.until),
+            time_left: send::left(self.until),
             retry_after: None,
         };
         let outcome = if reached_none(err.kind) && tries.failed < MOST_UNREACHED {
--- a/fw-gate/src/request/ingress.rs
+++ b/fw-gate/src/request/ingress.rs
@@ -115,7 +115,7 @@
         };
         return stream::run(job).await;
     }
-    let credit = gate.quotas.take(&call, limit, quota::Stage::GoesOn)?;
+    let credit = gate.quotas.take(&call, limit, quota::Stage::Continues)?;
     let job = attempt::Job {
         gate,
         route,
--- a/fw-gate/src/request/plain.rs
+++ b/fw-gate/src/request/plain.rs
@@ -74,7 +74,7 @@
             Ok((head, whole.to_bytes()))
         }
         Ok(Err(err)) => {
-            lease.seen(health::Seen::Failed);
+            lease.seen(health::Observation::Failed);
             let message = format!("the answer of upstream `{}` broke off: {err}", lease.id);
             Err(send::Failed {
                 err: error::Error::new(error::Kind::UpstreamCrashed, message),
--- a/fw-gate/src/request/send.rs
+++ b/fw-gate/src/request/send.rs
@@ -117,8 +117,8 @@
         Err(err) => {
             match err.kind {
                 error::Kind::Misdirected => lease.replaced(),
-                _ if err.ran() == error::Ran::No => lease.seen(health::Seen::Answered),
-                _ => lease.seen(health::Seen::Failed),
+                _ if err.ran() == error::Ran::No => lease.seen(health::Observation::Answered),
+                _ => lease.seen(health::Observation::Failed),
             }
             Err(Failed { err, broke: false })
         }
@@ -143,7 +143,7 @@
     }
     metrics::counter!("fw_gate_connects_total").increment(1);
     let mut link = link::Link::connect(lease.addr).await.map_err(|err| {
-        lease.seen(health::Seen::Down);
+        lease.seen(health::Observation::Down);
         let message = format!("cannot connect to upstream `{}`: {err}", lease.id);
         Failed {
             err: error::Error::new(error::Kind::UpstreamUnreachable, message),
@@ -177,7 +177,7 @@
 }
 
 fn broken(lease: &fleet::Lease, failed: &link::Failed) -> Failed {
-    lease.seen(health::Seen::Failed);
+    lease.seen(health::Observation::Failed);
     let message = format!(
         "the connection to upstream `{}` broke: {}",
         lease.id, failed.message
--- a/fw-gate/src/request/stream.rs
+++ b/fw-gate/src/request/stream.rs
@@ -60,7 +60,7 @@
         let begins = self.attempt().begins();
         let stage = match begins {
             true => quota::Stage::Begins,
-            false => quota::Stage::GoesOn,
+            false => quota::Stage::Continues,
         };
         let credit = self.gate.quotas.take(&self.call, self.limit, stage)?;
         self.credit = credit.map(Arc::new);
@@ -217,7 +217,7 @@
                     break "deadline passed";
                 }
                 Ended::Broken => {
-                    begun.lease.seen(health::Seen::Failed);
+                    begun.lease.seen(health::Observation::Failed);
                     drop(begun);
                     self.job.attempt().suspect(&upstream, addr).await;
                     let next = self.resume(&upstream, &mut resumes).await;
@@ -247,10 +247,10 @@
             team = self.job.call.team.as_deref(),
             priority = self.job.priority,
             upstream = %last_upstream,
-            own = why.own,
-            others = why.others,
-            others_age_ms = why.age.as_millis() as u64,
-            miss_ms = why.miss.as_millis() as u64,
+            own = why.own_calls,
+            others = why.reported_calls,
+            others_age_ms = why.report_age.as_millis() as u64,
+            miss_ms = why.prefill.as_millis() as u64,
             slowness = why.slowness,
             list_as_of = list.as_of,
             list_age_ms = ms(list.age),
--- a/fw-gate/tests/gate/upstream_list.rs
+++ b/fw-gate/tests/gate/upstream_list.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fw_gate::process::fleet::{self, Change, Fleet, List, Listed, Load, Want, Warmth};
-use fw_plan::health::Seen;
+use fw_plan::health::Observation;
 use fw_plan::{confirm, lapse};
 use fw_replica::trail;
 use googletest::prelude::*;
@@ -140,7 +140,7 @@
     }
     for id in ["y", "z"] {
         let lease = fleet.again(&"s".into(), &id.into()).unwrap();
-        lease.seen(Seen::Down);
+        lease.seen(Observation::Down);
     }
     let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
     expect_that!(lease.id, eq("x"));
@@ -169,7 +169,7 @@
     for _ in 0..10 {
         let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
         expect_that!(lease.id, eq("y"));
-        lease.seen(Seen::Answered);
+        lease.seen(Observation::Answered);
     }
     fleet.put(Listed {
         born: 2,
--- a/fw-local/examples/capacity/upstreams.rs
+++ b/fw-local/examples/capacity/upstreams.rs
@@ -71,7 +71,7 @@
     let point = |count: usize| {
         let upstreams: Vec<_> = (0..count).map(|n| member("worker", n)).collect();
         let busy = process::busy(|| {
-            let mine = subset::of(&me, &entries, &upstreams, &subset::Options::default());
+            let mine = subset::watched_by(&me, &entries, &upstreams, &subset::Options::default());
             std::hint::black_box(mine);
         });
         (count as f64, busy.as_secs_f64() * 1e6)
--- a/fw-plan/benches/plan.rs
+++ b/fw-plan/benches/plan.rs
@@ -158,7 +158,9 @@
         let upstreams: Vec<_> = (0..12_000).map(|index| member("llm", index)).collect();
         let options = subset::Options::default();
         group.bench_function(BenchmarkId::from_parameter(entries), |bench| {
-            bench.iter(|| subset::of(&members[0].id, &members, black_box(&upstreams), &options));
+            bench.iter(|| {
+                subset::watched_by(&members[0].id, &members, black_box(&upstreams), &options)
+            });
         });
     }
     group.finish();
--- a/fw-plan/examples/memory.rs
+++ b/fw-plan/examples/memory.rs
@@ -109,7 +109,7 @@
 fn healths(count: usize) -> Box<dyn Any> {
     let mut health = health::Health::new(health::Options::default());
     for index in 0..count {
-        health.seen(Duration::ZERO, &name(index), health::Seen::Answered);
+        health.observe(Duration::ZERO, &name(index), health::Observation::Answered);
     }
     Box::new(health)
 }
@@ -149,13 +149,13 @@
 }
 
 fn suspects(count: usize) -> Box<dyn Any> {
-    let mut poison = poison::Poison::new(poison::Options {
+    let mut poison = poison::Tracker::new(poison::Options {
         capacity: usize::MAX,
         ..poison::Options::default()
     });
     for index in 0..count {
         let print = digest::Digest::of_bytes(&index.to_le_bytes());
-        poison.crashed(Duration::ZERO, &name(index), print, false);
+        poison.record_crash(Duration::ZERO, &name(index), print, false);
     }
     Box::new(poison)
 }
--- a/fw-plan/examples/policy/sim/side.rs
+++ b/fw-plan/examples/policy/sim/side.rs
@@ -58,7 +58,7 @@
         now: Duration,
         job: queue::Job,
         work: engine::Work,
-    ) -> Result<(), fw_plan::Refused> {
+    ) -> Result<(), fw_plan::Refusal> {
         if let Some(paused) = self.paused.remove(&work.program) {
             self.pauses.returned(now - paused.since);
         }
--- a/fw-plan/examples/policy/sim/world.rs
+++ b/fw-plan/examples/policy/sim/world.rs
@@ -80,7 +80,7 @@
     Reach(u64),
     Step(usize),
     Answer(u64, Duration, Option<engine::Left>),
-    Failed(u64, fw_plan::Refused),
+    Failed(u64, fw_plan::Refusal),
     Again(u64),
     Expire(usize, usize),
     Report(usize),
@@ -284,12 +284,12 @@
             view
         };
         let mut health = health::Health::new(health::Options::default());
-        let listed = |name: &id::UpstreamId| health::Listed {
+        let listed = |name: &id::UpstreamId| health::ListedUpstream {
             upstream: name.clone(),
             leaving: false,
         };
         let list: Vec<_> = names[..shape.engines].iter().map(listed).collect();
-        health.listed(Duration::ZERO, &list);
+        health.update_list(Duration::ZERO, &list);
         Self {
             admit: admit::Admit::new(policy.admit.clone()),
             view: view(shape.engines),
@@ -309,8 +309,8 @@
     }
 }
 
-fn crashed() -> fw_plan::Refused {
-    fw_plan::Refused {
+fn crashed() -> fw_plan::Refusal {
+    fw_plan::Refusal {
         kind: error::Kind::UpstreamCrashed,
         retry_after: Duration::from_millis(100),
     }
--- a/fw-plan/examples/policy/sim/world/entries.rs
+++ b/fw-plan/examples/policy/sim/world/entries.rs
@@ -46,7 +46,7 @@
             self.entries[entry].admit.started(now, lane, &req.team);
         }
         if first {
-            self.entries[entry].budget.earn();
+            self.entries[entry].budget.deposit();
         }
         if self.measured() {
             self.stats.turns += 1;
@@ -67,7 +67,7 @@
     pub(super) fn dispatch(&mut self, attempt: u64, avoid: Option<usize>) {
         let index = self.attempts[attempt as usize].program;
         let Some((upstream, lacks)) = self.choose(index, avoid) else {
-            let refused = fw_plan::Refused {
+            let refused = fw_plan::Refusal {
                 kind: error::Kind::NoUpstream,
                 retry_after: Duration::from_millis(500),
             };
@@ -185,7 +185,7 @@
         let now = self.now;
         entry
             .health
-            .seen(now, &self.names[upstream], health::Seen::Answered);
+            .observe(now, &self.names[upstream], health::Observation::Answered);
         if let (Some(old), true) = (moved, self.setup.policy.keep) {
             let id = program.id.clone();
             entry.view.cache(&id, &self.names[old], 0);
@@ -215,7 +215,7 @@
         self.after(done.pause, Event::Submit(index));
     }
 
-    pub(super) fn failed(&mut self, attempt: u64, refused: fw_plan::Refused) {
+    pub(super) fn failed(&mut self, attempt: u64, refused: fw_plan::Refusal) {
         if self.attempts[attempt as usize].over {
             return;
         }
@@ -229,13 +229,13 @@
             let entry = &mut self.entries[entry_index];
             entry
                 .health
-                .seen(self.now, &self.names[upstream], health::Seen::Failed);
+                .observe(self.now, &self.names[upstream], health::Observation::Failed);
         }
         let failure = retry::Failure {
             kind: refused.kind,
             attempt: number.max(1),
             repeatable: true,
-            deadline: (self.programs[index].asked + PATIENCE).saturating_sub(self.now),
+            time_left: (self.programs[index].asked + PATIENCE).saturating_sub(self.now),
             retry_after: None,
         };
         let entry = &mut self.entries[entry_index];
--- a/fw-plan/examples/policy/sim/world/sides.rs
+++ b/fw-plan/examples/policy/sim/world/sides.rs
@@ -142,11 +142,11 @@
         for entry in &mut self.entries {
             let seen = if up {
                 entry.view.report(name, load, self.now);
-                health::Seen::Answered
+                health::Observation::Answered
             } else {
-                health::Seen::Failed
+                health::Observation::Failed
             };
-            entry.health.seen(self.now, name, seen);
+            entry.health.observe(self.now, name, seen);
             let outcome = entry.health.decide(self.now, name);
             entry.view.set_health(name, outcome.weight());
         }
--- a/fw-plan/src/admit.rs
+++ b/fw-plan/src/admit.rs
@@ -24,7 +24,7 @@
 use fw_base::error;
 use fw_base::id;
 
-use crate::toward;
+use crate::ewma;
 
 /// The sort of call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -368,7 +368,7 @@
         let mean = self.sum / self.count;
         self.sum = Duration::ZERO;
         self.count = 0;
-        let smoothed = toward(self.delay.as_secs_f64(), mean.as_secs_f64(), 0.5);
+        let smoothed = ewma(self.delay.as_secs_f64(), mean.as_secs_f64(), 0.5);
         self.delay = Duration::from_secs_f64(smoothed);
         self.limit = self.next(peak, options).clamp(options.min, options.max);
     }
--- a/fw-plan/src/confirm.rs
+++ b/fw-plan/src/confirm.rs
@@ -16,30 +16,30 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
     /// Age up to which a list is used without a question.
-    pub fresh: Duration,
+    pub max_age: Duration,
     /// Longest wait of a call for a newer proof: a read that hangs is asked again within it. As long before the
     /// list is too old, a newer proof is asked for.
-    pub wait: Duration,
+    pub max_wait: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self::within(Duration::from_secs(2))
+        Self::for_bound(Duration::from_secs(2))
     }
 }
 
 /// Reads in a row that are not answered in time before the entry counts as cut off: one may hang.
-const UNANSWERED: u32 = 2;
+const MAX_UNANSWERED_READS: u32 = 2;
 
 impl Options {
     /// Part of the time given that a list may be old; the rest is for the call's way to its upstream.
-    const PART: f64 = 0.75;
+    const LIST_AGE_SHARE: f64 = 0.75;
 
     /// For changes that have to be in force `bound` after they are acknowledged.
-    pub fn within(bound: Duration) -> Self {
+    pub fn for_bound(bound: Duration) -> Self {
         Self {
-            fresh: bound.mul_f64(Self::PART),
-            wait: Duration::from_millis(600),
+            max_age: bound.mul_f64(Self::LIST_AGE_SHARE),
+            max_wait: Duration::from_millis(600),
         }
     }
 }
@@ -50,27 +50,27 @@
     /// It is sent.
     Send,
     /// It waits for a newer proof, for this time at most.
-    Await(Duration),
+    Wait(Duration),
 }
 
 /// How new the list is known to be. Times are those of a clock that goes on while the machine is
 /// suspended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Knowledge {
+pub struct ListFreshness {
     opts: Options,
-    proven: Option<Duration>,
+    confirmed_at: Option<Duration>,
     /// Reads in a row that were not answered in time.
-    unanswered: u32,
+    unanswered_reads: u32,
     is_cut_off: bool,
 }
 
-impl Knowledge {
+impl ListFreshness {
     /// Nothing is proven yet.
     pub fn new(opts: Options) -> Self {
         Self {
             opts,
-            proven: None,
-            unanswered: 0,
+            confirmed_at: None,
+            unanswered_reads: 0,
             is_cut_off: false,
         }
     }
@@ -80,41 +80,41 @@
     ///
     /// What replicas tell of one read dates it a little differently each time, so only a proof by which the list is
     /// new ends the time without one.
-    pub fn prove(&mut self, asked: Duration, now: Duration) -> bool {
-        self.proven = self.proven.max(Some(asked));
+    pub fn confirm(&mut self, asked: Duration, now: Duration) -> bool {
+        self.confirmed_at = self.confirmed_at.max(Some(asked));
         if !self.is_fresh(now) {
             return false;
         }
-        self.unanswered = 0;
+        self.unanswered_reads = 0;
         std::mem::take(&mut self.is_cut_off)
     }
 
     /// A read that was asked at `asked` has failed at `now`.
-    pub fn failed(&mut self, asked: Duration, now: Duration) {
-        if self.tells(asked, now) {
+    pub fn read_failed(&mut self, asked: Duration, now: Duration) {
+        if self.is_conclusive(asked, now) {
             self.is_cut_off = true;
         }
     }
 
     /// A read that was asked at `asked` is not answered at `now`, and is asked again.
-    pub fn unanswered(&mut self, asked: Duration, now: Duration) {
-        if self.tells(asked, now) {
-            self.unanswered += 1;
-            self.is_cut_off |= self.unanswered >= UNANSWERED;
+    pub fn read_unanswered(&mut self, asked: Duration, now: Duration) {
+        if self.is_conclusive(asked, now) {
+            self.unanswered_reads += 1;
+            self.is_cut_off |= self.unanswered_reads >= MAX_UNANSWERED_READS;
         }
     }
 
     /// Whether the end of a read tells what another would bring now. One that was asked before a proof was
     /// wanted does not, nor one asked long ago: the entry may have stood still since.
-    fn tells(&self, asked: Duration, now: Duration) -> bool {
-        let is_recent = now.saturating_sub(asked) <= self.opts.wait;
-        is_recent && !self.is_fresh(asked + self.opts.wait)
+    fn is_conclusive(&self, asked: Duration, now: Duration) -> bool {
+        let is_recent = now.saturating_sub(asked) <= self.opts.max_wait;
+        is_recent && !self.is_fresh(asked + self.opts.max_wait)
     }
 
     /// A call has waited in vain, and for so long, until `now`. If that is longer than it was to wait, the entry
     /// stood still and has not waited for an answer.
-    pub fn waited(&mut self, waited: Duration, now: Duration) {
-        let stood_still = waited > self.opts.wait + self.opts.wait / 4;
+    pub fn wait_expired(&mut self, waited: Duration, now: Duration) {
+        let stood_still = waited > self.opts.max_wait + self.opts.max_wait / 4;
         if !stood_still && !self.is_fresh(now) {
             self.is_cut_off = true;
         }
@@ -127,30 +127,30 @@
 
     /// Time from the moment up to which all changes are known; `None` if nothing is proven.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.proven.map(|proven| now.saturating_sub(proven))
+        self.confirmed_at.map(|proven| now.saturating_sub(proven))
     }
 
     /// Whether a newer proof is wanted at `now`.
-    pub fn is_wanted(&self, now: Duration) -> bool {
-        !self.is_cut_off && !self.is_fresh(now + self.opts.wait)
+    pub fn needs_refresh(&self, now: Duration) -> bool {
+        !self.is_cut_off && !self.is_fresh(now + self.opts.max_wait)
     }
 
     /// What is to happen with a call at `now`.
     pub fn decide(&self, now: Duration) -> Outcome {
         match self.is_cut_off || self.is_fresh(now) {
             true => Outcome::Send,
-            false => Outcome::Await(self.opts.wait),
+            false => Outcome::Wait(self.opts.max_wait),
         }
     }
 
     /// Time from `now` on until a newer proof is wanted; `None` if nothing is proven.
-    pub fn wanted_in(&self, now: Duration) -> Option<Duration> {
-        let from = (self.proven? + self.opts.fresh).saturating_sub(self.opts.wait);
+    pub fn refresh_due_in(&self, now: Duration) -> Option<Duration> {
+        let from = (self.confirmed_at? + self.opts.max_age).saturating_sub(self.opts.max_wait);
         Some(from.saturating_sub(now))
     }
 
     fn is_fresh(&self, now: Duration) -> bool {
         let age = self.age(now);
-        age.is_some_and(|age| age <= self.opts.fresh)
+        age.is_some_and(|age| age <= self.opts.max_age)
     }
 }
--- a/fw-plan/src/health.rs
+++ b/fw-plan/src/health.rs
@@ -13,7 +13,7 @@
 //! a time that doubles with each ejection and is forgotten slowly, so that a flapping one is
 //! dampened. How many in a row depends on how often calls fail everywhere: while half of all calls
 //! fail, three in a row say nothing about an upstream, and ejecting it would only take capacity
-//! from a service in trouble. At most [`Options::max_ejected`] of the upstreams are ejected: beyond that the cause
+//! from a service in trouble. At most [`Options::max_ejected_share`] of the upstreams are ejected: beyond that the cause
 //! is more likely here or common to all, and using them is better than using none. One that crashed,
 //! refuses connections or says that its engine is down is the exception: that is no opinion of this
 //! process, and it is left out beyond that part as well, until it answers or an ejection's time is
@@ -32,50 +32,50 @@
 
 use fw_base::id;
 
-use crate::toward;
+use crate::ewma;
 
 /// When upstreams are ejected and how they return.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Failures or missed heartbeats in a row that eject, at least.
-    pub failures: u32,
+    pub min_failures: u32,
     /// How unlikely the failures in a row must be at the failure rate of all upstreams.
-    pub chance: f64,
+    pub max_chance: f64,
     /// Length of the first ejection.
-    pub eject: Duration,
+    pub first_ejection: Duration,
     /// Longest ejection.
-    pub eject_max: Duration,
+    pub max_ejection: Duration,
     /// Time without an ejection after which one ejection is forgotten.
-    pub forgive: Duration,
+    pub ejection_memory: Duration,
     /// Greatest part of the upstreams that is ejected together.
-    pub max_ejected: f64,
+    pub max_ejected_share: f64,
     /// How long the weight grows after a return.
     pub slow_start: Duration,
     /// Weight at the moment of return.
-    pub least_weight: f64,
+    pub min_weight: f64,
     /// How long an upstream that the list lacks and that is not heard is still used.
-    pub unlisted: Duration,
+    pub unlisted_grace: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            failures: 3,
-            chance: 0.001,
-            eject: Duration::from_secs(2),
-            eject_max: Duration::from_secs(60),
-            forgive: Duration::from_secs(60),
-            max_ejected: 0.34,
+            min_failures: 3,
+            max_chance: 0.001,
+            first_ejection: Duration::from_secs(2),
+            max_ejection: Duration::from_secs(60),
+            ejection_memory: Duration::from_secs(60),
+            max_ejected_share: 0.34,
             slow_start: Duration::from_secs(10),
-            least_weight: 0.1,
-            unlisted: Duration::from_secs(10),
+            min_weight: 0.1,
+            unlisted_grace: Duration::from_secs(10),
         }
     }
 }
 
 /// What this process saw of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum Observation {
     /// It answered a heartbeat or a call, however slowly.
     Answered,
     /// A call or connection failed, or a heartbeat was missed.
@@ -88,7 +88,7 @@
 
 /// One line of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedUpstream {
     /// The upstream.
     pub upstream: id::UpstreamId,
     /// The list says that it leaves.
@@ -156,8 +156,8 @@
     down_until: Option<Duration>,
     ejected_at: Duration,
     /// Since when it is usable again, if it was ejected before.
-    returned: Option<Duration>,
-    answered: Duration,
+    returned_at: Option<Duration>,
+    answered_at: Duration,
 }
 
 /// Health of the upstreams of one service, as one process sees it.
@@ -166,13 +166,13 @@
     options: Options,
     upstreams: HashMap<id::UpstreamId, Upstream>,
     /// Part of what was seen of all upstreams that were failures, smoothed.
-    failing: f64,
+    failure_rate: f64,
 }
 
 /// Weight of the newest observation in the failure rate of all upstreams.
 const SMOOTHING: f64 = 0.01;
 /// Failure rate beyond which no more failures in a row are asked for.
-const MOST_FAILING: f64 = 0.7;
+const MAX_FAILURE_RATE: f64 = 0.7;
 
 impl Health {
     /// Without upstreams.
@@ -180,12 +180,12 @@
         Self {
             options,
             upstreams: HashMap::new(),
-            failing: 0.0,
+            failure_rate: 0.0,
         }
     }
 
     /// A new copy of the instance list arrived.
-    pub fn listed(&mut self, now: Duration, list: &[Listed]) {
+    pub fn update_list(&mut self, now: Duration, list: &[ListedUpstream]) {
         for upstream in self.upstreams.values_mut() {
             upstream.listed = false;
         }
@@ -195,38 +195,42 @@
             upstream.listed = true;
             upstream.leaving |= line.leaving;
         }
-        let unlisted = self.options.unlisted;
+        let unlisted = self.options.unlisted_grace;
         self.upstreams
-            .retain(|_, upstream| upstream.listed || now < upstream.answered + unlisted);
+            .retain(|_, upstream| upstream.listed || now < upstream.answered_at + unlisted);
     }
 
     /// This process saw something of `upstream`.
-    pub fn seen(&mut self, now: Duration, upstream: &id::UpstreamId, seen: Seen) {
-        let needed = self.needed();
+    pub fn observe(&mut self, now: Duration, upstream: &id::UpstreamId, seen: Observation) {
+        let needed = self.failure_threshold();
         let known = self.upstreams.entry(upstream.clone());
         let known = known.or_insert_with(|| Upstream::new(now));
         match seen {
-            Seen::Answered => known.answer(now),
-            Seen::Leaving => known.leaving = true,
-            Seen::Failed => known.failures += 1,
-            Seen::Down => known.failures = known.failures.max(needed),
+            Observation::Answered => known.answer(now),
+            Observation::Leaving => known.leaving = true,
+            Observation::Failed => known.failures += 1,
+            Observation::Down => known.failures = known.failures.max(needed),
         }
         let fails = known.failures >= needed;
-        if fails && !known.is_ejected(now) && !self.eject(now, upstream) && seen == Seen::Down {
-            self.leave_out(now, upstream);
+        if fails
+            && !known.is_ejected(now)
+            && !self.eject(now, upstream)
+            && seen == Observation::Down
+        {
+            self.exclude(now, upstream);
         }
         match seen {
-            Seen::Answered => self.failing = toward(self.failing, 0.0, SMOOTHING),
-            Seen::Failed => self.failing = toward(self.failing, 1.0, SMOOTHING),
-            Seen::Down | Seen::Leaving => {}
+            Observation::Answered => self.failure_rate = ewma(self.failure_rate, 0.0, SMOOTHING),
+            Observation::Failed => self.failure_rate = ewma(self.failure_rate, 1.0, SMOOTHING),
+            Observation::Down | Observation::Leaving => {}
         }
     }
 
     /// Failures in a row that eject, given how often calls to all upstreams fail.
-    fn needed(&self) -> u32 {
-        let failing = self.failing.clamp(f64::MIN_POSITIVE, MOST_FAILING);
-        let unlikely = self.options.chance.ln() / failing.ln();
-        self.options.failures.max(unlikely.ceil() as u32)
+    fn failure_threshold(&self) -> u32 {
+        let failing = self.failure_rate.clamp(f64::MIN_POSITIVE, MAX_FAILURE_RATE);
+        let unlikely = self.options.max_chance.ln() / failing.ln();
+        self.options.min_failures.max(unlikely.ceil() as u32)
     }
 
     /// An upstream of this name started anew: it neither leaves nor fails any more.
@@ -234,7 +238,7 @@
         if let Some(known) = self.upstreams.get_mut(upstream) {
             known.leaving = false;
             known.answer(now);
-            known.returned = Some(now.max(known.ejected_until.unwrap_or_default()));
+            known.returned_at = Some(now.max(known.ejected_until.unwrap_or_default()));
         }
     }
 
@@ -253,7 +257,7 @@
         if known.down_until.is_some_and(|until| now < until) {
             return unusable(Reason::Down);
         }
-        if !known.listed && now >= known.answered + self.options.unlisted {
+        if !known.listed && now >= known.answered_at + self.options.unlisted_grace {
             return unusable(Reason::Unknown);
         }
         Outcome::Usable {
@@ -272,12 +276,12 @@
     }
 
     fn weight(&self, now: Duration, known: &Upstream) -> f64 {
-        let Some(returned) = known.returned else {
+        let Some(returned) = known.returned_at else {
             return 1.0;
         };
         let since = now.saturating_sub(returned).as_secs_f64();
         let part = since / self.options.slow_start.as_secs_f64();
-        part.clamp(self.options.least_weight, 1.0)
+        part.clamp(self.options.min_weight, 1.0)
     }
 
     /// Ejects `upstream`; false if too many are ejected already.
@@ -287,7 +291,7 @@
             .values()
             .filter(|known| known.is_ejected(now));
         let after = ejected.count() + 1;
-        let most = self.upstreams.len() as f64 * self.options.max_ejected;
+        let most = self.upstreams.len() as f64 * self.options.max_ejected_share;
         if after as f64 > most {
             return false;
         }
@@ -298,8 +302,8 @@
         true
     }
 
-    fn leave_out(&mut self, now: Duration, upstream: &id::UpstreamId) {
-        let until = now + self.options.eject;
+    fn exclude(&mut self, now: Duration, upstream: &id::UpstreamId) {
+        let until = now + self.options.first_ejection;
         if let Some(known) = self.upstreams.get_mut(upstream) {
             known.down_until = Some(until);
         }
@@ -309,7 +313,7 @@
 impl Upstream {
     fn new(now: Duration) -> Self {
         Self {
-            answered: now,
+            answered_at: now,
             ..Self::default()
         }
     }
@@ -320,20 +324,20 @@
 
     fn answer(&mut self, now: Duration) {
         self.failures = 0;
-        self.answered = now;
+        self.answered_at = now;
         self.down_until = None;
     }
 
     fn eject(&mut self, now: Duration, options: &Options) {
         let quiet = now.saturating_sub(self.ejected_at).as_secs_f64();
-        let forgiven = (quiet / options.forgive.as_secs_f64()) as u32;
+        let forgiven = (quiet / options.ejection_memory.as_secs_f64()) as u32;
         self.ejections = self.ejections.saturating_sub(forgiven);
-        let length = options.eject * (1 << self.ejections.min(16));
-        let until = now + length.min(options.eject_max);
+        let length = options.first_ejection * (1 << self.ejections.min(16));
+        let until = now + length.min(options.max_ejection);
         self.ejections += 1;
         self.ejected_at = now;
         self.ejected_until = Some(until);
-        self.returned = Some(until);
+        self.returned_at = Some(until);
         self.failures = 0;
     }
 }
--- a/fw-plan/src/lapse.rs
+++ b/fw-plan/src/lapse.rs
@@ -17,16 +17,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
     /// Shortest time without a read in which an entry can lapse.
-    pub gap: Duration,
+    pub outage_gap: Duration,
     /// How long after the store's return lapsed entries may be missing.
-    pub settle: Duration,
+    pub settle_time: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            gap: Duration::from_millis(2_400),
-            settle: Duration::from_millis(2_200),
+            outage_gap: Duration::from_millis(2_400),
+            settle_time: Duration::from_millis(2_200),
         }
     }
 }
@@ -35,7 +35,7 @@
     /// An entry that is renewed once in each `heartbeat` lapses after three without a renewal.
     pub fn with_heartbeat(heartbeat: Duration) -> Self {
         Self {
-            gap: heartbeat * 2,
+            outage_gap: heartbeat * 2,
             ..Self::default()
         }
     }
@@ -103,17 +103,17 @@
     }
 
     /// Reads were made, or are told of.
-    pub fn note(&mut self, reads: Span) {
+    pub fn add_span(&mut self, reads: Span) {
         let known = self.span;
-        self.span = Some(known.map_or(reads, |known| known.join(reads, self.opts.gap)));
+        self.span = Some(known.map_or(reads, |known| known.join(reads, self.opts.outage_gap)));
     }
 
     /// A read was made that was asked and answered at these times.
     ///
     /// A call that hangs through the end of an outage was asked in it: the store is back only when it
     /// answers.
-    pub fn note_read(&mut self, asked: Duration, answered: Duration) {
-        let gap = self.opts.gap;
+    pub fn add_read(&mut self, asked: Duration, answered: Duration) {
+        let gap = self.opts.outage_gap;
         match &mut self.span {
             Some(span) if asked <= span.last + gap => span.last = span.last.max(asked),
             _ => self.span = Some(Span::single(answered)),
@@ -132,7 +132,7 @@
             return Outcome::Kept;
         };
         let has_left = listed.is_some_and(|listed| listed >= span.first);
-        let is_settled = span.last >= span.first + self.opts.settle;
+        let is_settled = span.last >= span.first + self.opts.settle_time;
         if has_left || is_settled {
             Outcome::Gone
         } else {
--- a/fw-plan/src/lib.rs
+++ b/fw-plan/src/lib.rs
@@ -30,7 +30,6 @@
 pub mod confirm;
 pub mod health;
 pub mod hedge;
-pub mod hold;
 pub mod keep;
 pub mod lapse;
 pub mod lookup;
@@ -44,11 +43,12 @@
 pub mod staleness;
 pub mod subset;
 pub mod takeover;
+pub mod wait_queue;
 pub mod window;
 
 /// A refusal: why, and when the same call may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct Refusal {
     /// Why.
     pub kind: error::Kind,
     /// When to try again, from now.
@@ -56,6 +56,6 @@
 }
 
 /// `part` of the way from `old` to `new`: one step of an exponentially weighted mean.
-pub(crate) fn toward(old: f64, new: f64, part: f64) -> f64 {
+pub(crate) fn ewma(old: f64, new: f64, part: f64) -> f64 {
     old + (new - old) * part
 }
--- a/fw-plan/src/pace.rs
+++ b/fw-plan/src/pace.rs
@@ -20,26 +20,26 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Calls that the mean reaches back. At a few calls a second that is some seconds.
-    pub calls: f64,
+    pub memory_calls: f64,
     /// Calls for which an upstream counts as usual before any is seen: with a spread of a factor of
     /// two, a mean of as many calls is known to a third.
-    pub usual: f64,
+    pub prior_calls: f64,
     /// Slowness that is put down to chance.
-    pub chance: f64,
+    pub noise_margin: f64,
     /// Most that one call counts, so that a single long one decides nothing.
-    pub most: f64,
+    pub max_ratio: f64,
     /// After this time without a call an upstream counts as usual again.
-    pub forget: Duration,
+    pub expiry: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            calls: 16.0,
-            usual: 6.0,
-            chance: 0.4,
-            most: 6.0,
-            forget: Duration::from_secs(3),
+            memory_calls: 16.0,
+            prior_calls: 6.0,
+            noise_margin: 0.4,
+            max_ratio: 6.0,
+            expiry: Duration::from_secs(3),
         }
     }
 }
@@ -49,32 +49,32 @@
 pub struct Pace {
     mean: f64,
     calls: f64,
-    noted: Duration,
+    updated_at: Duration,
 }
 
 impl Pace {
     /// A call that ended at `now` took `ratio` times as long as is usual among the peers.
-    pub fn note(&mut self, options: &Options, ratio: f64, now: Duration) {
-        if self.is_forgotten(options, now) {
+    pub fn record(&mut self, options: &Options, ratio: f64, now: Duration) {
+        if self.is_expired(options, now) {
             self.calls = 0.0;
         }
-        self.calls = (self.calls + 1.0).min(options.calls);
-        self.mean = crate::toward(self.mean, ratio.min(options.most), 1.0 / self.calls);
-        self.noted = now;
+        self.calls = (self.calls + 1.0).min(options.memory_calls);
+        self.mean = crate::ewma(self.mean, ratio.min(options.max_ratio), 1.0 / self.calls);
+        self.updated_at = now;
     }
 
     /// How many times longer than usual its calls take; 1 for as long as there is no good reason to
     /// think so.
     pub fn slowness(&self, options: &Options, now: Duration) -> f64 {
-        if self.calls == 0.0 || self.is_forgotten(options, now) {
+        if self.calls == 0.0 || self.is_expired(options, now) {
             return 1.0;
         }
-        let sure = self.calls / (self.calls + options.usual);
-        let beyond = (self.mean - 1.0) * sure - options.chance;
+        let sure = self.calls / (self.calls + options.prior_calls);
+        let beyond = (self.mean - 1.0) * sure - options.noise_margin;
         1.0 + beyond.max(0.0)
     }
 
-    fn is_forgotten(&self, options: &Options, now: Duration) -> bool {
-        now.saturating_sub(self.noted) >= options.forget
+    fn is_expired(&self, options: &Options, now: Duration) -> bool {
+        now.saturating_sub(self.updated_at) >= options.expiry
     }
 }
--- a/fw-plan/src/place/view.rs
+++ b/fw-plan/src/place/view.rs
@@ -8,7 +8,7 @@
 
 use super::Load;
 use super::Options;
-use crate::toward;
+use crate::ewma;
 
 /// Index of an upstream in its view.
 pub(super) type Index = u32;
@@ -235,7 +235,7 @@
     /// A sent call ended after `engine` time in the upstream; `None` if it did not run there.
     pub fn settled(&mut self, upstream: &id::UpstreamId, engine: Option<Duration>) {
         if let Some(engine) = engine {
-            self.service = toward(self.service, engine.as_secs_f64(), SMOOTHING);
+            self.service = ewma(self.service, engine.as_secs_f64(), SMOOTHING);
         }
         if let Some(index) = self.index(upstream) {
             let upstream = &mut self.upstreams[index];
@@ -354,7 +354,7 @@
         let own = self.outstanding.saturating_sub(self.sent.len() as u32);
         let others = (reported - f64::from(own)).max(0.0);
         let before = self.others.unwrap_or(others);
-        self.others = Some(toward(before, others, REPORT_SMOOTHING));
+        self.others = Some(ewma(before, others, REPORT_SMOOTHING));
     }
 
     pub(super) fn prefill(&self, tokens: id::Tokens) -> f64 {
--- a/fw-plan/src/poison.rs
+++ b/fw-plan/src/poison.rs
@@ -25,7 +25,7 @@
 use fw_base::error;
 use fw_base::id;
 
-use crate::Refused;
+use crate::Refusal;
 
 /// How suspicion is held.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     /// How long a quarantine lasts.
     pub quarantine_for: Duration,
     /// Crashes in company that convict without a trial alone.
-    pub crashes: u32,
+    pub shared_crash_limit: u32,
     /// Most fingerprints remembered.
     pub capacity: usize,
 }
@@ -45,7 +45,7 @@
         Self {
             suspect_for: Duration::from_secs(600),
             quarantine_for: Duration::from_secs(3_600),
-            crashes: 3,
+            shared_crash_limit: 3,
             capacity: 10_000,
         }
     }
@@ -62,45 +62,45 @@
         avoid: id::UpstreamId,
     },
     /// Not at all.
-    Refused(Refused),
+    Refused(Refusal),
 }
 
 #[derive(Clone, Debug)]
-struct Mark {
+struct Suspect {
     crashes: u32,
-    convicted: bool,
+    quarantined: bool,
     upstream: id::UpstreamId,
     until: Duration,
 }
 
 /// Fingerprints under suspicion or quarantine.
 #[derive(Debug)]
-pub struct Poison {
+pub struct Tracker {
     options: Options,
-    marks: HashMap<digest::Digest, Mark>,
-    order: VecDeque<digest::Digest>,
+    suspects: HashMap<digest::Digest, Suspect>,
+    by_age: VecDeque<digest::Digest>,
 }
 
-impl Poison {
+impl Tracker {
     /// Without any suspicion.
     pub fn new(options: Options) -> Self {
         Self {
             options,
-            marks: HashMap::new(),
-            order: VecDeque::new(),
+            suspects: HashMap::new(),
+            by_age: VecDeque::new(),
         }
     }
 
     /// How a request with `fingerprint` is to be run.
     pub fn decide(&self, now: Duration, fingerprint: &digest::Digest) -> Outcome {
-        let Some(mark) = self.marks.get(fingerprint) else {
+        let Some(mark) = self.suspects.get(fingerprint) else {
             return Outcome::Normal;
         };
         if mark.until <= now {
             return Outcome::Normal;
         }
-        if mark.convicted {
-            return Outcome::Refused(Refused {
+        if mark.quarantined {
+            return Outcome::Refused(Refusal {
                 kind: error::Kind::Quarantined,
                 retry_after: mark.until - now,
             });
@@ -111,7 +111,7 @@
     }
 
     /// `upstream` crashed while a request with `fingerprint` ran there, alone or not.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         now: Duration,
         upstream: &id::UpstreamId,
@@ -121,61 +121,64 @@
         self.make_room(now, &fingerprint);
         let crashes = self.crashes_before(now, &fingerprint) + 1;
         // Alone, there is nobody else to blame; but a first crash may be the engine's own.
-        let convicted = (alone && crashes >= 2) || crashes >= self.options.crashes;
+        let convicted = (alone && crashes >= 2) || crashes >= self.options.shared_crash_limit;
         let lasts = if convicted {
             self.options.quarantine_for
         } else {
             self.options.suspect_for
         };
-        let mark = Mark {
+        let mark = Suspect {
             crashes,
-            convicted,
+            quarantined: convicted,
             upstream: upstream.clone(),
             until: now + lasts,
         };
-        if self.marks.insert(fingerprint, mark).is_none() {
-            self.order.push_back(fingerprint);
+        if self.suspects.insert(fingerprint, mark).is_none() {
+            self.by_age.push_back(fingerprint);
         }
     }
 
     /// A request with `fingerprint` ran to its end: a suspicion is lifted.
-    pub fn survived(&mut self, fingerprint: &digest::Digest) {
-        let suspect = |mark: &Mark| !mark.convicted;
-        if self.marks.get(fingerprint).is_some_and(suspect) {
-            self.marks.remove(fingerprint);
-            self.order.retain(|known| known != fingerprint);
+    pub fn record_success(&mut self, fingerprint: &digest::Digest) {
+        let suspect = |mark: &Suspect| !mark.quarantined;
+        if self.suspects.get(fingerprint).is_some_and(suspect) {
+            self.suspects.remove(fingerprint);
+            self.by_age.retain(|known| known != fingerprint);
         }
     }
 
     /// Fingerprints remembered.
     pub fn len(&self) -> usize {
-        self.marks.len()
+        self.suspects.len()
     }
 
     /// Whether none is remembered.
     pub fn is_empty(&self) -> bool {
-        self.marks.is_empty()
+        self.suspects.is_empty()
     }
 
     fn crashes_before(&self, now: Duration, fingerprint: &digest::Digest) -> u32 {
-        let mark = self.marks.get(fingerprint);
+        let mark = self.suspects.get(fingerprint);
         mark.filter(|mark| mark.until > now)
             .map_or(0, |mark| mark.crashes)
     }
 
     fn make_room(&mut self, now: Duration, fingerprint: &digest::Digest) {
-        if self.marks.contains_key(fingerprint) || self.marks.len() < self.options.capacity {
+        if self.suspects.contains_key(fingerprint) || self.suspects.len() < self.options.capacity {
             return;
         }
-        let marks = &mut self.marks;
+        let marks = &mut self.suspects;
         marks.retain(|_, mark| mark.until > now);
-        self.order.retain(|known| marks.contains_key(known));
+        self.by_age.retain(|known| marks.contains_key(known));
         if marks.len() < self.options.capacity {
             return;
         }
         // A quarantine is worth more than a suspicion, so the oldest suspicion goes first.
-        let suspect = self.order.iter().position(|known| !marks[known].convicted);
-        if let Some(oldest) = self.order.remove(suspect.unwrap_or(0)) {
+        let suspect = self
+            .by_age
+            .iter()
+            .position(|known| !marks[known].quarantined);
+        if let Some(oldest) = self.by_age.remove(suspect.unwrap_or(0)) {
             marks.remove(&oldest);
         }
     }
--- a/fw-plan/src/queue.rs
+++ b/fw-plan/src/queue.rs
@@ -31,8 +31,8 @@
 use fw_base::error;
 use fw_base::id;
 
-use crate::Refused;
-use crate::toward;
+use crate::Refusal;
+use crate::ewma;
 
 /// How the queue orders and bounds its jobs.
 #[derive(Clone, Debug)]
@@ -223,7 +223,7 @@
     ///
     /// `QueueFull`, `ShareExceeded` or `DeadlineUnmeetable`, each with a time to retry; the job
     /// did not run.
-    pub fn push(&mut self, now: Duration, job: Job) -> Result<(), Refused> {
+    pub fn push(&mut self, now: Duration, job: Job) -> Result<(), Refusal> {
         if self.jobs.contains_key(&job.id) {
             return Ok(());
         }
@@ -291,7 +291,7 @@
     pub fn finished(&mut self, team: &id::TeamId, engine: Duration) {
         let charged = self.service;
         let used = engine.as_secs_f64();
-        self.service = toward(self.service, used, SMOOTHING);
+        self.service = ewma(self.service, used, SMOOTHING);
         let Some(&index) = self.names.get(team) else {
             return;
         };
@@ -305,10 +305,10 @@
         self.reorder(index, after);
     }
 
-    fn check(&self, job: &Job) -> Result<(), Refused> {
+    fn check(&self, job: &Job) -> Result<(), Refusal> {
         let delay = self.delay();
         let refuse = |kind| {
-            Err(Refused {
+            Err(Refusal {
                 kind,
                 retry_after: delay.max(Duration::from_millis(100)),
             })
@@ -393,7 +393,7 @@
             return id;
         };
         let waited = now.saturating_sub(waiting.pushed).as_secs_f64();
-        self.waited = toward(self.waited, waited, SMOOTHING);
+        self.waited = ewma(self.waited, waited, SMOOTHING);
         self.measure_interval(now);
         let team = &self.teams[waiting.team];
         self.virtual_now = self.virtual_now.max(team.virtual_time);
@@ -407,7 +407,7 @@
     fn measure_interval(&mut self, now: Duration) {
         if let Some(before) = self.released {
             let interval = now.saturating_sub(before).as_secs_f64();
-            self.interval = toward(self.interval, interval, SMOOTHING);
+            self.interval = ewma(self.interval, interval, SMOOTHING);
         }
         self.released = (!self.jobs.is_empty()).then_some(now);
     }
--- a/fw-plan/src/quota.rs
+++ b/fw-plan/src/quota.rs
@@ -69,7 +69,7 @@
     /// A program begins with it.
     Begins,
     /// Its program is under way, or it belongs to none.
-    GoesOn,
+    Continues,
 }
 
 impl Stage {
@@ -87,50 +87,50 @@
     /// Span over which they are counted.
     pub window: Duration,
     /// By which part of the limit the count may be wrong.
-    pub overage: f64,
+    pub tolerance_share: f64,
     /// By how many requests it may be wrong besides.
-    pub slack: f64,
+    pub tolerance_requests: f64,
     /// Part of what the count may be wrong by that programs under way may use.
-    pub lent: f64,
+    pub lent_share: f64,
     /// Requests of a program, where none was seen yet.
-    pub program: f64,
+    pub requests_per_program: f64,
     /// Programs for which that guess counts.
-    pub guessed: f64,
+    pub prior_programs: f64,
     /// Requests that an entry lets through before it has heard of others again.
-    pub unheard: i64,
+    pub max_unsynced: i64,
     /// The same as a part of the limit, where that is more.
-    pub unheard_part: f64,
+    pub max_unsynced_share: f64,
     /// Part of the limit that an entry lets through before it tells of it.
-    pub untold_part: f64,
+    pub report_share: f64,
     /// Part of what is left of the limit that an entry lets through unheard.
-    pub unheard_left: f64,
+    pub max_unsynced_left_share: f64,
     /// Requests that an entry lets through before it has heard of others for the first time.
-    pub unasked: i64,
+    pub max_before_first_sync: i64,
     /// Part of the limit from which on what is let through is told at once.
-    pub busy: f64,
+    pub busy_share: f64,
     /// Shortest time after which a refused caller is asked to return.
-    pub soonest: Duration,
+    pub min_retry_after: Duration,
     /// Longest such time.
-    pub latest: Duration,
+    pub max_retry_after: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
             window: Duration::from_secs(5),
-            overage: 0.0,
-            slack: 0.0,
-            lent: 0.4,
-            program: 15.0,
-            guessed: 8.0,
-            unheard: 16,
-            unheard_part: 0.05,
-            untold_part: 0.01,
-            unheard_left: 0.1,
-            unasked: 4,
-            busy: 0.7,
-            soonest: Duration::from_millis(100),
-            latest: Duration::from_secs(2),
+            tolerance_share: 0.0,
+            tolerance_requests: 0.0,
+            lent_share: 0.4,
+            requests_per_program: 15.0,
+            prior_programs: 8.0,
+            max_unsynced: 16,
+            max_unsynced_share: 0.05,
+            report_share: 0.01,
+            max_unsynced_left_share: 0.1,
+            max_before_first_sync: 4,
+            busy_share: 0.7,
+            min_retry_after: Duration::from_millis(100),
+            max_retry_after: Duration::from_secs(2),
         }
     }
 }
@@ -142,26 +142,26 @@
     }
 
     /// Requests that an entry lets through unheard while `left` are left of the limit. Others do so too.
-    fn most_unheard(&self, limit: Limit, left: f64) -> i64 {
-        let most = self.allowed(limit) * self.unheard_part;
-        let share = (left * self.unheard_left) as i64;
-        self.unheard.max(most as i64).min(share.max(1))
+    fn unsynced_limit(&self, limit: Limit, left: f64) -> i64 {
+        let most = self.allowed(limit) * self.max_unsynced_share;
+        let share = (left * self.max_unsynced_left_share) as i64;
+        self.max_unsynced.max(most as i64).min(share.max(1))
     }
 
     /// Requests that an entry lets through before it tells of them, while much of the limit is left.
     ///
     /// *Failure:* a small team's requests came in through all entries, and each told of four together.
     /// What nobody had told of yet was half of the limit.
-    fn most_untold(&self, limit: Limit) -> i64 {
-        let part = (self.allowed(limit) * self.untold_part) as i64;
-        part.clamp(1, self.unheard / 4)
+    fn report_threshold(&self, limit: Limit) -> i64 {
+        let part = (self.allowed(limit) * self.report_share) as i64;
+        part.clamp(1, self.max_unsynced / 4)
     }
 
     /// Requests that a program needs, of a team that had sent `counts` before the last window. Programs
     /// that began later are not through.
-    fn need(&self, counts: Counts) -> f64 {
-        let requests = counts.requests as f64 + self.program * self.guessed;
-        requests / (counts.begins as f64 + self.guessed)
+    fn program_need(&self, counts: Counts) -> f64 {
+        let requests = counts.requests as f64 + self.requests_per_program * self.prior_programs;
+        requests / (counts.begins as f64 + self.prior_programs)
     }
 }
 
@@ -176,36 +176,36 @@
 
 /// Requests by the time at which they ran, within a window.
 #[derive(Clone, Debug, Default)]
-pub struct Recent {
+pub struct SlidingWindow {
     /// Start of each slot, oldest first, and requests in it.
-    slots: VecDeque<(Duration, Counts)>,
+    buckets: VecDeque<(Duration, Counts)>,
     sum: Counts,
 }
 
 /// Slots of a window.
-const SLOTS: u32 = 50;
+const BUCKETS: u32 = 50;
 
-impl Recent {
+impl SlidingWindow {
     /// Adds requests that ran at `now`.
     pub fn add(&mut self, counts: Counts, now: Duration, window: Duration) {
         self.sum += counts;
-        match self.slots.back_mut() {
-            Some((start, known)) if now < *start + window / SLOTS => *known += counts,
-            _ => self.slots.push_back((now, counts)),
+        match self.buckets.back_mut() {
+            Some((start, known)) if now < *start + window / BUCKETS => *known += counts,
+            _ => self.buckets.push_back((now, counts)),
         }
     }
 
     /// Requests in the window that ends at `now`. A slot counts until the last of its requests is out.
     pub fn in_window(&mut self, now: Duration, window: Duration) -> Counts {
-        let kept = window + window / SLOTS;
-        while let Some((_, counts)) = self.slots.pop_front_if(|(start, _)| *start + kept <= now) {
+        let kept = window + window / BUCKETS;
+        while let Some((_, counts)) = self.buckets.pop_front_if(|(start, _)| *start + kept <= now) {
             self.sum -= counts;
         }
         self.sum
     }
 
     /// Time until so many that `of` counts are out of the window.
-    fn until_gone(
+    fn time_until_expired(
         &self,
         wanted: f64,
         of: impl Fn(&Counts) -> i64,
@@ -213,10 +213,10 @@
         window: Duration,
     ) -> Option<Duration> {
         let mut gone = 0;
-        for (start, counts) in &self.slots {
+        for (start, counts) in &self.buckets {
             gone += of(counts);
             if gone as f64 >= wanted {
-                return Some((*start + window + window / SLOTS).saturating_sub(now));
+                return Some((*start + window + window / BUCKETS).saturating_sub(now));
             }
         }
         None
@@ -225,7 +225,7 @@
 
 /// What an entry tells of a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Report {
     /// Requests that it has let through since it started.
     pub total: Counts,
     /// Of these, those in the last window.
@@ -236,49 +236,49 @@
 
 /// What a replica tells of a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct Summary {
     /// Requests of all entries in the last window.
     pub recent: Counts,
     /// What the asker told when it was counted.
-    pub told: Counts,
+    pub reported: Counts,
     /// For how long the replica has counted.
-    pub counted: Duration,
+    pub counted_for: Duration,
 }
 
 /// What an entry has to do about a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum SyncNeed {
     /// Nothing.
     Nothing,
     /// Hear of the others, from one replica: little is left, and others may have used it.
-    Ask,
+    Query,
     /// Tell all replicas: nothing is known of others, much was let through since, or little is left.
-    Tell,
+    Report,
 }
 
 /// What an account knows of the requests that ran before it was made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Before {
+enum PriorUsage {
     /// Nothing yet. Others are asked.
     #[default]
-    Unasked,
+    NotSynced,
     /// Those that ran within a window up to this time are counted only in part.
-    UnknownUntil(Duration),
+    PartialUntil(Duration),
 }
 
 /// One team's account at one entry.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     /// Requests in the window, of all entries as far as is known.
-    all: Recent,
+    all: SlidingWindow,
     /// Requests in the window, of this entry.
-    own: Recent,
+    own: SlidingWindow,
     /// Requests that this entry has let through.
     total: Counts,
     /// Of these, how many were let through since it heard of the others.
-    unheard: i64,
+    unsynced: i64,
     /// What is known of the time before it was made.
-    before: Before,
+    prior: PriorUsage,
 }
 
 impl Account {
@@ -290,11 +290,11 @@
         now: Duration,
         options: &Options,
     ) -> Outcome {
-        if self.before == Before::Unasked && self.unheard >= options.unasked {
-            return Outcome::Refused(options.soonest);
+        if self.prior == PriorUsage::NotSynced && self.unsynced >= options.max_before_first_sync {
+            return Outcome::Refused(options.min_retry_after);
         }
         if let Some(after) = self.wait(limit, stage, now, options) {
-            return Outcome::Refused(after.clamp(options.soonest, options.latest));
+            return Outcome::Refused(after.clamp(options.min_retry_after, options.max_retry_after));
         }
         self.charge(stage, now, options);
         Outcome::Admitted
@@ -313,21 +313,25 @@
         let counted = recent.requests as f64 + self.uncounted(limit, now, options) + 1.0;
         let bound = match stage {
             Stage::Begins => allowed,
-            Stage::GoesOn => allowed + (allowed * options.overage + options.slack) * options.lent,
+            Stage::Continues => {
+                allowed
+                    + (allowed * options.tolerance_share + options.tolerance_requests)
+                        * options.lent_share
+            }
         };
         let gone = |wanted, of: fn(&Counts) -> i64| {
-            let after = self.all.until_gone(wanted, of, now, options.window);
-            Some(after.unwrap_or(options.latest))
+            let after = self.all.time_until_expired(wanted, of, now, options.window);
+            Some(after.unwrap_or(options.max_retry_after))
         };
         if counted > bound {
             return gone(counted - bound, |counts| counts.requests);
         }
-        if self.unheard >= options.most_unheard(limit, bound - counted) {
-            return Some(options.soonest);
+        if self.unsynced >= options.unsynced_limit(limit, bound - counted) {
+            return Some(options.min_retry_after);
         }
         let mut before = self.total;
         before -= self.own.in_window(now, options.window);
-        let programs = (allowed / options.need(before)).max(1.0);
+        let programs = (allowed / options.program_need(before)).max(1.0);
         let begins = recent.begins as f64 + 1.0;
         if stage == Stage::Begins && begins > programs {
             return gone(begins - programs, |counts| counts.begins);
@@ -340,7 +344,7 @@
     /// *Failure:* all power was lost, and with it all counts. Within a window of it teams could send
     /// as much again as they had sent before.
     fn uncounted(&self, limit: Limit, now: Duration, options: &Options) -> f64 {
-        let Before::UnknownUntil(until) = self.before else {
+        let PriorUsage::PartialUntil(until) = self.prior else {
             return 0.0;
         };
         let part = until.saturating_sub(now).div_duration_f64(options.window);
@@ -348,45 +352,45 @@
     }
 
     /// Whether others have to be told or heard before the next turn does it.
-    pub fn due(&mut self, limit: Limit, now: Duration, options: &Options) -> Due {
+    pub fn required_sync(&mut self, limit: Limit, now: Duration, options: &Options) -> SyncNeed {
         let recent = self.all.in_window(now, options.window);
-        let is_busy = recent.requests as f64 > options.allowed(limit) * options.busy;
+        let is_busy = recent.requests as f64 > options.allowed(limit) * options.busy_share;
         let is_used = self.own.in_window(now, options.window).requests > 0;
-        let many = self.unheard >= options.most_untold(limit);
-        let has_news = many || (is_busy && self.unheard != 0);
-        if has_news || self.before == Before::Unasked {
-            Due::Tell
+        let many = self.unsynced >= options.report_threshold(limit);
+        let has_news = many || (is_busy && self.unsynced != 0);
+        if has_news || self.prior == PriorUsage::NotSynced {
+            SyncNeed::Report
         } else if is_busy && is_used {
-            Due::Ask
+            SyncNeed::Query
         } else {
-            Due::Nothing
+            SyncNeed::Nothing
         }
     }
 
     /// A request runs once more.
     pub fn charge(&mut self, stage: Stage, now: Duration, options: &Options) {
         let counts = stage.count();
-        self.unheard += counts.requests;
-        self.change(counts, now, options);
+        self.unsynced += counts.requests;
+        self.adjust(counts, now, options);
     }
 
     /// A request that was let through has not run.
     pub fn refund(&mut self, stage: Stage, now: Duration, options: &Options) {
         let mut counts = Counts::default();
         counts -= stage.count();
-        self.unheard += counts.requests;
-        self.change(counts, now, options);
+        self.unsynced += counts.requests;
+        self.adjust(counts, now, options);
     }
 
-    fn change(&mut self, counts: Counts, now: Duration, options: &Options) {
+    fn adjust(&mut self, counts: Counts, now: Duration, options: &Options) {
         self.all.add(counts, now, options.window);
         self.own.add(counts, now, options.window);
         self.total += counts;
     }
 
     /// What this entry tells of the team.
-    pub fn tell(&mut self, now: Duration, options: &Options) -> Told {
-        Told {
+    pub fn report(&mut self, now: Duration, options: &Options) -> Report {
+        Report {
             total: self.total,
             recent: self.own.in_window(now, options.window),
             window: options.window,
@@ -394,35 +398,35 @@
     }
 
     /// What a replica has told by `now`.
-    pub fn heard(&mut self, heard: &Heard, now: Duration, options: &Options) {
+    pub fn merge(&mut self, heard: &Summary, now: Duration, options: &Options) {
         let mut untold = self.total;
-        untold -= heard.told;
-        self.unheard = untold.requests;
+        untold -= heard.reported;
+        self.unsynced = untold.requests;
         let mut all = heard.recent;
         all += untold;
         let known = self.all.in_window(now, options.window);
         self.all.add(all.beyond(known), now, options.window);
-        if self.before == Before::Unasked {
-            let unknown = options.window.saturating_sub(heard.counted);
-            self.before = Before::UnknownUntil(now + unknown);
+        if self.prior == PriorUsage::NotSynced {
+            let unknown = options.window.saturating_sub(heard.counted_for);
+            self.prior = PriorUsage::PartialUntil(now + unknown);
         }
     }
 }
 
 /// What a replica counts of one team.
 #[derive(Clone, Debug, Default)]
-pub struct Sum {
-    recent: Recent,
+pub struct Aggregate {
+    recent: SlidingWindow,
     /// What each entry told last, and when.
     entries: Vec<(u32, Counts, Duration)>,
 }
 
 /// Entries remembered of a team; beyond that the one not heard of for longest is forgotten.
-const ENTRIES: usize = 512;
+const MAX_ENTRIES: usize = 512;
 
-impl Sum {
+impl Aggregate {
     /// Counts what `entry` tells; `counted` is how long the replica has counted by `now`.
-    pub fn exchange(&mut self, entry: u32, told: &Told, now: Duration) -> Heard {
+    pub fn exchange(&mut self, entry: u32, told: &Report, now: Duration) -> Summary {
         let more = match self.entries.iter_mut().find(|(known, ..)| *known == entry) {
             Some((_, last, at)) => {
                 let more = told.total.beyond(*last);
@@ -431,21 +435,21 @@
                 more
             }
             None => {
-                self.remember(entry, told.total, now);
+                self.insert(entry, told.total, now);
                 // It was heard of by others, or by a former start of this replica.
                 told.recent
             }
         };
         self.recent.add(more, now, told.window);
-        Heard {
+        Summary {
             recent: self.recent.in_window(now, told.window),
-            told: told.total,
-            counted: now,
+            reported: told.total,
+            counted_for: now,
         }
     }
 
-    fn remember(&mut self, entry: u32, total: Counts, now: Duration) {
-        if self.entries.len() >= ENTRIES {
+    fn insert(&mut self, entry: u32, total: Counts, now: Duration) {
+        if self.entries.len() >= MAX_ENTRIES {
             let oldest = (0..self.entries.len()).min_by_key(|at| self.entries[*at].2);
             oldest.map(|at| self.entries.swap_remove(at));
         }
--- a/fw-plan/src/reader.rs
+++ b/fw-plan/src/reader.rs
@@ -10,34 +10,34 @@
 //! takes over when the reader falls silent, and the others hear of it in time. Of two that read, the one
 //! with the higher number stops.
 //!
-//! *Grounds:* [`Options::patience`] is above the time between two reads, and well below the
+//! *Grounds:* [`Options::takeover_timeout`] is above the time between two reads, and well below the
 //! two seconds in which a change has to be in force.
 
 use std::ops::Range;
 use std::time::Duration;
 
 /// Names an entry; drawn at its start.
-pub type Entry = u32;
+pub type EntryNumber = u32;
 
 /// How long an entry relies on others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
     /// Bounds of the patience that each entry draws.
-    pub patience: Range<Duration>,
+    pub takeover_timeout: Range<Duration>,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            patience: Duration::from_millis(800)..Duration::from_millis(1_200),
+            takeover_timeout: Duration::from_millis(800)..Duration::from_millis(1_200),
         }
     }
 }
 
 impl Options {
     /// The patience of an entry that drew `draw`, uniform in `0.0..1.0`.
-    pub fn patience(&self, draw: f64) -> Duration {
-        let Range { start, end } = &self.patience;
+    pub fn takeover_timeout(&self, draw: f64) -> Duration {
+        let Range { start, end } = &self.takeover_timeout;
         *start + end.saturating_sub(*start).mul_f64(draw)
     }
 }
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Last {
     /// Who read.
-    pub by: Entry,
+    pub by: EntryNumber,
     /// How long ago.
     pub ago: Duration,
 }
@@ -57,11 +57,11 @@
     /// It reads the store.
     Read,
     /// It relies on others, and looks again after this time.
-    Rely(Duration),
+    Follow(Duration),
 }
 
 /// Whether entry `me` reads the store next; `reads` if it was the one to read so far.
-pub fn decide(me: Entry, reads: bool, patience: Duration, last: Option<Last>) -> Outcome {
+pub fn decide(me: EntryNumber, reads: bool, patience: Duration, last: Option<Last>) -> Outcome {
     let Some(last) = last else {
         return Outcome::Read;
     };
@@ -71,5 +71,5 @@
     if reads && me <= last.by {
         return Outcome::Read;
     }
-    Outcome::Rely(patience - last.ago)
+    Outcome::Follow(patience - last.ago)
 }
--- a/fw-plan/src/retry.rs
+++ b/fw-plan/src/retry.rs
@@ -27,26 +27,26 @@
     /// Retries earned by each first attempt.
     pub ratio: f64,
     /// Retries earned each second whatever the traffic.
-    pub trickle: f64,
+    pub refill_per_second: f64,
     /// Most retries saved up.
     pub burst: f64,
     /// Most attempts of one call, the first included.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Upper end of the delay before the second attempt; doubled for each further one.
-    pub base: Duration,
+    pub base_delay: Duration,
     /// Greatest upper end of a delay.
-    pub cap: Duration,
+    pub max_delay: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
             ratio: 0.1,
-            trickle: 1.0,
+            refill_per_second: 1.0,
             burst: 20.0,
-            attempts: 3,
-            base: Duration::from_millis(20),
-            cap: Duration::from_secs(2),
+            max_attempts: 3,
+            base_delay: Duration::from_millis(20),
+            max_delay: Duration::from_secs(2),
         }
     }
 }
@@ -61,7 +61,7 @@
     /// Whether the call may run twice.
     pub repeatable: bool,
     /// Time left until the caller's deadline.
-    pub deadline: Duration,
+    pub time_left: Duration,
     /// When the refusing process asks to be tried again, if it said so.
     pub retry_after: Option<Duration>,
 }
@@ -114,7 +114,7 @@
 pub struct Budget {
     options: Options,
     tokens: f64,
-    filled: Duration,
+    refilled_at: Duration,
 }
 
 impl Budget {
@@ -122,28 +122,28 @@
     pub fn new(options: Options) -> Self {
         Self {
             tokens: options.burst,
-            filled: Duration::ZERO,
+            refilled_at: Duration::ZERO,
             options,
         }
     }
 
     /// A call's first attempt is sent.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.add(self.options.ratio);
     }
 
     /// Decides about a failed attempt; a retry is paid for at once.
     pub fn decide(&mut self, now: Duration, failure: &Failure, rng: &mut impl Rng) -> Outcome {
-        if let Some(reason) = self.forbidden(failure) {
+        if let Some(reason) = self.refusal_reason(failure) {
             return Outcome::GiveUp { reason };
         }
         let after = self.backoff(failure, rng);
-        if after >= failure.deadline {
+        if after >= failure.time_left {
             return Outcome::GiveUp {
                 reason: Reason::Deadline,
             };
         }
-        if !self.spend(now) {
+        if !self.withdraw(now) {
             return Outcome::GiveUp {
                 reason: Reason::Budget,
             };
@@ -152,8 +152,8 @@
     }
 
     /// Takes one retry from the budget, if it holds one.
-    pub fn spend(&mut self, now: Duration) -> bool {
-        self.trickle(now);
+    pub fn withdraw(&mut self, now: Duration) -> bool {
+        self.refill(now);
         let enough = self.tokens >= 1.0;
         if enough {
             self.tokens -= 1.0;
@@ -161,7 +161,7 @@
         enough
     }
 
-    fn forbidden(&self, failure: &Failure) -> Option<Reason> {
+    fn refusal_reason(&self, failure: &Failure) -> Option<Reason> {
         let row = failure.kind.row();
         if !row.retry || is_for_the_caller(failure.kind) {
             return Some(Reason::NotRetried);
@@ -169,7 +169,7 @@
         if row.ran != error::Ran::No && !failure.repeatable {
             return Some(Reason::MayHaveRun);
         }
-        if failure.attempt >= self.options.attempts {
+        if failure.attempt >= self.options.max_attempts {
             return Some(Reason::Attempts);
         }
         None
@@ -177,15 +177,15 @@
 
     fn backoff(&self, failure: &Failure, rng: &mut impl Rng) -> Duration {
         let doublings = failure.attempt.saturating_sub(1).min(16);
-        let upper = (self.options.base * (1 << doublings)).min(self.options.cap);
+        let upper = (self.options.base_delay * (1 << doublings)).min(self.options.max_delay);
         let jittered = upper.mul_f64(rng.random::<f64>());
         failure.retry_after.unwrap_or_default() + jittered
     }
 
-    fn trickle(&mut self, now: Duration) {
-        let elapsed = now.saturating_sub(self.filled);
-        self.filled = self.filled.max(now);
-        self.add(elapsed.as_secs_f64() * self.options.trickle);
+    fn refill(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.refilled_at);
+        self.refilled_at = self.refilled_at.max(now);
+        self.add(elapsed.as_secs_f64() * self.options.refill_per_second);
     }
 
     fn add(&mut self, tokens: f64) {
--- a/fw-plan/src/staleness.rs
+++ b/fw-plan/src/staleness.rs
@@ -14,9 +14,9 @@
 /// What an entry knows, by the age of its proof. Times are those of a clock that goes on while the
 /// machine is suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Knowledge {
-    bound: Option<Duration>,
-    asked: Option<Duration>,
+pub struct KeyFreshness {
+    max_age: Option<Duration>,
+    confirmed_at: Option<Duration>,
 }
 
 /// Whether keys may be accepted.
@@ -31,26 +31,29 @@
     },
 }
 
-impl Knowledge {
+impl KeyFreshness {
     /// Nothing is known yet; it may be as old as `bound`, or of any age if there is none.
     pub fn new(bound: Option<Duration>) -> Self {
-        Self { bound, asked: None }
+        Self {
+            max_age: bound,
+            confirmed_at: None,
+        }
     }
 
     /// All changes are known that the store had acknowledged at `asked`.
-    pub fn proven(&mut self, asked: Duration) {
-        self.asked = self.asked.max(Some(asked));
+    pub fn confirm(&mut self, asked: Duration) {
+        self.confirmed_at = self.confirmed_at.max(Some(asked));
     }
 
     /// Time since the moment up to which all changes are known.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.asked.map(|asked| now.saturating_sub(asked))
+        self.confirmed_at.map(|asked| now.saturating_sub(asked))
     }
 
     /// Whether keys may be accepted at `now`.
     pub fn decide(&self, now: Duration) -> Outcome {
         let age = self.age(now);
-        match self.bound {
+        match self.max_age {
             Some(bound) if age.is_none_or(|age| age > bound) => Outcome::Stale { age },
             _ => Outcome::Fresh,
         }
--- a/fw-plan/src/subset.rs
+++ b/fw-plan/src/subset.rs
@@ -65,7 +65,7 @@
 }
 
 /// The upstreams, in their order, that the entry named `entry` watches.
-pub fn of<'a>(
+pub fn watched_by<'a>(
     entry: &id::EntryId,
     entries: &[Member],
     upstreams: &'a [Member],
--- a/fw-plan/src/window.rs
+++ b/fw-plan/src/window.rs
@@ -16,7 +16,7 @@
 
 use std::time::Duration;
 
-use crate::toward;
+use crate::ewma;
 
 /// How commits are spaced.
 #[derive(Clone, Debug)]
@@ -71,7 +71,7 @@
 
     /// The store answered a commit after `latency`.
     pub fn observe(&mut self, latency: Duration) {
-        self.latency = toward(self.latency, latency.as_secs_f64(), SMOOTHING);
+        self.latency = ewma(self.latency, latency.as_secs_f64(), SMOOTHING);
     }
 
     /// Least time between two commits while `entries` entries share the store.
--- a/fw-plan/tests/plan/assign_upstream.rs
+++ b/fw-plan/tests/plan/assign_upstream.rs
@@ -25,24 +25,30 @@
 
 #[gtest]
 fn is_the_warm_one_until_it_is_full() {
-    let warm = Candidate { own: 4, ..usual() };
+    let warm = Candidate {
+        own_calls: 4,
+        ..usual()
+    };
     let cold = Candidate {
-        miss: Duration::from_millis(15),
+        prefill: Duration::from_millis(15),
         ..usual()
     };
     expect_that!(chosen(&[cold, warm]), some(eq(1)));
-    let full = Candidate { own: 9, ..warm };
+    let full = Candidate {
+        own_calls: 9,
+        ..warm
+    };
     expect_that!(chosen(&[cold, full]), some(eq(0)));
 }
 
 #[gtest]
 fn believes_others_load_less_the_older_it_is() {
     let fresh = Candidate {
-        others: 12,
+        reported_calls: 12,
         ..usual()
     };
     let old = Candidate {
-        age: Duration::from_secs(5),
+        report_age: Duration::from_secs(5),
         ..fresh
     };
     expect_that!(chosen(&[fresh, old]), some(eq(1)));
@@ -68,18 +74,24 @@
     // An upstream resets every connection within milliseconds, so that it always looks idle. It
     // drew call after call until three in a row had failed, at each of many entries.
     let broken = Candidate {
-        failed: Some(Duration::from_millis(100)),
+        failed_ago: Some(Duration::from_millis(100)),
+        ..usual()
+    };
+    let busy = Candidate {
+        own_calls: 7,
         ..usual()
     };
-    let busy = Candidate { own: 7, ..usual() };
     expect_that!(chosen(&[broken, busy]), some(eq(1)));
     // Not for ever, and not if the others are full.
     let later = Candidate {
-        failed: Some(Duration::from_secs(3)),
+        failed_ago: Some(Duration::from_secs(3)),
         ..usual()
     };
     expect_that!(chosen(&[later, busy]), some(eq(0)));
-    let full = Candidate { own: 20, ..usual() };
+    let full = Candidate {
+        own_calls: 20,
+        ..usual()
+    };
     expect_that!(chosen(&[broken, full]), some(eq(0)));
 }
 
@@ -90,9 +102,9 @@
     let mut rng = Pcg64::seed_from_u64(7);
     for _ in 0..60 {
         let at = choose(&Options::default(), &candidates, &mut rng).unwrap();
-        candidates[at].own += 1;
+        candidates[at].own_calls += 1;
     }
     for candidate in candidates {
-        expect_that!(candidate.own, all!(ge(18), le(22)));
+        expect_that!(candidate.own_calls, all!(ge(18), le(22)));
     }
 }
--- a/fw-plan/tests/plan/begin_limit.rs
+++ b/fw-plan/tests/plan/begin_limit.rs
@@ -1,6 +1,6 @@
 //! Programs that may begin while others are under way.
 
-use fw_plan::hold::Options;
+use fw_plan::wait_queue::Options;
 use googletest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/fw-plan/tests/plan/due_order.rs
+++ b/fw-plan/tests/plan/due_order.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use fw_plan::hold::{Call, Options, Over, Rank};
+use fw_plan::wait_queue::{Call, Expired, Options, Rank};
 use googletest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -21,7 +21,7 @@
 
 fn call(left: u64) -> Call {
     Call {
-        left: Some(ms(left)),
+        time_left: Some(ms(left)),
         ..Call::default()
     }
 }
@@ -61,8 +61,8 @@
 
     fn call(&self, now: u64) -> Call {
         Call {
-            left: Some(TICK * self.due.saturating_sub(now) as u32),
-            begins: self.done == 0,
+            time_left: Some(TICK * self.due.saturating_sub(now) as u32),
+            begins_program: self.done == 0,
             ..Call::default()
         }
     }
@@ -115,10 +115,10 @@
             let rank = options.rank(&program.call(now), TICK * now as u32, number);
             waiting.insert(rank, (program, now));
         }
-        let most = (options.most.as_millis() / TICK.as_millis()) as u64;
+        let most = (options.max_wait.as_millis() / TICK.as_millis()) as u64;
         waiting.retain(|_, (program, since)| {
             let refused =
-                now - *since >= most && options.over(&program.call(now), 0.0) != Over::Send;
+                now - *since >= most && options.expire(&program.call(now), 0.0) != Expired::Send;
             !refused && now < program.gone
         });
         while running.len() < SLOTS
@@ -137,7 +137,7 @@
 fn brings_more_programs_to_their_end_in_time() {
     let options = Options::default();
     let arrival = Options {
-        due: 0.0,
+        due_weight: 0.0,
         ..Options::default()
     };
     let mut sum = (0, 0, 0);
--- a/fw-plan/tests/plan/held_calls.rs
+++ b/fw-plan/tests/plan/held_calls.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use fw_plan::hold::{Call, Options, Over, Rank};
+use fw_plan::wait_queue::{Call, Expired, Options, Rank};
 use googletest::prelude::*;
 
 const URGENT: Call = Call {
     priority: 0,
-    left: None,
-    begins: false,
+    time_left: None,
+    begins_program: false,
 };
 const OTHER: Call = Call {
     priority: 1,
-    left: None,
-    begins: false,
+    time_left: None,
+    begins_program: false,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -36,7 +36,7 @@
     // makes another miss its time too.
     let options = Options::default();
     let late = Call {
-        left: Some(Duration::ZERO),
+        time_left: Some(Duration::ZERO),
         ..URGENT
     };
     let late = options.rank(&late, ms(0), 1);
@@ -53,8 +53,8 @@
     // Without its prompt there, a call does not queue behind the slots until it has waited.
     expect_true!(options.has_room(6, 5.0, false, ms(0)));
     expect_false!(options.has_room(6, 5.5, false, ms(0)));
-    expect_true!(options.has_room(6, 7.0, false, options.cold));
-    expect_false!(options.has_room(6, 7.5, false, options.cold));
+    expect_true!(options.has_room(6, 7.0, false, options.cold_delay));
+    expect_false!(options.has_room(6, 7.5, false, options.cold_delay));
 }
 
 /// Plays a burst over one engine, and returns by class the mean wait of calls in milliseconds.
@@ -88,7 +88,7 @@
     let (urgent, other) = waits(&Options::default());
     expect_that!(urgent, lt(other));
     let in_order = Options {
-        less_urgent: Duration::ZERO,
+        priority_delay: Duration::ZERO,
         ..Options::default()
     };
     let (same, before) = waits(&in_order);
@@ -152,20 +152,20 @@
             number += 1;
             let call = Call {
                 priority: 0,
-                left: program.is_late(now).then_some(Duration::ZERO),
-                begins: program.turns == 0,
+                time_left: program.is_late(now).then_some(Duration::ZERO),
+                begins_program: program.turns == 0,
             };
             let rank = options.rank(&call, ms(now * 10), number);
             waiting.insert(rank, (program, now));
         }
-        let most = options.most.as_millis() as u64 / 10;
+        let most = options.max_wait.as_millis() as u64 / 10;
         waiting.retain(|_, (program, since)| {
             let call = Call {
-                begins: program.turns == 0,
+                begins_program: program.turns == 0,
                 ..URGENT
             };
             let over = now - *since >= most;
-            !over || options.over(&call, 0.0) == Over::Send
+            !over || options.expire(&call, 0.0) == Expired::Send
         });
         while running.len() < SLOTS
             && let Some((_, (program, _))) = waiting.pop_first()
@@ -182,7 +182,7 @@
     // makes all that are under way later, until nearly all of them miss their time.
     let options = Options::default();
     let arrival = Options {
-        begins: Duration::ZERO,
+        begin_delay: Duration::ZERO,
         ..Options::default()
     };
     let (good, all) = in_time(&options);
@@ -194,10 +194,10 @@
 fn refuses_only_what_has_not_begun() {
     let options = Options::default();
     let begins = Call {
-        begins: true,
+        begins_program: true,
         ..URGENT
     };
-    expect_that!(options.over(&URGENT, 0.5), eq(Over::Send));
-    expect_that!(options.over(&begins, 0.0), eq(Over::Refuse(ms(300))));
-    expect_that!(options.over(&begins, 1.0), eq(Over::Refuse(ms(1_000))));
+    expect_that!(options.expire(&URGENT, 0.5), eq(Expired::Send));
+    expect_that!(options.expire(&begins, 0.0), eq(Expired::Refuse(ms(300))));
+    expect_that!(options.expire(&begins, 1.0), eq(Expired::Refuse(ms(1_000))));
 }
--- a/fw-plan/tests/plan/lapsed_upstreams.rs
+++ b/fw-plan/tests/plan/lapsed_upstreams.rs
@@ -14,7 +14,7 @@
     let mut reads = Reads::new(Options::default());
     for span in spans {
         for at in span.clone().step_by(5) {
-            reads.note(Span::single(s(at)));
+            reads.add_span(Span::single(s(at)));
         }
     }
     reads
@@ -60,7 +60,7 @@
         first: s(3),
         last: s(178),
     };
-    own.note(others);
+    own.add_span(others);
     expect_that!(own.decide(Some(s(100))), eq(Outcome::Gone));
 }
 
@@ -68,7 +68,7 @@
 #[gtest]
 fn reads_known_before_count_when_a_short_span_is_told() {
     let mut reads = reads(&[0..=100]);
-    reads.note(Span::single(s(101)));
+    reads.add_span(Span::single(s(101)));
     expect_that!(
         reads.span(),
         some(eq(Span {
@@ -82,7 +82,7 @@
 #[gtest]
 fn a_span_before_the_gap_takes_nothing_back() {
     let mut reads = reads(&[0..=100, 180..=185]);
-    reads.note(Span {
+    reads.add_span(Span {
         first: s(0),
         last: s(99),
     });
@@ -108,12 +108,12 @@
 #[gtest]
 fn the_store_is_back_when_it_answers() {
     let mut reads = reads(&[0..=100]);
-    reads.note_read(s(168), s(180));
-    reads.note_read(s(184), s(185));
+    reads.add_read(s(168), s(180));
+    reads.add_read(s(184), s(185));
     expect_that!(reads.decide(Some(s(100))), eq(Outcome::Kept));
-    reads.note_read(s(198), s(199));
+    reads.add_read(s(198), s(199));
     expect_that!(reads.decide(Some(s(100))), eq(Outcome::Kept));
-    reads.note_read(s(203), s(204));
+    reads.add_read(s(203), s(204));
     expect_that!(reads.decide(Some(s(100))), eq(Outcome::Gone));
 }
 
@@ -121,8 +121,8 @@
 #[gtest]
 fn a_read_counts_from_when_it_was_asked() {
     let mut reads = reads(&[0..=100]);
-    reads.note_read(s(101), s(150));
-    reads.note_read(s(170), s(171));
+    reads.add_read(s(101), s(150));
+    reads.add_read(s(170), s(171));
     expect_that!(reads.decide(Some(s(100))), eq(Outcome::Kept));
 }
 
--- a/fw-plan/tests/plan/list_model.rs
+++ b/fw-plan/tests/plan/list_model.rs
@@ -53,12 +53,12 @@
 
 #[derive(Debug)]
 struct Entry {
-    id: reader::Entry,
+    id: reader::EntryNumber,
     news: News,
-    known: confirm::Knowledge,
+    known: confirm::ListFreshness,
     patience: Duration,
     reads: bool,
-    last: Option<(reader::Entry, Duration)>,
+    last: Option<(reader::EntryNumber, Duration)>,
     call: Option<Call>,
     next_read: Duration,
     hung: Option<Duration>,
@@ -66,7 +66,7 @@
     waits: Option<Duration>,
     still_until: Duration,
     /// What replicas have sent, and when it arrives.
-    inbox: Vec<(Duration, News, reader::Entry)>,
+    inbox: Vec<(Duration, News, reader::EntryNumber)>,
 }
 
 impl Entry {
@@ -74,8 +74,8 @@
         Self {
             id: rng.random(),
             news: News::default(),
-            known: confirm::Knowledge::new(confirm::Options::within(BOUND)),
-            patience: reader::Options::default().patience(rng.random()),
+            known: confirm::ListFreshness::new(confirm::Options::for_bound(BOUND)),
+            patience: reader::Options::default().takeover_timeout(rng.random()),
             reads: false,
             last: None,
             call: None,
@@ -93,11 +93,11 @@
             Without::AgeOfProof => now,
             _ => news.proven,
         };
-        self.known.prove(proven, now);
+        self.known.confirm(proven, now);
     }
 
     fn is_due(&mut self, now: Duration) -> bool {
-        let wanted = self.known.age(now).is_some() && self.known.is_wanted(now);
+        let wanted = self.known.age(now).is_some() && self.known.needs_refresh(now);
         let last = self.last.map(|(by, at)| reader::Last {
             by,
             ago: now.saturating_sub(at),
@@ -115,7 +115,7 @@
     entries: Vec<Entry>,
     replicas: Vec<Option<News>>,
     /// Posts on their way.
-    posts: Vec<(Duration, usize, News, reader::Entry)>,
+    posts: Vec<(Duration, usize, News, reader::EntryNumber)>,
     worst: Duration,
 }
 
@@ -224,7 +224,7 @@
         let now = self.now;
         let entry = &mut self.entries[at];
         let Some(call) = entry.call else { return };
-        let wanted = entry.known.age(now).is_some() && entry.known.is_wanted(now);
+        let wanted = entry.known.age(now).is_some() && entry.known.needs_refresh(now);
         if let Some(answered) = call.answered.filter(|at| *at <= now) {
             entry.call = None;
             entry.next_read = call.asked + PACE;
@@ -241,11 +241,11 @@
             }
         } else if now >= call.asked + CLIENT {
             entry.call = None;
-            entry.known.failed(call.asked, now);
+            entry.known.read_failed(call.asked, now);
             entry.next_read = now + Duration::from_millis(250);
         } else if wanted && now >= call.asked + LATE {
             entry.call = None;
-            entry.known.unanswered(call.asked, now);
+            entry.known.read_unanswered(call.asked, now);
         }
     }
 
@@ -277,10 +277,10 @@
             return;
         }
         match entry.known.decide(now) {
-            confirm::Outcome::Await(wait) if without != Without::Confirm => {
+            confirm::Outcome::Wait(wait) if without != Without::Confirm => {
                 let since = *entry.waits.get_or_insert(now);
                 if now >= since + wait {
-                    entry.known.waited(now - since, now);
+                    entry.known.wait_expired(now - since, now);
                     entry.waits = None;
                 }
             }
--- a/fw-plan/tests/plan/pace_noise.rs
+++ b/fw-plan/tests/plan/pace_noise.rs
@@ -29,7 +29,7 @@
         let mut pace = Pace::default();
         for call in 0..40 {
             let now = secs(f64::from(call) * 0.5);
-            pace.note(&options, ratio(&mut rng), now);
+            pace.record(&options, ratio(&mut rng), now);
             slow += u32::from(pace.slowness(&options, now) > 1.1);
         }
     }
@@ -46,7 +46,7 @@
         let mut pace = Pace::default();
         for call in 0..8 {
             let now = secs(f64::from(call) * 0.5);
-            pace.note(&options, 5.0 * ratio(&mut rng), now);
+            pace.record(&options, 5.0 * ratio(&mut rng), now);
         }
         found += u32::from(pace.slowness(&options, secs(3.5)) > 1.3);
     }
@@ -59,11 +59,11 @@
     let options = Options::default();
     let mut pace = Pace::default();
     for call in 0..20 {
-        pace.note(&options, 5.0, secs(f64::from(call)));
+        pace.record(&options, 5.0, secs(f64::from(call)));
     }
     expect_that!(pace.slowness(&options, secs(19.0)), gt(3.0));
     expect_that!(pace.slowness(&options, secs(23.0)), eq(1.0));
     // What it showed before counts no more.
-    pace.note(&options, 1.0, secs(23.0));
+    pace.record(&options, 1.0, secs(23.0));
     expect_that!(pace.slowness(&options, secs(23.0)), eq(1.0));
 }
--- a/fw-plan/tests/plan/poison_requests.rs
+++ b/fw-plan/tests/plan/poison_requests.rs
@@ -20,23 +20,23 @@
 // may take down one engine more, alone, and is then refused; the three others are cleared.
 #[gtest]
 fn the_cause_is_quarantined_and_nobody_else() {
-    let mut poison = poison::Poison::new(poison::Options::default());
+    let mut poison = poison::Tracker::new(poison::Options::default());
     let now = Duration::from_secs(1);
     for text in ["a", "b", "c", "bad"] {
-        poison.crashed(now, &upstream(0), print(text), false);
+        poison.record_crash(now, &upstream(0), print(text), false);
     }
     for text in ["a", "b", "c", "bad"] {
         let alone = poison::Outcome::Alone { avoid: upstream(0) };
         expect_that!(poison.decide(now, &print(text)), eq(&alone));
     }
     for text in ["a", "b", "c"] {
-        poison.survived(&print(text));
+        poison.record_success(&print(text));
         expect_that!(
             poison.decide(now, &print(text)),
             eq(&poison::Outcome::Normal)
         );
     }
-    poison.crashed(now, &upstream(1), print("bad"), true);
+    poison.record_crash(now, &upstream(1), print("bad"), true);
     let outcome = poison.decide(now, &print("bad"));
     let poison::Outcome::Refused(refused) = outcome else {
         panic!("{outcome:?}");
@@ -51,15 +51,15 @@
 
 #[gtest]
 fn memory_is_bounded_and_keeps_quarantines() {
-    let mut poison = poison::Poison::new(poison::Options {
+    let mut poison = poison::Tracker::new(poison::Options {
         capacity: 100,
         ..poison::Options::default()
     });
     let now = Duration::from_secs(1);
-    poison.crashed(now, &upstream(0), print("bad"), true);
-    poison.crashed(now, &upstream(1), print("bad"), true);
+    poison.record_crash(now, &upstream(0), print("bad"), true);
+    poison.record_crash(now, &upstream(1), print("bad"), true);
     for index in 0..1_000 {
-        poison.crashed(now, &upstream(0), print(&index.to_string()), false);
+        poison.record_crash(now, &upstream(0), print(&index.to_string()), false);
     }
     expect_that!(poison.len(), eq(100));
     let outcome = poison.decide(now, &print("bad"));
--- a/fw-plan/tests/plan/recovery.rs
+++ b/fw-plan/tests/plan/recovery.rs
@@ -30,7 +30,7 @@
     let mut health = health::Health::new(health::Options::default());
     let mut view = place::View::new();
     for index in 0..9 {
-        health.seen(Duration::ZERO, &name(index), health::Seen::Answered);
+        health.observe(Duration::ZERO, &name(index), health::Observation::Answered);
         view.add(&name(index), &"bne-north".into());
         let load = place::Load {
             running: if index == 0 { 0 } else { 40 },
@@ -39,9 +39,9 @@
         };
         view.report(&name(index), load, Duration::ZERO);
     }
-    health.seen(Duration::ZERO, &name(0), health::Seen::Down);
+    health.observe(Duration::ZERO, &name(0), health::Observation::Down);
     for index in 0..9 {
-        health.seen(now, &name(index), health::Seen::Answered);
+        health.observe(now, &name(index), health::Observation::Answered);
         let weight = health.decide(now, &name(index)).weight();
         view.set_health(&name(index), weight);
     }
--- a/fw-plan/tests/plan/retry_budget.rs
+++ b/fw-plan/tests/plan/retry_budget.rs
@@ -15,7 +15,7 @@
         kind,
         attempt: 1,
         repeatable,
-        deadline: Duration::from_secs(10),
+        time_left: Duration::from_secs(10),
         retry_after: None,
     }
 }
@@ -41,7 +41,7 @@
     let mut budget = retry::Budget::new(retry::Options::default());
     let mut rng = Pcg64::new(1, 1);
     let late = retry::Failure {
-        deadline: Duration::from_millis(50),
+        time_left: Duration::from_millis(50),
         retry_after: Some(Duration::from_millis(50)),
         ..failure(error::Kind::QueueFull, true)
     };
@@ -76,7 +76,7 @@
         let (mut first, mut retries) = (0.0, 0.0);
         for (millis, tries) in steps {
             now += Duration::from_millis(millis);
-            budget.earn();
+            budget.deposit();
             first += 1.0;
             for _ in 0..tries {
                 let failed = failure(error::Kind::QueueFull, true);
@@ -84,7 +84,7 @@
                     retries += 1.0;
                 }
             }
-            let most = options.burst + first * options.ratio + now.as_secs_f64() * options.trickle;
+            let most = options.burst + first * options.ratio + now.as_secs_f64() * options.refill_per_second;
             prop_assert!(retries <= most + 1e-6);
         }
     }
--- a/fw-plan/tests/plan/store_reader.rs
+++ b/fw-plan/tests/plan/store_reader.rs
@@ -39,7 +39,7 @@
         let mut rng = Pcg64::seed_from_u64(seed);
         let opts = Options::default();
         let entry = |_| Entry {
-            patience: opts.patience(rng.random()),
+            patience: opts.takeover_timeout(rng.random()),
             reads: false,
             next: ms(rng.random_range(0..300)),
             alive: true,
@@ -89,7 +89,7 @@
                 entry.next = now + PACE + jitter;
                 self.reads.push((now, me as u32));
             }
-            Outcome::Rely(time) => {
+            Outcome::Follow(time) => {
                 entry.reads = false;
                 entry.next = now + time;
             }
--- a/fw-plan/tests/plan/upstream_health.rs
+++ b/fw-plan/tests/plan/upstream_health.rs
@@ -12,12 +12,12 @@
 
 fn listed(count: usize) -> health::Health {
     let mut health = health::Health::new(health::Options::default());
-    let line = |index| health::Listed {
+    let line = |index| health::ListedUpstream {
         upstream: name(index),
         leaving: false,
     };
     let list: Vec<_> = (0..count).map(line).collect();
-    health.listed(Duration::ZERO, &list);
+    health.update_list(Duration::ZERO, &list);
     health
 }
 
@@ -34,7 +34,7 @@
     for round in 0..50 {
         for index in 0..9 {
             let now = Duration::from_millis(round * 10);
-            health.seen(now, &name(index), health::Seen::Failed);
+            health.observe(now, &name(index), health::Observation::Failed);
         }
     }
     expect_that!(usable(&health, Duration::from_millis(500), 9), ge(6));
@@ -46,7 +46,7 @@
     let mut now = Duration::ZERO;
     let mut lengths = Vec::new();
     for _ in 0..3 {
-        health.seen(now, &name(0), health::Seen::Down);
+        health.observe(now, &name(0), health::Observation::Down);
         let start = now;
         while health.decide(now, &name(0)).weight() == 0.0 {
             now += Duration::from_millis(100);
@@ -69,11 +69,11 @@
             // Runs of four failures and four answers, at another phase for each upstream.
             let fails = (round as usize + index) % 8 < 4;
             let seen = if fails {
-                health::Seen::Failed
+                health::Observation::Failed
             } else {
-                health::Seen::Answered
+                health::Observation::Answered
             };
-            health.seen(now, &name(index), seen);
+            health.observe(now, &name(index), seen);
         }
         if round > 300 {
             let now = Duration::from_millis(round * 10);
@@ -88,14 +88,14 @@
 fn own_observations_go_before_the_list() {
     let mut health = listed(3);
     let now = Duration::from_secs(1);
-    health.seen(now, &name(0), health::Seen::Leaving);
-    health.listed(now, &[]);
-    let line = health::Listed {
+    health.observe(now, &name(0), health::Observation::Leaving);
+    health.update_list(now, &[]);
+    let line = health::ListedUpstream {
         upstream: name(0),
         leaving: false,
     };
-    health.listed(now, &[line]);
-    health.seen(now, &name(1), health::Seen::Answered);
+    health.update_list(now, &[line]);
+    health.observe(now, &name(1), health::Observation::Answered);
     let leaving = health::Outcome::Unusable {
         reason: health::Reason::Leaving,
     };
@@ -110,14 +110,14 @@
 fn one_that_is_down_is_left_out_beyond_the_bound() {
     let mut health = listed(3);
     let now = Duration::from_secs(1);
-    health.seen(now, &name(0), health::Seen::Down);
-    health.seen(now, &name(1), health::Seen::Down);
+    health.observe(now, &name(0), health::Observation::Down);
+    health.observe(now, &name(1), health::Observation::Down);
     expect_that!(usable(&health, now, 3), eq(1));
     // It is back as soon as it answers.
-    health.seen(now, &name(1), health::Seen::Answered);
+    health.observe(now, &name(1), health::Observation::Answered);
     expect_that!(usable(&health, now, 3), eq(2));
     // Where nobody asks it, it is tried again once an ejection's time is over.
-    health.seen(now, &name(1), health::Seen::Down);
-    let later = now + health::Options::default().eject;
+    health.observe(now, &name(1), health::Observation::Down);
+    let later = now + health::Options::default().first_ejection;
     expect_that!(health.decide(later, &name(1)).weight(), gt(0.0));
 }
--- a/fw-plan/tests/plan/watched_subset.rs
+++ b/fw-plan/tests/plan/watched_subset.rs
@@ -17,7 +17,7 @@
     let options = subset::Options::default();
     let mut pairs = HashSet::new();
     for entry in entries {
-        for upstream in subset::of(&entry.id, entries, upstreams, &options) {
+        for upstream in subset::watched_by(&entry.id, entries, upstreams, &options) {
             pairs.insert((entry.id.to_string(), upstream.id.to_string()));
         }
     }
--- a/fw-replica/src/client/calls.rs
+++ b/fw-replica/src/client/calls.rs
@@ -143,7 +143,7 @@
         entry: u32,
         spent: &[service::Spent],
         reach: super::Reach,
-        heard: impl Fn(&service::Spent, &quota::Heard),
+        heard: impl Fn(&service::Spent, &quota::Summary),
     ) {
         if spent.is_empty() {
             return;
@@ -170,7 +170,7 @@
         addr: SocketAddr,
         entry: u32,
         spent: Vec<service::Spent>,
-    ) -> Option<Vec<quota::Heard>> {
+    ) -> Option<Vec<quota::Summary>> {
         self.links
             .call(addr, |client, cx| async move {
                 client.spend(cx, entry, spent).await
--- a/fw-replica/src/client/mod.rs
+++ b/fw-replica/src/client/mod.rs
@@ -81,7 +81,7 @@
     /// Where turns like this one ran last.
     pub last: trail::Last,
     /// Requests of the turn's team that others have let through.
-    pub spent: Option<quota::Heard>,
+    pub spent: Option<quota::Summary>,
 }
 
 /// Which replicas a call goes to.
--- a/fw-replica/src/server/mod.rs
+++ b/fw-replica/src/server/mod.rs
@@ -494,7 +494,7 @@
         _: tarpc::context::Context,
         entry: u32,
         spent: Vec<service::Spent>,
-    ) -> Vec<quota::Heard> {
+    ) -> Vec<quota::Summary> {
         let spent = spent.iter();
         let told = spent.map(|spent| self.0.spending.exchange(entry, spent));
         told.collect()
--- a/fw-replica/src/server/news.rs
+++ b/fw-replica/src/server/news.rs
@@ -99,7 +99,7 @@
         if let Some(at) = asked {
             // A post that was held up says nothing of the time since.
             let mut steady = self.reads.steady.lock();
-            steady.note_read(at, clock::since_boot());
+            steady.add_read(at, clock::since_boot());
         }
         if post.as_of < self.as_of() {
             // Nothing of it is missing here.
--- a/fw-replica/src/service.rs
+++ b/fw-replica/src/service.rs
@@ -37,7 +37,7 @@
     /// The team.
     pub team: id::TeamId,
     /// Their counts.
-    pub told: quota::Told,
+    pub told: quota::Report,
 }
 
 /// One entry's calls under way, by upstream.
@@ -63,7 +63,7 @@
     /// Where some of them pass connections on to replicas.
     pub peers: Vec<SocketAddr>,
     /// Requests of the team named, if any was.
-    pub spent: Option<quota::Heard>,
+    pub spent: Option<quota::Summary>,
 }
 
 /// Digest of a part's bytes; 0 if there is none.
@@ -370,7 +370,7 @@
     /// Keeps what an entry has read, unless newer is known.
     async fn post(post: Post) -> Posted;
     /// Counts what an entry has let through of some teams; returns what is known of each.
-    async fn spend(entry: u32, spent: Vec<Spent>) -> Vec<quota::Heard>;
+    async fn spend(entry: u32, spent: Vec<Spent>) -> Vec<quota::Summary>;
     /// What an asker lacks. Waits up to `wait` until an entry has read the store.
     async fn news(known: Known, wait: Duration) -> News;
     /// Tells the present moment.
--- a/fw-replica/src/spending.rs
+++ b/fw-replica/src/spending.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct Spending {
     started: Instant,
-    teams: Mutex<HashMap<id::TeamId, quota::Sum>>,
+    teams: Mutex<HashMap<id::TeamId, quota::Aggregate>>,
 }
 
 impl Default for Spending {
@@ -28,7 +28,7 @@
 
 impl Spending {
     /// Counts what `entry` has let through, and returns what is known of all.
-    pub fn exchange(&self, entry: u32, spent: &service::Spent) -> quota::Heard {
+    pub fn exchange(&self, entry: u32, spent: &service::Spent) -> quota::Summary {
         let now = self.started.elapsed();
         let mut teams = self.teams.lock();
         let team = teams.entry(spent.team.clone()).or_default();
--- a/fw-replica/tests/replica/team_spending.rs
+++ b/fw-replica/tests/replica/team_spending.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fw_plan::quota::{Counts, Told};
+use fw_plan::quota::{Counts, Report};
 use fw_replica::service::Spent;
 use fw_replica::spending::Spending;
 use googletest::prelude::*;
@@ -17,7 +17,7 @@
 fn spent(total: i64, recent: i64) -> Spent {
     Spent {
         team: "t".into(),
-        told: Told {
+        told: Report {
             total: counts(total),
             recent: counts(recent),
             window: Duration::from_secs(60),
--- a/fw-side/src/process/line.rs
+++ b/fw-side/src/process/line.rs
@@ -197,7 +197,7 @@
     }
 }
 
-fn refused(refused: fw_plan::Refused) -> error::Error {
+fn refused(refused: fw_plan::Refusal) -> error::Error {
     let why = match refused.kind {
         error::Kind::QueueFull => "the queue before the engine is full; try later or elsewhere",
         error::Kind::ShareExceeded => "the team has its share of the queue already; try later",
