--- a/fw-plan/src/assign.rs
+++ b/fw-plan/src/assign.rs
@@ -98,10 +98,10 @@
         let call = ms(options.call_duration);
         let wait = waiting * call / slots;
         let slow = (self.slowness - 1.0).max(0.0) * call;
-        let suspect = self
+        let failed_recently = self
             .failed_ago
             .is_some_and(|ago| ago < options.failure_memory);
-        let failed = if suspect {
+        let failed = if failed_recently {
             ms(options.failure_cost)
         } else {
             0.0
@@ -112,18 +112,18 @@
             0.0
         };
         // While it reads this prompt, an engine holds up all that it generates.
-        let read = ms(self.prefill) * (1.0 + load * options.prefill_stall_weight);
-        wait + load * ms(options.shared_batch_cost) + read + slow + failed + remote
+        let prefill = ms(self.prefill) * (1.0 + load * options.prefill_stall_weight);
+        wait + load * ms(options.shared_batch_cost) + prefill + slow + failed + remote
     }
 }
 
 /// Index of the cheapest candidate; `None` if there is none.
 pub fn choose(options: &Options, candidates: &[Candidate], rng: &mut impl Rng) -> Option<usize> {
-    let noise = options.tie_margin.as_secs_f64() * 1e3;
+    let margin = options.tie_margin.as_secs_f64() * 1e3;
     let costs = candidates
         .iter()
         .map(|candidate| candidate.cost_ms(options));
-    let costs = costs.map(|cost| cost + rng.random::<f64>() * noise);
+    let costs = costs.map(|cost| cost + rng.random::<f64>() * margin);
     let costs: Vec<_> = costs.collect();
     (0..costs.len()).min_by(|a, b| costs[*a].total_cmp(&costs[*b]))
 }
--- a/fw-plan/src/confirm.rs
+++ b/fw-plan/src/confirm.rs
@@ -80,8 +80,8 @@
     ///
     /// What replicas tell of one read dates it a little differently each time, so only a proof by which the list is
     /// new ends the time without one.
-    pub fn confirm(&mut self, asked: Duration, now: Duration) -> bool {
-        self.confirmed_at = self.confirmed_at.max(Some(asked));
+    pub fn confirm(&mut self, requested_at: Duration, now: Duration) -> bool {
+        self.confirmed_at = self.confirmed_at.max(Some(requested_at));
         if !self.is_fresh(now) {
             return false;
         }
@@ -90,15 +90,15 @@
     }
 
     /// A read that was asked at `asked` has failed at `now`.
-    pub fn read_failed(&mut self, asked: Duration, now: Duration) {
-        if self.is_conclusive(asked, now) {
+    pub fn read_failed(&mut self, requested_at: Duration, now: Duration) {
+        if self.is_conclusive(requested_at, now) {
             self.is_cut_off = true;
         }
     }
 
     /// A read that was asked at `asked` is not answered at `now`, and is asked again.
-    pub fn read_unanswered(&mut self, asked: Duration, now: Duration) {
-        if self.is_conclusive(asked, now) {
+    pub fn read_unanswered(&mut self, requested_at: Duration, now: Duration) {
+        if self.is_conclusive(requested_at, now) {
             self.unanswered_reads += 1;
             self.is_cut_off |= self.unanswered_reads >= MAX_UNANSWERED_READS;
         }
@@ -106,16 +106,16 @@
 
     /// Whether the end of a read tells what another would bring now. One that was asked before a proof was
     /// wanted does not, nor one asked long ago: the entry may have stood still since.
-    fn is_conclusive(&self, asked: Duration, now: Duration) -> bool {
-        let is_recent = now.saturating_sub(asked) <= self.opts.max_wait;
-        is_recent && !self.is_fresh(asked + self.opts.max_wait)
+    fn is_conclusive(&self, requested_at: Duration, now: Duration) -> bool {
+        let is_recent = now.saturating_sub(requested_at) <= self.opts.max_wait;
+        is_recent && !self.is_fresh(requested_at + self.opts.max_wait)
     }
 
     /// A call has waited in vain, and for so long, until `now`. If that is longer than it was to wait, the entry
     /// stood still and has not waited for an answer.
     pub fn wait_expired(&mut self, waited: Duration, now: Duration) {
-        let stood_still = waited > self.opts.max_wait + self.opts.max_wait / 4;
-        if !stood_still && !self.is_fresh(now) {
+        let was_suspended = waited > self.opts.max_wait + self.opts.max_wait / 4;
+        if !was_suspended && !self.is_fresh(now) {
             self.is_cut_off = true;
         }
     }
@@ -127,7 +127,7 @@
 
     /// Time from the moment up to which all changes are known; `None` if nothing is proven.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.confirmed_at.map(|proven| now.saturating_sub(proven))
+        self.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
     /// Whether a newer proof is wanted at `now`.
@@ -145,8 +145,8 @@
 
     /// Time from `now` on until a newer proof is wanted; `None` if nothing is proven.
     pub fn refresh_due_in(&self, now: Duration) -> Option<Duration> {
-        let from = (self.confirmed_at? + self.opts.max_age).saturating_sub(self.opts.max_wait);
-        Some(from.saturating_sub(now))
+        let due = (self.confirmed_at? + self.opts.max_age).saturating_sub(self.opts.max_wait);
+        Some(due.saturating_sub(now))
     }
 
     fn is_fresh(&self, now: Duration) -> bool {
--- a/fw-plan/src/health.rs
+++ b/fw-plan/src/health.rs
@@ -195,31 +195,31 @@
             upstream.listed = true;
             upstream.leaving |= line.leaving;
         }
-        let unlisted = self.options.unlisted_grace;
+        let grace = self.options.unlisted_grace;
         self.upstreams
-            .retain(|_, upstream| upstream.listed || now < upstream.answered_at + unlisted);
+            .retain(|_, upstream| upstream.listed || now < upstream.answered_at + grace);
     }
 
     /// This process saw something of `upstream`.
-    pub fn observe(&mut self, now: Duration, upstream: &id::UpstreamId, seen: Observation) {
-        let needed = self.failure_threshold();
-        let known = self.upstreams.entry(upstream.clone());
-        let known = known.or_insert_with(|| Upstream::new(now));
-        match seen {
-            Observation::Answered => known.answer(now),
-            Observation::Leaving => known.leaving = true,
-            Observation::Failed => known.failures += 1,
-            Observation::Down => known.failures = known.failures.max(needed),
+    pub fn observe(&mut self, now: Duration, upstream: &id::UpstreamId, observation: Observation) {
+        let threshold = self.failure_threshold();
+        let state = self.upstreams.entry(upstream.clone());
+        let state = state.or_insert_with(|| Upstream::new(now));
+        match observation {
+            Observation::Answered => state.answer(now),
+            Observation::Leaving => state.leaving = true,
+            Observation::Failed => state.failures += 1,
+            Observation::Down => state.failures = state.failures.max(threshold),
         }
-        let fails = known.failures >= needed;
+        let fails = state.failures >= threshold;
         if fails
-            && !known.is_ejected(now)
+            && !state.is_ejected(now)
             && !self.eject(now, upstream)
-            && seen == Observation::Down
+            && observation == Observation::Down
         {
             self.exclude(now, upstream);
         }
-        match seen {
+        match observation {
             Observation::Answered => self.failure_rate = ewma(self.failure_rate, 0.0, SMOOTHING),
             Observation::Failed => self.failure_rate = ewma(self.failure_rate, 1.0, SMOOTHING),
             Observation::Down | Observation::Leaving => {}
@@ -228,40 +228,40 @@
 
     /// Failures in a row that eject, given how often calls to all upstreams fail.
     fn failure_threshold(&self) -> u32 {
-        let failing = self.failure_rate.clamp(f64::MIN_POSITIVE, MAX_FAILURE_RATE);
-        let unlikely = self.options.max_chance.ln() / failing.ln();
-        self.options.min_failures.max(unlikely.ceil() as u32)
+        let rate = self.failure_rate.clamp(f64::MIN_POSITIVE, MAX_FAILURE_RATE);
+        let improbable = self.options.max_chance.ln() / rate.ln();
+        self.options.min_failures.max(improbable.ceil() as u32)
     }
 
     /// An upstream of this name started anew: it neither leaves nor fails any more.
     pub fn restarted(&mut self, now: Duration, upstream: &id::UpstreamId) {
-        if let Some(known) = self.upstreams.get_mut(upstream) {
-            known.leaving = false;
-            known.answer(now);
-            known.returned_at = Some(now.max(known.ejected_until.unwrap_or_default()));
+        if let Some(state) = self.upstreams.get_mut(upstream) {
+            state.leaving = false;
+            state.answer(now);
+            state.returned_at = Some(now.max(state.ejected_until.unwrap_or_default()));
         }
     }
 
     /// Whether `upstream` may get new work.
     pub fn decide(&self, now: Duration, upstream: &id::UpstreamId) -> Outcome {
         let unusable = |reason| Outcome::Unusable { reason };
-        let Some(known) = self.upstreams.get(upstream) else {
+        let Some(state) = self.upstreams.get(upstream) else {
             return unusable(Reason::Unknown);
         };
-        if known.leaving {
+        if state.leaving {
             return unusable(Reason::Leaving);
         }
-        if known.is_ejected(now) {
+        if state.is_ejected(now) {
             return unusable(Reason::Ejected);
         }
-        if known.down_until.is_some_and(|until| now < until) {
+        if state.down_until.is_some_and(|until| now < until) {
             return unusable(Reason::Down);
         }
-        if !known.listed && now >= known.answered_at + self.options.unlisted_grace {
+        if !state.listed && now >= state.answered_at + self.options.unlisted_grace {
             return unusable(Reason::Unknown);
         }
         Outcome::Usable {
-            weight: self.weight(now, known),
+            weight: self.weight(now, state),
         }
     }
 
@@ -275,8 +275,8 @@
         self.upstreams.is_empty()
     }
 
-    fn weight(&self, now: Duration, known: &Upstream) -> f64 {
-        let Some(returned) = known.returned_at else {
+    fn weight(&self, now: Duration, state: &Upstream) -> f64 {
+        let Some(returned) = state.returned_at else {
             return 1.0;
         };
         let since = now.saturating_sub(returned).as_secs_f64();
@@ -289,23 +289,23 @@
         let ejected = self
             .upstreams
             .values()
-            .filter(|known| known.is_ejected(now));
+            .filter(|state| state.is_ejected(now));
         let after = ejected.count() + 1;
-        let most = self.upstreams.len() as f64 * self.options.max_ejected_share;
-        if after as f64 > most {
+        let limit = self.upstreams.len() as f64 * self.options.max_ejected_share;
+        if after as f64 > limit {
             return false;
         }
         let options = &self.options;
-        if let Some(known) = self.upstreams.get_mut(upstream) {
-            known.eject(now, options);
+        if let Some(state) = self.upstreams.get_mut(upstream) {
+            state.eject(now, options);
         }
         true
     }
 
     fn exclude(&mut self, now: Duration, upstream: &id::UpstreamId) {
         let until = now + self.options.first_ejection;
-        if let Some(known) = self.upstreams.get_mut(upstream) {
-            known.down_until = Some(until);
+        if let Some(state) = self.upstreams.get_mut(upstream) {
+            state.down_until = Some(until);
         }
     }
 }
@@ -329,9 +329,9 @@
     }
 
     fn eject(&mut self, now: Duration, options: &Options) {
-        let quiet = now.saturating_sub(self.ejected_at).as_secs_f64();
-        let forgiven = (quiet / options.ejection_memory.as_secs_f64()) as u32;
-        self.ejections = self.ejections.saturating_sub(forgiven);
+        let since = now.saturating_sub(self.ejected_at).as_secs_f64();
+        let forgotten = (since / options.ejection_memory.as_secs_f64()) as u32;
+        self.ejections = self.ejections.saturating_sub(forgotten);
         let length = options.first_ejection * (1 << self.ejections.min(16));
         let until = now + length.min(options.max_ejection);
         self.ejections += 1;
--- a/fw-plan/src/lapse.rs
+++ b/fw-plan/src/lapse.rs
@@ -104,19 +104,21 @@
 
     /// Reads were made, or are told of.
     pub fn add_span(&mut self, reads: Span) {
-        let known = self.span;
-        self.span = Some(known.map_or(reads, |known| known.join(reads, self.opts.outage_gap)));
+        let current = self.span;
+        self.span = Some(current.map_or(reads, |span| span.join(reads, self.opts.outage_gap)));
     }
 
     /// A read was made that was asked and answered at these times.
     ///
     /// A call that hangs through the end of an outage was asked in it: the store is back only when it
     /// answers.
-    pub fn add_read(&mut self, asked: Duration, answered: Duration) {
+    pub fn add_read(&mut self, requested_at: Duration, answered_at: Duration) {
         let gap = self.opts.outage_gap;
         match &mut self.span {
-            Some(span) if asked <= span.last + gap => span.last = span.last.max(asked),
-            _ => self.span = Some(Span::single(answered)),
+            Some(span) if requested_at <= span.last + gap => {
+                span.last = span.last.max(requested_at)
+            }
+            _ => self.span = Some(Span::single(answered_at)),
         }
     }
 
--- a/fw-plan/src/lib.rs
+++ b/fw-plan/src/lib.rs
@@ -56,6 +56,6 @@
 }
 
 /// `part` of the way from `old` to `new`: one step of an exponentially weighted mean.
-pub(crate) fn ewma(old: f64, new: f64, part: f64) -> f64 {
-    old + (new - old) * part
+pub(crate) fn ewma(old: f64, new: f64, weight: f64) -> f64 {
+    old + (new - old) * weight
 }
--- a/fw-plan/src/pace.rs
+++ b/fw-plan/src/pace.rs
@@ -69,9 +69,9 @@
         if self.calls == 0.0 || self.is_expired(options, now) {
             return 1.0;
         }
-        let sure = self.calls / (self.calls + options.prior_calls);
-        let beyond = (self.mean - 1.0) * sure - options.noise_margin;
-        1.0 + beyond.max(0.0)
+        let confidence = self.calls / (self.calls + options.prior_calls);
+        let excess = (self.mean - 1.0) * confidence - options.noise_margin;
+        1.0 + excess.max(0.0)
     }
 
     fn is_expired(&self, options: &Options, now: Duration) -> bool {
--- a/fw-plan/src/poison.rs
+++ b/fw-plan/src/poison.rs
@@ -93,20 +93,20 @@
 
     /// How a request with `fingerprint` is to be run.
     pub fn decide(&self, now: Duration, fingerprint: &digest::Digest) -> Outcome {
-        let Some(mark) = self.suspects.get(fingerprint) else {
+        let Some(suspect) = self.suspects.get(fingerprint) else {
             return Outcome::Normal;
         };
-        if mark.until <= now {
+        if suspect.until <= now {
             return Outcome::Normal;
         }
-        if mark.quarantined {
+        if suspect.quarantined {
             return Outcome::Refused(Refusal {
                 kind: error::Kind::Quarantined,
-                retry_after: mark.until - now,
+                retry_after: suspect.until - now,
             });
         }
         Outcome::Alone {
-            avoid: mark.upstream.clone(),
+            avoid: suspect.upstream.clone(),
         }
     }
 
@@ -121,29 +121,29 @@
         self.make_room(now, &fingerprint);
         let crashes = self.crashes_before(now, &fingerprint) + 1;
         // Alone, there is nobody else to blame; but a first crash may be the engine's own.
-        let convicted = (alone && crashes >= 2) || crashes >= self.options.shared_crash_limit;
-        let lasts = if convicted {
+        let quarantined = (alone && crashes >= 2) || crashes >= self.options.shared_crash_limit;
+        let ttl = if quarantined {
             self.options.quarantine_for
         } else {
             self.options.suspect_for
         };
-        let mark = Suspect {
+        let suspect = Suspect {
             crashes,
-            quarantined: convicted,
+            quarantined,
             upstream: upstream.clone(),
-            until: now + lasts,
+            until: now + ttl,
         };
-        if self.suspects.insert(fingerprint, mark).is_none() {
+        if self.suspects.insert(fingerprint, suspect).is_none() {
             self.by_age.push_back(fingerprint);
         }
     }
 
     /// A request with `fingerprint` ran to its end: a suspicion is lifted.
     pub fn record_success(&mut self, fingerprint: &digest::Digest) {
-        let suspect = |mark: &Suspect| !mark.quarantined;
-        if self.suspects.get(fingerprint).is_some_and(suspect) {
+        let is_suspect = |suspect: &Suspect| !suspect.quarantined;
+        if self.suspects.get(fingerprint).is_some_and(is_suspect) {
             self.suspects.remove(fingerprint);
-            self.by_age.retain(|known| known != fingerprint);
+            self.by_age.retain(|other| other != fingerprint);
         }
     }
 
@@ -158,28 +158,29 @@
     }
 
     fn crashes_before(&self, now: Duration, fingerprint: &digest::Digest) -> u32 {
-        let mark = self.suspects.get(fingerprint);
-        mark.filter(|mark| mark.until > now)
-            .map_or(0, |mark| mark.crashes)
+        let suspect = self.suspects.get(fingerprint);
+        suspect
+            .filter(|suspect| suspect.until > now)
+            .map_or(0, |suspect| suspect.crashes)
     }
 
     fn make_room(&mut self, now: Duration, fingerprint: &digest::Digest) {
         if self.suspects.contains_key(fingerprint) || self.suspects.len() < self.options.capacity {
             return;
         }
-        let marks = &mut self.suspects;
-        marks.retain(|_, mark| mark.until > now);
-        self.by_age.retain(|known| marks.contains_key(known));
-        if marks.len() < self.options.capacity {
+        let suspects = &mut self.suspects;
+        suspects.retain(|_, suspect| suspect.until > now);
+        self.by_age.retain(|other| suspects.contains_key(other));
+        if suspects.len() < self.options.capacity {
             return;
         }
         // A quarantine is worth more than a suspicion, so the oldest suspicion goes first.
-        let suspect = self
+        let oldest = self
             .by_age
             .iter()
-            .position(|known| !marks[known].quarantined);
-        if let Some(oldest) = self.by_age.remove(suspect.unwrap_or(0)) {
-            marks.remove(&oldest);
+            .position(|other| !suspects[other].quarantined);
+        if let Some(oldest) = self.by_age.remove(oldest.unwrap_or(0)) {
+            suspects.remove(&oldest);
         }
     }
 }
--- a/fw-plan/src/quota.rs
+++ b/fw-plan/src/quota.rs
@@ -143,9 +143,9 @@
 
     /// Requests that an entry lets through unheard while `left` are left of the limit. Others do so too.
     fn unsynced_limit(&self, limit: Limit, left: f64) -> i64 {
-        let most = self.allowed(limit) * self.max_unsynced_share;
+        let floor = self.allowed(limit) * self.max_unsynced_share;
         let share = (left * self.max_unsynced_left_share) as i64;
-        self.max_unsynced.max(most as i64).min(share.max(1))
+        self.max_unsynced.max(floor as i64).min(share.max(1))
     }
 
     /// Requests that an entry lets through before it tells of them, while much of the limit is left.
@@ -190,7 +190,7 @@
     pub fn add(&mut self, counts: Counts, now: Duration, window: Duration) {
         self.sum += counts;
         match self.buckets.back_mut() {
-            Some((start, known)) if now < *start + window / BUCKETS => *known += counts,
+            Some((start, bucket)) if now < *start + window / BUCKETS => *bucket += counts,
             _ => self.buckets.push_back((now, counts)),
         }
     }
@@ -212,10 +212,10 @@
         now: Duration,
         window: Duration,
     ) -> Option<Duration> {
-        let mut gone = 0;
+        let mut expired = 0;
         for (start, counts) in &self.buckets {
-            gone += of(counts);
-            if gone as f64 >= wanted {
+            expired += of(counts);
+            if expired as f64 >= wanted {
                 return Some((*start + window + window / BUCKETS).saturating_sub(now));
             }
         }
@@ -319,22 +319,22 @@
                         * options.lent_share
             }
         };
-        let gone = |wanted, of: fn(&Counts) -> i64| {
+        let time_until_freed = |wanted, of: fn(&Counts) -> i64| {
             let after = self.all.time_until_expired(wanted, of, now, options.window);
             Some(after.unwrap_or(options.max_retry_after))
         };
         if counted > bound {
-            return gone(counted - bound, |counts| counts.requests);
+            return time_until_freed(counted - bound, |counts| counts.requests);
         }
         if self.unsynced >= options.unsynced_limit(limit, bound - counted) {
             return Some(options.min_retry_after);
         }
-        let mut before = self.total;
-        before -= self.own.in_window(now, options.window);
-        let programs = (allowed / options.program_need(before)).max(1.0);
+        let mut earlier = self.total;
+        earlier -= self.own.in_window(now, options.window);
+        let programs = (allowed / options.program_need(earlier)).max(1.0);
         let begins = recent.begins as f64 + 1.0;
         if stage == Stage::Begins && begins > programs {
-            return gone(begins - programs, |counts| counts.begins);
+            return time_until_freed(begins - programs, |counts| counts.begins);
         }
         None
     }
@@ -356,9 +356,9 @@
         let recent = self.all.in_window(now, options.window);
         let is_busy = recent.requests as f64 > options.allowed(limit) * options.busy_share;
         let is_used = self.own.in_window(now, options.window).requests > 0;
-        let many = self.unsynced >= options.report_threshold(limit);
-        let has_news = many || (is_busy && self.unsynced != 0);
-        if has_news || self.prior == PriorUsage::NotSynced {
+        let is_due = self.unsynced >= options.report_threshold(limit);
+        let has_unsynced = is_due || (is_busy && self.unsynced != 0);
+        if has_unsynced || self.prior == PriorUsage::NotSynced {
             SyncNeed::Report
         } else if is_busy && is_used {
             SyncNeed::Query
@@ -398,16 +398,16 @@
     }
 
     /// What a replica has told by `now`.
-    pub fn merge(&mut self, heard: &Summary, now: Duration, options: &Options) {
-        let mut untold = self.total;
-        untold -= heard.reported;
-        self.unsynced = untold.requests;
-        let mut all = heard.recent;
-        all += untold;
-        let known = self.all.in_window(now, options.window);
-        self.all.add(all.beyond(known), now, options.window);
+    pub fn merge(&mut self, summary: &Summary, now: Duration, options: &Options) {
+        let mut unreported = self.total;
+        unreported -= summary.reported;
+        self.unsynced = unreported.requests;
+        let mut all = summary.recent;
+        all += unreported;
+        let current = self.all.in_window(now, options.window);
+        self.all.add(all.beyond(current), now, options.window);
         if self.prior == PriorUsage::NotSynced {
-            let unknown = options.window.saturating_sub(heard.counted_for);
+            let unknown = options.window.saturating_sub(summary.counted_for);
             self.prior = PriorUsage::PartialUntil(now + unknown);
         }
     }
@@ -426,24 +426,24 @@
 
 impl Aggregate {
     /// Counts what `entry` tells; `counted` is how long the replica has counted by `now`.
-    pub fn exchange(&mut self, entry: u32, told: &Report, now: Duration) -> Summary {
-        let more = match self.entries.iter_mut().find(|(known, ..)| *known == entry) {
+    pub fn exchange(&mut self, entry: u32, report: &Report, now: Duration) -> Summary {
+        let added = match self.entries.iter_mut().find(|(id, ..)| *id == entry) {
             Some((_, last, at)) => {
-                let more = told.total.beyond(*last);
-                *last += more;
+                let added = report.total.beyond(*last);
+                *last += added;
                 *at = now;
-                more
+                added
             }
             None => {
-                self.insert(entry, told.total, now);
+                self.insert(entry, report.total, now);
                 // It was heard of by others, or by a former start of this replica.
-                told.recent
+                report.recent
             }
         };
-        self.recent.add(more, now, told.window);
+        self.recent.add(added, now, report.window);
         Summary {
-            recent: self.recent.in_window(now, told.window),
-            reported: told.total,
+            recent: self.recent.in_window(now, report.window),
+            reported: report.total,
             counted_for: now,
         }
     }
--- a/fw-plan/src/reader.rs
+++ b/fw-plan/src/reader.rs
@@ -61,15 +61,20 @@
 }
 
 /// Whether entry `me` reads the store next; `reads` if it was the one to read so far.
-pub fn decide(me: EntryNumber, reads: bool, patience: Duration, last: Option<Last>) -> Outcome {
+pub fn decide(
+    own: EntryNumber,
+    is_reader: bool,
+    takeover_timeout: Duration,
+    last: Option<Last>,
+) -> Outcome {
     let Some(last) = last else {
         return Outcome::Read;
     };
-    if last.ago >= patience {
+    if last.ago >= takeover_timeout {
         return Outcome::Read;
     }
-    if reads && me <= last.by {
+    if is_reader && own <= last.by {
         return Outcome::Read;
     }
-    Outcome::Follow(patience - last.ago)
+    Outcome::Follow(takeover_timeout - last.ago)
 }
--- a/fw-plan/src/retry.rs
+++ b/fw-plan/src/retry.rs
@@ -154,16 +154,16 @@
     /// Takes one retry from the budget, if it holds one.
     pub fn withdraw(&mut self, now: Duration) -> bool {
         self.refill(now);
-        let enough = self.tokens >= 1.0;
-        if enough {
+        let is_available = self.tokens >= 1.0;
+        if is_available {
             self.tokens -= 1.0;
         }
-        enough
+        is_available
     }
 
     fn refusal_reason(&self, failure: &Failure) -> Option<Reason> {
         let row = failure.kind.row();
-        if !row.retry || is_for_the_caller(failure.kind) {
+        if !row.retry || is_load_shedding(failure.kind) {
             return Some(Reason::NotRetried);
         }
         if row.ran != error::Ran::No && !failure.repeatable {
@@ -195,7 +195,7 @@
 
 /// Kinds by which the entry itself sheds load. Sending such a call again from within would undo
 /// the refusal and hide from the caller that it should slow down.
-fn is_for_the_caller(kind: error::Kind) -> bool {
+fn is_load_shedding(kind: error::Kind) -> bool {
     matches!(
         kind,
         error::Kind::Overloaded
--- a/fw-plan/src/staleness.rs
+++ b/fw-plan/src/staleness.rs
@@ -41,13 +41,13 @@
     }
 
     /// All changes are known that the store had acknowledged at `asked`.
-    pub fn confirm(&mut self, asked: Duration) {
-        self.confirmed_at = self.confirmed_at.max(Some(asked));
+    pub fn confirm(&mut self, requested_at: Duration) {
+        self.confirmed_at = self.confirmed_at.max(Some(requested_at));
     }
 
     /// Time since the moment up to which all changes are known.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.confirmed_at.map(|asked| now.saturating_sub(asked))
+        self.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
     /// Whether keys may be accepted at `now`.
--- a/fw-plan/src/subset.rs
+++ b/fw-plan/src/subset.rs
@@ -52,16 +52,16 @@
     upstream: &Member,
     options: &Options,
 ) -> bool {
-    let Some(me) = entries.iter().find(|member| member.id == *entry) else {
+    let Some(own) = entries.iter().find(|member| member.id == *entry) else {
         return false;
     };
     let is_near = |member: &Member| member.place == upstream.place;
-    let near = is_near(me);
-    let wanted = if near { options.near } else { options.far };
-    let mine = rank(&me.id, &upstream.id);
+    let near = is_near(own);
+    let limit = if near { options.near } else { options.far };
+    let own_rank = rank(&own.id, &upstream.id);
     let better = entries.iter().filter(|member| is_near(member) == near);
-    let better = better.filter(|member| rank(&member.id, &upstream.id) > mine);
-    better.take(wanted).count() < wanted
+    let better = better.filter(|member| rank(&member.id, &upstream.id) > own_rank);
+    better.take(limit).count() < limit
 }
 
 /// The upstreams, in their order, that the entry named `entry` watches.
--- a/fw-plan/src/wait_queue.rs
+++ b/fw-plan/src/wait_queue.rs
@@ -123,7 +123,7 @@
 impl Options {
     /// The place of `call` that arrives at `now`; `number` grows with each arrival.
     pub fn rank(&self, call: &Call, now: Duration, number: u64) -> Rank {
-        let less = self.priority_delay * call.priority.min(LOWEST_PRIORITY);
+        let priority = self.priority_delay * call.priority.min(LOWEST_PRIORITY);
         let due = match call.time_left {
             Some(Duration::ZERO) => self.late_delay,
             Some(left) => left.min(self.due_cap).mul_f64(self.due_weight),
@@ -135,7 +135,7 @@
             Duration::ZERO
         };
         Rank {
-            virtual_arrival: now + less + due + begins,
+            virtual_arrival: now + priority + due + begins,
             sequence: number,
         }
     }
@@ -143,8 +143,8 @@
     /// Whether a program of a route of `priority` may begin while all upstreams of its service, of `slots`
     /// together, have `load` calls.
     pub fn may_begin(&self, priority: u32, slots: f64, load: f64) -> bool {
-        let less = self.begin_load_step * f64::from(priority.min(LOWEST_PRIORITY));
-        load < slots * (self.begin_load - less)
+        let step = self.begin_load_step * f64::from(priority.min(LOWEST_PRIORITY));
+        load < slots * (self.begin_load - step)
     }
 
     /// What becomes of `call` now that it was held back for so long; `draw` is uniform in
@@ -158,16 +158,16 @@
 
     /// When a refused caller may return; `draw` is uniform in `0.0..1.0`.
     pub fn draw_retry_after(&self, draw: f64) -> Duration {
-        let (soonest, latest) = self.retry_after;
-        soonest + latest.saturating_sub(soonest).mul_f64(draw)
+        let (min, max) = self.retry_after;
+        min + max.saturating_sub(min).mul_f64(draw)
     }
 
     /// Whether an upstream of `slots` that has `load` calls has room for another, which has `waited`
     /// so long; `warm` if the upstream has its prompt in the cache.
-    pub fn has_room(&self, slots: u32, load: f64, warm: bool, waited: Duration) -> bool {
-        let may_queue = warm || waited >= self.cold_delay;
-        let beyond = if may_queue { self.queue_slots } else { 0.0 };
-        load + 1.0 <= f64::from(slots.max(1)) + beyond
+    pub fn has_room(&self, slots: u32, load: f64, is_cached: bool, waited: Duration) -> bool {
+        let may_queue = is_cached || waited >= self.cold_delay;
+        let queue_slots = if may_queue { self.queue_slots } else { 0.0 };
+        load + 1.0 <= f64::from(slots.max(1)) + queue_slots
     }
 
     /// Whether a call of rank `other` may go before the `first`, to an upstream that has its prompt.
