--- a/fw-plan/tests/plan/assign_upstream.rs
+++ b/fw-plan/tests/plan/assign_upstream.rs
@@ -24,25 +24,25 @@
 }
 
 #[gtest]
-fn is_the_warm_one_until_it_is_full() {
-    let warm = Candidate {
+fn prefers_the_cached_upstream_until_it_is_full() {
+    let cached = Candidate {
         own_calls: 4,
         ..usual()
     };
-    let cold = Candidate {
+    let uncached = Candidate {
         prefill: Duration::from_millis(15),
         ..usual()
     };
-    expect_that!(chosen(&[cold, warm]), some(eq(1)));
+    expect_that!(chosen(&[uncached, cached]), some(eq(1)));
     let full = Candidate {
         own_calls: 9,
-        ..warm
+        ..cached
     };
-    expect_that!(chosen(&[cold, full]), some(eq(0)));
+    expect_that!(chosen(&[uncached, full]), some(eq(0)));
 }
 
 #[gtest]
-fn believes_others_load_less_the_older_it_is() {
+fn discounts_reported_load_by_age() {
     let fresh = Candidate {
         reported_calls: 12,
         ..usual()
@@ -55,7 +55,7 @@
 }
 
 #[gtest]
-fn avoids_slow_and_distant_ones_among_equals() {
+fn avoids_slow_and_remote_upstreams_among_equals() {
     let slow = Candidate {
         slowness: 3.0,
         ..usual()
@@ -70,7 +70,7 @@
 }
 
 #[gtest]
-fn avoids_one_whose_last_call_failed_for_some_time() {
+fn avoids_an_upstream_for_some_time_after_a_failure() {
     // An upstream resets every connection within milliseconds, so that it always looks idle. It
     // drew call after call until three in a row had failed, at each of many entries.
     let broken = Candidate {
--- a/fw-plan/tests/plan/due_order.rs
+++ b/fw-plan/tests/plan/due_order.rs
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn is_that_of_the_time_left_unless_one_waited_much_longer() {
+fn is_by_time_left_unless_one_waited_much_longer() {
     let options = Options::default();
     let much = options.rank(&call(2_000), ms(0), 1);
     expect_that!(options.rank(&call(300), ms(200), 2), lt(much));
@@ -43,7 +43,7 @@
     turns: u64,
     done: u64,
     due: u64,
-    gone: u64,
+    abandoned_at: u64,
 }
 
 impl Program {
@@ -55,7 +55,7 @@
             turns,
             done: 0,
             due: now + time,
-            gone: now + 2 * time,
+            abandoned_at: now + 2 * time,
         }
     }
 
@@ -78,7 +78,7 @@
 
 /// Plays five seconds in which programs of three and of seven turns come half as fast again as the
 /// engines can serve them, within thirty of an ordinary load.
-fn play(options: &Options, seed: u64) -> Outcome {
+fn simulate(options: &Options, seed: u64) -> Outcome {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut waiting = BTreeMap::<Rank, (Program, u64)>::new();
     let mut running: Vec<(u64, Program)> = Vec::new();
@@ -119,7 +119,7 @@
         waiting.retain(|_, (program, since)| {
             let refused =
                 now - *since >= most && options.expire(&program.call(now), 0.0) != Expired::Send;
-            !refused && now < program.gone
+            !refused && now < program.abandoned_at
         });
         while running.len() < SLOTS
             && let Some((_, (program, _))) = waiting.pop_first()
@@ -134,7 +134,7 @@
 // the second, waits behind long ones that have several seconds left; both sorts come late. With
 // those first that are due first, the long ones use the time that they have.
 #[gtest]
-fn brings_more_programs_to_their_end_in_time() {
+fn finishes_more_programs_in_time() {
     let options = Options::default();
     let arrival = Options {
         due_weight: 0.0,
@@ -142,13 +142,13 @@
     };
     let mut sum = (0, 0, 0);
     for seed in 0..8 {
-        let (ours, theirs) = (play(&options, seed), play(&arrival, seed));
-        sum.0 += ours.all;
-        sum.1 += ours.in_time;
-        sum.2 += theirs.in_time;
+        let (by_due, by_arrival) = (simulate(&options, seed), simulate(&arrival, seed));
+        sum.0 += by_due.all;
+        sum.1 += by_due.in_time;
+        sum.2 += by_arrival.in_time;
     }
-    let (all, ours, theirs) = sum;
+    let (all, by_due, by_arrival) = sum;
     // 94 of 100 in time; in order of arrival 84.
-    expect_that!(ours * 100, ge(all * 92));
-    expect_that!(theirs * 100, le(all * 86));
+    expect_that!(by_due * 100, ge(all * 92));
+    expect_that!(by_arrival * 100, le(all * 86));
 }
--- a/fw-plan/tests/plan/held_calls.rs
+++ b/fw-plan/tests/plan/held_calls.rs
@@ -21,7 +21,7 @@
 }
 
 #[gtest]
-fn is_the_urgent_one_unless_the_other_waited_much_longer() {
+fn is_the_urgent_call_unless_the_other_waited_much_longer() {
     let options = Options::default();
     let other = options.rank(&OTHER, ms(0), 1);
     expect_that!(options.rank(&URGENT, ms(50), 2), lt(other));
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn is_not_one_whose_program_is_late_already() {
+fn is_not_a_call_of_a_program_already_late() {
     // A program that has missed its time earns little more by being a little less late; the slot
     // makes another miss its time too.
     let options = Options::default();
@@ -45,7 +45,7 @@
 }
 
 #[gtest]
-fn goes_where_there_is_room() {
+fn is_sent_only_to_an_upstream_with_room() {
     let options = Options::default();
     expect_true!(options.has_room(6, 7.0, true, ms(0)));
     expect_false!(options.has_room(6, 7.5, true, ms(0)));
@@ -191,7 +191,7 @@
 }
 
 #[gtest]
-fn refuses_only_what_has_not_begun() {
+fn refuses_only_calls_that_begin_a_program() {
     let options = Options::default();
     let begins = Call {
         begins_program: true,
--- a/fw-plan/tests/plan/lapsed_upstreams.rs
+++ b/fw-plan/tests/plan/lapsed_upstreams.rs
@@ -21,14 +21,14 @@
 }
 
 #[gtest]
-fn one_that_leaves_on_a_calm_day_is_gone_at_once() {
+fn upstream_leaving_without_an_outage_is_gone_at_once() {
     let reads = reads(&[0..=100]);
     expect_that!(reads.decide(Some(s(95))), eq(Outcome::Gone));
 }
 
 // Guards against a service left empty by entries that lapsed while the store was away.
 #[gtest]
-fn one_that_lapsed_is_kept_until_it_has_had_time_to_come_back() {
+fn lapsed_upstream_is_kept_until_it_could_be_back() {
     let listed = Some(s(100));
     expect_that!(
         reads(&[0..=100, 180..=180]).decide(listed),
@@ -46,14 +46,14 @@
 
 // Guards against calls to an upstream that leaves moments after an outage.
 #[gtest]
-fn one_that_leaves_after_an_outage_is_gone_at_once() {
+fn upstream_leaving_after_an_outage_is_gone_at_once() {
     let reads = reads(&[0..=100, 180..=185]);
     expect_that!(reads.decide(Some(s(180))), eq(Outcome::Gone));
 }
 
 // Guards against an entry that was cut off alone and takes its own silence for an outage.
 #[gtest]
-fn one_that_left_while_only_this_entry_was_cut_off_is_gone_at_once() {
+fn upstream_leaving_while_only_this_entry_is_cut_off_is_gone_at_once() {
     let mut own = reads(&[0..=100, 180..=180]);
     expect_that!(own.decide(Some(s(100))), eq(Outcome::Kept));
     let others = Span {
@@ -66,7 +66,7 @@
 
 // Guards against a reader that starts anew and counts a short while of its own as an outage of all.
 #[gtest]
-fn reads_known_before_count_when_a_short_span_is_told() {
+fn earlier_reads_count_when_a_short_span_is_added() {
     let mut reads = reads(&[0..=100]);
     reads.add_span(Span::single(s(101)));
     expect_that!(
@@ -80,7 +80,7 @@
 }
 
 #[gtest]
-fn a_span_before_the_gap_takes_nothing_back() {
+fn a_span_before_the_gap_changes_nothing() {
     let mut reads = reads(&[0..=100, 180..=185]);
     reads.add_span(Span {
         first: s(0),
@@ -90,7 +90,7 @@
 }
 
 #[gtest]
-fn nothing_is_gone_before_the_first_read() {
+fn no_upstream_is_gone_before_the_first_read() {
     expect_that!(
         Reads::new(Options::default()).decide(None),
         eq(Outcome::Kept)
@@ -119,7 +119,7 @@
 
 // Guards against a post that was held up during an outage and hides the gap.
 #[gtest]
-fn a_read_counts_from_when_it_was_asked() {
+fn a_read_counts_from_its_request() {
     let mut reads = reads(&[0..=100]);
     reads.add_read(s(101), s(150));
     reads.add_read(s(170), s(171));
@@ -128,7 +128,7 @@
 
 // Guards against upstreams that left while the readers were away, and are taken for lapsed ones.
 #[gtest]
-fn have_lapsed_only_where_most_are_missing() {
+fn entries_have_lapsed_only_if_most_are_missing() {
     expect_false!(lapse::has_lapsed(72, 1));
     expect_false!(lapse::has_lapsed(2, 1));
     expect_true!(lapse::has_lapsed(72, 37));
--- a/fw-plan/tests/plan/list_model.rs
+++ b/fw-plan/tests/plan/list_model.rs
@@ -14,208 +14,208 @@
 
 const BOUND: Duration = Duration::from_secs(2);
 const STEP: Duration = Duration::from_millis(10);
-const LENGTH: Duration = Duration::from_secs(40);
+const DURATION: Duration = Duration::from_secs(40);
 const ENTRIES: usize = 4;
 const REPLICAS: usize = 2;
 /// Limits of the reading entry, as in `fw-follow`.
-const PACE: Duration = Duration::from_millis(450);
-const LATE: Duration = Duration::from_millis(250);
-const CLIENT: Duration = Duration::from_millis(1_650);
+const READ_INTERVAL: Duration = Duration::from_millis(450);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(250);
+const READ_TIMEOUT: Duration = Duration::from_millis(1_650);
 /// Longest that a message to or from a replica is held up.
-const HELD: Duration = Duration::from_millis(700);
+const MAX_MESSAGE_DELAY: Duration = Duration::from_millis(700);
 /// Shortest time between two calls of one entry that hang.
-const HANGS_APART: Duration = Duration::from_secs(3);
+const MIN_HANG_INTERVAL: Duration = Duration::from_secs(3);
 
 /// What is left out of the rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Without {
-    Nothing,
+enum Ablation {
+    None,
     /// Calls are sent by a list of any age.
-    Confirm,
+    Confirmation,
     /// A proof is as old as its arrival, not as the question.
-    AgeOfProof,
+    RequestTime,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct News {
+struct Update {
     /// All that the store had acknowledged by then is contained.
-    content: Duration,
+    includes_until: Duration,
     /// From when on that is proven.
-    proven: Duration,
+    confirmed_at: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
-    asked: Duration,
+    requested_at: Duration,
     /// `None` if it hangs.
-    answered: Option<Duration>,
+    answered_at: Option<Duration>,
 }
 
 #[derive(Debug)]
 struct Entry {
     id: reader::EntryNumber,
-    news: News,
-    known: confirm::ListFreshness,
-    patience: Duration,
-    reads: bool,
+    update: Update,
+    freshness: confirm::ListFreshness,
+    takeover_timeout: Duration,
+    is_reader: bool,
     last: Option<(reader::EntryNumber, Duration)>,
     call: Option<Call>,
     next_read: Duration,
-    hung: Option<Duration>,
+    last_hang: Option<Duration>,
     /// When a call of a client began to wait.
-    waits: Option<Duration>,
-    still_until: Duration,
+    waiting_since: Option<Duration>,
+    suspended_until: Duration,
     /// What replicas have sent, and when it arrives.
-    inbox: Vec<(Duration, News, reader::EntryNumber)>,
+    inbox: Vec<(Duration, Update, reader::EntryNumber)>,
 }
 
 impl Entry {
     fn new(rng: &mut impl Rng) -> Self {
         Self {
             id: rng.random(),
-            news: News::default(),
-            known: confirm::ListFreshness::new(confirm::Options::for_bound(BOUND)),
-            patience: reader::Options::default().takeover_timeout(rng.random()),
-            reads: false,
+            update: Update::default(),
+            freshness: confirm::ListFreshness::new(confirm::Options::for_bound(BOUND)),
+            takeover_timeout: reader::Options::default().takeover_timeout(rng.random()),
+            is_reader: false,
             last: None,
             call: None,
             next_read: Duration::ZERO,
-            hung: None,
-            waits: None,
-            still_until: Duration::ZERO,
+            last_hang: None,
+            waiting_since: None,
+            suspended_until: Duration::ZERO,
             inbox: Vec::new(),
         }
     }
 
-    fn take(&mut self, without: Without, news: News, now: Duration) {
-        self.news.content = self.news.content.max(news.content);
-        let proven = match without {
-            Without::AgeOfProof => now,
-            _ => news.proven,
+    fn apply(&mut self, ablation: Ablation, update: Update, now: Duration) {
+        self.update.includes_until = self.update.includes_until.max(update.includes_until);
+        let confirmed_at = match ablation {
+            Ablation::RequestTime => now,
+            _ => update.confirmed_at,
         };
-        self.known.confirm(proven, now);
+        self.freshness.confirm(confirmed_at, now);
     }
 
     fn is_due(&mut self, now: Duration) -> bool {
-        let wanted = self.known.age(now).is_some() && self.known.needs_refresh(now);
+        let wanted = self.freshness.age(now).is_some() && self.freshness.needs_refresh(now);
         let last = self.last.map(|(by, at)| reader::Last {
             by,
             ago: now.saturating_sub(at),
         });
-        let outcome = reader::decide(self.id, self.reads, self.patience, last);
-        self.reads = outcome == reader::Outcome::Read;
-        wanted || (self.reads && now >= self.next_read)
+        let outcome = reader::decide(self.id, self.is_reader, self.takeover_timeout, last);
+        self.is_reader = outcome == reader::Outcome::Read;
+        wanted || (self.is_reader && now >= self.next_read)
     }
 }
 
 struct World {
     rng: Pcg64,
-    without: Without,
+    ablation: Ablation,
     now: Duration,
     entries: Vec<Entry>,
-    replicas: Vec<Option<News>>,
+    replicas: Vec<Option<Update>>,
     /// Posts on their way.
-    posts: Vec<(Duration, usize, News, reader::EntryNumber)>,
-    worst: Duration,
+    publications: Vec<(Duration, usize, Update, reader::EntryNumber)>,
+    max_age: Duration,
 }
 
 impl World {
-    fn new(seed: u64, without: Without) -> Self {
+    fn new(seed: u64, ablation: Ablation) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         Self {
             entries: (0..ENTRIES).map(|_| Entry::new(&mut rng)).collect(),
-            replicas: vec![Some(News::default()); REPLICAS],
-            posts: Vec::new(),
-            worst: Duration::ZERO,
+            replicas: vec![Some(Update::default()); REPLICAS],
+            publications: Vec::new(),
+            max_age: Duration::ZERO,
             now: Duration::from_secs(1),
-            without,
+            ablation,
             rng,
         }
     }
 
-    fn happens_every(&mut self, time: Duration) -> bool {
+    fn occurs_every(&mut self, time: Duration) -> bool {
         let steps = time.as_millis() / STEP.as_millis();
         self.rng.random_range(0..steps as u64) == 0
     }
 
-    fn up_to(&mut self, most: Duration) -> Duration {
+    fn random_up_to(&mut self, most: Duration) -> Duration {
         most.mul_f64(self.rng.random())
     }
 
     /// Time that a message takes.
-    fn way(&mut self) -> Duration {
+    fn latency(&mut self) -> Duration {
         match self.rng.random_range(0..10) {
-            0 => STEP + self.up_to(HELD),
+            0 => STEP + self.random_up_to(MAX_MESSAGE_DELAY),
             _ => STEP,
         }
     }
 
-    fn play(mut self) -> Duration {
-        while self.now < LENGTH {
+    fn run(mut self) -> Duration {
+        while self.now < DURATION {
             self.now += STEP;
-            self.break_things();
-            self.deliver_posts();
+            self.inject_faults();
+            self.deliver_publications();
             for at in 0..ENTRIES {
-                if self.now >= self.entries[at].still_until {
+                if self.now >= self.entries[at].suspended_until {
                     self.step(at);
                 }
             }
         }
-        self.worst
+        self.max_age
     }
 
-    fn break_things(&mut self) {
+    fn inject_faults(&mut self) {
         let at = self.rng.random_range(0..ENTRIES);
-        if self.happens_every(Duration::from_secs(4)) {
-            let time = self.up_to(Duration::from_secs(5));
-            self.entries[at].still_until = self.now + time;
+        if self.occurs_every(Duration::from_secs(4)) {
+            let time = self.random_up_to(Duration::from_secs(5));
+            self.entries[at].suspended_until = self.now + time;
         }
-        if self.happens_every(Duration::from_secs(10)) {
+        if self.occurs_every(Duration::from_secs(10)) {
             self.entries[at] = Entry::new(&mut self.rng);
         }
-        if self.happens_every(Duration::from_secs(3)) {
+        if self.occurs_every(Duration::from_secs(3)) {
             let at = self.rng.random_range(0..REPLICAS);
-            let back = Some(News::default());
+            let back = Some(Update::default());
             self.replicas[at] = self.replicas[at].map_or(back, |_| None);
         }
     }
 
-    fn deliver_posts(&mut self) {
+    fn deliver_publications(&mut self) {
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.posts)
+        let (due, rest) = std::mem::take(&mut self.publications)
             .into_iter()
             .partition::<Vec<_>, _>(|(at, ..)| *at <= now);
-        self.posts = rest;
-        for (_, at, news, by) in due {
-            let Some(known) = &mut self.replicas[at] else {
+        self.publications = rest;
+        for (_, at, update, by) in due {
+            let Some(state) = &mut self.replicas[at] else {
                 continue;
             };
-            known.content = known.content.max(news.content);
-            known.proven = known.proven.max(news.proven);
-            let told = *known;
+            state.includes_until = state.includes_until.max(update.includes_until);
+            state.confirmed_at = state.confirmed_at.max(update.confirmed_at);
+            let current = *state;
             for entry in 0..ENTRIES {
-                let arrives = now + self.way();
-                self.entries[entry].inbox.push((arrives, told, by));
+                let arrives = now + self.latency();
+                self.entries[entry].inbox.push((arrives, current, by));
             }
         }
     }
 
     fn step(&mut self, at: usize) {
-        self.hear(at);
+        self.receive(at);
         self.end_call(at);
         self.begin_call(at);
         self.send(at);
     }
 
-    fn hear(&mut self, at: usize) {
-        let (now, without) = (self.now, self.without);
+    fn receive(&mut self, at: usize) {
+        let (now, ablation) = (self.now, self.ablation);
         let entry = &mut self.entries[at];
         let (due, rest) = std::mem::take(&mut entry.inbox)
             .into_iter()
             .partition::<Vec<_>, _>(|(at, ..)| *at <= now);
         entry.inbox = rest;
-        for (_, news, by) in due {
-            entry.take(without, news, now);
+        for (_, update, by) in due {
+            entry.apply(ablation, update, now);
             entry.last = Some((by, now));
         }
     }
@@ -224,28 +224,28 @@
         let now = self.now;
         let entry = &mut self.entries[at];
         let Some(call) = entry.call else { return };
-        let wanted = entry.known.age(now).is_some() && entry.known.needs_refresh(now);
-        if let Some(answered) = call.answered.filter(|at| *at <= now) {
+        let wanted = entry.freshness.age(now).is_some() && entry.freshness.needs_refresh(now);
+        if let Some(answered_at) = call.answered_at.filter(|at| *at <= now) {
             entry.call = None;
-            entry.next_read = call.asked + PACE;
+            entry.next_read = call.requested_at + READ_INTERVAL;
             entry.last = Some((entry.id, now));
-            let news = News {
-                content: answered,
-                proven: call.asked,
+            let update = Update {
+                includes_until: answered_at,
+                confirmed_at: call.requested_at,
             };
             let by = entry.id;
-            entry.take(self.without, news, now);
+            entry.apply(self.ablation, update, now);
             for replica in 0..REPLICAS {
-                let arrives = now + self.way();
-                self.posts.push((arrives, replica, news, by));
+                let arrives = now + self.latency();
+                self.publications.push((arrives, replica, update, by));
             }
-        } else if now >= call.asked + CLIENT {
+        } else if now >= call.requested_at + READ_TIMEOUT {
             entry.call = None;
-            entry.known.read_failed(call.asked, now);
+            entry.freshness.read_failed(call.requested_at, now);
             entry.next_read = now + Duration::from_millis(250);
-        } else if wanted && now >= call.asked + LATE {
+        } else if wanted && now >= call.requested_at + READ_RETRY_DELAY {
             entry.call = None;
-            entry.known.read_unanswered(call.asked, now);
+            entry.freshness.read_unanswered(call.requested_at, now);
         }
     }
 
@@ -255,58 +255,60 @@
             return;
         }
         let may_hang = self.entries[at]
-            .hung
-            .is_none_or(|at| now >= at + HANGS_APART);
+            .last_hang
+            .is_none_or(|at| now >= at + MIN_HANG_INTERVAL);
         let hangs = may_hang && self.rng.random_bool(0.2);
-        let takes = STEP + self.up_to(Duration::from_millis(100));
+        let takes = STEP + self.random_up_to(Duration::from_millis(100));
         let entry = &mut self.entries[at];
         if hangs {
-            entry.hung = Some(now);
+            entry.last_hang = Some(now);
         }
         entry.call = Some(Call {
-            asked: now,
-            answered: (!hangs).then_some(now + takes),
+            requested_at: now,
+            answered_at: (!hangs).then_some(now + takes),
         });
     }
 
     /// Sends a call if one may be sent.
     fn send(&mut self, at: usize) {
-        let (now, without) = (self.now, self.without);
+        let (now, ablation) = (self.now, self.ablation);
         let entry = &mut self.entries[at];
-        if entry.known.age(now).is_none() {
+        if entry.freshness.age(now).is_none() {
             return;
         }
-        match entry.known.decide(now) {
-            confirm::Outcome::Wait(wait) if without != Without::Confirm => {
-                let since = *entry.waits.get_or_insert(now);
+        match entry.freshness.decide(now) {
+            confirm::Outcome::Wait(wait) if ablation != Ablation::Confirmation => {
+                let since = *entry.waiting_since.get_or_insert(now);
                 if now >= since + wait {
-                    entry.known.wait_expired(now - since, now);
-                    entry.waits = None;
+                    entry.freshness.wait_expired(now - since, now);
+                    entry.waiting_since = None;
                 }
             }
             _ => {
-                entry.waits = None;
-                self.worst = self.worst.max(now.saturating_sub(entry.news.content));
+                entry.waiting_since = None;
+                self.max_age = self
+                    .max_age
+                    .max(now.saturating_sub(entry.update.includes_until));
             }
         }
     }
 }
 
 /// The oldest list by which a call is sent, over some seeds.
-fn oldest(without: Without) -> Duration {
-    let worst = (0..40).map(|seed| World::new(seed, without).play());
-    worst.max().unwrap()
+fn max_list_age(ablation: Ablation) -> Duration {
+    let max_age = (0..40).map(|seed| World::new(seed, ablation).run());
+    max_age.max().unwrap()
 }
 
 // Guards against a delay, or two in a row, through which calls are sent by a list older than the bound.
 #[gtest]
-fn calls_go_by_a_list_within_the_bound() {
-    expect_that!(oldest(Without::Nothing), le(BOUND));
+fn calls_use_a_list_within_the_bound() {
+    expect_that!(max_list_age(Ablation::None), le(BOUND));
 }
 
 // Guards against a model that would find no fault.
 #[gtest]
-fn without_a_part_of_the_rule_they_do_not() {
-    expect_that!(oldest(Without::Confirm), gt(BOUND));
-    expect_that!(oldest(Without::AgeOfProof), gt(BOUND));
+fn removing_a_part_of_the_rule_breaks_the_bound() {
+    expect_that!(max_list_age(Ablation::Confirmation), gt(BOUND));
+    expect_that!(max_list_age(Ablation::RequestTime), gt(BOUND));
 }
--- a/fw-plan/tests/plan/pace_noise.rs
+++ b/fw-plan/tests/plan/pace_noise.rs
@@ -18,44 +18,44 @@
 }
 
 #[gtest]
-fn does_not_take_chance_for_slowness() {
+fn does_not_mistake_noise_for_slowness() {
     // Turns differ in length. An entry sent each engine two a second, and most engines looked one
     // and a half times slower than the rest at any time: it sent turns anywhere but where their
     // prompts were cached, and a third of the engines' time went into reading prompts again.
     let options = Options::default();
     let mut rng = rand_pcg::Pcg64::seed_from_u64(1);
-    let mut slow = 0;
+    let mut false_positives = 0;
     for _ in 0..200 {
         let mut pace = Pace::default();
         for call in 0..40 {
             let now = secs(f64::from(call) * 0.5);
             pace.record(&options, ratio(&mut rng), now);
-            slow += u32::from(pace.slowness(&options, now) > 1.1);
+            false_positives += u32::from(pace.slowness(&options, now) > 1.1);
         }
     }
     // Of 8,000 looks.
-    expect_that!(slow, lt(400));
+    expect_that!(false_positives, lt(400));
 }
 
 #[gtest]
-fn finds_one_that_is_five_times_slower() {
+fn detects_an_upstream_five_times_slower() {
     let options = Options::default();
     let mut rng = rand_pcg::Pcg64::seed_from_u64(2);
-    let mut found = 0;
+    let mut detected = 0;
     for _ in 0..200 {
         let mut pace = Pace::default();
         for call in 0..8 {
             let now = secs(f64::from(call) * 0.5);
             pace.record(&options, 5.0 * ratio(&mut rng), now);
         }
-        found += u32::from(pace.slowness(&options, secs(3.5)) > 1.3);
+        detected += u32::from(pace.slowness(&options, secs(3.5)) > 1.3);
     }
     // Of 200 upstreams, after eight calls each.
-    expect_that!(found, gt(190));
+    expect_that!(detected, gt(190));
 }
 
 #[gtest]
-fn tries_a_slow_one_again() {
+fn retries_a_slow_upstream_after_expiry() {
     let options = Options::default();
     let mut pace = Pace::default();
     for call in 0..20 {
--- a/fw-plan/tests/plan/store_reader.rs
+++ b/fw-plan/tests/plan/store_reader.rs
@@ -12,21 +12,21 @@
 }
 
 /// Time between two reads of an entry.
-const PACE: Duration = ms(450);
+const READ_INTERVAL: Duration = ms(450);
 /// Time from a read until all others have heard of it.
-const HEARD: Duration = ms(20);
+const PROPAGATION: Duration = ms(20);
 /// One step of the play.
 const STEP: Duration = ms(5);
 
 struct Entry {
-    patience: Duration,
-    reads: bool,
+    takeover_timeout: Duration,
+    is_reader: bool,
     next: Duration,
     alive: bool,
 }
 
 /// Entries that follow one store.
-struct Play {
+struct Simulation {
     rng: Pcg64,
     now: Duration,
     entries: Vec<Entry>,
@@ -34,13 +34,13 @@
     reads: Vec<(Duration, u32)>,
 }
 
-impl Play {
+impl Simulation {
     fn new(entries: usize, seed: u64) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
         let opts = Options::default();
         let entry = |_| Entry {
-            patience: opts.takeover_timeout(rng.random()),
-            reads: false,
+            takeover_timeout: opts.takeover_timeout(rng.random()),
+            is_reader: false,
             next: ms(rng.random_range(0..300)),
             alive: true,
         };
@@ -54,12 +54,12 @@
     }
 
     fn last(&self) -> Option<Last> {
-        let mut heard = self
+        let mut received = self
             .reads
             .iter()
             .rev()
-            .filter(|(at, _)| *at + HEARD <= self.now);
-        let (at, by) = heard.next()?;
+            .filter(|(at, _)| *at + PROPAGATION <= self.now);
+        let (at, by) = received.next()?;
         Some(Last {
             by: *by,
             ago: self.now - *at,
@@ -69,28 +69,28 @@
     fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            for me in 0..self.entries.len() {
-                self.step(me);
+            for index in 0..self.entries.len() {
+                self.step(index);
             }
             self.now += STEP;
         }
     }
 
-    fn step(&mut self, me: usize) {
+    fn step(&mut self, index: usize) {
         let last = self.last();
         let (now, jitter) = (self.now, ms(self.rng.random_range(0..40)));
-        let entry = &mut self.entries[me];
+        let entry = &mut self.entries[index];
         if !entry.alive || entry.next > now {
             return;
         }
-        match reader::decide(me as u32, entry.reads, entry.patience, last) {
+        match reader::decide(index as u32, entry.is_reader, entry.takeover_timeout, last) {
             Outcome::Read => {
-                entry.reads = true;
-                entry.next = now + PACE + jitter;
-                self.reads.push((now, me as u32));
+                entry.is_reader = true;
+                entry.next = now + READ_INTERVAL + jitter;
+                self.reads.push((now, index as u32));
             }
             Outcome::Follow(time) => {
-                entry.reads = false;
+                entry.is_reader = false;
                 entry.next = now + time;
             }
         }
@@ -106,10 +106,10 @@
 #[gtest]
 fn one_of_a_hundred_reads() {
     for seed in 0..20 {
-        let mut play = Play::new(100, seed);
-        play.run(ms(10_000));
-        let each_alone = 5_000 / PACE.as_millis() as usize;
-        expect_that!(play.rate(ms(5_000)), le(2 * each_alone), "seed {seed}");
+        let mut sim = Simulation::new(100, seed);
+        sim.run(ms(10_000));
+        let each_alone = 5_000 / READ_INTERVAL.as_millis() as usize;
+        expect_that!(sim.rate(ms(5_000)), le(2 * each_alone), "seed {seed}");
     }
 }
 
@@ -118,21 +118,21 @@
 #[gtest]
 fn others_take_over_from_a_reader_that_dies() {
     for seed in 0..50 {
-        let mut play = Play::new(30, seed);
-        play.run(ms(3_000));
+        let mut sim = Simulation::new(30, seed);
+        sim.run(ms(3_000));
         for _ in 0..10 {
-            let (_, by) = *play.reads.last().unwrap();
-            play.entries[by as usize].alive = false;
-            play.run(ms(3_000));
+            let (_, by) = *sim.reads.last().unwrap();
+            sim.entries[by as usize].alive = false;
+            sim.run(ms(3_000));
         }
-        let gaps = play.reads.windows(2).map(|pair| pair[1].0 - pair[0].0);
+        let gaps = sim.reads.windows(2).map(|pair| pair[1].0 - pair[0].0);
         let longest = gaps.max().unwrap();
-        expect_that!(longest + HEARD, lt(ms(2_000)), "seed {seed}");
+        expect_that!(longest + PROPAGATION, lt(ms(2_000)), "seed {seed}");
     }
 }
 
 #[gtest]
-fn an_entry_that_hears_nobody_reads() {
+fn an_entry_without_recent_reports_reads() {
     expect_that!(reader::decide(7, false, ms(800), None), eq(Outcome::Read));
     let last = Last {
         by: 3,
--- a/fw-plan/tests/plan/team_quota.rs
+++ b/fw-plan/tests/plan/team_quota.rs
@@ -35,37 +35,37 @@
 }
 
 /// Tells the one replica of entry 1, and hears from it.
-fn exchange(account: &mut Account, sum: &mut Aggregate, now: Duration) {
-    let heard = sum.exchange(1, &account.report(now, &options()), now);
-    account.merge(&heard, now, &options());
+fn exchange(account: &mut Account, aggregate: &mut Aggregate, now: Duration) {
+    let summary = aggregate.exchange(1, &account.report(now, &options()), now);
+    account.merge(&summary, now, &options());
 }
 
 /// A request at each of `times`, all heard of at once; how many ran.
 fn send(account: &mut Account, stage: Stage, times: impl Iterator<Item = u64>) -> i64 {
-    let mut sum = Aggregate::default();
+    let mut aggregate = Aggregate::default();
     let mut ran = 0;
     for now in times.map(ms) {
         ran += i64::from(admits(account, stage, now));
-        exchange(account, &mut sum, now);
+        exchange(account, &mut aggregate, now);
     }
     ran
 }
 
 /// An account that has heard of a replica which has counted for long.
-fn known() -> Account {
+fn synced_account() -> Account {
     let mut account = Account::default();
-    account.merge(&heard(0, 0), ms(0), &options());
+    account.merge(&summary(0, 0), ms(0), &options());
     account
 }
 
-fn heard(recent: i64, told: i64) -> Summary {
+fn summary(recent: i64, reported: i64) -> Summary {
     let counts = |requests| Counts {
         requests,
         begins: 0,
     };
     Summary {
         recent: counts(recent),
-        reported: counts(told),
+        reported: counts(reported),
         counted_for: ms(60_000),
     }
 }
@@ -73,15 +73,15 @@
 #[gtest]
 fn refuses_beyond_the_limit() {
     // A part of what the count may be wrong by is lent to programs under way.
-    let ran = send(&mut known(), Stage::Continues, 0..5_000);
+    let ran = send(&mut synced_account(), Stage::Continues, 0..5_000);
     expect_that!(ran, eq(ALLOWED + 20));
 }
 
 // A team begins more programs than its quota can finish. Their first turns used it up, and nearly all
 // were broken off later.
 #[gtest]
-fn begins_as_many_programs_as_can_be_finished() {
-    let mut account = known();
+fn begins_only_programs_that_can_finish() {
+    let mut account = synced_account();
     let begun = send(&mut account, Stage::Begins, 0..2_000);
     // Fifteen requests each are expected, as none was seen to its end yet.
     expect_that!(begun, eq(ALLOWED / 15));
@@ -90,8 +90,8 @@
 }
 
 #[gtest]
-fn learns_what_programs_need() {
-    let mut account = known();
+fn learns_requests_per_program() {
+    let mut account = synced_account();
     // Programs of forty requests, for long.
     for now in (0..100_000).step_by(2_000) {
         send(&mut account, Stage::Begins, now..=now);
@@ -102,8 +102,8 @@
 }
 
 #[gtest]
-fn tells_when_to_return() {
-    let mut account = known();
+fn states_when_to_retry() {
+    let mut account = synced_account();
     send(&mut account, Stage::Continues, 0..4_000);
     let refused = account.decide(LIMIT, Stage::Continues, ms(4_000), &options());
     // The first of them are out of the window after five seconds and a slot.
@@ -111,19 +111,19 @@
 }
 
 #[gtest]
-fn gives_back_what_did_not_run() {
-    let mut account = known();
+fn refunds_requests_that_did_not_run() {
+    let mut account = synced_account();
     expect_true!(admits(&mut account, Stage::Begins, ms(0)));
     account.refund(Stage::Begins, ms(0), &options());
-    let told = account.report(ms(0), &options());
-    expect_that!(told.total, eq(Counts::default()));
-    expect_that!(told.recent, eq(Counts::default()));
+    let report = account.report(ms(0), &options());
+    expect_that!(report.total, eq(Counts::default()));
+    expect_that!(report.recent, eq(Counts::default()));
 }
 
 #[gtest]
-fn counts_what_others_let_through() {
-    let mut account = known();
-    account.merge(&heard(ALLOWED + 19, 0), ms(0), &options());
+fn counts_requests_of_other_entries() {
+    let mut account = synced_account();
+    account.merge(&summary(ALLOWED + 19, 0), ms(0), &options());
     expect_true!(admits(&mut account, Stage::Continues, ms(0)));
     expect_false!(admits(&mut account, Stage::Continues, ms(0)));
 }
@@ -131,18 +131,18 @@
 // The nearest replica changes. The same requests must not be counted a second time.
 #[gtest]
 fn counts_the_same_requests_once_from_two_replicas() {
-    let mut account = known();
-    account.merge(&heard(200, 0), ms(0), &options());
-    account.merge(&heard(200, 0), ms(0), &options());
-    account.merge(&heard(150, 0), ms(0), &options());
+    let mut account = synced_account();
+    account.merge(&summary(200, 0), ms(0), &options());
+    account.merge(&summary(200, 0), ms(0), &options());
+    account.merge(&summary(150, 0), ms(0), &options());
     let ran = send(&mut account, Stage::Continues, 0..300);
     expect_that!(ran, eq(ALLOWED + 20 - 200));
 }
 
 // An entry that is cut off from all replicas hears of nobody, as others may be, too.
 #[gtest]
-fn lets_few_through_unheard() {
-    let mut account = known();
+fn admits_few_requests_before_a_sync() {
+    let mut account = synced_account();
     let ran = (0..100).filter(|now| admits(&mut account, Stage::Continues, ms(*now)));
     expect_that!(ran.count(), eq(16));
     let mut new = Account::default();
@@ -153,7 +153,7 @@
 // All power is lost, and with it all counts. A team that had sent what it may sent as much again within
 // the same window.
 #[gtest]
-fn is_careful_after_a_start_of_all() {
+fn admits_a_fraction_after_all_counts_are_lost() {
     let mut account = Account::default();
     let ran = send(&mut account, Stage::Continues, 0..1_000);
     // A fifth of the window is over.
@@ -162,8 +162,8 @@
 }
 
 #[gtest]
-fn follows_a_lower_limit_at_once() {
-    let mut account = known();
+fn applies_a_lower_limit_at_once() {
+    let mut account = synced_account();
     send(&mut account, Stage::Continues, 0..100);
     let lower = Limit {
         rate: 2.0,
@@ -174,15 +174,15 @@
 }
 
 /// What entries told, on its way to the replica.
-type Way = VecDeque<(Duration, usize, Report)>;
+type InFlight = VecDeque<(Duration, usize, Report)>;
 
 /// Requests that ran in each millisecond, of a team that sends `per_ms` through `entries`, each of
 /// which tells the replica every 50 ms if it has to, and hears from it `lag` later.
-fn play(seed: u64, limit: Limit, entries: usize, per_ms: f64, lag: Duration) -> Vec<i64> {
+fn simulate(seed: u64, limit: Limit, entries: usize, per_ms: f64, lag: Duration) -> Vec<i64> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut accounts: Vec<_> = (0..entries).map(|_| known()).collect();
-    let mut sum = Aggregate::default();
-    let mut way = Way::new();
+    let mut accounts: Vec<_> = (0..entries).map(|_| synced_account()).collect();
+    let mut aggregate = Aggregate::default();
+    let mut in_flight = InFlight::new();
     let mut ran = Vec::new();
     for at in 0..20_000 {
         let now = ms(at);
@@ -195,11 +195,11 @@
         if let Some(account) = accounts.get_mut(at as usize % 50)
             && account.required_sync(limit, now, &options()) != SyncNeed::Nothing
         {
-            way.push_back((now + lag, at as usize % 50, account.report(now, &options())));
+            in_flight.push_back((now + lag, at as usize % 50, account.report(now, &options())));
         }
-        while let Some((_, entry, told)) = way.pop_front_if(|(due, ..)| *due <= now) {
-            let heard = sum.exchange(entry as u32, &told, now);
-            accounts[entry].merge(&heard, now, &options());
+        while let Some((_, entry, report)) = in_flight.pop_front_if(|(due, ..)| *due <= now) {
+            let summary = aggregate.exchange(entry as u32, &report, now);
+            accounts[entry].merge(&summary, now, &options());
         }
         ran.push(here);
     }
@@ -211,7 +211,7 @@
 #[gtest]
 fn holds_in_every_window_over_all_entries() {
     for seed in 0..10 {
-        let ran = play(seed, LIMIT, 20, 0.25, ms(20));
+        let ran = simulate(seed, LIMIT, 20, 0.25, ms(20));
         let mut window: i64 = ran[..5_000].iter().sum();
         for at in 5_000..ran.len() {
             assert_that!(window, le(ALLOWED + ALLOWED / 10 + 20), "seed {seed}");
@@ -219,7 +219,7 @@
         }
         let all: i64 = ran.iter().sum();
         expect_that!(all, ge(ALLOWED * 4 * 9 / 10));
-        let calm: i64 = play(seed, LIMIT, 20, 0.03, ms(20)).iter().sum();
+        let calm: i64 = simulate(seed, LIMIT, 20, 0.03, ms(20)).iter().sum();
         expect_that!(calm, ge(560));
     }
 }
@@ -233,7 +233,7 @@
     };
     let allowed = 17 * 6 + 17 * 6 / 10 + 20;
     for seed in 0..10 {
-        let ran = play(seed, limit, 20, 0.08, ms(20));
+        let ran = simulate(seed, limit, 20, 0.08, ms(20));
         let mut window: i64 = ran[..5_000].iter().sum();
         for at in 5_000..ran.len() {
             assert_that!(window, le(allowed), "seed {seed}");
--- a/fw-plan/tests/plan/upstream_health.rs
+++ b/fw-plan/tests/plan/upstream_health.rs
@@ -61,19 +61,19 @@
 // then common by chance; ejecting for them would take a third of the engines from a service that
 // is in trouble already. The rate is learnt within the first three seconds.
 #[gtest]
-fn common_failures_eject_nobody() {
+fn common_failures_eject_no_upstream() {
     let mut health = listed(9);
     for round in 0..600 {
         for index in 0..9 {
             let now = Duration::from_millis(round * 10);
             // Runs of four failures and four answers, at another phase for each upstream.
             let fails = (round as usize + index) % 8 < 4;
-            let seen = if fails {
+            let observation = if fails {
                 health::Observation::Failed
             } else {
                 health::Observation::Answered
             };
-            health.observe(now, &name(index), seen);
+            health.observe(now, &name(index), observation);
         }
         if round > 300 {
             let now = Duration::from_millis(round * 10);
@@ -85,7 +85,7 @@
 // The instance list lags: it still calls an upstream live that has said itself that it leaves,
 // and lacks one that answers. What is seen goes before what is listed.
 #[gtest]
-fn own_observations_go_before_the_list() {
+fn own_observations_override_the_list() {
     let mut health = listed(3);
     let now = Duration::from_secs(1);
     health.observe(now, &name(0), health::Observation::Leaving);
@@ -107,7 +107,7 @@
 // the second stayed in use although it had said that it was down: a good call was sent to the crashed
 // two, three times over, and its caller heard that there was no upstream, beside an idle one.
 #[gtest]
-fn one_that_is_down_is_left_out_beyond_the_bound() {
+fn a_down_upstream_is_excluded_beyond_the_ejection_limit() {
     let mut health = listed(3);
     let now = Duration::from_secs(1);
     health.observe(now, &name(0), health::Observation::Down);
