--- a/fw-entry/src/connection/heartbeat.rs
+++ b/fw-entry/src/connection/heartbeat.rs
@@ -82,7 +82,7 @@
     let kept = entry.keeper.shards().into_iter().map(|kept| kept.shard);
     let is_new = |shard: &id::ShardId| {
         let since = entry.keeper.kept_since(*shard);
-        since > state.holder.heard
+        since > state.holder.last_answered
     };
     let mut shards = state.shards.clone();
     shards.extend(kept.filter(is_new));
@@ -160,7 +160,7 @@
     info!(entry = %entry.id, upstream = %side.instance.id, incarnation = reply.incarnation, "side started");
     let service = entry.sides.service(&side.instance.service);
     let mut service = service.lock();
-    service.view.forget_cache(&side.instance.id);
+    service.view.clear_cache(&side.instance.id);
     if before != 0 {
         service.health.restarted(entry.now(), &side.instance.id);
     }
@@ -182,7 +182,7 @@
     service
         .lock()
         .view
-        .report(&side.instance.id, load, entry.now());
+        .update_load(&side.instance.id, load, entry.now());
 }
 
 fn note_cache(entry: &entry::Entry, side: &sides::Side, reply: &side::HeartbeatReply) {
@@ -192,12 +192,12 @@
     let service = entry.sides.service(&side.instance.service);
     let mut service = service.lock();
     if reply.cache_reset {
-        service.view.forget_cache(&side.instance.id);
+        service.view.clear_cache(&side.instance.id);
     }
     for change in &reply.cache {
         service
             .view
-            .cache(&change.program, &side.instance.id, change.tokens);
+            .set_cached(&change.program, &side.instance.id, change.tokens);
     }
 }
 
--- a/fw-entry/src/connection/recover.rs
+++ b/fw-entry/src/connection/recover.rs
@@ -107,9 +107,9 @@
     let mut text = format!("shard {shard} kept for {kept:?}, {outcome:?}");
     for (what, holders) in [("side", holders.sides), ("entry", holders.entries)] {
         for holder in holders {
-            let heard = holder.heard.map(|heard| heard.elapsed());
-            let silent = holder.silent.map(|silent| silent.elapsed());
-            let (gone, owes) = (holder.gone, holder.owes);
+            let heard = holder.last_answered.map(|heard| heard.elapsed());
+            let silent = holder.unresponsive_since.map(|silent| silent.elapsed());
+            let (gone, owes) = (holder.gone, holder.has_pending_turns);
             text.push_str(&format!(
                 "; {what} heard {heard:?} ago, silent for {silent:?}, gone {gone}, owes {owes}"
             ));
@@ -123,7 +123,7 @@
     let sides = sides.iter().map(|side| side.update(|s| s.holder_of(shard)));
     let entries = entry.keeper.entries_lately().into_iter();
     takeover::Holders {
-        listed: entry.sides.is_listed(),
+        sides_known: entry.sides.is_listed(),
         sides: sides.collect(),
         entries: entries.map(|(id, _)| entry.before.holder(&id)).collect(),
     }
--- a/fw-entry/src/connection/recover_entries.rs
+++ b/fw-entry/src/connection/recover_entries.rs
@@ -63,7 +63,7 @@
         let mut known = self.known.lock();
         let known = known.entry(entry.clone()).or_default();
         let pauses = known.again_at.is_some_and(|at| now < at);
-        (!known.is_asked && !pauses).then_some(known.holder.heard)
+        (!known.is_asked && !pauses).then_some(known.holder.last_answered)
     }
 
     fn begin(&self, entry: &id::EntryId) {
--- a/fw-entry/src/connection/recover_sides.rs
+++ b/fw-entry/src/connection/recover_sides.rs
@@ -128,7 +128,7 @@
     /// The side as one that may hold turns of `shard`.
     pub(super) fn holder_of(&self, shard: id::ShardId) -> takeover::Holder {
         takeover::Holder {
-            owes: self.recovering.contains_key(&shard),
+            has_pending_turns: self.recovering.contains_key(&shard),
             ..self.holder
         }
     }
--- a/fw-entry/src/process/admission.rs
+++ b/fw-entry/src/process/admission.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub struct Admission {
     start: Instant,
-    admit: Arc<Mutex<admit::Admit>>,
+    admit: Arc<Mutex<admit::Controller>>,
 }
 
 /// An admitted call. Dropping it frees its place.
@@ -34,7 +34,7 @@
     pub fn new(options: admit::Options) -> Self {
         Self {
             start: Instant::now(),
-            admit: Arc::new(Mutex::new(admit::Admit::new(options))),
+            admit: Arc::new(Mutex::new(admit::Controller::new(options))),
         }
     }
 
--- a/fw-entry/src/process/entry.rs
+++ b/fw-entry/src/process/entry.rs
@@ -173,7 +173,11 @@
         };
         for side in self.sides.all() {
             let service = self.sides.service(&side.instance.service);
-            let held = service.lock().view.held(program, &side.instance.id) > 0;
+            let held = service
+                .lock()
+                .view
+                .cached_tokens(program, &side.instance.id)
+                > 0;
             if !held && !side.update(|state| state.shards.contains(&shard)) {
                 continue;
             }
--- a/fw-entry/src/process/keepers.rs
+++ b/fw-entry/src/process/keepers.rs
@@ -68,9 +68,9 @@
     R: Future<Output = Result<Tried<T>, client::RpcError>>,
 {
     let opts = lookup::Options {
-        patience: options.patience.saturating_sub(PAUSE),
-        patience_away: entry.settings.keeper.commit_wait,
-        store_away: entry.settings.keeper.lease_ttl * 2 / 3,
+        timeout: options.patience.saturating_sub(PAUSE),
+        outage_timeout: entry.settings.keeper.commit_wait,
+        outage_after: entry.settings.keeper.lease_ttl * 2 / 3,
     };
     let started = tokio::time::Instant::now();
     let mut received = None;
@@ -78,13 +78,13 @@
         let miss = match entry.keeper.owner(shard) {
             keeper::Owner::Mine => match here().await {
                 Tried::Answered(answer) => return Ok((Place::Here, answer)),
-                Tried::NotKeeper => lookup::Miss::Lost,
+                Tried::NotKeeper => lookup::Miss::NoLongerKeeper,
             },
             keeper::Owner::Other { address, .. } => {
                 match elsewhere(entry, &address, &there).await {
                     Ok((place, Tried::Answered(answer))) => return Ok((place, answer)),
-                    Ok((_, Tried::NotKeeper)) => lookup::Miss::Stale,
-                    Err(pool::Failure::Refused) => lookup::Miss::Refused,
+                    Ok((_, Tried::NotKeeper)) => lookup::Miss::NotKeeper,
+                    Err(pool::Failure::Refused) => lookup::Miss::ConnectionRefused,
                     Err(pool::Failure::Unsent) => lookup::Miss::Unreachable,
                     Err(pool::Failure::Broken) => {
                         let idempotent = options.idempotent;
@@ -93,16 +93,16 @@
                             return Err(lost());
                         }
                         received = Some(lost());
-                        lookup::Miss::Broken
+                        lookup::Miss::ConnectionBroken
                     }
                 }
             }
-            keeper::Owner::Nobody => lookup::Miss::Nobody,
+            keeper::Owner::Nobody => lookup::Miss::NoKeeper,
         };
         let reason = miss.label();
         metrics::counter!(REDIRECTS, "reason" => reason).increment(1);
         let (waited, silence) = (started.elapsed(), entry.keeper.silence());
-        if !lookup::goes_on(miss, waited, silence, &opts) {
+        if !lookup::should_retry(miss, waited, silence, &opts) {
             let may_have_run = received.is_some();
             tracing::warn!(entry = %entry.id, shard, reason, ?waited, ?silence, may_have_run, "no keeper was found in time");
             return Err(entry.keeper.unavailable().after(received));
--- a/fw-entry/src/process/serve.rs
+++ b/fw-entry/src/process/serve.rs
@@ -266,7 +266,7 @@
                 ..retry::Options::default()
             },
             hedge: hedge::Options {
-                min: settings.plan.hedge_delay,
+                min_delay: settings.plan.hedge_delay,
                 ..hedge::Options::default()
             },
         }),
--- a/fw-entry/src/request/send.rs
+++ b/fw-entry/src/request/send.rs
@@ -86,7 +86,7 @@
     let options = place::Options::default();
     let chosen = place::choose(&service.view, &req, &options, &mut rand::rng());
     let outcome = chosen.ok_or_else(|| none(entry, call))?;
-    service.view.sent(&outcome.upstream, 0, entry.now());
+    service.view.record_sent(&outcome.upstream, 0, entry.now());
     drop(service);
     let side = entry.sides.side(&outcome.upstream);
     side.ok_or_else(|| none(entry, call))
@@ -127,7 +127,7 @@
     let mut service = service.lock();
     service
         .view
-        .settled(upstream, outcome.is_ok().then_some(took));
+        .record_finished(upstream, outcome.is_ok().then_some(took));
     let seen = match outcome {
         Ok(_) => return,
         Err(err) => match err.kind {
--- a/fw-entry/src/turn/run.rs
+++ b/fw-entry/src/turn/run.rs
@@ -289,7 +289,9 @@
         };
         let chosen = place::choose(&service.view, &req, &self.plan.place, &mut rand::rng());
         let outcome = chosen.ok_or_else(|| self.no_upstream())?;
-        service.view.sent(&outcome.upstream, outcome.lacks, now);
+        service
+            .view
+            .record_sent(&outcome.upstream, outcome.uncached_tokens, now);
         drop(service);
         metrics::counter!(PLACED, "reason" => outcome.reason.label()).increment(1);
         let why = format!(
@@ -297,8 +299,8 @@
             self.run.turn,
             outcome.upstream,
             outcome.reason.label(),
-            outcome.expected,
-            outcome.lacks,
+            outcome.expected_latency,
+            outcome.uncached_tokens,
         );
         self.explain("placed", why);
         Ok(outcome)
@@ -363,16 +365,16 @@
         let mut service = service.lock();
         match outcome {
             Ok(finish) => {
-                service.view.settled(upstream, Some(finish.ran));
+                service.view.record_finished(upstream, Some(finish.ran));
                 let held = finish.usage.prompt + finish.usage.completion;
                 metrics::counter!(WASTED).increment(self.wasted(finish));
-                service.view.cache(&self.req.program, upstream, held);
+                service.view.set_cached(&self.req.program, upstream, held);
                 self.entry.poison.lock().survived(&self.run.digest);
                 self.permit.queued(finish.queued);
                 metrics::histogram!(QUEUED).record(finish.queued.as_secs_f64());
             }
             Err(err) => {
-                service.view.settled(upstream, None);
+                service.view.record_finished(upstream, None);
                 self.note_failure(&mut service, current, err);
             }
         }
--- a/fw-keep/src/keeper/inner.rs
+++ b/fw-keep/src/keeper/inner.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use fw_base::id;
-use fw_plan::window;
+use fw_plan::commit_window;
 use fw_store::kv;
 use parking_lot::Mutex;
 use parking_lot::RwLock;
@@ -49,7 +49,7 @@
     /// When a shard was loaded last.
     pub(super) loaded: Mutex<Option<Instant>>,
     pub(super) window: Mutex<Duration>,
-    pub(super) pacing: Mutex<window::Window>,
+    pub(super) pacing: Mutex<commit_window::CommitWindow>,
     pub(super) closing: watch::Sender<bool>,
 }
 
@@ -72,9 +72,9 @@
             sure_until: Mutex::new(Instant::now()),
             loaded: Mutex::new(None),
             window,
-            pacing: Mutex::new(window::Window::new(window::Options {
-                max: opts.window_max,
-                ..window::Options::default()
+            pacing: Mutex::new(commit_window::CommitWindow::new(commit_window::Options {
+                max_delay: opts.window_max,
+                ..commit_window::Options::default()
             })),
             closing: watch::Sender::new(false),
             opts,
--- a/fw-local/examples/capacity/upstreams.rs
+++ b/fw-local/examples/capacity/upstreams.rs
@@ -46,7 +46,7 @@
         let before = process::resident();
         for n in 0..count {
             let upstream = format!("worker-{}", n % 100).into();
-            view.cache(&format!("program-{n}").into(), &upstream, 10_000);
+            view.set_cached(&format!("program-{n}").into(), &upstream, 10_000);
         }
         let after = process::resident();
         process::leak(view);
@@ -101,7 +101,7 @@
     for n in 0..count {
         let member = member("worker", n);
         view.add(&member.id, &member.place);
-        view.report(&member.id, place::Load::default(), Duration::ZERO);
+        view.update_load(&member.id, place::Load::default(), Duration::ZERO);
     }
     view
 }
--- a/fw-plan/benches/plan.rs
+++ b/fw-plan/benches/plan.rs
@@ -66,11 +66,11 @@
             batch: 32,
             ..place::Load::default()
         };
-        view.report(&name(index), load, Duration::from_secs(1));
+        view.update_load(&name(index), load, Duration::from_secs(1));
     }
     for program in 0..1_000 {
         let program = format!("program-{program}").into();
-        view.cache(&program, &name(size / 2), 15_000);
+        view.set_cached(&program, &name(size / 2), 15_000);
     }
     view
 }
@@ -78,7 +78,7 @@
 fn admission(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admit");
     for teams in [17, 170, 1_700, 17_000] {
-        let mut admit = admit::Admit::new(admit::Options::default());
+        let mut admit = admit::Controller::new(admit::Options::default());
         let mut reqs = Vec::new();
         for index in 0..teams {
             let req = admit::Request {
--- a/fw-plan/examples/memory.rs
+++ b/fw-plan/examples/memory.rs
@@ -87,8 +87,8 @@
     for index in 0..count {
         view.add(&name(index), &"surat-hall-a".into());
         view.set_models(&name(index), &["model-a".into()]);
-        view.report(&name(index), place::Load::default(), Duration::ZERO);
-        view.sent(&name(index), 1_000, Duration::from_secs(1));
+        view.update_load(&name(index), place::Load::default(), Duration::ZERO);
+        view.record_sent(&name(index), 1_000, Duration::from_secs(1));
     }
     view
 }
@@ -101,7 +101,7 @@
     let mut view = view(9);
     for index in 0..count {
         let program = format!("program-of-a-caller-{index:07}").into();
-        view.cache(&program, &name(index % 9), 5_000);
+        view.set_cached(&program, &name(index % 9), 5_000);
     }
     Box::new(view)
 }
@@ -115,7 +115,7 @@
 }
 
 fn teams(count: usize) -> Box<dyn Any> {
-    let mut admit = admit::Admit::new(admit::Options::default());
+    let mut admit = admit::Controller::new(admit::Options::default());
     for index in 0..count {
         let req = admit::Request {
             lane: admit::Lane::Turn,
--- a/fw-plan/examples/policy/sim/policy.rs
+++ b/fw-plan/examples/policy/sim/policy.rs
@@ -1,7 +1,7 @@
 //! The policies that are compared: the product's, and the baselines.
 
 use fw_plan::admit;
-use fw_plan::keep;
+use fw_plan::cache_retention;
 use fw_plan::place;
 use fw_plan::queue;
 use fw_plan::retry;
@@ -43,7 +43,7 @@
     pub queue: queue::Options,
     pub choose: place::Options,
     pub retry: retry::Options,
-    pub caches: keep::Options,
+    pub caches: cache_retention::Options,
 }
 
 impl Default for Policy {
@@ -58,7 +58,7 @@
             queue: queue::Options::default(),
             choose: place::Options::default(),
             retry: retry::Options::default(),
-            caches: keep::Options::default(),
+            caches: cache_retention::Options::default(),
         }
     }
 }
@@ -78,9 +78,9 @@
     /// The product's policy with what the user's records would set.
     pub fn of(shape: &trace::Shape) -> Self {
         Self {
-            caches: keep::Options {
+            caches: cache_retention::Options {
                 weight: shape.weight,
-                ..keep::Options::default()
+                ..cache_retention::Options::default()
             },
             ..Self::default()
         }
--- a/fw-plan/examples/policy/sim/side.rs
+++ b/fw-plan/examples/policy/sim/side.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fw_base::id;
-use fw_plan::keep;
+use fw_plan::cache_retention;
 use fw_plan::place;
 use fw_plan::queue;
 
@@ -32,7 +32,7 @@
     /// Jobs that were pushed and not released.
     held: BTreeMap<u64, engine::Work>,
     released: HashMap<u64, Released>,
-    pauses: keep::Pauses,
+    pauses: cache_retention::Pauses,
     /// Ordered, so that a run with the same seed frees in the same order.
     paused: BTreeMap<usize, Paused>,
     prefill_queued: id::Tokens,
@@ -46,7 +46,7 @@
             options,
             held: BTreeMap::new(),
             released: HashMap::new(),
-            pauses: keep::Pauses::new(),
+            pauses: cache_retention::Pauses::new(),
             paused: BTreeMap::new(),
             prefill_queued: 0,
         }
@@ -77,7 +77,7 @@
             };
             let prefill = self.lacks(&work);
             self.prefill_queued = self.prefill_queued.saturating_sub(prefill);
-            let long = prefill >= self.options.long;
+            let long = prefill >= self.options.long_prompt;
             self.released.insert(id, Released { prefill, long });
             self.engine.admit(work);
         }
@@ -126,28 +126,28 @@
     }
 
     /// Frees caches by rank while the cache is nearly full.
-    pub fn keep(&mut self, now: Duration, options: &keep::Options) {
+    pub fn keep(&mut self, now: Duration, options: &cache_retention::Options) {
         let bound = (engine::CACHE as f64 * options.pressure) as id::Tokens;
         let excess = self.engine.cache.used.saturating_sub(bound);
         if excess == 0 {
             return;
         }
-        let as_paused = |paused: &Paused| keep::Paused {
+        let as_paused = |paused: &Paused| cache_retention::Paused {
             paused: now - paused.since,
             tokens: paused.tokens,
         };
         let all: Vec<_> = self.paused.values().map(as_paused).collect();
-        let line = keep::line(&self.pauses, &all, excess, options);
+        let line = cache_retention::line(&self.pauses, &all, excess, options);
         let used = self.engine.cache.used as f64 / engine::CACHE as f64;
         let (pauses, cache) = (&self.pauses, &mut self.engine.cache);
         self.paused.retain(|program, paused| {
             let paused = as_paused(paused);
-            let outcome = keep::decide(pauses, &paused, used, line, options);
-            if outcome == keep::Outcome::Free {
+            let outcome = cache_retention::decide(pauses, &paused, used, line, options);
+            if outcome == cache_retention::Outcome::Free {
                 cache.free(*program);
                 cache.evicted.push(*program);
             }
-            outcome == keep::Outcome::Keep
+            outcome == cache_retention::Outcome::Keep
         });
     }
 
@@ -171,7 +171,7 @@
             batch: engine::BATCH as u32,
             prefill: self.engine.prefill() + self.prefill_queued,
             prefill_rate: (1.0 / engine::PER_PREFILL_TOKEN / self.engine.slowness) as u64,
-            delay: self.queue.waited(),
+            delay: self.queue.recent_wait(),
             step: Duration::from_secs_f64(self.engine.step),
             age: Duration::from_millis(100),
         }
--- a/fw-plan/examples/policy/sim/trace.rs
+++ b/fw-plan/examples/policy/sim/trace.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fw_base::id;
-use fw_plan::keep;
+use fw_plan::cache_retention;
 use rand::Rng;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -34,7 +34,7 @@
     pub child: f64,
     pub teams: usize,
     /// What the user's records weigh more.
-    pub weight: keep::Weight,
+    pub weight: cache_retention::Weight,
 }
 
 /// Suratwala: many small conversations that share engines.
@@ -52,7 +52,7 @@
     long_pause: 4.0,
     child: 0.05,
     teams: 24,
-    weight: keep::Weight::Cache,
+    weight: cache_retention::Weight::Cache,
 };
 
 /// Fairground: fewer, longer programs with long submissions.
@@ -70,7 +70,7 @@
     long_pause: 5.0,
     child: 0.1,
     teams: 12,
-    weight: keep::Weight::Latency,
+    weight: cache_retention::Weight::Latency,
 };
 
 /// One turn.
--- a/fw-plan/examples/policy/sim/world.rs
+++ b/fw-plan/examples/policy/sim/world.rs
@@ -94,7 +94,7 @@
 }
 
 struct Entry {
-    admit: admit::Admit,
+    admit: admit::Controller,
     view: place::View,
     plain: place::View,
     budget: retry::Budget,
@@ -291,7 +291,7 @@
         let list: Vec<_> = names[..shape.engines].iter().map(listed).collect();
         health.listed(Duration::ZERO, &list);
         Self {
-            admit: admit::Admit::new(policy.admit.clone()),
+            admit: admit::Controller::new(policy.admit.clone()),
             view: view(shape.engines),
             plain: view(shape.plain),
             budget: retry::Budget::new(policy.retry.clone()),
--- a/fw-plan/examples/policy/sim/world/callers.rs
+++ b/fw-plan/examples/policy/sim/world/callers.rs
@@ -100,7 +100,7 @@
         let (started, at, entry) = (program.started, program.at, program.entry);
         let (paused, turns) = (program.paused, program.turns.len());
         let id = program.id.clone();
-        self.entries[entry].view.forget(&id);
+        self.entries[entry].view.forget_program(&id);
         if let (Some(last), true) = (last, self.setup.policy.keep) {
             self.sides[last].forget(index);
         }
--- a/fw-plan/examples/policy/sim/world/entries.rs
+++ b/fw-plan/examples/policy/sim/world/entries.rs
@@ -75,7 +75,9 @@
         };
         let entry = &mut self.entries[self.programs[index].entry];
         entry.outstanding[upstream] += 1;
-        entry.view.sent(&self.names[upstream], lacks, self.now);
+        entry
+            .view
+            .record_sent(&self.names[upstream], lacks, self.now);
         let record = &mut self.attempts[attempt as usize];
         record.upstream = upstream;
         record.number += 1;
@@ -125,7 +127,7 @@
                 let options = &self.setup.policy.choose;
                 let outcome = place::choose(&entry.view, &req, options, &mut self.rng)?;
                 let name = self.names.iter().position(|name| *name == outcome.upstream);
-                return name.map(|upstream| (upstream, outcome.lacks));
+                return name.map(|upstream| (upstream, outcome.uncached_tokens));
             }
         };
         upstream.map(|upstream| (upstream, prompt))
@@ -135,7 +137,9 @@
         let record = &self.attempts[attempt as usize];
         let entry = &mut self.entries[self.programs[record.program].entry];
         entry.outstanding[record.upstream] -= 1;
-        entry.view.settled(&self.names[record.upstream], engine);
+        entry
+            .view
+            .record_finished(&self.names[record.upstream], engine);
     }
 
     pub(super) fn finish(&mut self, attempt: u64, waited: Duration) {
@@ -181,14 +185,14 @@
         let entry = &mut self.entries[program.entry];
         entry
             .view
-            .cache(&program.id, &self.names[upstream], program.history);
+            .set_cached(&program.id, &self.names[upstream], program.history);
         let now = self.now;
         entry
             .health
             .seen(now, &self.names[upstream], health::Seen::Answered);
         if let (Some(old), true) = (moved, self.setup.policy.keep) {
             let id = program.id.clone();
-            entry.view.cache(&id, &self.names[old], 0);
+            entry.view.set_cached(&id, &self.names[old], 0);
             self.sides[old].forget(index);
         }
         self.next(index);
--- a/fw-plan/examples/policy/sim/world/plains.rs
+++ b/fw-plan/examples/policy/sim/world/plains.rs
@@ -44,7 +44,9 @@
         req.upstream = self.plain_choose(entry);
         let entry = &mut self.entries[entry];
         entry.plain_outstanding[req.upstream] += 1;
-        entry.plain.sent(&self.names[req.upstream], 0, self.now);
+        entry
+            .plain
+            .record_sent(&self.names[req.upstream], 0, self.now);
         self.after(NET, Event::PlainReach(req));
     }
 
@@ -117,7 +119,7 @@
         entry.plain_outstanding[req.upstream] -= 1;
         entry
             .plain
-            .settled(&self.names[req.upstream], Some(req.service));
+            .record_finished(&self.names[req.upstream], Some(req.service));
         if self.setup.policy.ordered {
             let lane = admit::Lane::Plain;
             entry.admit.finished(self.now, lane, &req.team, req.waited);
--- a/fw-plan/examples/policy/sim/world/sides.rs
+++ b/fw-plan/examples/policy/sim/world/sides.rs
@@ -114,7 +114,7 @@
     pub(super) fn cached(&mut self, upstream: usize, index: usize, tokens: id::Tokens) {
         let program = &self.programs[index];
         let view = &mut self.entries[program.entry].view;
-        view.cache(&program.id, &self.names[upstream], tokens);
+        view.set_cached(&program.id, &self.names[upstream], tokens);
     }
 
     pub(super) fn report(&mut self, index: usize) {
@@ -130,7 +130,7 @@
         if let Some(plain) = self.plains.get(index) {
             let load = plain.load();
             for entry in &mut self.entries {
-                entry.plain.report(&self.names[index], load, self.now);
+                entry.plain.update_load(&self.names[index], load, self.now);
             }
         }
         self.after(HEARTBEAT, Event::Report(index));
@@ -141,7 +141,7 @@
         let name = &self.names[index];
         for entry in &mut self.entries {
             let seen = if up {
-                entry.view.report(name, load, self.now);
+                entry.view.update_load(name, load, self.now);
                 health::Seen::Answered
             } else {
                 health::Seen::Failed
@@ -167,7 +167,7 @@
                     self.after(NET, Event::Failed(work.attempt, crashed()));
                 }
                 for entry in &mut self.entries {
-                    entry.view.forget_cache(&self.names[engine]);
+                    entry.view.clear_cache(&self.names[engine]);
                 }
             }
         }
--- a/fw-plan/examples/policy/trial.rs
+++ b/fw-plan/examples/policy/trial.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fw_plan::keep;
+use fw_plan::cache_retention;
 
 use crate::Cell;
 use crate::LOADS;
@@ -106,8 +106,8 @@
         "place.margin_part" => policy.choose.margin_part = value,
         "place.cache_weight" => policy.choose.cache_weight = value,
         "keep.horizon" => policy.caches.horizon = time,
-        "keep.latency" if value > 0.0 => policy.caches.weight = keep::Weight::Latency,
-        "keep.latency" => policy.caches.weight = keep::Weight::Cache,
+        "keep.latency" if value > 0.0 => policy.caches.weight = cache_retention::Weight::Latency,
+        "keep.latency" => policy.caches.weight = cache_retention::Weight::Cache,
         "keep.pressure" => policy.caches.pressure = value,
         _ => panic!("no option `{key}`"),
     }
--- a/fw-plan/src/admit.rs
+++ b/fw-plan/src/admit.rs
@@ -53,7 +53,7 @@
 /// What became of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It may start; report [`Admit::started`] and later [`Admit::finished`].
+    /// It may start; report [`Controller::started`] and later [`Controller::finished`].
     Admitted,
     /// It does not run.
     Refused {
@@ -120,7 +120,7 @@
 
 /// Admission of one entry.
 #[derive(Debug)]
-pub struct Admit {
+pub struct Controller {
     options: Options,
     turns: Limit,
     plain: Limit,
@@ -138,7 +138,7 @@
     seen: Duration,
 }
 
-impl Admit {
+impl Controller {
     /// Admission with nothing in flight.
     pub fn new(options: Options) -> Self {
         Self {
--- a/fw-plan/src/window.rs
+++ b/fw-plan/src/commit_window.rs
@@ -25,9 +25,9 @@
     /// hundred that the store takes; leases, records and claims need the rest.
     pub writes: f64,
     /// Shortest delay.
-    pub min: Duration,
+    pub min_delay: Duration,
     /// Longest delay.
-    pub max: Duration,
+    pub max_delay: Duration,
     /// Multiple of the store's latency that commits are apart.
     pub latency_part: f64,
 }
@@ -36,8 +36,8 @@
     fn default() -> Self {
         Self {
             writes: 200.0,
-            min: Duration::from_millis(1),
-            max: Duration::from_secs(4),
+            min_delay: Duration::from_millis(1),
+            max_delay: Duration::from_secs(4),
             latency_part: 1.0,
         }
     }
@@ -48,13 +48,13 @@
 
 /// Spacing of one entry's commits.
 #[derive(Clone, Debug)]
-pub struct Window {
+pub struct CommitWindow {
     options: Options,
     latency: f64,
     last: Option<Duration>,
 }
 
-impl Window {
+impl CommitWindow {
     /// Before any commit.
     pub fn new(options: Options) -> Self {
         Self {
@@ -79,7 +79,7 @@
         let share = f64::from(entries.max(1)) / self.options.writes;
         let answer = self.latency * self.options.latency_part;
         let spacing = Duration::from_secs_f64(share.max(answer));
-        spacing.clamp(self.options.min, self.options.max)
+        spacing.clamp(self.options.min_delay, self.options.max_delay)
     }
 
     /// How long a change made now waits for others before it is committed.
@@ -88,6 +88,6 @@
             Some(last) => (last + self.spacing(entries)).saturating_sub(now),
             None => Duration::ZERO,
         }
-        .max(self.options.min)
+        .max(self.options.min_delay)
     }
 }
--- a/fw-plan/src/hedge.rs
+++ b/fw-plan/src/hedge.rs
@@ -31,7 +31,7 @@
     /// Observations needed before anything is hedged.
     pub least: u32,
     /// Shortest wait before the copy is sent.
-    pub min: Duration,
+    pub min_delay: Duration,
 }
 
 impl Default for Options {
@@ -39,7 +39,7 @@
         Self {
             quantile: 0.95,
             least: 100,
-            min: Duration::from_millis(2),
+            min_delay: Duration::from_millis(2),
         }
     }
 }
@@ -77,7 +77,7 @@
         if !allowed || self.total < self.options.least {
             return None;
         }
-        Some(self.quantile().max(self.options.min))
+        Some(self.quantile().max(self.options.min_delay))
     }
 
     fn quantile(&self) -> Duration {
--- a/fw-plan/src/lib.rs
+++ b/fw-plan/src/lib.rs
@@ -9,7 +9,7 @@
 //! use std::time::Duration;
 //! use fw_plan::admit;
 //!
-//! let mut admit = admit::Admit::new(admit::Options::default());
+//! let mut admit = admit::Controller::new(admit::Options::default());
 //! let req = admit::Request {
 //!     lane: admit::Lane::NewProgram,
 //!     team: "surat-temple-trust".into(),
@@ -27,11 +27,12 @@
 pub mod admit;
 pub mod assign;
 pub mod budget;
+pub mod cache_retention;
+pub mod commit_window;
 pub mod confirm;
 pub mod health;
 pub mod hedge;
 pub mod hold;
-pub mod keep;
 pub mod lapse;
 pub mod lookup;
 pub mod pace;
@@ -44,7 +45,6 @@
 pub mod staleness;
 pub mod subset;
 pub mod takeover;
-pub mod window;
 
 /// A refusal: why, and when the same call may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/fw-plan/src/lookup.rs
+++ b/fw-plan/src/lookup.rs
@@ -17,36 +17,36 @@
 /// Why a keeper did not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Miss {
-    /// Nobody is known to keep the shard.
-    Nobody,
+    /// NoKeeper is known to keep the shard.
+    NoKeeper,
     /// This entry kept it, and does so no more.
-    Lost,
+    NoLongerKeeper,
     /// The entry that was asked does not keep it.
-    Stale,
+    NotKeeper,
     /// No process listens at the keeper's address.
-    Refused,
+    ConnectionRefused,
     /// The keeper could not be connected to.
     Unreachable,
     /// The connection broke after the call was sent.
-    Broken,
+    ConnectionBroken,
 }
 
 impl Miss {
     /// A counter's or log line's word for it.
     pub fn label(self) -> &'static str {
         match self {
-            Self::Nobody => "nobody",
-            Self::Lost => "lost",
-            Self::Stale => "stale",
-            Self::Refused => "refused",
+            Self::NoKeeper => "nobody",
+            Self::NoLongerKeeper => "lost",
+            Self::NotKeeper => "stale",
+            Self::ConnectionRefused => "refused",
             Self::Unreachable => "unreachable",
-            Self::Broken => "broken",
+            Self::ConnectionBroken => "broken",
         }
     }
 
     /// Whether the keeper may answer after all, without any news from the store.
     fn may_pass(self) -> bool {
-        matches!(self, Self::Unreachable | Self::Broken)
+        matches!(self, Self::Unreachable | Self::ConnectionBroken)
     }
 }
 
@@ -54,20 +54,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
     /// Longest time: a little more than a dead keeper's lease.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// The same while the store is away: as long as a commit is waited for.
-    pub patience_away: Duration,
+    pub outage_timeout: Duration,
     /// Silence of the store after which it counts as away: two renewals of the lease that were not
     /// answered.
-    pub store_away: Duration,
+    pub outage_after: Duration,
 }
 
 /// Whether a call that has `waited` looks again, with the store silent for `silence`.
-pub fn goes_on(miss: Miss, waited: Duration, silence: Duration, opts: &Options) -> bool {
-    let waits_for_news = silence >= opts.store_away && !miss.may_pass();
+pub fn should_retry(miss: Miss, waited: Duration, silence: Duration, opts: &Options) -> bool {
+    let waits_for_news = silence >= opts.outage_after && !miss.may_pass();
     let patience = match waits_for_news {
-        true => opts.patience.min(opts.patience_away),
-        false => opts.patience,
+        true => opts.timeout.min(opts.outage_timeout),
+        false => opts.timeout,
     };
     waited < patience
 }
--- a/fw-plan/src/place.rs
+++ b/fw-plan/src/place.rs
@@ -9,7 +9,7 @@
 //!
 //! *Rule:* the cost of an upstream is the expected time until the turn is done there, in seconds:
 //! wait for a place in the batch (its reported load, and what this process has sent since the
-//! report was made), prefill of what its cache lacks, decoding at its step time, loading of a
+//! report was made), prefill of what its cache uncached_tokens, decoding at its step time, loading of a
 //! missing model, and the distance to it. Compared are the upstreams that hold the program's
 //! cache and a sample of others ("two choices", which avoids herds and costs O(1)). A program
 //! leaves its cache only where that is better by a margin.
@@ -137,9 +137,9 @@
     /// Why.
     pub reason: Reason,
     /// Expected time until the turn is done there.
-    pub expected: Duration,
+    pub expected_latency: Duration,
     /// Prompt tokens that its cache is believed to lack.
-    pub lacks: id::Tokens,
+    pub uncached_tokens: id::Tokens,
     /// Where the program's cache is worth exporting from first.
     pub import_from: Option<id::UpstreamId>,
 }
@@ -159,8 +159,8 @@
     Some(Outcome {
         upstream: name(chosen.index),
         reason,
-        expected: Duration::from_secs_f64(chosen.expected),
-        lacks: chosen.lacks,
+        expected_latency: Duration::from_secs_f64(chosen.expected_latency),
+        uncached_tokens: chosen.uncached_tokens,
         import_from: chosen.import_from.map(name),
     })
 }
--- a/fw-plan/src/place/choice.rs
+++ b/fw-plan/src/place/choice.rs
@@ -19,8 +19,8 @@
 pub(super) struct Candidate {
     pub(super) index: Index,
     cost: f64,
-    pub(super) expected: f64,
-    pub(super) lacks: id::Tokens,
+    pub(super) expected_latency: f64,
+    pub(super) uncached_tokens: id::Tokens,
     holds: id::Tokens,
     pub(super) import_from: Option<Index>,
 }
@@ -126,8 +126,8 @@
     fn candidate(&self, index: Index) -> Candidate {
         let upstream = &self.view.upstreams[index as usize];
         let holds = self.holds(index);
-        let lacks = self.req.prompt_tokens.saturating_sub(holds);
-        let (import_from, missing) = self.import(index, upstream, lacks);
+        let uncached_tokens = self.req.prompt_tokens.saturating_sub(holds);
+        let (import_from, missing) = self.import(index, upstream, uncached_tokens);
         let queued = upstream.load.prefill + upstream.sent_tokens;
         let wait = upstream.wait(self.view.service) + upstream.prefill(queued);
         let decode = upstream.step() * self.output() as f64;
@@ -137,8 +137,8 @@
         Candidate {
             index,
             cost: rest + missing * self.options.cache_weight,
-            expected: rest + missing,
-            lacks,
+            expected_latency: rest + missing,
+            uncached_tokens,
             holds,
             import_from,
         }
@@ -156,9 +156,14 @@
         }
     }
 
-    /// Seconds to fill in what the cache lacks, by prefill or, if shorter, by import.
-    fn import(&self, index: Index, upstream: &Upstream, lacks: id::Tokens) -> (Option<Index>, f64) {
-        let prefill = upstream.prefill(lacks);
+    /// Seconds to fill in what the cache uncached_tokens, by prefill or, if shorter, by import.
+    fn import(
+        &self,
+        index: Index,
+        upstream: &Upstream,
+        uncached_tokens: id::Tokens,
+    ) -> (Option<Index>, f64) {
+        let prefill = upstream.prefill(uncached_tokens);
         let others = self.held.iter().filter(|held| held.upstream != index);
         let Some(source) = others.max_by_key(|held| held.tokens) else {
             return (None, prefill);
@@ -166,9 +171,9 @@
         if self.options.export_rate == 0 {
             return (None, prefill);
         }
-        let moved = source.tokens.min(lacks);
+        let moved = source.tokens.min(uncached_tokens);
         let seconds = moved as f64 / self.options.export_rate as f64;
-        let imported = seconds + upstream.prefill(lacks - moved);
+        let imported = seconds + upstream.prefill(uncached_tokens - moved);
         if imported < prefill {
             (Some(source.upstream), imported)
         } else {
--- a/fw-plan/src/place/view.rs
+++ b/fw-plan/src/place/view.rs
@@ -143,7 +143,7 @@
         };
         self.set_health(upstream, 0.0);
         self.set_models(upstream, &[]);
-        self.forget_cache(upstream);
+        self.clear_cache(upstream);
         self.names.remove(upstream);
         self.free.push(as_index(index));
     }
@@ -209,7 +209,7 @@
     }
 
     /// A load report arrived.
-    pub fn report(&mut self, upstream: &id::UpstreamId, load: Load, now: Duration) {
+    pub fn update_load(&mut self, upstream: &id::UpstreamId, load: Load, now: Duration) {
         let Some(index) = self.index(upstream) else {
             return;
         };
@@ -221,7 +221,7 @@
     }
 
     /// This process sent a call that needs `tokens` of prefill.
-    pub fn sent(&mut self, upstream: &id::UpstreamId, tokens: id::Tokens, now: Duration) {
+    pub fn record_sent(&mut self, upstream: &id::UpstreamId, tokens: id::Tokens, now: Duration) {
         let Some(index) = self.index(upstream) else {
             return;
         };
@@ -233,7 +233,7 @@
     }
 
     /// A sent call ended after `engine` time in the upstream; `None` if it did not run there.
-    pub fn settled(&mut self, upstream: &id::UpstreamId, engine: Option<Duration>) {
+    pub fn record_finished(&mut self, upstream: &id::UpstreamId, engine: Option<Duration>) {
         if let Some(engine) = engine {
             self.service = toward(self.service, engine.as_secs_f64(), SMOOTHING);
         }
@@ -244,7 +244,7 @@
     }
 
     /// An upstream's cache holds `tokens` of a program's history from now on; 0 for none.
-    pub fn cache(
+    pub fn set_cached(
         &mut self,
         program: &id::ProgramId,
         upstream: &id::UpstreamId,
@@ -271,12 +271,12 @@
     }
 
     /// A program ended: nothing of it needs to be remembered.
-    pub fn forget(&mut self, program: &id::ProgramId) {
+    pub fn forget_program(&mut self, program: &id::ProgramId) {
         self.caches.remove(program);
     }
 
     /// An upstream's cache is empty, as after a restart.
-    pub fn forget_cache(&mut self, upstream: &id::UpstreamId) {
+    pub fn clear_cache(&mut self, upstream: &id::UpstreamId) {
         let Some(index) = self.index(upstream) else {
             return;
         };
@@ -288,7 +288,7 @@
     }
 
     /// Tokens of a program's history that an upstream is believed to hold.
-    pub fn held(&self, program: &id::ProgramId, upstream: &id::UpstreamId) -> id::Tokens {
+    pub fn cached_tokens(&self, program: &id::ProgramId, upstream: &id::UpstreamId) -> id::Tokens {
         let held = self.caches.get(program).map_or(&[][..], Vec::as_slice);
         self.index(upstream).map_or(0, |index| {
             let held = held.iter().find(|held| held.upstream as usize == index);
--- a/fw-plan/src/queue.rs
+++ b/fw-plan/src/queue.rs
@@ -46,7 +46,7 @@
     /// Attained service beyond which programs rank alike.
     pub attained_cap: Duration,
     /// Prompt tokens to prefill from which a job counts as long.
-    pub long: id::Tokens,
+    pub long_prompt: id::Tokens,
     /// Most prompt tokens in prefill together; a single job may exceed it.
     pub prefill: id::Tokens,
     /// Jobs that run together if the engine does not say.
@@ -64,7 +64,7 @@
             contended: 0.5,
             aging: 0.5,
             attained_cap: Duration::from_secs(60),
-            long: 16_384,
+            long_prompt: 16_384,
             prefill: 32_768,
             batch: 32,
             notice_steps: 2.0,
@@ -213,7 +213,7 @@
     }
 
     /// Time from push to release of recent jobs, smoothed.
-    pub fn waited(&self) -> Duration {
+    pub fn recent_wait(&self) -> Duration {
         Duration::from_secs_f64(self.waited)
     }
 
@@ -346,7 +346,7 @@
     }
 
     fn size(&self, tokens: id::Tokens) -> Size {
-        if tokens >= self.options.long {
+        if tokens >= self.options.long_prompt {
             Size::Long
         } else {
             Size::Short
--- a/fw-plan/src/takeover.rs
+++ b/fw-plan/src/takeover.rs
@@ -28,14 +28,14 @@
     pub grace: Duration,
     /// Time since its first answer after which a side is known for long: it has not lost, by starting
     /// anew, what it held when the keeper before gave out its last answer.
-    pub settled: Duration,
+    pub min_uptime: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
             grace: Duration::from_secs(5),
-            settled: Duration::from_secs(60),
+            min_uptime: Duration::from_secs(60),
         }
     }
 }
@@ -44,22 +44,22 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Holder {
     /// When this start of the process was first heard.
-    pub known: Option<Instant>,
+    pub first_seen: Option<Instant>,
     /// When the last question that it answered was sent.
-    pub heard: Option<Instant>,
+    pub last_answered: Option<Instant>,
     /// Since when it does not answer.
-    pub silent: Option<Instant>,
+    pub unresponsive_since: Option<Instant>,
     /// No process listens at its address.
     pub gone: bool,
     /// It told of turns that were not taken over yet.
-    pub owes: bool,
+    pub has_pending_turns: bool,
 }
 
 /// Who may hold answered turns of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Holders {
     /// Whether the list of sides is known at all.
-    pub listed: bool,
+    pub sides_known: bool,
     /// The sides.
     pub sides: Vec<Holder>,
     /// The other entries, those included whose lease lapsed lately.
@@ -86,14 +86,15 @@
 
 /// Decides about a shard that was taken at `since`.
 pub fn decide(now: Instant, since: Instant, holders: &Holders, options: &Options) -> Outcome {
-    let sides_cover = holders.listed && holders.sides.iter().all(|s| s.covers(now, since, options));
+    let sides_cover =
+        holders.sides_known && holders.sides.iter().all(|s| s.covers(now, since, options));
     let awaited = |holder: &&Holder| holder.is_awaited(now, since, options);
     let sides = holders.sides.iter().filter(awaited).count();
     let entries = holders.entries.iter().filter(awaited);
-    let entries = entries.filter(|entry| entry.silent.is_none() || !sides_cover);
+    let entries = entries.filter(|entry| entry.unresponsive_since.is_none() || !sides_cover);
     let missing = sides + entries.count();
     let is_over = now.saturating_duration_since(since) > options.grace;
-    match (missing, holders.listed, is_over) {
+    match (missing, holders.sides_known, is_over) {
         (0, true, _) => Outcome::Serve,
         (missing, _, true) => Outcome::ServeWithout(missing),
         (missing, _, false) => Outcome::Wait(missing),
@@ -103,31 +104,31 @@
 impl Holder {
     /// The process answered a question that was sent at `at`.
     pub fn answered(&mut self, at: Instant) {
-        self.known.get_or_insert(at);
-        self.heard = Some(at);
-        self.silent = None;
+        self.first_seen.get_or_insert(at);
+        self.last_answered = Some(at);
+        self.unresponsive_since = None;
         self.gone = false;
     }
 
     /// The process did not answer; `gone` if none listens at its address.
     pub fn missed(&mut self, now: Instant, gone: bool) {
-        self.silent.get_or_insert(now);
+        self.unresponsive_since.get_or_insert(now);
         self.gone = gone;
     }
 
     /// Whether it told, since `since`, all that it holds.
     fn has_told(&self, since: Instant) -> bool {
-        self.heard.is_some_and(|heard| heard > since) && !self.owes
+        self.last_answered.is_some_and(|heard| heard > since) && !self.has_pending_turns
     }
 
     fn is_awaited(&self, now: Instant, since: Instant, options: &Options) -> bool {
         let lost = |silent: Instant| now.saturating_duration_since(silent) > options.grace;
-        let is_gone = self.gone || self.silent.is_some_and(lost);
+        let is_gone = self.gone || self.unresponsive_since.is_some_and(lost);
         !is_gone && !self.has_told(since)
     }
 
     fn covers(&self, now: Instant, since: Instant, options: &Options) -> bool {
-        let settled = |known: Instant| now.saturating_duration_since(known) > options.settled;
-        self.has_told(since) && self.known.is_some_and(settled)
+        let settled = |known: Instant| now.saturating_duration_since(known) > options.min_uptime;
+        self.has_told(since) && self.first_seen.is_some_and(settled)
     }
 }
--- a/fw-plan/tests/plan/admission.rs
+++ b/fw-plan/tests/plan/admission.rs
@@ -26,7 +26,7 @@
 }
 
 /// Sends up to `most` calls, none of which ends, and returns how many were admitted.
-fn fill(admit: &mut admit::Admit, req: &admit::Request, most: u32) -> u32 {
+fn fill(admit: &mut admit::Controller, req: &admit::Request, most: u32) -> u32 {
     let mut admitted = 0;
     for _ in 0..most {
         if admit.decide(Duration::ZERO, req) == admit::Outcome::Admitted {
@@ -41,7 +41,7 @@
 // throws away the turns before it, so new programs must leave room for them.
 #[gtest]
 fn turns_are_admitted_where_new_programs_are_refused() {
-    let mut admit = admit::Admit::new(options());
+    let mut admit = admit::Controller::new(options());
     let new = req(admit::Lane::NewProgram, "a");
     expect_that!(fill(&mut admit, &new, 100), eq(16));
     let refused = admit.decide(Duration::ZERO, &new);
@@ -56,7 +56,7 @@
 
 #[gtest]
 fn programs_cannot_fill_the_plain_lane() {
-    let mut admit = admit::Admit::new(options());
+    let mut admit = admit::Controller::new(options());
     fill(&mut admit, &req(admit::Lane::Turn, "a"), 1_000);
     fill(&mut admit, &req(admit::Lane::NewProgram, "a"), 1_000);
     let plain = req(admit::Lane::Plain, "a");
@@ -65,7 +65,7 @@
 
 #[gtest]
 fn a_team_above_its_share_is_refused_in_favour_of_another() {
-    let mut admit = admit::Admit::new(options());
+    let mut admit = admit::Controller::new(options());
     let other = req(admit::Lane::Turn, "quiet");
     fill(&mut admit, &other, 1);
     let hot = req(admit::Lane::Turn, "hot");
@@ -81,9 +81,9 @@
 
 #[gtest]
 fn the_limit_follows_the_delay() {
-    let mut admit = admit::Admit::new(options());
+    let mut admit = admit::Controller::new(options());
     let turn = req(admit::Lane::Turn, "a");
-    let run = |admit: &mut admit::Admit, from: u64, delay: Duration| {
+    let run = |admit: &mut admit::Controller, from: u64, delay: Duration| {
         for tick in from..from + 400 {
             let now = Duration::from_millis(tick * 10);
             for _ in 0..30 {
@@ -109,7 +109,7 @@
     // used, and a lone team may use all of it.
     #[test]
     fn shares_conserve_work(calls in prop::collection::vec(0_usize..6, 1..300)) {
-        let mut admit = admit::Admit::new(options());
+        let mut admit = admit::Controller::new(options());
         let bound = 20.0 * options().turn_part;
         let mut running = 0.0;
         let mut per_team = [0.0_f64; 6];
--- a/fw-plan/tests/plan/hot_key.rs
+++ b/fw-plan/tests/plan/hot_key.rs
@@ -21,10 +21,10 @@
             batch: 16,
             ..place::Load::default()
         };
-        view.report(&name(index), load, Duration::ZERO);
+        view.update_load(&name(index), load, Duration::ZERO);
     }
     let (program, place) = ("case-7".into(), "bne-north".into());
-    view.cache(&program, &name(4), 9_000);
+    view.set_cached(&program, &name(4), 9_000);
     let mut rng = Pcg64::new(1, 1);
     let mut sent: HashMap<id::UpstreamId, u32> = HashMap::new();
     for call in 0..200 {
@@ -37,7 +37,7 @@
         };
         let outcome = place::choose(&view, &req, &place::Options::default(), &mut rng).unwrap();
         let now = Duration::from_millis(call);
-        view.sent(&outcome.upstream, outcome.lacks, now);
+        view.record_sent(&outcome.upstream, outcome.uncached_tokens, now);
         *sent.entry(outcome.upstream).or_default() += 1;
     }
     let most = sent.values().max().copied().unwrap();
--- a/fw-plan/tests/plan/keeper_lookup.rs
+++ b/fw-plan/tests/plan/keeper_lookup.rs
@@ -9,20 +9,25 @@
     Duration::from_millis(ms)
 }
 
-fn goes_on(miss: Miss, waited: u64, silence: u64) -> bool {
+fn should_retry(miss: Miss, waited: u64, silence: u64) -> bool {
     let opts = lookup::Options {
-        patience: ms(4_000),
-        patience_away: ms(1_000),
-        store_away: ms(1_400),
+        timeout: ms(4_000),
+        outage_timeout: ms(1_000),
+        outage_after: ms(1_400),
     };
-    lookup::goes_on(miss, ms(waited), ms(silence), &opts)
+    lookup::should_retry(miss, ms(waited), ms(silence), &opts)
 }
 
 #[gtest]
 fn waits_for_a_dead_keepers_lease() {
-    for miss in [Miss::Nobody, Miss::Lost, Miss::Stale, Miss::Refused] {
-        expect_true!(goes_on(miss, 3_000, 700), "{miss:?}");
-        expect_false!(goes_on(miss, 4_000, 700), "{miss:?}");
+    for miss in [
+        Miss::NoKeeper,
+        Miss::NoLongerKeeper,
+        Miss::NotKeeper,
+        Miss::ConnectionRefused,
+    ] {
+        expect_true!(should_retry(miss, 3_000, 700), "{miss:?}");
+        expect_false!(should_retry(miss, 4_000, 700), "{miss:?}");
     }
 }
 
@@ -32,8 +37,13 @@
 // for as long.
 #[gtest]
 fn does_not_wait_for_news_from_a_store_that_is_away() {
-    for miss in [Miss::Nobody, Miss::Lost, Miss::Stale, Miss::Refused] {
-        expect_false!(goes_on(miss, 1_000, 1_400), "{miss:?}");
+    for miss in [
+        Miss::NoKeeper,
+        Miss::NoLongerKeeper,
+        Miss::NotKeeper,
+        Miss::ConnectionRefused,
+    ] {
+        expect_false!(should_retry(miss, 1_000, 1_400), "{miss:?}");
     }
 }
 
@@ -41,13 +51,13 @@
 // callers were refused within microseconds, and gave up.
 #[gtest]
 fn waits_a_little_for_a_store_that_may_be_back() {
-    expect_true!(goes_on(Miss::Nobody, 900, 2_600));
+    expect_true!(should_retry(Miss::NoKeeper, 900, 2_600));
 }
 
 #[gtest]
 fn waits_for_a_keeper_that_is_known_also_without_the_store() {
-    for miss in [Miss::Unreachable, Miss::Broken] {
-        expect_true!(goes_on(miss, 3_000, 9_000), "{miss:?}");
-        expect_false!(goes_on(miss, 4_000, 9_000), "{miss:?}");
+    for miss in [Miss::Unreachable, Miss::ConnectionBroken] {
+        expect_true!(should_retry(miss, 3_000, 9_000), "{miss:?}");
+        expect_false!(should_retry(miss, 4_000, 9_000), "{miss:?}");
     }
 }
--- a/fw-plan/tests/plan/placement.rs
+++ b/fw-plan/tests/plan/placement.rs
@@ -36,14 +36,14 @@
 fn stays_with_its_cache() {
     let mut view = view(9);
     let mut rng = Pcg64::new(1, 1);
-    view.cache(&"page".into(), &name(3), 1_900);
+    view.set_cached(&"page".into(), &name(3), 1_900);
     let outcome = choose(&view, "page", &mut rng);
     expect_that!(
         outcome,
         some(matches_pattern!(place::Outcome {
             upstream: eq(&name(3)),
             reason: eq(&place::Reason::Cache),
-            lacks: eq(&100),
+            uncached_tokens: eq(&100),
             ..
         }))
     );
@@ -53,14 +53,14 @@
 fn leaves_a_cache_behind_a_long_queue() {
     let mut view = view(9);
     let mut rng = Pcg64::new(1, 1);
-    view.cache(&"page".into(), &name(3), 1_900);
+    view.set_cached(&"page".into(), &name(3), 1_900);
     let load = place::Load {
         queued: 50,
         running: 32,
         batch: 32,
         ..place::Load::default()
     };
-    view.report(&name(3), load, Duration::from_secs(1));
+    view.update_load(&name(3), load, Duration::from_secs(1));
     let outcome = choose(&view, "page", &mut rng);
     expect_that!(
         outcome,
@@ -92,7 +92,7 @@
             step: Duration::from_millis(step),
             ..place::Load::default()
         };
-        view.report(&name(index), load, Duration::ZERO);
+        view.update_load(&name(index), load, Duration::ZERO);
     }
     let mut rng = Pcg64::new(1, 1);
     let choices = (0..900).filter_map(|_| choose(&view, "page", &mut rng));
@@ -122,14 +122,14 @@
 #[gtest]
 fn a_removed_upstream_is_never_chosen() {
     let mut view = view(3);
-    view.cache(&"page".into(), &name(1), 1_900);
+    view.set_cached(&"page".into(), &name(1), 1_900);
     view.remove(&name(1));
     view.add(&name(9), &"surat-hall-a".into());
     let mut rng = Pcg64::new(1, 1);
     for _ in 0..100 {
         let outcome = choose(&view, "page", &mut rng).unwrap();
         expect_that!(outcome.upstream, not(eq(&name(1))));
-        expect_that!(outcome.lacks, eq(2_000));
+        expect_that!(outcome.uncached_tokens, eq(2_000));
     }
 }
 
@@ -161,7 +161,7 @@
     let avoid = [name(0), name(2)];
     let mut view = view(3);
     for _ in 0..4 {
-        view.sent(&name(1), 4_000, Duration::ZERO);
+        view.record_sent(&name(1), 4_000, Duration::ZERO);
     }
     let req = place::Request {
         program: None,
@@ -208,8 +208,8 @@
         batch: 32,
         ..place::Load::default()
     };
-    view.report(&name(0), load, Duration::ZERO);
-    view.cache(&"page".into(), &name(0), 2_000);
+    view.update_load(&name(0), load, Duration::ZERO);
+    view.set_cached(&"page".into(), &name(0), 2_000);
     let options = place::Options {
         export_rate: 200_000,
         ..place::Options::default()
--- a/fw-plan/tests/plan/recovery.rs
+++ b/fw-plan/tests/plan/recovery.rs
@@ -37,7 +37,7 @@
             batch: 16,
             ..place::Load::default()
         };
-        view.report(&name(index), load, Duration::ZERO);
+        view.update_load(&name(index), load, Duration::ZERO);
     }
     health.seen(Duration::ZERO, &name(0), health::Seen::Down);
     for index in 0..9 {
--- a/fw-plan/tests/plan/taken_shards.rs
+++ b/fw-plan/tests/plan/taken_shards.rs
@@ -31,7 +31,7 @@
 fn a_shard_serves_once_all_were_heard() {
     let since = start();
     let mut holders = Holders {
-        listed: true,
+        sides_known: true,
         sides: vec![heard_at(since - TICK), heard_at(since + TICK)],
         entries: vec![heard_at(since - TICK)],
     };
@@ -51,7 +51,7 @@
     let mut side = heard_at(since - TICK);
     side.missed(since + TICK, false);
     let mut holders = Holders {
-        listed: true,
+        sides_known: true,
         sides: vec![side],
         entries: Vec::new(),
     };
@@ -69,9 +69,9 @@
 fn turns_that_were_told_of_are_waited_for() {
     let since = start();
     let mut side = heard_at(since + TICK);
-    side.owes = true;
+    side.has_pending_turns = true;
     let holders = Holders {
-        listed: true,
+        sides_known: true,
         sides: vec![side],
         entries: Vec::new(),
     };
@@ -95,7 +95,7 @@
     let mut dead = heard_at(since - TICK);
     dead.missed(since, false);
     let mut holders = Holders {
-        listed: true,
+        sides_known: true,
         sides: vec![heard_at(since + TICK)],
         entries: vec![dead],
     };
@@ -115,7 +115,7 @@
     let mut silent = heard_at(since - Duration::from_secs(20));
     silent.missed(since - Duration::from_secs(10), false);
     let holders = Holders {
-        listed: true,
+        sides_known: true,
         sides: vec![gone, silent],
         entries: Vec::new(),
     };
@@ -130,7 +130,7 @@
     let mut side = heard_at(since - TICK);
     side.missed(since, false);
     let holders = Holders {
-        listed: true,
+        sides_known: true,
         sides: vec![side],
         entries: Vec::new(),
     };
--- a/fw-side/src/process/line.rs
+++ b/fw-side/src/process/line.rs
@@ -115,7 +115,7 @@
         let waiting = Released {
             team: start.team.clone(),
             prefill: missing,
-            long: missing >= self.opts.queue.long,
+            long: missing >= self.opts.queue.long_prompt,
             alone: start.alone,
             at: attempt.arrived,
         };
@@ -192,7 +192,7 @@
             queued: count(inner.queue.len()),
             running: count(inner.released.len()),
             prefill: jobs.map(|job| job.prefill).sum(),
-            delay: inner.queue.waited(),
+            delay: inner.queue.recent_wait(),
         }
     }
 }
