--- a/fw-entry/src/connection/recover.rs
+++ b/fw-entry/src/connection/recover.rs
@@ -46,7 +46,7 @@
         return false;
     }
     match take(entry, "its keeper before", held) {
-        Taken::Here(ticket) => entry.keeper.durable(ticket).await.is_ok(),
+        Taken::Here(ticket) => entry.keeper.wait_durable(ticket).await.is_ok(),
         Taken::Gap | Taken::NotKept => false,
     }
 }
@@ -121,7 +121,7 @@
 fn holders(entry: &entry::Entry, shard: id::ShardId) -> takeover::Holders {
     let sides = entry.sides.all();
     let sides = sides.iter().map(|side| side.update(|s| s.holder_of(shard)));
-    let entries = entry.keeper.entries_lately().into_iter();
+    let entries = entry.keeper.recent_entries().into_iter();
     takeover::Holders {
         listed: entry.sides.is_listed(),
         sides: sides.collect(),
--- a/fw-entry/src/connection/recover_entries.rs
+++ b/fw-entry/src/connection/recover_entries.rs
@@ -109,7 +109,7 @@
         while asking.try_join_next().is_some() {}
         // Most of the time nothing was taken lately; in a large fleet even the list of others costs.
         let grace = takeover::Options::default().grace;
-        let loaded = entry.keeper.loaded_at();
+        let loaded = entry.keeper.last_loaded_at();
         if loaded.is_none_or(|at| at.elapsed() > grace) {
             continue;
         }
@@ -139,7 +139,7 @@
 }
 
 fn others(entry: &entry::Entry) -> Vec<(id::EntryId, SocketAddr)> {
-    let others = entry.keeper.entries_lately().into_iter();
+    let others = entry.keeper.recent_entries().into_iter();
     others
         .filter_map(|(id, addr)| Some((id, addr.parse().ok()?)))
         .collect()
--- a/fw-entry/src/connection/recover_sides.rs
+++ b/fw-entry/src/connection/recover_sides.rs
@@ -85,7 +85,7 @@
 ) {
     for (attempt, ticket) in taken {
         // If it fails, the turn is known here, but not in the store: the side goes on holding it.
-        if entry.keeper.durable(ticket).await.is_ok() {
+        if entry.keeper.wait_durable(ticket).await.is_ok() {
             upstream::forget(&entry, &side, attempt).await;
         }
     }
--- a/fw-entry/src/process/entry.rs
+++ b/fw-entry/src/process/entry.rs
@@ -125,7 +125,7 @@
     /// missing in the history of the shard's new keeper.
     pub fn is_cut_off(&self, silence: Duration) -> bool {
         let ttl = self.settings.keeper.lease_ttl;
-        self.keeper.silence() > silence && self.peer_list.reach_store(ttl / 2)
+        self.keeper.time_since_contact() > silence && self.peer_list.reach_store(ttl / 2)
     }
 
     /// The fencing number of `shard`, if it is kept here, all that is held of it is known, and so are
@@ -135,7 +135,7 @@
             return None;
         }
         if self.keeper.is_in_doubt(shard) {
-            self.keeper.want(shard);
+            self.keeper.prioritize(shard);
             return None;
         }
         if self.is_cut_off(self.settings.keeper.lease_ttl) {
@@ -151,7 +151,7 @@
     /// that may have gone on elsewhere. It told callers, for good, that their next turn was out of order
     /// or their program unknown. What the caller may send again does no harm.
     pub fn may_say(&self, shard: id::ShardId, err: &error::Error) -> bool {
-        err.kind.row().retry || self.keeper.is_sure_of(shard)
+        err.kind.row().retry || self.keeper.is_sole_keeper_of(shard)
     }
 
     /// Whether the keeper of `program`, if this is it, knows that its engine memory may be freed.
@@ -198,7 +198,7 @@
             sides: u32::try_from(sides.len()).unwrap_or(u32::MAX),
             shards: u32::try_from(self.keeper.shards().len()).unwrap_or(u32::MAX),
             programs: u32::try_from(self.attempts.under_way()).unwrap_or(u32::MAX),
-            store_silent: self.keeper.silence(),
+            store_silent: self.keeper.time_since_contact(),
             leaving: self.stopping.is_cancelled(),
         }
     }
--- a/fw-entry/src/process/keepers.rs
+++ b/fw-entry/src/process/keepers.rs
@@ -76,11 +76,11 @@
     let mut received = None;
     loop {
         let miss = match entry.keeper.owner(shard) {
-            keeper::Owner::Mine => match here().await {
+            keeper::Owner::Local => match here().await {
                 Tried::Answered(answer) => return Ok((Place::Here, answer)),
                 Tried::NotKeeper => lookup::Miss::Lost,
             },
-            keeper::Owner::Other { address, .. } => {
+            keeper::Owner::Remote { address, .. } => {
                 match elsewhere(entry, &address, &there).await {
                     Ok((place, Tried::Answered(answer))) => return Ok((place, answer)),
                     Ok((_, Tried::NotKeeper)) => lookup::Miss::Stale,
@@ -97,17 +97,17 @@
                     }
                 }
             }
-            keeper::Owner::Nobody => lookup::Miss::Nobody,
+            keeper::Owner::Vacant => lookup::Miss::Nobody,
         };
         let reason = miss.label();
         metrics::counter!(REDIRECTS, "reason" => reason).increment(1);
-        let (waited, silence) = (started.elapsed(), entry.keeper.silence());
+        let (waited, silence) = (started.elapsed(), entry.keeper.time_since_contact());
         if !lookup::goes_on(miss, waited, silence, &opts) {
             let may_have_run = received.is_some();
             tracing::warn!(entry = %entry.id, shard, reason, ?waited, ?silence, may_have_run, "no keeper was found in time");
-            return Err(entry.keeper.unavailable().after(received));
+            return Err(entry.keeper.unavailable_error().after(received));
         }
-        entry.keeper.want(shard);
+        entry.keeper.prioritize(shard);
         tokio::time::sleep(PAUSE).await;
     }
 }
--- a/fw-entry/src/request/admin.rs
+++ b/fw-entry/src/request/admin.rs
@@ -141,9 +141,9 @@
 ) -> Json<serde_json::Value> {
     let owner = entry.keeper.owner(entry.keeper.shard_of(&program));
     let keeper = match owner {
-        fw_keep::keeper::Owner::Mine => "this entry".to_owned(),
-        fw_keep::keeper::Owner::Other { entry, address } => format!("{entry} at {address}"),
-        fw_keep::keeper::Owner::Nobody => "nobody now".to_owned(),
+        fw_keep::keeper::Owner::Local => "this entry".to_owned(),
+        fw_keep::keeper::Owner::Remote { entry, address } => format!("{entry} at {address}"),
+        fw_keep::keeper::Owner::Vacant => "nobody now".to_owned(),
     };
     Json(json!({ "keeper": keeper, "events": entry.explain.of(&program) }))
 }
--- a/fw-entry/src/turn/claim.rs
+++ b/fw-entry/src/turn/claim.rs
@@ -93,15 +93,15 @@
     let (step, reply) = match &req.step {
         peer::ClaimStep::Open => ("open", open(entry, req).await),
         peer::ClaimStep::NotRun => {
-            let reply = settle(entry, req, keeper::Settle::NotRun).await;
+            let reply = settle(entry, req, keeper::Settlement::NotRun).await;
             ("not_run", reply)
         }
         peer::ClaimStep::Unknown => {
-            let reply = settle(entry, req, keeper::Settle::Unknown).await;
+            let reply = settle(entry, req, keeper::Settlement::Unknown).await;
             ("unknown", reply)
         }
         peer::ClaimStep::Done(answer) => {
-            let reply = settle(entry, req, keeper::Settle::Done(kept(answer))).await;
+            let reply = settle(entry, req, keeper::Settlement::Done(kept(answer))).await;
             ("done", reply)
         }
     };
@@ -117,26 +117,30 @@
 
 async fn open(entry: &entry::Entry, req: &peer::Claim) -> peer::ClaimReply {
     match entry.keeper.claim(&key(req), req.fingerprint).await {
-        keeper::Claimed::Granted => peer::ClaimReply::Granted,
-        keeper::Claimed::Replay(answer) => peer::ClaimReply::Replay(peer::StoredAnswer {
+        keeper::ClaimResult::Granted => peer::ClaimReply::Granted,
+        keeper::ClaimResult::Replay(answer) => peer::ClaimReply::Replay(peer::StoredAnswer {
             status: answer.status,
             content_type: answer.content_type,
             body: answer.body,
             truncated: answer.truncated,
         }),
-        keeper::Claimed::NotKeeper => peer::ClaimReply::NotKeeper,
-        keeper::Claimed::Refused(err) => peer::ClaimReply::Refused(err),
+        keeper::ClaimResult::NotKeeper => peer::ClaimReply::NotKeeper,
+        keeper::ClaimResult::Refused(err) => peer::ClaimReply::Refused(err),
     }
 }
 
-async fn settle(entry: &entry::Entry, req: &peer::Claim, how: keeper::Settle) -> peer::ClaimReply {
+async fn settle(
+    entry: &entry::Entry,
+    req: &peer::Claim,
+    how: keeper::Settlement,
+) -> peer::ClaimReply {
     let Ok(ticket) = entry.keeper.settle(&key(req), req.fingerprint, how) else {
         return peer::ClaimReply::NotKeeper;
     };
     if let Some(ticket) = ticket {
         // Not durable in time means durable later, or "may have run" after a take-over: the caller
         // gets its answer either way.
-        let _later = entry.keeper.durable(ticket).await;
+        let _later = entry.keeper.wait_durable(ticket).await;
     }
     peer::ClaimReply::Settled
 }
--- a/fw-entry/src/turn/commit.rs
+++ b/fw-entry/src/turn/commit.rs
@@ -70,7 +70,7 @@
         finish: attempt::Finish,
         ticket: keeper::Ticket,
     ) {
-        let mut durable = self.entry.keeper.durable(ticket).await;
+        let mut durable = self.entry.keeper.wait_durable(ticket).await;
         let mut held = false;
         while durable == Err(keeper::Error::StoreUnavailable) {
             if self.entry.is_cut_off(self.entry.settings.keeper.lease_ttl) {
@@ -82,7 +82,7 @@
             if !held && !alone && self.is_held_by_side().await {
                 held = self.give_out(buf, &finish, ticket);
             }
-            durable = self.entry.keeper.durable(ticket).await;
+            durable = self.entry.keeper.wait_durable(ticket).await;
         }
         if durable.is_err() {
             self.explain("fenced", "another entry keeps the program now".to_owned());
@@ -191,7 +191,7 @@
     ticket: keeper::Ticket,
 ) -> Result<(), keeper::Error> {
     loop {
-        let durable = entry.keeper.durable(ticket).await;
+        let durable = entry.keeper.wait_durable(ticket).await;
         let waits = durable == Err(keeper::Error::StoreUnavailable);
         if !waits || entry.is_cut_off(entry.settings.keeper.lease_ttl) {
             return durable;
--- a/fw-entry/src/turn/program.rs
+++ b/fw-entry/src/turn/program.rs
@@ -74,7 +74,7 @@
 pub fn look(entry: &entry::Entry, req: &peer::Query) -> peer::QueryReply {
     let shard = entry.keeper.shard_of(&req.program);
     // What may be the past of a program that went on elsewhere is no answer.
-    if entry.serving(shard).is_none() || !entry.keeper.is_sure_of(shard) {
+    if entry.serving(shard).is_none() || !entry.keeper.is_sole_keeper_of(shard) {
         return peer::QueryReply::NotKeeper;
     }
     let found = entry.keeper.with_shard(shard, |shard| {
@@ -111,7 +111,7 @@
         Ok(Some(attempt)) => entry.attempts.stop(attempt),
         Ok(None) => {}
     }
-    let stored = entry.keeper.durable(ended.ticket).await;
+    let stored = entry.keeper.wait_durable(ended.ticket).await;
     entry.release(&req.program).await;
     match stored {
         Ok(()) => look(entry, req),
--- a/fw-keep/examples/recovery.rs
+++ b/fw-keep/examples/recovery.rs
@@ -110,7 +110,7 @@
 
     fn keeper_of(&self, program: &str) -> Option<&Keeper> {
         let shard = self.keepers[0].shard_of(program);
-        let is_mine = |keeper: &&Keeper| keeper.owner(shard) == Owner::Mine;
+        let is_mine = |keeper: &&Keeper| keeper.owner(shard) == Owner::Local;
         self.keepers.iter().find(is_mine)
     }
 }
@@ -210,7 +210,7 @@
         let Some(ticket) = turn(keeper, name, number) else {
             break;
         };
-        if keeper.durable(ticket).await.is_ok() {
+        if keeper.wait_durable(ticket).await.is_ok() {
             waits.push(begun.elapsed());
         }
     }
@@ -286,7 +286,7 @@
         let Some(ticket) = turn(keeper, &name, 1) else {
             continue;
         };
-        if keeper.durable(ticket).await.is_ok() {
+        if keeper.wait_durable(ticket).await.is_ok() {
             names.push(name);
         }
     }
@@ -329,7 +329,7 @@
             let fleet = Arc::new(Fleet::start(ttl).await?);
             let names = programs(&fleet, 128).await;
             let victim = &fleet.keepers[0];
-            let is_hit = |name: &String| victim.owner(victim.shard_of(name)) == Owner::Mine;
+            let is_hit = |name: &String| victim.owner(victim.shard_of(name)) == Owner::Local;
             let hit: Vec<String> = names.into_iter().filter(is_hit).collect();
             let since = Instant::now();
             if is_graceful {
@@ -384,7 +384,7 @@
             let Ok(changed) = keeper.with_program(name, |_| ()) else {
                 break;
             };
-            if keeper.durable(changed.ticket).await.is_ok() {
+            if keeper.wait_durable(changed.ticket).await.is_ok() {
                 stored += 1;
                 break;
             }
--- a/fw-keep/src/balance.rs
+++ b/fw-keep/src/balance.rs
@@ -4,7 +4,7 @@
 //! each looks at the same table and must act alone. If each took what it found free, all would
 //! race for the same shards and most of their writes would fail; if each counted its own share
 //! only, moves would cascade. Here every entry computes the same plan from the same table, so a
-//! free shard has one taker, and a shard moves only if its keeper has more than its share.
+//! free shard has one assignment, and a shard moves only if its keeper has more than its share.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
 
 /// Who is to take a free shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Taker<'a> {
+pub struct Assignment<'a> {
     /// The shard.
     pub shard: id::ShardId,
     /// The entry.
@@ -45,28 +45,30 @@
 
 /// The plan of entry `me`.
 pub fn plan(me: &str, view: &View<'_>) -> Plan {
-    let mine = takers(view).into_iter().filter(|taker| taker.entry == me);
+    let mine = assignments(view)
+        .into_iter()
+        .filter(|assignment| assignment.entry == me);
     Plan {
-        acquire: mine.map(|taker| taker.shard).collect(),
+        acquire: mine.map(|assignment| assignment.shard).collect(),
         release: release(me, view),
     }
 }
 
 /// Who is to take each free shard: the entry that ranks highest for it among those with room.
-pub fn takers<'a>(view: &View<'a>) -> Vec<Taker<'a>> {
+pub fn assignments<'a>(view: &View<'a>) -> Vec<Assignment<'a>> {
     let mut room = room(view);
-    let mut takers = Vec::new();
+    let mut assignments = Vec::new();
     for shard in free_shards(view) {
         let best = room.iter_mut().max_by_key(|(entry, _)| rank(entry, shard));
         let Some((entry, left)) = best else { break };
-        takers.push(Taker { shard, entry });
+        assignments.push(Assignment { shard, entry });
         *left -= 1;
         if *left == 0 {
             let full = *entry;
             room.retain(|(entry, _)| *entry != full);
         }
     }
-    takers
+    assignments
 }
 
 /// The entries that should take more shards, and how many.
--- a/fw-keep/src/keeper/close.rs
+++ b/fw-keep/src/keeper/close.rs
@@ -8,7 +8,7 @@
 
 use crate::journal::keys;
 use crate::keeper;
-use crate::keeper::Closed;
+use crate::keeper::CloseReport;
 use crate::keeper::Inner;
 use crate::keeper::slot::Slot;
 
@@ -19,7 +19,7 @@
 const LOOK: Duration = Duration::from_millis(5);
 
 /// Hands over everything at a graceful stop.
-pub(super) async fn run(inner: &Inner) -> Closed {
+pub(super) async fn run(inner: &Inner) -> CloseReport {
     inner.closing.send_replace(true);
     leave(inner).await;
     let mut kept = Vec::new();
@@ -36,7 +36,7 @@
         // If this fails, the lease lapses by itself.
         let _ = inner.store.revoke(lease).await;
     }
-    Closed {
+    CloseReport {
         handed_over,
         unflushed: all - handed_over,
     }
--- a/fw-keep/src/keeper/inner.rs
+++ b/fw-keep/src/keeper/inner.rs
@@ -87,10 +87,10 @@
 
     pub(super) fn owner(&self, shard: id::ShardId) -> Owner {
         if usize::from(shard) >= self.slots.len() {
-            return Owner::Nobody;
+            return Owner::Vacant;
         }
         if self.slot(shard).lock().serving().is_some() {
-            return Owner::Mine;
+            return Owner::Local;
         }
         self.table.read().owner(shard, &self.opts.entry)
     }
@@ -101,7 +101,7 @@
         f: impl FnOnce(&mut Shard) -> T,
     ) -> Result<Changed<T>, Owner> {
         if usize::from(shard) >= self.slots.len() {
-            return Err(Owner::Nobody);
+            return Err(Owner::Vacant);
         }
         let mut slot = self.slot(shard).lock();
         let Some(kept) = slot.serving() else {
@@ -144,7 +144,7 @@
         self.dirtied.notify_one();
     }
 
-    pub(super) async fn durable(&self, ticket: Ticket, wait: Duration) -> Result<(), Error> {
+    pub(super) async fn wait_durable(&self, ticket: Ticket, wait: Duration) -> Result<(), Error> {
         let progress = {
             let mut slot = self.slot(ticket.shard).lock();
             let kept = slot
--- a/fw-keep/src/keeper/member.rs
+++ b/fw-keep/src/keeper/member.rs
@@ -64,7 +64,7 @@
 /// Follows the watch until the table has to be read anew.
 async fn follow(inner: &Inner, watch: &mut Watch, grace: &mut Grace, freshness: &mut Freshness) {
     let mut lease = inner.lease.subscribe();
-    let mut sweep = time::interval(inner.opts.sweep);
+    let mut sweep = time::interval(inner.opts.sweep_interval);
     let mut act_at = time::Instant::now() + settle(inner);
     loop {
         tokio::select! {
@@ -123,7 +123,7 @@
 
 /// A burst of changes, as when a data centre restarts, is acted on once.
 fn settle(inner: &Inner) -> Duration {
-    inner.opts.settle + keeper::jitter(inner.opts.settle)
+    inner.opts.debounce + keeper::jitter(inner.opts.debounce)
 }
 
 /// Whether an entry has more to do at once.
--- a/fw-keep/src/keeper/mod.rs
+++ b/fw-keep/src/keeper/mod.rs
@@ -70,14 +70,14 @@
     pub window: Duration,
     /// Longest such time, reached when many entries share the store.
     pub window_max: Duration,
-    /// Longest wait of [`Keeper::durable`].
+    /// Longest wait of [`Keeper::wait_durable`].
     pub durable_wait: Duration,
     /// Longest wait of [`Keeper::close`] for the last changes to reach the store.
     pub close_wait: Duration,
     /// Time without a change of the table after which shards are taken and handed over.
-    pub settle: Duration,
+    pub debounce: Duration,
     /// Time between two searches for what has outlived its retention.
-    pub sweep: Duration,
+    pub sweep_interval: Duration,
     /// How long what is finished is kept.
     pub retention: shard::Retention,
     /// Most changes of a shard that wait for the store before it refuses more.
@@ -101,8 +101,8 @@
             window_max: Duration::from_secs(4),
             durable_wait: Duration::from_secs(5),
             close_wait: Duration::from_secs(10),
-            settle: Duration::from_millis(50),
-            sweep: Duration::from_secs(60),
+            debounce: Duration::from_millis(50),
+            sweep_interval: Duration::from_secs(60),
             retention: shard::Retention::default(),
             max_pending: shard::MAX_PENDING,
             journal: writer::Options::default(),
@@ -115,19 +115,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// This entry.
-    Mine,
+    Local,
     /// Another entry.
-    Other {
+    Remote {
         /// Its id.
         entry: id::EntryId,
         /// Where to reach it.
         address: SmolStr,
     },
     /// Nobody for now: its keeper is gone, or it is being taken over.
-    Nobody,
+    Vacant,
 }
 
-/// Position of a change, to wait for with [`Keeper::durable`].
+/// Position of a change, to wait for with [`Keeper::wait_durable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
     shard: id::ShardId,
@@ -169,7 +169,7 @@
 
 /// What became of a claim.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Claimed {
+pub enum ClaimResult {
     /// It is durable: send the call, once.
     Granted,
     /// The call ran before; this was its answer.
@@ -182,7 +182,7 @@
 
 /// How a claimed call ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Settle {
+pub enum Settlement {
     /// It did not run.
     NotRun,
     /// It was answered.
@@ -202,7 +202,7 @@
 
 /// What became of the shards at a graceful stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Closed {
+pub struct CloseReport {
     /// Shards that another entry can take at once.
     pub handed_over: usize,
     /// Shards whose last changes the store did not take in time, or that were lost meanwhile.
@@ -244,7 +244,7 @@
     }
 
     /// A call waits for a keeper of `shard`: should this entry take it, then before others.
-    pub fn want(&self, shard: id::ShardId) {
+    pub fn prioritize(&self, shard: id::ShardId) {
         self.inner.wanted.lock().insert(shard);
     }
 
@@ -274,12 +274,12 @@
 
     /// Whether nobody else can have taken the shards that are kept here: the lease still runs, by this
     /// process's own clock, and no shard is in doubt.
-    pub fn is_sure(&self) -> bool {
+    pub fn is_sole_keeper(&self) -> bool {
         self.inner.has_lease() && self.inner.in_doubt().is_empty()
     }
 
     /// Whether nobody else can have taken `shard`, if it is kept here.
-    pub fn is_sure_of(&self, shard: id::ShardId) -> bool {
+    pub fn is_sole_keeper_of(&self, shard: id::ShardId) -> bool {
         self.inner.has_lease() && !self.inner.is_in_doubt(shard)
     }
 
@@ -296,7 +296,7 @@
     }
 
     /// The other entries that are live, or whose lease lapsed lately.
-    pub fn entries_lately(&self) -> Vec<(id::EntryId, SmolStr)> {
+    pub fn recent_entries(&self) -> Vec<(id::EntryId, SmolStr)> {
         let table = self.inner.table.read();
         let mut entries = table.entries();
         entries.extend(table.lately_gone());
@@ -305,7 +305,7 @@
     }
 
     /// When a shard was loaded last.
-    pub fn loaded_at(&self) -> Option<Instant> {
+    pub fn last_loaded_at(&self) -> Option<Instant> {
         *self.inner.loaded.lock()
     }
 
@@ -333,12 +333,12 @@
     }
 
     /// Time since the store last answered this keeper.
-    pub fn silence(&self) -> Duration {
+    pub fn time_since_contact(&self) -> Duration {
         self.inner.contact.lock().elapsed()
     }
 
     /// The error for a shard that nobody keeps.
-    pub fn unavailable(&self) -> error::Error {
+    pub fn unavailable_error(&self) -> error::Error {
         error::Error::new(
             Kind::KeeperUnavailable,
             "the program's keeper is gone and its shard is being taken over; send the call again",
@@ -382,24 +382,24 @@
     /// # Errors
     ///
     /// When the shard has another keeper, or the store does not take the change in time.
-    pub async fn durable(&self, ticket: Ticket) -> Result<(), Error> {
+    pub async fn wait_durable(&self, ticket: Ticket) -> Result<(), Error> {
         self.inner
-            .durable(ticket, self.inner.opts.durable_wait)
+            .wait_durable(ticket, self.inner.opts.durable_wait)
             .await
     }
 
     /// Asks for the one run of a call, and returns when the claim is durable.
-    pub async fn claim(&self, key: &claim::Key, fingerprint: Digest) -> Claimed {
+    pub async fn claim(&self, key: &claim::Key, fingerprint: Digest) -> ClaimResult {
         let shard = self.shard_of(&key.shard_name());
         let open = |kept: &mut Shard| kept.open_claim(key, fingerprint, now());
         let Ok(changed) = self.with_shard(shard, open) else {
-            return Claimed::NotKeeper;
+            return ClaimResult::NotKeeper;
         };
         match changed.value {
-            shard::ClaimOutcome::Again(claim::Again::Replay(answer)) => Claimed::Replay(answer),
+            shard::ClaimOutcome::Again(claim::Again::Replay(answer)) => ClaimResult::Replay(answer),
             shard::ClaimOutcome::Again(claim::Again::Refused(err)) => refuse(err),
             shard::ClaimOutcome::Opening { .. } => {
-                let durable = self.durable(changed.ticket).await;
+                let durable = self.wait_durable(changed.ticket).await;
                 self.opened(shard, key, fingerprint, durable)
             }
         }
@@ -415,22 +415,22 @@
         &self,
         key: &claim::Key,
         fingerprint: Digest,
-        how: Settle,
+        how: Settlement,
     ) -> Result<Option<Ticket>, Owner> {
         let shard = self.shard_of(&key.shard_name());
         let changed = self.with_shard(shard, |kept| match how {
-            Settle::NotRun => kept.claim_not_run(key, fingerprint),
-            Settle::Unknown => {
+            Settlement::NotRun => kept.claim_not_run(key, fingerprint),
+            Settlement::Unknown => {
                 kept.claim_unknown(key, fingerprint);
                 None
             }
-            Settle::Done(answer) => kept.claim_done(key, fingerprint, answer, now()),
+            Settlement::Done(answer) => kept.claim_done(key, fingerprint, answer, now()),
         })?;
         Ok(changed.value.map(|_| changed.ticket))
     }
 
     /// Hands all shards over and stops. Turns under way should have ended before.
-    pub async fn close(&self) -> Closed {
+    pub async fn close(&self) -> CloseReport {
         let closed = close::run(&self.inner).await;
         let tasks = std::mem::take(&mut *self.tasks.lock());
         tasks.iter().for_each(JoinHandle::abort);
@@ -450,19 +450,19 @@
         key: &claim::Key,
         fingerprint: Digest,
         durable: Result<(), Error>,
-    ) -> Claimed {
+    ) -> ClaimResult {
         let Err(err) = durable else {
             let opened = self.with_shard(shard, |kept| kept.claim_opened(key, now()));
             return match opened {
-                Ok(Changed { value: true, .. }) => Claimed::Granted,
-                _ => Claimed::NotKeeper,
+                Ok(Changed { value: true, .. }) => ClaimResult::Granted,
+                _ => ClaimResult::NotKeeper,
             };
         };
         // The claim may still reach the store, hence the entry that frees the key again.
         let withdraw = |kept: &mut Shard| kept.claim_not_run(key, fingerprint);
         let withdrawn = self.with_shard(shard, withdraw);
         match (err, withdrawn) {
-            (Error::StaleFence, _) | (_, Err(_)) => Claimed::NotKeeper,
+            (Error::StaleFence, _) | (_, Err(_)) => ClaimResult::NotKeeper,
             (Error::StoreUnavailable, Ok(_)) => refuse(
                 error::Error::new(
                     Kind::StoreUnavailable,
@@ -480,9 +480,9 @@
     since.unwrap_or_default()
 }
 
-fn refuse(err: error::Error) -> Claimed {
+fn refuse(err: error::Error) -> ClaimResult {
     metrics::counter!(REFUSALS_TOTAL, "kind" => err.kind.row().label).increment(1);
-    Claimed::Refused(err)
+    ClaimResult::Refused(err)
 }
 
 /// A random time up to `most`, so that entries that wait for the same event act one by one.
--- a/fw-keep/src/keeper/table.rs
+++ b/fw-keep/src/keeper/table.rs
@@ -156,15 +156,15 @@
     pub(super) fn owner(&self, shard: id::ShardId, me: &id::EntryId) -> Owner {
         let holder = self.owners.holder(shard);
         let Some(holder) = holder.filter(|holder| holder.entry != *me) else {
-            return Owner::Nobody;
+            return Owner::Vacant;
         };
         let entry = holder.entry.clone();
         match self.entries.get(&entry) {
-            Some(value) => Owner::Other {
+            Some(value) => Owner::Remote {
                 entry,
                 address: value.address.clone(),
             },
-            None => Owner::Nobody,
+            None => Owner::Vacant,
         }
     }
 
@@ -194,24 +194,24 @@
     ) {
         let now = Instant::now();
         let taker = holder.as_ref().map(|holder| holder.entry.clone());
-        let is_news = self.owners.note(shard, holder, revision, now);
+        let is_news = self.owners.update(shard, holder, revision, now);
         if let Some(taker) = taker.filter(|_| is_news) {
-            self.progress.took(&taker, now);
+            self.progress.record_taken(&taker, now);
         }
     }
 
     /// The plan of entry `me`, which looks every `round` at least.
     pub(super) fn plan(&mut self, me: &id::EntryId, round: Duration) -> balance::Plan {
-        let takers = balance::takers(&self.view()).into_iter();
-        let others = takers.filter(|taker| taker.entry != me);
-        let due = others.filter_map(|taker| {
-            Some(progress::Due {
-                entry: taker.entry.into(),
-                free_since: self.owners.free_since(taker.shard)?,
+        let assignments = balance::assignments(&self.view()).into_iter();
+        let others = assignments.filter(|assignment| assignment.entry != me);
+        let due = others.filter_map(|assignment| {
+            Some(progress::PendingShard {
+                entry: assignment.entry.into(),
+                free_since: self.owners.free_since(assignment.shard)?,
             })
         });
         let due: Vec<_> = due.collect();
-        for stuck in self.progress.judge(due, round, Instant::now()) {
+        for stuck in self.progress.detect_stalled(due, round, Instant::now()) {
             tracing::warn!(entry = %me, %stuck, "an entry takes no free shards; others take its share");
         }
         balance::plan(me, &self.view())
@@ -241,7 +241,7 @@
                 };
                 let address = value.address.clone();
                 let entry = id::EntryId::from(entry);
-                self.progress.listed(&entry, Instant::now());
+                self.progress.record_listed(&entry, Instant::now());
                 let before = self.entries.insert(entry.clone(), value);
                 if before.is_none() {
                     tracing::info!(listed = %entry, %address, revision = kv.mod_revision, "an entry is listed");
@@ -265,7 +265,7 @@
                     return false;
                 };
                 tracing::info!(gone = entry, address = %value.address, "an entry is listed no more");
-                self.progress.unlisted(&entry.into());
+                self.progress.record_unlisted(&entry.into());
                 self.note_gone(entry.into(), value);
                 true
             }
--- a/fw-keep/src/owners.rs
+++ b/fw-keep/src/owners.rs
@@ -53,7 +53,7 @@
     }
 
     /// Notes who kept `shard` at `revision` of the store; false if that changes nothing.
-    pub fn note(
+    pub fn update(
         &mut self,
         shard: id::ShardId,
         holder: Option<Holder>,
--- a/fw-keep/src/progress.rs
+++ b/fw-keep/src/progress.rs
@@ -25,7 +25,7 @@
 
 /// A free shard that an entry is to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Due {
+pub struct PendingShard {
     /// The entry.
     pub entry: id::EntryId,
     /// Since when the shard is free.
@@ -45,25 +45,25 @@
 
 impl Progress {
     /// Notes that an entry is listed.
-    pub fn listed(&mut self, entry: &id::EntryId, now: Instant) {
+    pub fn record_listed(&mut self, entry: &id::EntryId, now: Instant) {
         self.listed.entry(entry.clone()).or_insert(now);
     }
 
     /// Notes that an entry is listed no more.
-    pub fn unlisted(&mut self, entry: &id::EntryId) {
+    pub fn record_unlisted(&mut self, entry: &id::EntryId) {
         self.listed.remove(entry);
         self.took.remove(entry);
     }
 
     /// Notes that an entry has taken a shard.
-    pub fn took(&mut self, entry: &id::EntryId, now: Instant) {
+    pub fn record_taken(&mut self, entry: &id::EntryId, now: Instant) {
         self.took.insert(entry.clone(), now);
     }
 
     /// Judges the entries by the shards that are due; returns those that are found stuck.
-    pub fn judge(
+    pub fn detect_stalled(
         &mut self,
-        due: impl IntoIterator<Item = Due>,
+        due: impl IntoIterator<Item = PendingShard>,
         round: Duration,
         now: Instant,
     ) -> BTreeSet<id::EntryId> {
@@ -81,7 +81,7 @@
         self.passive.keys()
     }
 
-    fn is_stuck(&self, due: &Due, round: Duration, now: Instant) -> bool {
+    fn is_stuck(&self, due: &PendingShard, round: Duration, now: Instant) -> bool {
         let may_take = self.listed.get(&due.entry).map(|since| *since + round);
         let took = self.took.get(&due.entry).copied();
         let waits_since = [Some(due.free_since), may_take, took];
--- a/fw-keep/tests/keep/fleet.rs
+++ b/fw-keep/tests/keep/fleet.rs
@@ -50,7 +50,7 @@
             ttl: Duration::from_secs(1),
             window: Duration::from_millis(2),
             durable_wait: Duration::from_millis(500),
-            settle: Duration::from_millis(10),
+            debounce: Duration::from_millis(10),
             ..keeper::Options::default()
         }
     }
@@ -103,7 +103,7 @@
 
 pub async fn until_mine(keeper: &Keeper, program: &str) {
     let shard = keeper.shard_of(program);
-    until("the shard is kept", || keeper.owner(shard) == Owner::Mine).await;
+    until("the shard is kept", || keeper.owner(shard) == Owner::Local).await;
 }
 
 pub fn answer(text: &str) -> program::Answer {
--- a/fw-keep/tests/keep/keeper_claims.rs
+++ b/fw-keep/tests/keep/keeper_claims.rs
@@ -2,17 +2,17 @@
 
 use fw_base::error;
 use fw_keep::claim;
-use fw_keep::keeper::Claimed;
-use fw_keep::keeper::Settle;
+use fw_keep::keeper::ClaimResult;
+use fw_keep::keeper::Settlement;
 use googletest::prelude::*;
 
 use crate::fleet;
 use crate::fleet::Fleet;
 
-fn kind(claimed: &Claimed) -> Option<error::Kind> {
+fn kind(claimed: &ClaimResult) -> Option<error::Kind> {
     match claimed {
-        Claimed::Refused(err) => Some(err.kind),
-        Claimed::Granted | Claimed::Replay(_) | Claimed::NotKeeper => None,
+        ClaimResult::Refused(err) => Some(err.kind),
+        ClaimResult::Granted | ClaimResult::Replay(_) | ClaimResult::NotKeeper => None,
     }
 }
 
@@ -32,16 +32,19 @@
     fleet::until_kept(&a, 16).await;
     let (key, body) = (fleet::key("k"), fleet::fingerprint("body"));
     let (first, second) = tokio::join!(a.claim(&key, body), a.claim(&key, body));
-    expect_that!(first, eq(&Claimed::Granted));
+    expect_that!(first, eq(&ClaimResult::Granted));
     expect_that!(kind(&second), some(eq(error::Kind::KeyInUse)));
     let other = a.claim(&key, fleet::fingerprint("other")).await;
     expect_that!(kind(&other), some(eq(error::Kind::KeyReused)));
     let ticket = a
-        .settle(&key, body, Settle::Done(stored()))
+        .settle(&key, body, Settlement::Done(stored()))
         .unwrap()
         .unwrap();
-    a.durable(ticket).await.unwrap();
-    expect_that!(a.claim(&key, body).await, eq(&Claimed::Replay(stored())));
+    a.wait_durable(ticket).await.unwrap();
+    expect_that!(
+        a.claim(&key, body).await,
+        eq(&ClaimResult::Replay(stored()))
+    );
 }
 
 /// A billing call was claimed and sent; then the keeper died before its answer was recorded. The
@@ -56,15 +59,18 @@
     let body = fleet::fingerprint("body");
     let keys: Vec<_> = ["open", "done", "free"].map(fleet::key).into();
     for key in &keys {
-        expect_that!(a.claim(key, body).await, eq(&Claimed::Granted));
+        expect_that!(a.claim(key, body).await, eq(&ClaimResult::Granted));
     }
     let done = a
-        .settle(&keys[1], body, Settle::Done(stored()))
+        .settle(&keys[1], body, Settlement::Done(stored()))
+        .unwrap()
+        .unwrap();
+    let free = a
+        .settle(&keys[2], body, Settlement::NotRun)
         .unwrap()
         .unwrap();
-    let free = a.settle(&keys[2], body, Settle::NotRun).unwrap().unwrap();
-    a.durable(done).await.unwrap();
-    a.durable(free).await.unwrap();
+    a.wait_durable(done).await.unwrap();
+    a.wait_durable(free).await.unwrap();
     fleet.store.faults(0, |faults| {
         faults.outage = Some(fw_fake::store::Outage::Hang)
     });
@@ -76,9 +82,9 @@
     );
     expect_that!(
         b.claim(&keys[1], body).await,
-        eq(&Claimed::Replay(stored()))
+        eq(&ClaimResult::Replay(stored()))
     );
-    expect_that!(b.claim(&keys[2], body).await, eq(&Claimed::Granted));
+    expect_that!(b.claim(&keys[2], body).await, eq(&ClaimResult::Granted));
 }
 
 /// The store is down when a call that may not be repeated comes in. It is refused as not run, and
@@ -97,10 +103,10 @@
     fleet.store.set_outage(None);
     let mut granted = a.claim(&key, body).await;
     for _ in 0..20 {
-        if granted == Claimed::Granted {
+        if granted == ClaimResult::Granted {
             break;
         }
         granted = a.claim(&key, body).await;
     }
-    expect_that!(granted, eq(&Claimed::Granted));
+    expect_that!(granted, eq(&ClaimResult::Granted));
 }
--- a/fw-keep/tests/keep/keeper_doubt.rs
+++ b/fw-keep/tests/keep/keeper_doubt.rs
@@ -28,12 +28,12 @@
     let ticket = fleet::turn(&a, "p", 1);
     tokio::time::sleep(Duration::from_secs(2)).await;
     lose(0.0);
-    let mut done = a.durable(ticket).await;
+    let mut done = a.wait_durable(ticket).await;
     for _ in 0..40 {
         if done != Err(keeper::Error::StoreUnavailable) {
             break;
         }
-        done = a.durable(ticket).await;
+        done = a.wait_durable(ticket).await;
     }
     expect_that!(done, ok(anything()));
     expect_that!(fleet::standing(&a, "p"), some((eq(1), anything())));
@@ -67,15 +67,15 @@
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
-    expect_true!(a.is_sure());
+    expect_true!(a.is_sole_keeper());
     fleet
         .store
         .faults(0, |faults| faults.outage = Some(Outage::Hang));
     let b = fleet.keeper("b", 1);
     fleet::until_kept(&b, 16).await;
-    expect_false!(a.is_sure());
+    expect_false!(a.is_sole_keeper());
     fleet.store.faults(0, |faults| faults.outage = None);
-    fleet::until("a is sure again", || a.is_sure()).await;
+    fleet::until("a is sure again", || a.is_sole_keeper()).await;
 }
 
 /// Opens a keeper and takes the store away for `outage` as soon as its shards are taken.
@@ -107,7 +107,7 @@
     for opened in futures_util::future::join_all(outages.map(interrupted)).await {
         let (_fleet, a) = opened;
         fleet::until_kept(&a, 16).await;
-        fleet::until("a is sure", || a.is_sure()).await;
+        fleet::until("a is sure", || a.is_sole_keeper()).await;
     }
 }
 
@@ -135,13 +135,13 @@
         .faults(0, |faults| faults.delay = Duration::from_millis(100));
     fleet.lapse("a");
     fleet::until("all is in doubt", || others_in_doubt() == usize::from(MANY)).await;
-    expect_false!(a.is_sure_of(last));
+    expect_false!(a.is_sole_keeper_of(last));
     fleet::until("the shard is out of doubt", || {
-        a.want(last);
+        a.prioritize(last);
         !a.is_in_doubt(last)
     })
     .await;
     expect_that!(others_in_doubt(), gt(0));
-    expect_false!(a.is_sure());
-    fleet::until("a is sure again", || a.is_sure()).await;
+    expect_false!(a.is_sole_keeper());
+    fleet::until("a is sure again", || a.is_sole_keeper()).await;
 }
--- a/fw-keep/tests/keep/keeper_handover.rs
+++ b/fw-keep/tests/keep/keeper_handover.rs
@@ -25,7 +25,7 @@
     let mine = (0..).map(|n| format!("p{n}"));
     let program = mine
         .into_iter()
-        .find(|p| a.owner(a.shard_of(p)) == Owner::Mine)
+        .find(|p| a.owner(a.shard_of(p)) == Owner::Local)
         .unwrap();
     fleet::turn(&a, &program, 1);
     let begun = Instant::now();
@@ -57,11 +57,13 @@
     .await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     for program in &programs {
-        a.durable(fleet::finish(&a, program, 1, 5)).await.unwrap();
+        a.wait_durable(fleet::finish(&a, program, 1, 5))
+            .await
+            .unwrap();
     }
     fleet::until_kept(&b, 8).await;
     for program in &programs {
-        let keeper = if a.owner(a.shard_of(program)) == Owner::Mine {
+        let keeper = if a.owner(a.shard_of(program)) == Owner::Local {
             &a
         } else {
             &b
--- a/fw-keep/tests/keep/keeper_outage.rs
+++ b/fw-keep/tests/keep/keeper_outage.rs
@@ -37,19 +37,19 @@
     for program in &programs {
         let keeper = keeper_of(&a, &b, program);
         let ticket = fleet::turn(keeper, program, 3);
-        let mut done = keeper.durable(ticket).await;
+        let mut done = keeper.wait_durable(ticket).await;
         for _ in 0..40 {
             if done != Err(keeper::Error::StoreUnavailable) {
                 break;
             }
-            done = keeper.durable(ticket).await;
+            done = keeper.wait_durable(ticket).await;
         }
         expect_that!(done, ok(anything()), "{program}");
     }
 }
 
 fn keeper_of<'a>(a: &'a Keeper, b: &'a Keeper, program: &str) -> &'a Keeper {
-    let is_mine = a.owner(a.shard_of(program)) == keeper::Owner::Mine;
+    let is_mine = a.owner(a.shard_of(program)) == keeper::Owner::Local;
     if is_mine { a } else { b }
 }
 
@@ -150,9 +150,9 @@
     fleet.lapse("a");
     fleet::until("the first shards are taken again", || owners() > 0).await;
     let ticket = fleet::turn(&a, "p", 1);
-    let mut done = a.durable(ticket).await;
+    let mut done = a.wait_durable(ticket).await;
     while done == Err(keeper::Error::StoreUnavailable) {
-        done = a.durable(ticket).await;
+        done = a.wait_durable(ticket).await;
     }
     expect_that!(done, ok(anything()));
     expect_that!(owners(), lt(all));
@@ -180,7 +180,7 @@
         .store
         .faults(1, |faults| faults.delay = Duration::from_millis(20));
     a.abort();
-    b.want(last);
+    b.prioritize(last);
     fleet::until_kept(&b, usize::from(MANY)).await;
     let fence = b.fence(last).unwrap();
     let before = theirs
@@ -217,7 +217,7 @@
         .faults(1, |faults| faults.delay = Duration::from_millis(60));
     a.close().await;
     fleet::until("the shard has a keeper", || {
-        b.want(last);
+        b.prioritize(last);
         b.fence(last).is_some()
     })
     .await;
--- a/fw-keep/tests/keep/keeper_roles.rs
+++ b/fw-keep/tests/keep/keeper_roles.rs
@@ -21,7 +21,7 @@
     fleet::until_kept(&a, 16).await;
     fleet::until(
         "b knows the keeper",
-        || matches!(b.owner(0), keeper::Owner::Other { entry, .. } if entry == "a"),
+        || matches!(b.owner(0), keeper::Owner::Remote { entry, .. } if entry == "a"),
     )
     .await;
     let knows_b = || a.entries().iter().any(|(entry, _)| entry == "b");
--- a/fw-keep/tests/keep/keeper_takeover.rs
+++ b/fw-keep/tests/keep/keeper_takeover.rs
@@ -19,7 +19,7 @@
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
     let ticket = fleet::turn(&a, "p", 1);
-    expect_that!(a.durable(ticket).await, ok(anything()));
+    expect_that!(a.wait_durable(ticket).await, ok(anything()));
     expect_that!(fleet::standing(&a, "p"), some((eq(1), anything())));
 }
 
@@ -32,8 +32,8 @@
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
     for program in ["p", "q", "r"] {
-        a.durable(fleet::turn(&a, program, 1)).await.unwrap();
-        a.durable(fleet::turn(&a, program, 2)).await.unwrap();
+        a.wait_durable(fleet::turn(&a, program, 1)).await.unwrap();
+        a.wait_durable(fleet::turn(&a, program, 2)).await.unwrap();
     }
     let before = fleet::standing(&a, "p");
     fleet.store.faults(0, |faults| {
@@ -42,7 +42,7 @@
     let b = fleet.keeper("b", 1);
     fleet::until_kept(&b, 16).await;
     expect_that!(fleet::standing(&b, "p"), eq(before));
-    b.durable(fleet::turn(&b, "p", 3)).await.unwrap();
+    b.wait_durable(fleet::turn(&b, "p", 3)).await.unwrap();
     let replay = fleet::begin(&b, "q", fleet::delta(2, "ask 2", 77));
     expect_that!(replay, pat!(program::Outcome::Replay { turn: eq(&2), .. }));
 }
@@ -56,7 +56,7 @@
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
-    a.durable(fleet::turn(&a, "p", 1)).await.unwrap();
+    a.wait_durable(fleet::turn(&a, "p", 1)).await.unwrap();
     fleet.store.faults(0, |faults| {
         faults.outage = Some(fw_fake::store::Outage::Hang)
     });
@@ -65,12 +65,12 @@
     fleet::until_kept(&b, 16).await;
     let other = fleet::begin(&b, "p", fleet::delta(2, "another ask", 21));
     expect_that!(other, pat!(program::Outcome::Run(anything())));
-    b.durable(fleet::finish(&b, "p", 2, 21)).await.unwrap();
+    b.wait_durable(fleet::finish(&b, "p", 2, 21)).await.unwrap();
     let after = fleet::standing(&b, "p");
     fleet.store.faults(0, |faults| faults.outage = None);
     let lost = async {
         loop {
-            match a.durable(late).await {
+            match a.wait_durable(late).await {
                 Err(keeper::Error::StoreUnavailable) => (),
                 done => break done,
             }
@@ -97,7 +97,7 @@
     fleet.store.faults(0, |faults| faults.lose_answers = 2);
     for number in 1..=4 {
         expect_that!(
-            a.durable(fleet::turn(&a, "p", number)).await,
+            a.wait_durable(fleet::turn(&a, "p", number)).await,
             ok(anything())
         );
     }
@@ -121,7 +121,7 @@
     };
     let a = keeper::Keeper::open(fleet.client(0), opts);
     fleet::until_kept(&a, 16).await;
-    a.durable(fleet::turn(&a, "first", 1)).await.unwrap();
+    a.wait_durable(fleet::turn(&a, "first", 1)).await.unwrap();
     let before = fleet.store.counts().writes;
     let mut tickets = Vec::new();
     for n in 0..100 {
@@ -129,7 +129,7 @@
         tokio::time::sleep(Duration::from_millis(3)).await;
     }
     for ticket in tickets {
-        a.durable(ticket).await.unwrap();
+        a.wait_durable(ticket).await.unwrap();
     }
     // On a slow machine the hundred turns take several windows.
     expect_that!(fleet.store.counts().writes - before, le(10));
@@ -145,7 +145,7 @@
     fleet::until_kept(&a, 16).await;
     let programs: Vec<String> = (0..32).map(|n| format!("p{n}")).collect();
     for program in &programs {
-        a.durable(fleet::turn(&a, program, 1)).await.unwrap();
+        a.wait_durable(fleet::turn(&a, program, 1)).await.unwrap();
     }
     a.close().await;
     let torn = a.shard_of(&programs[0]);
@@ -194,7 +194,7 @@
     fleet::until_kept(&b, 8).await;
     fleet::until_kept(&a, 8).await;
     let theirs = b.shards()[0].shard;
-    let owner = Owner::Other {
+    let owner = Owner::Remote {
         entry: "b".into(),
         address: "b:1".into(),
     };
@@ -208,7 +208,7 @@
 async fn shards_whose_acquisition_was_not_answered_are_served() {
     let fleet = Fleet::start(1).await;
     let opts = keeper::Options {
-        settle: Duration::from_millis(300),
+        debounce: Duration::from_millis(300),
         ..Fleet::options("a")
     };
     let a = keeper::Keeper::open(fleet.client(0), opts);
@@ -234,7 +234,7 @@
     let a = keeper::Keeper::open(fleet.client(0), opts);
     fleet::until_kept(&a, 16).await;
     // The first change goes to the store at once, the next one waits for the window.
-    a.durable(fleet::turn(&a, "p", 1)).await.unwrap();
+    a.wait_durable(fleet::turn(&a, "p", 1)).await.unwrap();
     let ticket = fleet::turn(&a, "p", 2);
     let owners: Vec<String> = (0..16).map(|s| keys::owner(fleet::ROOT, s)).collect();
     for owner in &owners {
@@ -243,12 +243,12 @@
     let are_back = || owners.iter().all(|owner| fleet.store.get(owner).is_some());
     fleet::until("a holds them again", are_back).await;
     a.set_window(Duration::ZERO);
-    let mut done = a.durable(ticket).await;
+    let mut done = a.wait_durable(ticket).await;
     for _ in 0..20 {
         if done != Err(keeper::Error::StoreUnavailable) {
             break;
         }
-        done = a.durable(ticket).await;
+        done = a.wait_durable(ticket).await;
     }
     expect_that!(done, ok(anything()));
 }
@@ -262,13 +262,13 @@
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
-    a.durable(fleet::turn(&a, "p", 1)).await.unwrap();
+    a.wait_durable(fleet::turn(&a, "p", 1)).await.unwrap();
     fleet.store.faults(0, |faults| {
         faults.outage = Some(fw_fake::store::Outage::Hang)
     });
     let b = fleet.keeper("b", 1);
     fleet::until_kept(&b, 16).await;
-    b.durable(fleet::turn(&b, "p", 2)).await.unwrap();
+    b.wait_durable(fleet::turn(&b, "p", 2)).await.unwrap();
     b.close().await;
     fleet.store.faults(0, |faults| faults.outage = None);
     let turns = || fleet::standing(&a, "p").map(|(turns, _)| turns);
@@ -308,7 +308,7 @@
     fleet::until_kept(&a, 16).await;
     let programs: Vec<String> = (0..32).map(|n| format!("p{n}")).collect();
     for program in &programs {
-        a.durable(fleet::turn(&a, program, 1)).await.unwrap();
+        a.wait_durable(fleet::turn(&a, program, 1)).await.unwrap();
     }
     fleet.store.faults(0, |faults| {
         faults.outage = Some(fw_fake::store::Outage::Hang)
@@ -316,7 +316,7 @@
     let b = fleet.keeper("b", 1);
     fleet::until_kept(&b, 16).await;
     for program in &programs {
-        b.durable(fleet::turn(&b, program, 2)).await.unwrap();
+        b.wait_durable(fleet::turn(&b, program, 2)).await.unwrap();
     }
     fleet.store.faults(0, |faults| faults.outage = None);
     let turns = |program: &String| fleet::standing(&a, program).map(|(turns, _)| turns);
@@ -330,7 +330,7 @@
     let at_b: Vec<_> = at_b.collect();
     expect_that!(at_b, not(is_empty()));
     for program in at_b {
-        b.durable(fleet::turn(&b, program, 3)).await.unwrap();
+        b.wait_durable(fleet::turn(&b, program, 3)).await.unwrap();
         expect_that!(turns(program), not(some(eq(2))));
     }
 }
--- a/fw-keep/tests/keep/shard_balance.rs
+++ b/fw-keep/tests/keep/shard_balance.rs
@@ -90,10 +90,13 @@
         owners: vec![None; 4096],
         ..balance::View::default()
     };
-    let takers = balance::takers(&view);
-    expect_that!(takers.len(), eq(4096));
+    let assignments = balance::assignments(&view);
+    expect_that!(assignments.len(), eq(4096));
     for name in &names {
-        let count = takers.iter().filter(|taker| taker.entry == name).count();
+        let count = assignments
+            .iter()
+            .filter(|assignment| assignment.entry == name)
+            .count();
         expect_that!(count, all!(ge(10), le(11)));
     }
 }
--- a/fw-keep/tests/keep/shard_owners.rs
+++ b/fw-keep/tests/keep/shard_owners.rs
@@ -20,11 +20,11 @@
 fn older_news_change_nothing() {
     let now = Instant::now();
     let mut owners = owners::Owners::new(2, now);
-    expect_true!(owners.note(0, holder("a", 5), 5, now));
-    expect_true!(owners.note(0, holder("a", 9), 9, now));
-    expect_false!(owners.note(0, None, 7, now));
+    expect_true!(owners.update(0, holder("a", 5), 5, now));
+    expect_true!(owners.update(0, holder("a", 9), 9, now));
+    expect_false!(owners.update(0, None, 7, now));
     expect_eq!(owners.holder(0).cloned(), holder("a", 9));
-    expect_true!(owners.note(0, None, 11, now));
+    expect_true!(owners.update(0, None, 11, now));
     expect_true!(owners.has_free());
 }
 
@@ -33,8 +33,8 @@
 fn a_reading_of_before_gives_no_shard_back() {
     let now = Instant::now();
     let mut owners = owners::Owners::new(1, now);
-    owners.note(0, holder("b", 12), 12, now);
-    expect_false!(owners.note(0, holder("a", 3), 3, now));
+    owners.update(0, holder("b", 12), 12, now);
+    expect_false!(owners.update(0, holder("a", 3), 3, now));
     expect_eq!(owners.holder(0).cloned(), holder("b", 12));
 }
 
@@ -44,10 +44,10 @@
     let later = start + Duration::from_secs(1);
     let mut owners = owners::Owners::new(1, start);
     expect_eq!(owners.free_since(0), Some(start));
-    owners.note(0, holder("a", 2), 2, start);
+    owners.update(0, holder("a", 2), 2, start);
     expect_eq!(owners.free_since(0), None);
-    owners.note(0, None, 3, later);
-    owners.note(0, None, 4, later + Duration::from_secs(1));
+    owners.update(0, None, 3, later);
+    owners.update(0, None, 4, later + Duration::from_secs(1));
     expect_eq!(owners.free_since(0), Some(later));
 }
 
@@ -55,7 +55,7 @@
 fn a_shard_beyond_the_last_is_nobodys() {
     let now = Instant::now();
     let mut owners = owners::Owners::new(1, now);
-    expect_false!(owners.note(1, holder("a", 2), 2, now));
+    expect_false!(owners.update(1, holder("a", 2), 2, now));
     expect_eq!(owners.holder(1), None);
     expect_eq!(owners.free_since(1), None);
 }
--- a/fw-keep/tests/keep/taking_progress.rs
+++ b/fw-keep/tests/keep/taking_progress.rs
@@ -30,7 +30,7 @@
         let mut progress = progress::Progress::default();
         let entries: Vec<id::EntryId> = entries.iter().map(|entry| (*entry).into()).collect();
         for entry in &entries {
-            progress.listed(entry, now);
+            progress.record_listed(entry, now);
         }
         Self {
             entries,
@@ -56,14 +56,14 @@
 
     /// The entries that are found stuck by `me`.
     fn judge(&mut self, me: &str) -> BTreeSet<id::EntryId> {
-        let takers = balance::takers(&self.view()).into_iter();
-        let others = takers.filter(|taker| taker.entry != me);
-        let due = others.map(|taker| progress::Due {
-            entry: taker.entry.into(),
+        let assignments = balance::assignments(&self.view()).into_iter();
+        let others = assignments.filter(|assignment| assignment.entry != me);
+        let due = others.map(|assignment| progress::PendingShard {
+            entry: assignment.entry.into(),
             free_since: self.start,
         });
         let due: Vec<_> = due.collect();
-        self.progress.judge(due, ROUND, self.now)
+        self.progress.detect_stalled(due, ROUND, self.now)
     }
 
     /// Lets `entry` take one group; returns how many shards that are.
@@ -74,7 +74,7 @@
             self.owners[usize::from(*shard)] = Some(entry.into());
         }
         if !group.is_empty() {
-            self.progress.took(&entry.into(), self.now);
+            self.progress.record_taken(&entry.into(), self.now);
         }
         group.len()
     }
@@ -122,7 +122,7 @@
     let mut fleet = Fleet::new(&["a"], 400);
     fleet.now += ROUND * 5;
     fleet.entries.push("b".into());
-    fleet.progress.listed(&"b".into(), fleet.now);
+    fleet.progress.record_listed(&"b".into(), fleet.now);
     fleet.now += ROUND * 2;
     expect_that!(fleet.judge("a"), is_empty());
     fleet.now += CALL;
@@ -135,7 +135,9 @@
     let mut fleet = Fleet::new(&["a", "b"], 400);
     fleet.now += ROUND * 2 + CALL;
     expect_that!(fleet.judge("a"), not(is_empty()));
-    fleet.progress.took(&"b".into(), fleet.now + ROUND * 19);
+    fleet
+        .progress
+        .record_taken(&"b".into(), fleet.now + ROUND * 19);
     fleet.now += ROUND * 20;
     expect_that!(fleet.judge("a"), is_empty());
     expect_that!(fleet.progress.passive().count(), eq(0));
