--- a/fw-gate/src/process/fleet/choose.rs
+++ b/fw-gate/src/process/fleet/choose.rs
@@ -5,7 +5,7 @@
 
 use fw_base::{error, id};
 use fw_plan::{assign, hold};
-use fw_replica::trail;
+use fw_replica::affinity;
 use parking_lot::Mutex;
 use smol_str::SmolStr;
 use xxhash_rust::xxh3;
@@ -23,7 +23,7 @@
 /// An upstream that a call may get, as far as it decides whether there is room.
 #[derive(Clone, Copy, Debug)]
 struct Open {
-    short: trail::Upstream,
+    short: affinity::Upstream,
     slots: u32,
     load: f64,
 }
@@ -58,7 +58,7 @@
     ) -> Result<Lease, error::Error> {
         let service = self.served(service_id)?;
         let warm = match &want.warmth {
-            Warmth::Prompt { lineage, .. } => self.trail.last(lineage).warmest(),
+            Warmth::Prompt { lineage, .. } => self.trail.last_upstreams(lineage).preferred(),
             Warmth::Object(_) | Warmth::None => None,
         };
         let ticket = Ticket::draw(&service, warm, |number| {
@@ -176,7 +176,7 @@
         drop(locked);
         if let Warmth::Prompt { lineage, .. } = &want.warmth {
             let lineage = lineage.clone();
-            self.trail.note(&trail::Ran { lineage, upstream });
+            self.trail.record(&affinity::Location { lineage, upstream });
         }
         Ok(Some(lease))
     }
@@ -236,7 +236,7 @@
 
     /// The upstreams that are probably faster than the rest: those that served the session and its
     /// program last; for objects the one that all entries agree on, by its hash with the object.
-    fn warm(&self, warmth: &Warmth<'_>, among: &[&Upstream]) -> trail::Last {
+    fn warm(&self, warmth: &Warmth<'_>, among: &[&Upstream]) -> affinity::LastUpstreams {
         let agreed = |object: &SmolStr| {
             let seed = xxh3::xxh3_64(object.as_bytes());
             let agreed = among.iter().max_by_key(|upstream| {
@@ -245,19 +245,19 @@
             agreed.map(|upstream| upstream.short)
         };
         match warmth {
-            Warmth::None => trail::Last::default(),
-            Warmth::Object(object) => trail::Last {
+            Warmth::None => affinity::LastUpstreams::default(),
+            Warmth::Object(object) => affinity::LastUpstreams {
                 session: agreed(object),
                 program: None,
             },
-            Warmth::Prompt { lineage, .. } => self.trail.last(lineage),
+            Warmth::Prompt { lineage, .. } => self.trail.last_upstreams(lineage),
         }
     }
 
     fn candidate(
         &self,
         upstream: &Upstream,
-        warm: &trail::Last,
+        warm: &affinity::LastUpstreams,
         cold: Duration,
     ) -> assign::Candidate {
         let this = Some(upstream.short);
--- a/fw-gate/src/process/fleet/lease.rs
+++ b/fw-gate/src/process/fleet/lease.rs
@@ -6,7 +6,7 @@
 
 use fw_base::id;
 use fw_plan::{assign, health, hold};
-use fw_replica::trail;
+use fw_replica::affinity;
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
@@ -212,7 +212,7 @@
 #[derive(Debug)]
 pub(super) struct Waiter {
     /// The upstream that has its prompt in the cache.
-    warm: Option<trail::Upstream>,
+    warm: Option<affinity::Upstream>,
     turn: Arc<Notify>,
 }
 
@@ -223,7 +223,7 @@
     }
 
     /// Whether it waits for a place at `upstream` in the first place.
-    pub(super) fn is_warm_at(&self, upstream: trail::Upstream) -> bool {
+    pub(super) fn is_warm_at(&self, upstream: affinity::Upstream) -> bool {
         self.warm == Some(upstream)
     }
 }
@@ -251,7 +251,7 @@
     /// `warm` has the call's prompt in its cache.
     pub(super) fn draw(
         service: &'a Mutex<Service>,
-        warm: Option<trail::Upstream>,
+        warm: Option<affinity::Upstream>,
         rank: impl FnOnce(u64) -> hold::Rank,
     ) -> Self {
         let mut locked = service.lock();
--- a/fw-gate/src/process/fleet/mod.rs
+++ b/fw-gate/src/process/fleet/mod.rs
@@ -8,7 +8,7 @@
 
 use fw_base::id;
 use fw_plan::{assign, confirm, health, hold, lapse, pace};
-use fw_replica::{service, trail};
+use fw_replica::{affinity, service};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -63,7 +63,7 @@
     /// Having the prompt in the cache.
     Prompt {
         /// What it begins like.
-        lineage: trail::Lineage,
+        lineage: affinity::Lineage,
         /// Its length.
         tokens: id::Tokens,
     },
@@ -88,7 +88,7 @@
     /// Until when another upstream is taken to have its address.
     replaced_until: Option<Instant>,
     /// Short hash of its id, as entries name it to each other.
-    short: trail::Upstream,
+    short: affinity::Upstream,
     own: u32,
     others: u32,
     reported: Instant,
@@ -133,7 +133,7 @@
 
     /// Lets the first that waits look again, and the first whose prompt is in the cache of the
     /// upstream that has `freed` a place.
-    fn wake(&self, freed: Option<trail::Upstream>) {
+    fn wake(&self, freed: Option<affinity::Upstream>) {
         let first = self.waiting.values().next();
         let warm = freed.and_then(|freed| self.waiting.values().find(|w| w.is_warm_at(freed)));
         for waiter in first.into_iter().chain(warm) {
@@ -166,7 +166,7 @@
     hold: hold::Options,
     services: Mutex<HashMap<id::ServiceId, Arc<Mutex<Service>>>>,
     /// Where this entry sent sessions, or heard that others did.
-    trail: trail::Trail,
+    trail: affinity::Table,
     /// Whether the list was ever read.
     known: AtomicBool,
     /// The reads of the store that the list is from.
@@ -179,9 +179,13 @@
 
 /// Short hash of an upstream's id. Two of a few hundred may share one; each then looks as busy as
 /// both.
-pub fn short(id: &id::UpstreamId) -> trail::Upstream {
+pub fn short(id: &id::UpstreamId) -> affinity::Upstream {
     let hash = (xxh3::xxh3_64(id.as_bytes()) & 0xffff) as u16;
-    if hash == trail::NOWHERE { 1 } else { hash }
+    if hash == affinity::NO_UPSTREAM {
+        1
+    } else {
+        hash
+    }
 }
 
 impl Fleet {
@@ -195,7 +199,7 @@
             pace: pace::Options::default(),
             hold: hold::Options::default(),
             services: Mutex::default(),
-            trail: trail::Trail::default(),
+            trail: affinity::Table::default(),
             known: AtomicBool::new(false),
             reads: Mutex::new(list::Reads::new(lapse)),
             proof: Proof::new(confirm),
@@ -266,13 +270,13 @@
     }
 
     /// Whether no turn of a program is known to have run.
-    pub fn is_new(&self, lineage: &trail::Lineage) -> bool {
-        lineage.program.is_some() && self.trail.last(lineage).program.is_none()
+    pub fn is_new(&self, lineage: &affinity::Lineage) -> bool {
+        lineage.program.is_some() && self.trail.last_upstreams(lineage).program.is_none()
     }
 
     /// Where turns of `lineage` ran last, as a replica tells it: newer than what this entry knows
     /// if the last one came in through another.
-    pub fn told_last(&self, lineage: &trail::Lineage, last: trail::Last) {
-        self.trail.learn(lineage, last);
+    pub fn told_last(&self, lineage: &affinity::Lineage, last: affinity::LastUpstreams) {
+        self.trail.merge(lineage, last);
     }
 }
--- a/fw-gate/src/process/gate.rs
+++ b/fw-gate/src/process/gate.rs
@@ -64,7 +64,7 @@
     /// When it was asked, since boot.
     at: Option<Duration>,
     /// Moments of the replicas before it was.
-    moments: client::Moments,
+    moments: client::ClockReadings,
 }
 
 /// One change that the entry learns of.
@@ -179,11 +179,11 @@
                 }
                 Change::UnreadableConfig => known.found_config(false),
                 Change::Members(view) => {
-                    if self.replicas.learn(view) {
-                        self.replicas.tell();
+                    if self.replicas.update_view(view) {
+                        self.replicas.announce_members();
                     }
                 }
-                Change::Retire(replica) => self.replicas.tell_retire(replica),
+                Change::Retire(replica) => self.replicas.announce_retire(replica),
             }
         }
         list
@@ -221,15 +221,15 @@
         let changed = known.read(as_of, &config, &upstreams);
         self.reading.has_read();
         self.prove();
-        let post = service::Post {
-            by: self.fleet.entry(),
+        let post = service::Publish {
+            entry: self.fleet.entry(),
             as_of,
-            asked: None,
-            marks: known.marks(),
+            requested_at: None,
+            digests: known.marks(),
             changed,
         };
         let moments = self.asked.lock().moments.clone();
-        self.replicas.post(&post, &moments, known.whole(config));
+        self.replicas.publish(&post, &moments, known.whole(config));
     }
 
     /// Waits until this entry has to read the store.
@@ -238,10 +238,10 @@
             () = self.reading.turn() => false,
             () = self.fleet.proof.wanted() => true,
         };
-        self.replicas.ask_moments(MOMENTS).await;
+        self.replicas.read_clocks(MOMENTS).await;
         *self.asked.lock() = Asked {
             at: Some(clock::since_boot()),
-            moments: self.replicas.moments(),
+            moments: self.replicas.clock_readings(),
         };
         fw_follow::Due {
             known: self.known.lock().as_of(),
@@ -257,7 +257,7 @@
             let is_first = self.config().is_none();
             let mut news = None;
             if !is_first {
-                news = self.replicas.await_news(known, snapshot::AWAIT).await;
+                news = self.replicas.await_update(known, snapshot::AWAIT).await;
             }
             if let Some(news) = news {
                 if !self.hear(&news, asked) {
@@ -267,7 +267,7 @@
             }
             // The nearest does not answer, or none is known.
             let asked = clock::since_boot();
-            if let Some(news) = self.replicas.ask_news(known).await {
+            if let Some(news) = self.replicas.fetch_update(known).await {
                 self.hear(&news, asked);
             }
             let pause = match is_first {
@@ -289,20 +289,21 @@
             let teams = config.teams.as_ref();
             let due = self.quotas.due(teams.map_or(&[], |teams| teams.all()));
             let entry = self.fleet.entry();
-            let heard = |spent: &service::Spent, known: &_| self.quotas.heard(&spent.team, known);
+            let heard =
+                |spent: &service::TeamUsage, known: &_| self.quotas.heard(&spent.team, known);
             tokio::join!(
                 self.replicas
-                    .spend(entry, &due.tell, client::Reach::All, heard),
+                    .report_usage(entry, &due.tell, client::Reach::All, heard),
                 self.replicas
-                    .spend(entry, &due.ask, client::Reach::Nearest, heard),
+                    .report_usage(entry, &due.ask, client::Reach::Nearest, heard),
             );
         }
     }
 
     /// Takes what a replica tells that was asked at `asked`, since boot. Returns whether all is known
     /// now that the replica knows.
-    pub fn hear(&self, news: &service::News, asked: Duration) -> bool {
-        let last = news.last;
+    pub fn hear(&self, news: &service::Update, asked: Duration) -> bool {
+        let last = news.last_read;
         let mut known = self.known.lock();
         let Some(told) = known.hear(news) else {
             return false;
@@ -333,7 +334,7 @@
         let Some(last) = whole else { return false };
         self.reading.heard(last.by, last.ago);
         // The answer was made so long after the question, at least.
-        let told_at = asked + news.held;
+        let told_at = asked + news.held_for;
         if let Some(read) = last.asked.and_then(|ago| told_at.checked_sub(ago)) {
             self.proven(read);
         }
--- a/fw-gate/src/process/quotas.rs
+++ b/fw-gate/src/process/quotas.rs
@@ -23,9 +23,9 @@
 #[derive(Debug, Default)]
 pub struct Due {
     /// One replica is asked about these.
-    pub ask: Vec<service::Spent>,
+    pub ask: Vec<service::TeamUsage>,
     /// All replicas are told of these.
-    pub tell: Vec<service::Spent>,
+    pub tell: Vec<service::TeamUsage>,
 }
 
 /// All accounts.
@@ -82,7 +82,7 @@
     }
 
     /// What this entry has let through of `team`, for the others.
-    pub fn spent(&self, team: &id::TeamId) -> Option<service::Spent> {
+    pub fn spent(&self, team: &id::TeamId) -> Option<service::TeamUsage> {
         let mut accounts = self.shard(team);
         let account = accounts.get_mut(team)?;
         Some(self.tell(team, account))
@@ -108,10 +108,10 @@
         due
     }
 
-    fn tell(&self, team: &id::TeamId, account: &mut quota::Account) -> service::Spent {
-        service::Spent {
+    fn tell(&self, team: &id::TeamId, account: &mut quota::Account) -> service::TeamUsage {
+        service::TeamUsage {
             team: team.clone(),
-            told: account.tell(self.now(), &self.options),
+            report: account.tell(self.now(), &self.options),
         }
     }
 
--- a/fw-gate/src/process/snapshot.rs
+++ b/fw-gate/src/process/snapshot.rs
@@ -40,7 +40,7 @@
 /// What is known, and of which revision of the store.
 #[derive(Debug, Default)]
 pub struct Known {
-    marks: service::Marks,
+    marks: service::PartDigests,
     /// Revision up to which all that the store holds is known.
     as_of: u64,
     /// Newest revision of which something is known. What a replica has on its disk says nothing of
@@ -60,7 +60,7 @@
 
 impl Known {
     /// Digests of what is known.
-    pub fn marks(&self) -> service::Marks {
+    pub fn marks(&self) -> service::PartDigests {
         self.marks
     }
 
@@ -70,10 +70,10 @@
     }
 
     /// What is known, for replicas to tell what is lacking.
-    pub fn known(&self) -> service::Known {
-        service::Known {
+    pub fn known(&self) -> service::KnownVersion {
+        service::KnownVersion {
             as_of: self.newest,
-            marks: self.marks,
+            digests: self.marks,
         }
     }
 
@@ -98,10 +98,10 @@
         as_of: u64,
         config: &config::Config,
         upstreams: &[fleet::Listed],
-    ) -> service::Bulletins {
+    ) -> service::Snapshot {
         self.as_of = self.as_of.max(as_of);
         self.newest = self.newest.max(as_of);
-        let mut changed = service::Bulletins::default();
+        let mut changed = service::Snapshot::default();
         if self.version != Some(config.version)
             && let Some(part) = bulletin(as_of, config)
         {
@@ -121,13 +121,13 @@
 
     /// Makes all parts, for a replica that lacks some. Rarely wanted, so the configuration is encoded
     /// only then.
-    pub fn whole(&self, config: Arc<config::Config>) -> impl Fn() -> service::Bulletins + use<> {
+    pub fn whole(&self, config: Arc<config::Config>) -> impl Fn() -> service::Snapshot + use<> {
         let as_of = self.as_of;
-        let upstreams = service::Bulletin {
+        let upstreams = service::SnapshotPart {
             as_of,
             bytes: self.upstreams.clone(),
         };
-        move || service::Bulletins {
+        move || service::Snapshot {
             config: bulletin(as_of, config.as_ref()),
             upstreams: Some(upstreams.clone()),
         }
@@ -137,8 +137,12 @@
     ///
     /// A revision does not determine a part, so it counts as known only once the digests agree, and a part of
     /// the same revision is taken.
-    pub fn hear(&mut self, news: &service::News) -> Option<Told> {
-        let service::News { newer, last, .. } = news;
+    pub fn hear(&mut self, news: &service::Update) -> Option<Told> {
+        let service::Update {
+            newer,
+            last_read: last,
+            ..
+        } = news;
         let as_of = last.map_or(newer.as_of(), |last| last.as_of);
         // Without a read since, it is what lies on the replica's disk.
         let is_older = match last {
@@ -156,7 +160,7 @@
             .and_then(|part| self.hear_config(part));
         let upstreams = newer.upstreams.as_ref();
         let upstreams = upstreams.and_then(|part| self.hear_upstreams(part));
-        let is_whole = last.is_some() && self.is_readable() && self.marks == news.marks;
+        let is_whole = last.is_some() && self.is_readable() && self.marks == news.digests;
         if is_whole {
             self.as_of = as_of;
         }
@@ -167,7 +171,7 @@
         })
     }
 
-    fn hear_config(&mut self, part: &service::Bulletin) -> Option<config::Config> {
+    fn hear_config(&mut self, part: &service::SnapshotPart) -> Option<config::Config> {
         // One that cannot be read is not asked for again.
         self.marks.config = part.digest();
         let config = decode::<config::Config>(part);
@@ -176,7 +180,7 @@
         config
     }
 
-    fn hear_upstreams(&mut self, part: &service::Bulletin) -> Option<Vec<fleet::Listed>> {
+    fn hear_upstreams(&mut self, part: &service::SnapshotPart) -> Option<Vec<fleet::Listed>> {
         self.marks.upstreams = part.digest();
         self.upstreams = part.bytes.clone();
         let upstreams = decode(part);
@@ -185,9 +189,9 @@
     }
 }
 
-fn bulletin<T: Serialize + ?Sized>(as_of: u64, part: &T) -> Option<service::Bulletin> {
+fn bulletin<T: Serialize + ?Sized>(as_of: u64, part: &T) -> Option<service::SnapshotPart> {
     match postcard::to_stdvec(part) {
-        Ok(bytes) => Some(service::Bulletin {
+        Ok(bytes) => Some(service::SnapshotPart {
             as_of,
             bytes: bytes.into(),
         }),
@@ -198,7 +202,7 @@
     }
 }
 
-fn decode<T: DeserializeOwned>(part: &service::Bulletin) -> Option<T> {
+fn decode<T: DeserializeOwned>(part: &service::SnapshotPart) -> Option<T> {
     match postcard::from_bytes(&part.bytes) {
         Ok(known) => Some(known),
         Err(err) => {
--- a/fw-gate/src/request/call.rs
+++ b/fw-gate/src/request/call.rs
@@ -4,7 +4,7 @@
 
 use fw_base::error;
 use fw_base::id;
-use fw_replica::{record, trail};
+use fw_replica::{affinity, record};
 use hyper::HeaderMap;
 use hyper::header::{self, HeaderName, HeaderValue};
 use smol_str::SmolStr;
@@ -56,8 +56,8 @@
 
 impl Call {
     /// What its prompt begins like, if it is a turn.
-    pub fn lineage(&self) -> trail::Lineage {
-        trail::Lineage {
+    pub fn lineage(&self) -> affinity::Lineage {
+        affinity::Lineage {
             session: self.session.clone(),
             program: self.program.clone(),
         }
--- a/fw-gate/src/request/stream.rs
+++ b/fw-gate/src/request/stream.rs
@@ -399,7 +399,7 @@
             input: job.input.clone(),
             output: std::mem::take(&mut self.output).freeze(),
             ended: server::unix_ms(),
-            keep,
+            retention: keep,
         });
         let stored = match self.turn.take() {
             Some(turn) => turn.finish(record).await,
--- a/fw-gate/src/request/turn.rs
+++ b/fw-gate/src/request/turn.rs
@@ -5,7 +5,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use fw_base::{error, id};
-use fw_replica::{client, record, server, service, trail};
+use fw_replica::{affinity, client, record, server, service};
 use tokio::time::Instant;
 
 use super::call;
@@ -23,14 +23,14 @@
     gate: Arc<gate::Gate>,
     /// `None` for a program without a budget.
     charge: Option<record::Charge>,
-    lineage: trail::Lineage,
-    ran: Option<trail::Ran>,
+    lineage: affinity::Lineage,
+    ran: Option<affinity::Location>,
 }
 
 impl Turn {
     /// The turn runs at `upstream`.
     pub fn runs_at(&mut self, upstream: &id::UpstreamId) {
-        self.ran = Some(trail::Ran {
+        self.ran = Some(affinity::Location {
             lineage: self.lineage.clone(),
             upstream: fleet::short(upstream),
         });
@@ -41,10 +41,10 @@
     pub fn broke(&mut self) {
         self.gate
             .fleet
-            .told_last(&self.lineage, trail::Last::nowhere());
-        self.ran = Some(trail::Ran {
+            .told_last(&self.lineage, affinity::LastUpstreams::no_upstream());
+        self.ran = Some(affinity::Location {
             lineage: self.lineage.clone(),
-            upstream: trail::NOWHERE,
+            upstream: affinity::NO_UPSTREAM,
         });
     }
 
@@ -66,7 +66,7 @@
         is_news.then(|| service::Finish {
             turn: record,
             charge,
-            ran: self.ran.take(),
+            location: self.ran.take(),
         })
     }
 
@@ -161,17 +161,17 @@
             relay: gate.opts.relay,
             ..gate.fleet.load()
         };
-        let ask = client::Ask {
+        let ask = client::BeginParams {
             reserve: reserve.clone(),
             newest: newest.clone(),
             load,
             lineage: lineage.clone(),
-            spent: call.team.as_ref().and_then(|team| gate.quotas.spent(team)),
+            usage: call.team.as_ref().and_then(|team| gate.quotas.spent(team)),
         };
-        let tell = |told: client::Told<'_>| {
+        let tell = |told: client::PeerReport<'_>| {
             gate.fleet.told_others(told.calls);
-            gate.fleet.told_last(&lineage, told.last);
-            if let (Some(team), Some(spent)) = (&call.team, &told.spent) {
+            gate.fleet.told_last(&lineage, told.last_upstreams);
+            if let (Some(team), Some(spent)) = (&call.team, &told.usage) {
                 gate.quotas.heard(team, spent);
             }
         };
--- a/fw-gate/tests/gate/held_turns.rs
+++ b/fw-gate/tests/gate/held_turns.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use fw_gate::process::fleet::{self, Fleet, Lease, Want, Warmth};
-use fw_replica::trail;
+use fw_replica::affinity;
 use googletest::prelude::*;
 
 use crate::upstream_list::{fleet, listed};
@@ -14,7 +14,7 @@
 fn turn(session: &str) -> Want<'static> {
     Want {
         warmth: Warmth::Prompt {
-            lineage: trail::Lineage {
+            lineage: affinity::Lineage {
                 session: Some(session.into()),
                 program: Some("p".into()),
             },
@@ -30,11 +30,11 @@
     fleet.put(listed("x"));
     fleet.put(listed("y"));
     for session in sessions {
-        let lineage = trail::Lineage {
+        let lineage = affinity::Lineage {
             session: Some((*session).into()),
             program: None,
         };
-        let last = trail::Last {
+        let last = affinity::LastUpstreams {
             session: Some(fleet::short(&"x".into())),
             program: None,
         };
--- a/fw-gate/tests/gate/store_news.rs
+++ b/fw-gate/tests/gate/store_news.rs
@@ -27,14 +27,14 @@
     Step::News { changes, as_of }
 }
 
-fn news(newer: service::Bulletins, as_of: u64) -> service::News {
-    service::News {
-        marks: newer.marks(),
+fn news(newer: service::Snapshot, as_of: u64) -> service::Update {
+    service::Update {
+        digests: newer.digests(),
         newer,
         reads: None,
         view: member::View::default(),
-        held: Duration::ZERO,
-        last: Some(service::LastRead {
+        held_for: Duration::ZERO,
+        last_read: Some(service::LastRead {
             by: 1,
             as_of,
             ago: Duration::ZERO,
@@ -94,7 +94,7 @@
     expect_that!(newer.config, some(anything()));
     let mut next = Known::default();
     expect_true!(next.hear(&news(newer, 5)).unwrap().is_whole);
-    let nothing = service::Bulletins::default();
+    let nothing = service::Snapshot::default();
     expect_that!(next.read(7, &config(2), &[listed("x")]), eq(&nothing));
     expect_that!(next.as_of(), eq(7));
     // Of the parts, only what has changed.
@@ -112,8 +112,8 @@
     let first = reader.read(5, &config(2), &[listed("x")]);
     expect_true!(gate.hear(&news(first, 5), clock::since_boot()));
     expect_true!(is_used(&gate.fleet));
-    let second = service::News {
-        marks: {
+    let second = service::Update {
+        digests: {
             reader.read(5, &config(2), &[]);
             reader.marks()
         },
@@ -131,9 +131,9 @@
     let mut hearer = Known::default();
     hearer.hear(&news(first, 5));
     reader.read(7, &config(2), &[]);
-    let without_the_list = service::News {
-        marks: reader.marks(),
-        ..news(service::Bulletins::default(), 7)
+    let without_the_list = service::Update {
+        digests: reader.marks(),
+        ..news(service::Snapshot::default(), 7)
     };
     expect_false!(hearer.hear(&without_the_list).unwrap().is_whole);
     expect_that!(hearer.as_of(), eq(5));
@@ -155,9 +155,9 @@
     expect_that!(told.upstreams, none());
     expect_false!(told.is_whole);
     // Nor when nothing is told anew.
-    let again = service::News {
-        marks: first.marks(),
-        ..news(service::Bulletins::default(), 6)
+    let again = service::Update {
+        digests: first.digests(),
+        ..news(service::Snapshot::default(), 6)
     };
     expect_false!(hearer.hear(&again).unwrap().is_whole);
     expect_that!(hearer.as_of(), eq(0));
@@ -172,8 +172,8 @@
     let mut reader = Known::default();
     let old = reader.read(5, &config(2), &[listed("x")]);
     let new = reader.read(7, &config(3), &[]);
-    let on_disk = |parts: service::Bulletins| service::News {
-        last: None,
+    let on_disk = |parts: service::Snapshot| service::Update {
+        last_read: None,
         ..news(parts, 0)
     };
     let mut hearer = Known::default();
@@ -191,8 +191,8 @@
     let mut other = Known::default();
     let newer = other.read(5, &config(2), &[listed("x")]);
     let ago = Duration::from_secs(9);
-    let old = service::News {
-        last: Some(service::LastRead {
+    let old = service::Update {
+        last_read: Some(service::LastRead {
             by: 1,
             as_of: 5,
             ago,
@@ -210,13 +210,13 @@
     expect_that!(gate.fleet.listing(), is_empty());
     // Others have read the store all the while.
     let known = Known::default();
-    let steady = service::News {
-        reads: Some(service::SteadyReads {
+    let steady = service::Update {
+        reads: Some(service::ReadSpan {
             first: Duration::from_secs(60),
             last: Duration::from_millis(200),
         }),
-        marks: known.marks(),
-        ..news(service::Bulletins::default(), 8)
+        digests: known.marks(),
+        ..news(service::Snapshot::default(), 8)
     };
     gate.hear(&steady, clock::since_boot());
     expect_false!(is_used(&gate.fleet));
--- a/fw-gate/tests/gate/turn_cache.rs
+++ b/fw-gate/tests/gate/turn_cache.rs
@@ -14,7 +14,7 @@
         input: vec![b'x'; size].into(),
         output: "o".into(),
         ended: 0,
-        keep: Duration::from_secs(60),
+        retention: Duration::from_secs(60),
     })
 }
 
--- a/fw-gate/tests/gate/upstream_list.rs
+++ b/fw-gate/tests/gate/upstream_list.rs
@@ -6,7 +6,7 @@
 use fw_gate::process::fleet::{self, Change, Fleet, List, Listed, Load, Want, Warmth};
 use fw_plan::health::Seen;
 use fw_plan::{confirm, lapse};
-use fw_replica::trail;
+use fw_replica::affinity;
 use googletest::prelude::*;
 
 pub(crate) fn listed(id: &str) -> Listed {
@@ -222,7 +222,7 @@
 }
 
 fn turn(session: Option<&str>) -> Want<'static> {
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: session.map(Into::into),
         program: Some("p".into()),
     };
@@ -250,12 +250,12 @@
     // anywhere, and the whole prompt was read again; on the larger site five of six turns missed
     // the engine that had it.
     let fleet = many();
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: Some("s".into()),
         program: None,
     };
     for id in ["u7", "u21"] {
-        let last = trail::Last {
+        let last = affinity::LastUpstreams {
             session: Some(fleet::short(&id.into())),
             program: None,
         };
@@ -316,11 +316,11 @@
     // nothing of it, and begin with the same prompt. All send them where the replicas say it ran.
     let began = many();
     let lease = began.choose(&"s".into(), &turn(Some("main"))).unwrap();
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: None,
         program: Some("p".into()),
     };
-    let last = trail::Last {
+    let last = affinity::LastUpstreams {
         session: None,
         program: Some(fleet::short(&lease.id)),
     };
@@ -338,17 +338,17 @@
     // within its request; its caller returns, through whichever entry. As its session ran there
     // before, every entry sent it there again, until the program had failed.
     let fleet = many();
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: Some("s".into()),
         program: Some("p".into()),
     };
     let broken = fleet::short(&"u7".into());
-    let ran = trail::Last {
+    let ran = affinity::LastUpstreams {
         session: Some(broken),
         program: Some(broken),
     };
     fleet.told_last(&lineage, ran);
-    fleet.told_last(&lineage, trail::Last::nowhere());
+    fleet.told_last(&lineage, affinity::LastUpstreams::no_upstream());
     let ids: Vec<_> = (0..20)
         .map(|_| fleet.choose(&"s".into(), &turn(Some("s"))).unwrap())
         .collect();
--- a/fw-replica/src/trail.rs
+++ b/fw-replica/src/affinity.rs
@@ -21,7 +21,7 @@
 pub type Upstream = u16;
 
 /// No upstream: where a turn broke, none has its prompt.
-pub const NOWHERE: Upstream = 0;
+pub const NO_UPSTREAM: Upstream = 0;
 
 /// What a prompt begins like.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,24 +34,24 @@
 
 /// The upstreams that ran the last turns of a lineage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Last {
+pub struct LastUpstreams {
     /// Of the session.
     pub session: Option<Upstream>,
     /// Of any session of the program.
     pub program: Option<Upstream>,
 }
 
-impl Last {
+impl LastUpstreams {
     /// A turn broke where it ran.
-    pub const fn nowhere() -> Self {
+    pub const fn no_upstream() -> Self {
         Self {
-            session: Some(NOWHERE),
-            program: Some(NOWHERE),
+            session: Some(NO_UPSTREAM),
+            program: Some(NO_UPSTREAM),
         }
     }
 
     /// The one that has most of the prompt in its cache.
-    pub fn warmest(self) -> Option<Upstream> {
+    pub fn preferred(self) -> Option<Upstream> {
         self.session.or(self.program)
     }
 
@@ -66,7 +66,7 @@
 
 /// A turn that an upstream ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ran {
+pub struct Location {
     /// What its prompt begins like.
     pub lineage: Lineage,
     /// Where it ran.
@@ -76,12 +76,12 @@
 /// The last upstreams of sessions and of programs, each by its id. Lost with the process, as it
 /// only makes calls faster.
 #[derive(Debug)]
-pub struct Trail {
+pub struct Table {
     sessions: Mutex<LruCache<SmolStr, Upstream>>,
     programs: Mutex<LruCache<SmolStr, Upstream>>,
 }
 
-impl Default for Trail {
+impl Default for Table {
     fn default() -> Self {
         // Unbounded ones take no memory before they hold something; `put` bounds them.
         Self {
@@ -91,25 +91,25 @@
     }
 }
 
-impl Trail {
+impl Table {
     /// Notes where a turn ran.
-    pub fn note(&self, ran: &Ran) {
-        let last = Last {
+    pub fn record(&self, ran: &Location) {
+        let last = LastUpstreams {
             session: Some(ran.upstream),
             program: Some(ran.upstream),
         };
-        self.learn(&ran.lineage, last);
+        self.merge(&ran.lineage, last);
     }
 
     /// Takes what another knows of `lineage`.
-    pub fn learn(&self, lineage: &Lineage, last: Last) {
+    pub fn merge(&self, lineage: &Lineage, last: LastUpstreams) {
         put(&self.sessions, lineage.session.as_ref(), last.session);
         put(&self.programs, lineage.program.as_ref(), last.program);
     }
 
     /// Where the last turns of `lineage` ran.
-    pub fn last(&self, lineage: &Lineage) -> Last {
-        Last {
+    pub fn last_upstreams(&self, lineage: &Lineage) -> LastUpstreams {
+        LastUpstreams {
             session: get(&self.sessions, lineage.session.as_ref()),
             program: get(&self.programs, lineage.program.as_ref()),
         }
--- a/fw-replica/src/client/calls.rs
+++ b/fw-replica/src/client/calls.rs
@@ -17,7 +17,7 @@
         &self,
         addr: SocketAddr,
         req: service::Begin,
-    ) -> Option<service::Begun> {
+    ) -> Option<service::BeginReply> {
         self.links
             .call(
                 addr,
@@ -74,62 +74,63 @@
     }
 
     /// Tells one replica a member list; whether it refuses older ones from now on.
-    pub async fn announce(&self, addr: SocketAddr, view: member::View) -> bool {
+    pub async fn announce_members_to(&self, addr: SocketAddr, view: member::View) -> bool {
         let told = self.links.call(addr, |client, cx| async move {
-            client.tell(cx, view, Vec::new()).await
+            client.announce_members(cx, view, Vec::new()).await
         });
         told.await.unwrap_or(false)
     }
 
     /// Tells all replicas what was read from the platform's store, which was asked after `moments`.
     /// `whole` makes all parts, for one that lacks any of them.
-    pub fn post(
+    pub fn publish(
         self: &Arc<Self>,
-        post: &service::Post,
-        moments: &super::Moments,
-        whole: impl Fn() -> service::Bulletins + Send + Sync + 'static,
+        post: &service::Publish,
+        moments: &super::ClockReadings,
+        whole: impl Fn() -> service::Snapshot + Send + Sync + 'static,
     ) {
         let whole = Arc::new(whole);
         let (_, members) = self.members();
         for addr in members {
             let (client, whole) = (Arc::clone(self), Arc::clone(&whole));
-            let post = service::Post {
-                asked: moments.get(&addr).copied(),
+            let post = service::Publish {
+                requested_at: moments.get(&addr).copied(),
                 ..post.clone()
             };
             tokio::spawn(async move {
-                if client.call_post(addr, post.clone()).await == Some(false) {
-                    let again = service::Post {
+                if client.call_publish(addr, post.clone()).await == Some(false) {
+                    let again = service::Publish {
                         changed: whole(),
                         ..post
                     };
                     // One that does not get it gets the next.
-                    client.call_post(addr, again).await;
+                    client.call_publish(addr, again).await;
                 }
             });
         }
     }
 
     /// Tells one replica; whether it has all parts then.
-    async fn call_post(&self, addr: SocketAddr, post: service::Post) -> Option<bool> {
+    async fn call_publish(&self, addr: SocketAddr, post: service::Publish) -> Option<bool> {
         let posted = self.links.call(
             addr,
-            |client, cx| async move { client.post(cx, post).await },
+            |client, cx| async move { client.publish(cx, post).await },
         );
         let posted = posted.await?;
-        self.moments.lock().insert(addr, posted.now);
-        Some(posted.is_whole)
+        self.clock_readings.lock().insert(addr, posted.now);
+        Some(posted.is_complete)
     }
 
     /// Learns the present moment of each replica that tells it within `wait`.
-    pub async fn ask_moments(&self, wait: Duration) {
+    pub async fn read_clocks(&self, wait: Duration) {
         let (_, members) = self.members();
         let asked = members.into_iter().map(|addr| async move {
-            let moment = self
-                .links
-                .call(addr, |client, cx| async move { client.moment(cx).await });
+            let moment = self.links.call(
+                addr,
+                |client, cx| async move { client.read_clock(cx).await },
+            );
             if let Some(moment) = moment.await {
-                self.moments.lock().insert(addr, moment);
+                self.clock_readings.lock().insert(addr, moment);
             }
         });
         // Of those that are late, what they told before counts.
@@ -138,12 +139,12 @@
 
     /// Tells replicas what `entry` has let through of some teams; `heard` is told what each knows of all
     /// entries.
-    pub async fn spend(
+    pub async fn report_usage(
         self: &Arc<Self>,
         entry: u32,
-        spent: &[service::Spent],
+        spent: &[service::TeamUsage],
         reach: super::Reach,
-        heard: impl Fn(&service::Spent, &quota::Heard),
+        heard: impl Fn(&service::TeamUsage, &quota::Heard),
     ) {
         if spent.is_empty() {
             return;
@@ -156,7 +157,7 @@
         let mut answers: FuturesUnordered<_> = members
             .into_iter()
             .take(asked)
-            .map(|addr| self.call_spend(addr, entry, spent.to_vec()))
+            .map(|addr| self.call_report_usage(addr, entry, spent.to_vec()))
             .collect();
         while let Some(answer) = answers.next().await {
             for (spent, known) in spent.iter().zip(answer.unwrap_or_default()) {
@@ -165,39 +166,43 @@
         }
     }
 
-    async fn call_spend(
+    async fn call_report_usage(
         &self,
         addr: SocketAddr,
         entry: u32,
-        spent: Vec<service::Spent>,
+        spent: Vec<service::TeamUsage>,
     ) -> Option<Vec<quota::Heard>> {
         self.links
             .call(addr, |client, cx| async move {
-                client.spend(cx, entry, spent).await
+                client.report_usage(cx, entry, spent).await
             })
             .await
     }
 
     /// Waits at the nearest replica until an entry has read the platform's store, up to `wait`.
-    pub async fn await_news(&self, known: service::Known, wait: Duration) -> Option<service::News> {
+    pub async fn await_update(
+        &self,
+        known: service::KnownVersion,
+        wait: Duration,
+    ) -> Option<service::Update> {
         let (_, members) = self.members();
         let addr = *members.first()?;
-        self.news_of(addr, known, wait).await
+        self.poll_update(addr, known, wait).await
     }
 
     /// Asks all replicas at once for what the owner of `known` lacks: one that is down would hold the
     /// others' answers up. The first that has any tells.
-    pub async fn ask_news(&self, known: service::Known) -> Option<service::News> {
+    pub async fn fetch_update(&self, known: service::KnownVersion) -> Option<service::Update> {
         let (_, mut asked) = self.members();
         asked.extend(self.seeds.iter().copied());
         let mut answers: FuturesUnordered<_> = asked
             .into_iter()
-            .map(|addr| self.news_of(addr, known, Duration::ZERO))
+            .map(|addr| self.poll_update(addr, known, Duration::ZERO))
             .collect();
         let mut any = None;
         while let Some(news) = answers.next().await {
             let Some(news) = news else { continue };
-            if news.newer != service::Bulletins::default() {
+            if news.newer != service::Snapshot::default() {
                 return Some(news);
             }
             any.get_or_insert(news);
@@ -206,17 +211,17 @@
     }
 
     /// The same of one replica, whose member list is learned.
-    pub async fn news_of(
+    pub async fn poll_update(
         &self,
         addr: SocketAddr,
-        known: service::Known,
+        known: service::KnownVersion,
         wait: Duration,
-    ) -> Option<service::News> {
+    ) -> Option<service::Update> {
         let answer = self.links.call_that_waits(addr, |client, cx| async move {
-            client.news(cx, known, wait).await
+            client.poll_update(cx, known, wait).await
         });
         let news = answer.await?;
-        self.learn(news.view.clone());
+        self.update_view(news.view.clone());
         Some(news)
     }
 
@@ -230,7 +235,7 @@
         &self,
         addr: SocketAddr,
         standby: Option<record::ReplicaId>,
-    ) -> Option<service::Pong> {
+    ) -> Option<service::PingReply> {
         self.links
             .call(
                 addr,
--- a/fw-replica/src/client/mod.rs
+++ b/fw-replica/src/client/mod.rs
@@ -12,7 +12,7 @@
 use parking_lot::Mutex;
 use snafu::Snafu;
 
-use crate::{links, member, record, service, trail};
+use crate::{affinity, links, member, record, service};
 
 mod calls;
 mod chain;
@@ -60,7 +60,7 @@
 
 /// What a turn needs to begin.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct BeginParams {
     /// The tokens wanted; `None` for a program without a budget.
     pub reserve: Option<service::Reserve>,
     /// The newest turn of the chain wanted; `None` if the sender has it.
@@ -68,20 +68,20 @@
     /// The sender's own calls under way.
     pub load: service::Load,
     /// What the turn's prompt begins like.
-    pub lineage: trail::Lineage,
+    pub lineage: affinity::Lineage,
     /// What the sender has let through of the turn's team.
-    pub spent: Option<service::Spent>,
+    pub usage: Option<service::TeamUsage>,
 }
 
 /// What the replicas tell of others with a turn that begins.
 #[derive(Clone, Copy, Debug)]
-pub struct Told<'a> {
+pub struct PeerReport<'a> {
     /// Others' calls under way, by the short hash of the upstream's id.
     pub calls: &'a [(u16, u16)],
     /// Where turns like this one ran last.
-    pub last: trail::Last,
+    pub last_upstreams: affinity::LastUpstreams,
     /// Requests of the turn's team that others have let through.
-    pub spent: Option<quota::Heard>,
+    pub usage: Option<quota::Heard>,
 }
 
 /// Which replicas a call goes to.
@@ -93,8 +93,8 @@
     Nearest,
 }
 
-/// Moments of replicas, by their addresses.
-pub type Moments = HashMap<SocketAddr, service::Moment>;
+/// ClockReadings of replicas, by their addresses.
+pub type ClockReadings = HashMap<SocketAddr, service::ClockReading>;
 
 /// The replicas, as an entry or another replica sees them.
 #[derive(Debug)]
@@ -107,7 +107,7 @@
     /// Where replicas may be found while no member list is known.
     seeds: Vec<SocketAddr>,
     /// The last moment that each replica told.
-    moments: Mutex<Moments>,
+    clock_readings: Mutex<ClockReadings>,
 }
 
 impl Client {
@@ -120,26 +120,28 @@
             links: links::Links::default(),
             retire: Mutex::default(),
             seeds,
-            moments: Mutex::default(),
+            clock_readings: Mutex::default(),
         })
     }
 
     /// Takes a member list unless a newer one is known; whether it was news.
-    pub fn learn(&self, view: member::View) -> bool {
+    pub fn update_view(&self, view: member::View) -> bool {
         let mut known = self.view.lock();
         if view.epoch <= known.epoch {
             return false;
         }
         tracing::info!(epoch = view.epoch, members = ?view.list.members, "member list");
         let members: Vec<_> = view.list.addrs().collect();
-        self.moments.lock().retain(|addr, _| members.contains(addr));
+        self.clock_readings
+            .lock()
+            .retain(|addr, _| members.contains(addr));
         self.links.set_members(members);
         *known = view;
         true
     }
 
     /// The operator wants `replica` emptied; all replicas are told.
-    pub fn tell_retire(self: &Arc<Self>, replica: record::ReplicaId) {
+    pub fn announce_retire(self: &Arc<Self>, replica: record::ReplicaId) {
         let mut retire = self.retire.lock();
         if retire.contains(&replica) {
             return;
@@ -147,11 +149,11 @@
         tracing::info!(%replica, "the operator wants a replica emptied");
         retire.push(replica);
         drop(retire);
-        self.tell();
+        self.announce_members();
     }
 
     /// Tells all replicas the member list and which of them are to be emptied.
-    pub fn tell(self: &Arc<Self>) {
+    pub fn announce_members(self: &Arc<Self>) {
         let view = self.view.lock().clone();
         let retire = self.retire.lock().clone();
         for addr in view.list.addrs() {
@@ -160,7 +162,7 @@
                 for pause in AGAIN {
                     let (view, retire) = (view.clone(), retire.clone());
                     let told = client.links.call(addr, |client, cx| async move {
-                        client.tell(cx, view, retire).await
+                        client.announce_members(cx, view, retire).await
                     });
                     if told.await == Some(true) {
                         return;
@@ -172,8 +174,8 @@
     }
 
     /// The last moment that each replica told: what is asked from now on is asked after it.
-    pub fn moments(&self) -> Moments {
-        self.moments.lock().clone()
+    pub fn clock_readings(&self) -> ClockReadings {
+        self.clock_readings.lock().clone()
     }
 
     /// Epoch of the member list; 0 if none is known.
--- a/fw-replica/src/client/vote.rs
+++ b/fw-replica/src/client/vote.rs
@@ -8,8 +8,8 @@
 use futures_util::future::join_all;
 use futures_util::stream::FuturesUnordered;
 
-use super::{Ask, Client, Error, Told};
-use crate::{member, record, service, tally, trail};
+use super::{BeginParams, Client, Error, PeerReport};
+use crate::{affinity, member, record, service, tally};
 
 /// Longest wait for the chain from the one member asked for it, once the votes are in. It takes up
 /// to ten milliseconds; a member that has frozen would hold the turn up for its whole time-out.
@@ -45,9 +45,9 @@
     votes: tally::Tally<SocketAddr>,
     chain: Option<service::Chain>,
     /// Other entries' calls under way, as the nearest replica knows them.
-    others: Option<service::Others>,
+    others: Option<service::PeerState>,
     /// Where turns like this one ran last, as far as any replica knows.
-    last: trail::Last,
+    last: affinity::LastUpstreams,
 }
 
 fn spent(reserve: &service::Reserve, used: record::Tokens) -> Error {
@@ -69,8 +69,8 @@
     /// `tell` hears of the other entries, and where turns like this one ran last.
     pub async fn begin(
         self: &Arc<Self>,
-        mut ask: Ask,
-        tell: impl Fn(Told<'_>),
+        mut ask: BeginParams,
+        tell: impl Fn(PeerReport<'_>),
     ) -> Result<Vec<record::Turn>, Error> {
         let (mut epoch, mut members) = self.members();
         let mut round = self.ask(epoch, &members, &ask).await;
@@ -79,12 +79,12 @@
             round = self.ask(epoch, &members, &ask).await;
         }
         if let Some(others) = &round.others {
-            tell(Told {
+            tell(PeerReport {
                 calls: &others.calls,
-                last: round.last,
-                spent: others.spent,
+                last_upstreams: round.last,
+                usage: others.usage,
             });
-            self.links.learn_peers(&others.peers);
+            self.links.learn_peers(&others.relays);
         }
         if let Some(reserve) = &ask.reserve {
             self.judge(members.len(), reserve, &round).await?;
@@ -161,10 +161,10 @@
         self: &Arc<Self>,
         epoch: member::Epoch,
         members: &[SocketAddr],
-        ask: &Ask,
+        ask: &BeginParams,
     ) -> Round {
         let quorum = member::Quorum::of(members.len(), self.faults);
-        let Ask {
+        let BeginParams {
             reserve, newest, ..
         } = ask;
         let asked = if reserve.is_some() { members.len() } else { 1 };
@@ -175,9 +175,9 @@
                 reserve: reserve.clone(),
                 chain: newest.clone().filter(|_| rank == 0),
                 load: ask.load.clone(),
-                wants_others: rank == 0,
+                wants_peer_state: rank == 0,
                 lineage: ask.lineage.clone(),
-                spent: ask.spent.clone(),
+                usage: ask.usage.clone(),
             };
             let client = Arc::clone(self);
             // On tasks of their own, so that those beyond the quorum are sent as well.
@@ -220,9 +220,9 @@
         round
     }
 
-    fn count(&self, round: &mut Round, rank: usize, addr: SocketAddr, begun: service::Begun) {
-        round.others = round.others.take().or(begun.others);
-        round.last = round.last.or(begun.last);
+    fn count(&self, round: &mut Round, rank: usize, addr: SocketAddr, begun: service::BeginReply) {
+        round.others = round.others.take().or(begun.peer_state);
+        round.last = round.last.or(begun.last_upstreams);
         match begun.vote {
             None => {}
             Some(service::Vote::Accepted { digest }) => round.votes.accept(addr, digest),
@@ -230,7 +230,7 @@
             Some(service::Vote::Unsure {
                 why: service::Unsure::OldList(view),
             }) => {
-                self.learn(view);
+                self.update_view(view);
             }
             Some(service::Vote::Unsure { .. }) => {}
         }
--- a/fw-replica/src/board.rs
+++ b/fw-replica/src/entry_load.rs
@@ -24,20 +24,20 @@
 
 /// The newest word of one entry.
 #[derive(Debug)]
-struct Told {
+struct Report {
     at: Instant,
     load: service::Load,
 }
 
 /// The newest word of each entry.
 #[derive(Debug, Default)]
-pub struct Board {
-    entries: Mutex<HashMap<u32, Told>>,
+pub struct Table {
+    entries: Mutex<HashMap<u32, Report>>,
 }
 
-impl Board {
+impl Table {
     /// Notes what an entry tells, and returns what the others told.
-    pub fn exchange(&self, load: service::Load) -> service::Others {
+    pub fn exchange(&self, load: service::Load) -> service::PeerState {
         let others = self.others(load.entry);
         self.note(load);
         others
@@ -47,14 +47,14 @@
     pub fn note(&self, load: service::Load) {
         let now = Instant::now();
         let mut entries = self.entries.lock();
-        entries.insert(load.entry, Told { at: now, load });
+        entries.insert(load.entry, Report { at: now, load });
         if entries.len() > ENTRIES {
             entries.retain(|_, told| now.duration_since(told.at) <= FRESH);
         }
     }
 
     /// The sum of what others than `entry` told, and where some of them are.
-    pub fn others(&self, entry: u32) -> service::Others {
+    pub fn others(&self, entry: u32) -> service::PeerState {
         let now = Instant::now();
         let entries = self.entries.lock();
         let mut sum: HashMap<u16, u16> = HashMap::new();
@@ -71,10 +71,10 @@
                 peers.extend(told.load.relay);
             }
         }
-        service::Others {
+        service::PeerState {
             calls: sum.into_iter().collect(),
-            peers,
-            spent: None,
+            relays: peers,
+            usage: None,
         }
     }
 }
--- a/fw-replica/src/lib.rs
+++ b/fw-replica/src/lib.rs
@@ -15,9 +15,10 @@
 //! assert_eq!(quorum.absent, 2);
 //! ```
 
-pub mod board;
+pub mod affinity;
 pub mod client;
 pub mod codec;
+pub mod entry_load;
 pub mod journal;
 pub mod ledger;
 pub mod links;
@@ -27,9 +28,8 @@
 pub mod serve;
 pub mod server;
 pub mod service;
-pub mod spending;
 pub mod state;
 pub mod sync;
 pub mod tally;
-pub mod trail;
+pub mod team_usage;
 pub mod writer;
--- a/fw-replica/src/links.rs
+++ b/fw-replica/src/links.rs
@@ -133,7 +133,7 @@
         let peers = self.peers.lock().clone();
         let mut dials: FuturesUnordered<_> = peers
             .into_iter()
-            .map(|peer| async move { (peer, relay::dial_by(peer, addr).await) })
+            .map(|peer| async move { (peer, relay::dial_via(peer, addr).await) })
             .collect();
         while let Some((peer, stream)) = dials.next().await {
             if let Some(stream) = stream {
--- a/fw-replica/src/member.rs
+++ b/fw-replica/src/member.rs
@@ -268,7 +268,7 @@
     /// Replaces the list of epoch `from`; returns the new epoch.
     fn replace(&self, from: Epoch, list: List) -> BoxFuture<'_, Result<Epoch, Error>>;
     /// Tells the operator that `replica` may be taken away.
-    fn retired(&self, replica: record::ReplicaId) -> BoxFuture<'_, Result<(), Error>>;
+    fn report_retired(&self, replica: record::ReplicaId) -> BoxFuture<'_, Result<(), Error>>;
 }
 
 /// A registry that may be shared.
--- a/fw-replica/src/record.rs
+++ b/fw-replica/src/record.rs
@@ -39,13 +39,13 @@
     /// When it ended.
     pub ended: UnixMs,
     /// How long it has to be kept from then on.
-    pub keep: Duration,
+    pub retention: Duration,
 }
 
 impl Turn {
     /// Until when it has to be kept.
     pub fn until(&self) -> UnixMs {
-        add(self.ended, self.keep + KEEP_SLACK)
+        add(self.ended, self.retention + KEEP_SLACK)
     }
 }
 
@@ -84,9 +84,9 @@
     /// too.
     Members(member::View),
     /// The configuration, as entries know it from the platform's store.
-    Config(service::Bulletin),
+    Config(service::SnapshotPart),
     /// The upstreams, as entries know them.
-    Upstreams(service::Bulletin),
+    Upstreams(service::SnapshotPart),
 }
 
 impl Record {
--- a/fw-replica/src/relay.rs
+++ b/fw-replica/src/relay.rs
@@ -53,7 +53,7 @@
 
 /// Connects to the replica at `addr` by way of the entry whose relay is at `peer`; `None` if that
 /// entry does not reach it either.
-pub async fn dial_by(peer: SocketAddr, addr: SocketAddr) -> Option<TcpStream> {
+pub async fn dial_via(peer: SocketAddr, addr: SocketAddr) -> Option<TcpStream> {
     let SocketAddr::V4(addr) = addr else {
         return None;
     };
--- a/fw-replica/src/server/mod.rs
+++ b/fw-replica/src/server/mod.rs
@@ -10,9 +10,11 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-mod news;
+mod snapshot;
 
-use crate::{board, journal, ledger, member, record, service, spending, state, trail, writer};
+use crate::{
+    affinity, entry_load, journal, ledger, member, record, service, state, team_usage, writer,
+};
 
 /// Most turns of a chain in one answer. Longer chains are read in several.
 const CHAIN: usize = 256;
@@ -52,11 +54,11 @@
     retiring: AtomicBool,
     votes: AtomicBool,
     retire_told: watch::Sender<Vec<record::ReplicaId>>,
-    board: board::Board,
-    trail: trail::Trail,
-    spending: spending::Spending,
+    board: entry_load::Table,
+    trail: affinity::Table,
+    spending: team_usage::Counters,
     /// Reads of the platform's store that entries told of.
-    reads: news::Reads,
+    reads: snapshot::StoreReads,
     /// Replicas that stand by, and when they asked last.
     standbys: Mutex<BTreeMap<record::ReplicaId, Instant>>,
     /// How far each other replica has copied from here.
@@ -99,10 +101,10 @@
             retiring: AtomicBool::new(false),
             votes: AtomicBool::new(false),
             retire_told: watch::Sender::default(),
-            board: board::Board::default(),
-            trail: trail::Trail::default(),
-            spending: spending::Spending::default(),
-            reads: news::Reads::new(opts.run, opts.lapse),
+            board: entry_load::Table::default(),
+            trail: affinity::Table::default(),
+            spending: team_usage::Counters::default(),
+            reads: snapshot::StoreReads::new(opts.run, opts.lapse),
             standbys: Mutex::default(),
             readers: Mutex::default(),
         }))
@@ -233,7 +235,7 @@
     }
 
     /// What entries know from the platform's store.
-    pub fn bulletins(&self) -> service::Bulletins {
+    pub fn bulletins(&self) -> service::Snapshot {
         self.state.lock().bulletins().clone()
     }
 
@@ -398,33 +400,33 @@
 pub struct Server(pub Arc<Shared>);
 
 impl service::Replica for Server {
-    async fn begin(self, _: tarpc::context::Context, req: service::Begin) -> service::Begun {
+    async fn begin(self, _: tarpc::context::Context, req: service::Begin) -> service::BeginReply {
         let entry = req.load.entry;
         let spent = req
-            .spent
+            .usage
             .map(|spent| self.0.spending.exchange(entry, &spent));
-        let others = req.wants_others.then(|| service::Others {
-            spent,
+        let others = req.wants_peer_state.then(|| service::PeerState {
+            usage: spent,
             ..self.0.board.others(req.load.entry)
         });
         self.0.board.note(req.load);
-        let last = self.0.trail.last(&req.lineage);
+        let last = self.0.trail.last_upstreams(&req.lineage);
         let chain = req.chain.map(|newest| self.0.read_chain(req.epoch, newest));
         let vote = match req.reserve {
             None => None,
             Some(reserve) => Some(self.0.vote(req.epoch, reserve).await),
         };
-        service::Begun {
+        service::BeginReply {
             vote,
             chain: chain.unwrap_or_default(),
-            others,
-            last,
+            peer_state: others,
+            last_upstreams: last,
         }
     }
 
     async fn finish(self, _: tarpc::context::Context, req: service::Finish) -> bool {
-        if let Some(ran) = &req.ran {
-            self.0.trail.note(ran);
+        if let Some(ran) = &req.location {
+            self.0.trail.record(ran);
         }
         if self.0.is_retiring() {
             return false;
@@ -475,7 +477,7 @@
         }
     }
 
-    async fn tell(
+    async fn announce_members(
         self,
         _: tarpc::context::Context,
         view: member::View,
@@ -485,31 +487,35 @@
         self.0.learn(view).await
     }
 
-    async fn post(self, _: tarpc::context::Context, post: service::Post) -> service::Posted {
+    async fn publish(
+        self,
+        _: tarpc::context::Context,
+        post: service::Publish,
+    ) -> service::Published {
         self.0.post(post).await
     }
 
-    async fn spend(
+    async fn report_usage(
         self,
         _: tarpc::context::Context,
         entry: u32,
-        spent: Vec<service::Spent>,
+        spent: Vec<service::TeamUsage>,
     ) -> Vec<quota::Heard> {
         let spent = spent.iter();
         let told = spent.map(|spent| self.0.spending.exchange(entry, spent));
         told.collect()
     }
 
-    async fn news(
+    async fn poll_update(
         self,
         _: tarpc::context::Context,
-        known: service::Known,
+        known: service::KnownVersion,
         wait: Duration,
-    ) -> service::News {
+    ) -> service::Update {
         self.0.news(known, wait).await
     }
 
-    async fn moment(self, _: tarpc::context::Context) -> service::Moment {
+    async fn read_clock(self, _: tarpc::context::Context) -> service::ClockReading {
         self.0.moment()
     }
 
@@ -517,9 +523,9 @@
         self,
         _: tarpc::context::Context,
         standby: Option<record::ReplicaId>,
-    ) -> service::Pong {
-        service::Pong {
-            before: standby.map_or(0, |asker| self.0.note_standby(asker)),
+    ) -> service::PingReply {
+        service::PingReply {
+            standbys_ahead: standby.map_or(0, |asker| self.0.note_standby(asker)),
             retiring: self.0.is_retiring(),
             view: self.0.view.borrow().clone(),
             retire: self.0.retire_told.borrow().clone(),
--- a/fw-replica/src/server/news.rs
+++ b/fw-replica/src/server/snapshot.rs
@@ -12,12 +12,12 @@
 
 /// `read`, unless it is what is `known`, or that is newer.
 fn changed(
-    known: Option<&service::Bulletin>,
-    read: Option<service::Bulletin>,
-) -> Option<service::Bulletin> {
+    known: Option<&service::SnapshotPart>,
+    read: Option<service::SnapshotPart>,
+) -> Option<service::SnapshotPart> {
     let read = read?;
     let changes =
-        |known: &service::Bulletin| known.as_of <= read.as_of && known.bytes != read.bytes;
+        |known: &service::SnapshotPart| known.as_of <= read.as_of && known.bytes != read.bytes;
     known.is_none_or(changes).then_some(read)
 }
 
@@ -34,9 +34,9 @@
     asked: Option<Duration>,
 }
 
-/// Reads of the platform's store that entries told of.
+/// StoreReads of the platform's store that entries told of.
 #[derive(Debug)]
-pub(super) struct Reads {
+pub(super) struct StoreReads {
     /// Names this start of the replica.
     run: u64,
     /// The last one of which all parts are here.
@@ -47,7 +47,7 @@
     keeping: tokio::sync::Mutex<()>,
 }
 
-impl Reads {
+impl StoreReads {
     /// None is known yet.
     pub(super) fn new(run: u64, opts: lapse::Options) -> Self {
         Self {
@@ -60,16 +60,16 @@
 
     /// When a read was asked at the earliest, by this replica's clock; `None` if its reader knew no
     /// moment of this start.
-    fn asked_at(&self, asked: Option<service::Moment>) -> Option<Duration> {
+    fn asked_at(&self, asked: Option<service::ClockReading>) -> Option<Duration> {
         let asked = asked.filter(|asked| asked.run == self.run);
         asked.map(|asked| asked.at)
     }
 
     /// How long ago the reads without a gap were asked.
-    fn steady(&self) -> Option<service::SteadyReads> {
+    fn steady(&self) -> Option<service::ReadSpan> {
         let span = self.steady.lock().span()?;
         let now = clock::since_boot();
-        Some(service::SteadyReads {
+        Some(service::ReadSpan {
             first: now.saturating_sub(span.first),
             last: now.saturating_sub(span.last),
         })
@@ -78,7 +78,7 @@
 
 impl Shared {
     /// Keeps `read` unless newer is known.
-    pub async fn keep(&self, read: service::Bulletins) {
+    pub async fn keep(&self, read: service::Snapshot) {
         let _keeping = self.reads.keeping.lock().await;
         let known = self.bulletins();
         // What the disk refuses is missing here, and comes again with the next post.
@@ -94,8 +94,8 @@
     ///
     /// A post may have been held up on its way: its read counts as asked no later than the last moment of this
     /// replica that the reader had been told before. It proves what is kept here only if the digests agree.
-    pub async fn post(&self, post: service::Post) -> service::Posted {
-        let asked = self.reads.asked_at(post.asked);
+    pub async fn post(&self, post: service::Publish) -> service::Published {
+        let asked = self.reads.asked_at(post.requested_at);
         if let Some(at) = asked {
             // A post that was held up says nothing of the time since.
             let mut steady = self.reads.steady.lock();
@@ -106,12 +106,12 @@
             return self.posted(true);
         }
         self.keep(post.changed).await;
-        let is_whole = self.state.lock().marks() == post.marks;
+        let is_whole = self.state.lock().marks() == post.digests;
         if is_whole {
             self.reads.last.send_modify(|last| {
                 let (as_of, known) = last.map_or((0, None), |last| (last.as_of, last.asked));
                 *last = Some(LastRead {
-                    by: post.by,
+                    by: post.entry,
                     as_of: post.as_of.max(as_of),
                     at: Instant::now(),
                     asked: asked.max(known),
@@ -121,9 +121,9 @@
         self.posted(is_whole)
     }
 
-    fn posted(&self, is_whole: bool) -> service::Posted {
-        service::Posted {
-            is_whole,
+    fn posted(&self, is_whole: bool) -> service::Published {
+        service::Published {
+            is_complete: is_whole,
             now: self.moment(),
         }
     }
@@ -135,33 +135,33 @@
     }
 
     /// Newest revision, and digests, of what entries know from the platform's store.
-    pub fn known(&self) -> service::Known {
-        service::Known {
+    pub fn known(&self) -> service::KnownVersion {
+        service::KnownVersion {
             as_of: self.as_of(),
-            marks: self.state.lock().marks(),
+            digests: self.state.lock().marks(),
         }
     }
 
     /// Whether the owner of `known` lacks a part that is not older than what it knows.
-    fn has_news(&self, known: service::Known) -> bool {
-        let lacks = self.state.lock().marks().unlike(known.marks);
+    fn has_news(&self, known: service::KnownVersion) -> bool {
+        let lacks = self.state.lock().marks().differing_from(known.digests);
         !lacks.is_empty() && self.as_of() >= known.as_of
     }
 
     /// The parts that the owner of `known` lacks, and digests of all.
-    fn parts_for(&self, known: service::Known) -> (service::Bulletins, service::Marks) {
+    fn parts_for(&self, known: service::KnownVersion) -> (service::Snapshot, service::PartDigests) {
         let has_news = self.has_news(known);
         let state = self.state.lock();
         let newer = match has_news {
-            true => state.bulletins_unlike(known.marks),
-            false => service::Bulletins::default(),
+            true => state.bulletins_unlike(known.digests),
+            false => service::Snapshot::default(),
         };
         (newer, state.marks())
     }
 
     /// The present moment, for others to hand back.
-    pub(super) fn moment(&self) -> service::Moment {
-        service::Moment {
+    pub(super) fn moment(&self) -> service::ClockReading {
+        service::ClockReading {
             run: self.reads.run,
             at: clock::since_boot(),
         }
@@ -169,7 +169,7 @@
 
     /// What the owner of `known` lacks; waits up to `wait` until an entry has read the platform's store, or
     /// the member list has changed.
-    pub async fn news(&self, known: service::Known, wait: Duration) -> service::News {
+    pub async fn news(&self, known: service::KnownVersion, wait: Duration) -> service::Update {
         let begun = Instant::now();
         let mut reads = self.reads.last.subscribe();
         let mut view = self.view.subscribe();
@@ -186,13 +186,13 @@
         // Taken before the parts, so that these are as new at least.
         let last = *self.reads.last.borrow();
         let (newer, marks) = self.parts_for(known);
-        service::News {
+        service::Update {
             newer,
-            marks,
+            digests: marks,
             reads: self.reads.steady(),
             view: self.view.borrow().clone(),
-            held: begun.elapsed(),
-            last: last.map(|last| service::LastRead {
+            held_for: begun.elapsed(),
+            last_read: last.map(|last| service::LastRead {
                 by: last.by,
                 as_of: last.as_of,
                 ago: last.at.elapsed(),
--- a/fw-replica/src/service.rs
+++ b/fw-replica/src/service.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3;
 
-use crate::{ledger, member, record, trail};
+use crate::{affinity, ledger, member, record};
 
 /// Asks for tokens for a turn, and for the chain that it continues.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,20 +24,20 @@
     pub load: Load,
     /// Whether the answer is to tell those of the others, a number for each upstream: one replica tells
     /// them as well as all.
-    pub wants_others: bool,
+    pub wants_peer_state: bool,
     /// What the turn's prompt begins like.
-    pub lineage: trail::Lineage,
+    pub lineage: affinity::Lineage,
     /// What the sender has let through of the turn's team.
-    pub spent: Option<Spent>,
+    pub usage: Option<TeamUsage>,
 }
 
 /// Requests of a team that an entry has let through.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spent {
+pub struct TeamUsage {
     /// The team.
     pub team: id::TeamId,
     /// Their counts.
-    pub told: quota::Told,
+    pub report: quota::Told,
 }
 
 /// One entry's calls under way, by upstream.
@@ -57,13 +57,13 @@
 
 /// What an entry learns of the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Others {
+pub struct PeerState {
     /// Calls of all others under way, by the short hash of the upstream's id.
     pub calls: Vec<(u16, u16)>,
     /// Where some of them pass connections on to replicas.
-    pub peers: Vec<SocketAddr>,
+    pub relays: Vec<SocketAddr>,
     /// Requests of the team named, if any was.
-    pub spent: Option<quota::Heard>,
+    pub usage: Option<quota::Heard>,
 }
 
 /// Digest of a part's bytes; 0 if there is none.
@@ -73,14 +73,14 @@
 
 /// A part of what entries know from the platform's store, for those that do not read it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bulletin {
+pub struct SnapshotPart {
     /// Revision of the store that it reflects.
     pub as_of: u64,
     /// The entries' own form.
     pub bytes: Bytes,
 }
 
-impl Bulletin {
+impl SnapshotPart {
     /// Digest of the bytes.
     pub fn digest(&self) -> PartDigest {
         xxh3::xxh3_64(&self.bytes).max(1)
@@ -89,18 +89,18 @@
 
 /// The parts, each of which changes by itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bulletins {
+pub struct Snapshot {
     /// The configuration: large, and changed a few times a minute.
-    pub config: Option<Bulletin>,
+    pub config: Option<SnapshotPart>,
     /// The upstreams: small, and changed more often.
-    pub upstreams: Option<Bulletin>,
+    pub upstreams: Option<SnapshotPart>,
 }
 
-impl Bulletins {
+impl Snapshot {
     /// Digests of the parts.
-    pub fn marks(&self) -> Marks {
-        let of = |part: &Option<Bulletin>| part.as_ref().map_or(0, Bulletin::digest);
-        Marks {
+    pub fn digests(&self) -> PartDigests {
+        let of = |part: &Option<SnapshotPart>| part.as_ref().map_or(0, SnapshotPart::digest);
+        PartDigests {
             config: of(&self.config),
             upstreams: of(&self.upstreams),
         }
@@ -115,17 +115,17 @@
 
 /// Digests of the parts that somebody has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Marks {
+pub struct PartDigests {
     /// Of the configuration.
     pub config: PartDigest,
     /// Of the upstreams.
     pub upstreams: PartDigest,
 }
 
-impl Marks {
+impl PartDigests {
     /// Which of the parts that somebody has, these, the owner of `others` lacks: not that part, but
     /// none or another.
-    pub fn unlike(&self, others: Self) -> Self {
+    pub fn differing_from(&self, others: Self) -> Self {
         let unlike = |own, other| if own == other { 0 } else { own };
         Self {
             config: unlike(self.config, others.config),
@@ -141,44 +141,44 @@
 
 /// What an asker knows of the platform's store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct KnownVersion {
     /// Newest revision of which it knows something.
     pub as_of: u64,
     /// Digests of its parts.
-    pub marks: Marks,
+    pub digests: PartDigests,
 }
 
 /// An entry has read the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Post {
+pub struct Publish {
     /// Names the entry.
-    pub by: u32,
+    pub entry: u32,
     /// Revision up to which it has read.
     pub as_of: u64,
     /// A moment of the receiver before which the read was not asked, if the sender knows one.
-    pub asked: Option<Moment>,
+    pub requested_at: Option<ClockReading>,
     /// Digests of what is known now.
-    pub marks: Marks,
+    pub digests: PartDigests,
     /// What has changed.
-    pub changed: Bulletins,
+    pub changed: Snapshot,
 }
 
 /// A moment by the clock of a replica, which the receiver only hands back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Moment {
+pub struct ClockReading {
     /// Names the start of the replica.
     pub run: u64,
     /// Time since the boot of its machine.
     pub at: Duration,
 }
 
-/// Answer to [`Post`].
+/// Answer to [`Publish`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Posted {
+pub struct Published {
     /// Whether no part is missing here.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// When it was answered.
-    pub now: Moment,
+    pub now: ClockReading,
 }
 
 /// The last time that an entry read the platform's store.
@@ -197,7 +197,7 @@
 
 /// Reads of the platform's store that followed each other without a gap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SteadyReads {
+pub struct ReadSpan {
     /// How long ago the first was asked.
     pub first: Duration,
     /// How long ago the last was asked.
@@ -206,19 +206,19 @@
 
 /// What a replica knows of the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The parts that the asker lacks; none while it knows a newer revision.
-    pub newer: Bulletins,
+    pub newer: Snapshot,
     /// Digests of all parts that the replica has.
-    pub marks: Marks,
+    pub digests: PartDigests,
     /// The newest member list.
     pub view: member::View,
     /// The reads since the platform's store was away last, as far as the replica was told of them.
-    pub reads: Option<SteadyReads>,
+    pub reads: Option<ReadSpan>,
     /// How long the answer was held back.
-    pub held: Duration,
+    pub held_for: Duration,
     /// The last read of which the replica knows all parts. With `newer` the asker knows them too.
-    pub last: Option<LastRead>,
+    pub last_read: Option<LastRead>,
 }
 
 /// A reservation of tokens.
@@ -271,15 +271,15 @@
 
 /// Answer to [`Begin`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Begun {
+pub struct BeginReply {
     /// Of the reservation; `None` if none was asked for.
     pub vote: Option<Vote>,
     /// Of the chain.
     pub chain: Chain,
     /// Of the other entries, if wanted.
-    pub others: Option<Others>,
+    pub peer_state: Option<PeerState>,
     /// Where turns whose prompts begin like this one's ran last.
-    pub last: trail::Last,
+    pub last_upstreams: affinity::LastUpstreams,
 }
 
 /// As much of a chain as a replica has.
@@ -302,7 +302,7 @@
     /// The settlement of its tokens.
     pub charge: Option<record::Charge>,
     /// Where it ran.
-    pub ran: Option<trail::Ran>,
+    pub location: Option<affinity::Location>,
 }
 
 /// Where a reader stands in a replica's list of records.
@@ -316,7 +316,7 @@
 
 /// One record in a replica's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Listed {
+pub enum ListedRecord {
     /// A turn, by its id.
     Turn(record::TurnId),
     /// A charge, whole.
@@ -329,7 +329,7 @@
     /// Where to go on.
     pub next: Position,
     /// The records, in the order in which they were stored.
-    pub records: Vec<Listed>,
+    pub records: Vec<ListedRecord>,
     /// Whether more are there already.
     pub more: bool,
     /// Whether the replica has all that a member has to know.
@@ -340,7 +340,7 @@
 
 /// How a replica is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pong {
+pub struct PingReply {
     /// Whether it is to be taken away.
     pub retiring: bool,
     /// The newest member list that it knows.
@@ -348,14 +348,14 @@
     /// Replicas that the operator wants emptied.
     pub retire: Vec<record::ReplicaId>,
     /// Replicas that stand by and come before the asker.
-    pub before: usize,
+    pub standbys_ahead: usize,
 }
 
 /// The calls that a replica answers.
 #[tarpc::service]
 pub trait Replica {
     /// Reserves tokens and reads a chain.
-    async fn begin(req: Begin) -> Begun;
+    async fn begin(req: Begin) -> BeginReply;
     /// Stores a turn and settles its tokens; `true` once both are on disk.
     async fn finish(req: Finish) -> bool;
     /// Reads all charges of a program.
@@ -366,17 +366,17 @@
     async fn list(reader: record::ReplicaId, after: Position) -> Page;
     /// Tells the newest member list known, and which replicas the operator wants emptied; `true`
     /// once the replica refuses older lists, also after a restart.
-    async fn tell(view: member::View, retire: Vec<record::ReplicaId>) -> bool;
+    async fn announce_members(view: member::View, retire: Vec<record::ReplicaId>) -> bool;
     /// Keeps what an entry has read, unless newer is known.
-    async fn post(post: Post) -> Posted;
+    async fn publish(post: Publish) -> Published;
     /// Counts what an entry has let through of some teams; returns what is known of each.
-    async fn spend(entry: u32, spent: Vec<Spent>) -> Vec<quota::Heard>;
+    async fn report_usage(entry: u32, spent: Vec<TeamUsage>) -> Vec<quota::Heard>;
     /// What an asker lacks. Waits up to `wait` until an entry has read the store.
-    async fn news(known: Known, wait: Duration) -> News;
+    async fn poll_update(known: KnownVersion, wait: Duration) -> Update;
     /// Tells the present moment.
-    async fn moment() -> Moment;
+    async fn read_clock() -> ClockReading;
     /// Asks how the replica is; `standby` names the asker if it stands by.
-    async fn ping(standby: Option<record::ReplicaId>) -> Pong;
+    async fn ping(standby: Option<record::ReplicaId>) -> PingReply;
     /// Reads turns by their ids; those that are not here are left out.
     async fn fetch(ids: Vec<record::TurnId>) -> Vec<record::Turn>;
 }
--- a/fw-replica/src/state.rs
+++ b/fw-replica/src/state.rs
@@ -30,13 +30,13 @@
     ledgers: HashMap<record::ProgramId, ledger::Ledger>,
     /// Records in the order in which they were stored, from number `dropped` on, and until when
     /// each is listed.
-    order: VecDeque<(record::UnixMs, service::Listed)>,
+    order: VecDeque<(record::UnixMs, service::ListedRecord)>,
     dropped: u64,
     synced: bool,
     view: member::View,
-    bulletins: service::Bulletins,
+    bulletins: service::Snapshot,
     /// Digests of the bulletins.
-    marks: service::Marks,
+    marks: service::PartDigests,
     /// Turns that were charged without the charge being on disk, as the disk refused it, and their
     /// programs.
     not_stored: HashMap<record::TurnId, record::ProgramId>,
@@ -53,8 +53,8 @@
             dropped: 0,
             synced: false,
             view: member::View::default(),
-            bulletins: service::Bulletins::default(),
-            marks: service::Marks::default(),
+            bulletins: service::Snapshot::default(),
+            marks: service::PartDigests::default(),
             not_stored: HashMap::new(),
         }
     }
@@ -66,7 +66,7 @@
             record::Record::Charge(charge) => {
                 self.charge(charge);
                 self.not_stored.remove(&charge.turn);
-                let listed = service::Listed::Charge(charge.clone());
+                let listed = service::ListedRecord::Charge(charge.clone());
                 self.order.push_back((charge.until(), listed));
             }
             record::Record::Synced(synced) => self.synced = *synced,
@@ -86,7 +86,7 @@
         let until = turn.until();
         let known = Known { place, until };
         if self.turns.insert(turn.id.clone(), known).is_none() {
-            let listed = service::Listed::Turn(turn.id.clone());
+            let listed = service::ListedRecord::Turn(turn.id.clone());
             self.order.push_back((until, listed));
         }
     }
@@ -190,20 +190,20 @@
     }
 
     /// What entries know from the platform's store.
-    pub fn bulletins(&self) -> &service::Bulletins {
+    pub fn bulletins(&self) -> &service::Snapshot {
         &self.bulletins
     }
 
     /// Digests of the bulletins.
-    pub fn marks(&self) -> service::Marks {
+    pub fn marks(&self) -> service::PartDigests {
         self.marks
     }
 
     /// The bulletins that the owner of `marks` lacks.
-    pub fn bulletins_unlike(&self, marks: service::Marks) -> service::Bulletins {
-        let lacks = self.marks.unlike(marks);
-        let service::Bulletins { config, upstreams } = &self.bulletins;
-        service::Bulletins {
+    pub fn bulletins_unlike(&self, marks: service::PartDigests) -> service::Snapshot {
+        let lacks = self.marks.differing_from(marks);
+        let service::Snapshot { config, upstreams } = &self.bulletins;
+        service::Snapshot {
             config: config.clone().filter(|_| lacks.config != 0),
             upstreams: upstreams.clone().filter(|_| lacks.upstreams != 0),
         }
@@ -223,7 +223,7 @@
     pub fn list(
         &self,
         after: service::Position,
-    ) -> (service::Position, Vec<service::Listed>, bool) {
+    ) -> (service::Position, Vec<service::ListedRecord>, bool) {
         let read = if after.run == self.run { after.read } else { 0 };
         let skip = read.saturating_sub(self.dropped) as usize;
         let page = self.order.iter().skip(skip).take(PAGE);
@@ -265,7 +265,7 @@
                 break;
             };
             self.dropped += 1;
-            if let service::Listed::Charge(charge) = &listed
+            if let service::ListedRecord::Charge(charge) = &listed
                 && self.is_live(charge)
             {
                 self.order.push_back((record::add(now, keep), listed));
--- a/fw-replica/src/sync.rs
+++ b/fw-replica/src/sync.rs
@@ -300,7 +300,7 @@
                 self.replace(list).await
             }
             member::Next::Leave(list) => self.leave(list).await,
-            member::Next::Left => self.registry.retired(self.opts.name.clone()).await,
+            member::Next::Left => self.registry.report_retired(self.opts.name.clone()).await,
         }
     }
 
@@ -338,7 +338,7 @@
         }
         let told = self.others().into_iter().map(|(_, addr)| {
             let view = view.clone();
-            self.client.announce(addr, view)
+            self.client.announce_members_to(addr, view)
         });
         let told = join_all(told).await.into_iter().filter(|ok| *ok).count();
         let told = told + usize::from(self.is_listed());
@@ -438,7 +438,7 @@
     let Some(pong) = client.ping(addr, Some(me.clone())).await else {
         return;
     };
-    source.before = pong.before;
+    source.before = pong.standbys_ahead;
     source.heard = Instant::now();
     source.retiring = pong.retiring;
     shared.learn_retire(pong.retire);
@@ -455,7 +455,9 @@
 ) {
     let begun = Instant::now();
     if !shared.is_voting()
-        && let Some(news) = client.news_of(addr, shared.known(), Duration::ZERO).await
+        && let Some(news) = client
+            .poll_update(addr, shared.known(), Duration::ZERO)
+            .await
     {
         shared.keep(news.newer).await;
     }
@@ -498,17 +500,17 @@
 /// The charges, and the ids of the turns, that are not here.
 fn missing(
     shared: &server::Shared,
-    listed: Vec<service::Listed>,
+    listed: Vec<service::ListedRecord>,
 ) -> (Vec<record::Record>, Vec<record::TurnId>) {
     let mut charges = Vec::new();
     let mut turns = Vec::new();
     for listed in listed {
         match listed {
-            service::Listed::Turn(id) if !shared.has(&id) => turns.push(id),
-            service::Listed::Charge(charge) if shared.is_news(&charge) => {
+            service::ListedRecord::Turn(id) if !shared.has(&id) => turns.push(id),
+            service::ListedRecord::Charge(charge) if shared.is_news(&charge) => {
                 charges.push(record::Record::Charge(charge));
             }
-            service::Listed::Turn(_) | service::Listed::Charge(_) => {}
+            service::ListedRecord::Turn(_) | service::ListedRecord::Charge(_) => {}
         }
     }
     (charges, turns)
--- a/fw-replica/src/spending.rs
+++ b/fw-replica/src/team_usage.rs
@@ -12,12 +12,12 @@
 /// The counts of all teams. Lost with the process: entries tell a replica that starts anew what they
 /// have let through lately.
 #[derive(Debug)]
-pub struct Spending {
+pub struct Counters {
     started: Instant,
     teams: Mutex<HashMap<id::TeamId, quota::Sum>>,
 }
 
-impl Default for Spending {
+impl Default for Counters {
     fn default() -> Self {
         Self {
             started: Instant::now(),
@@ -26,12 +26,12 @@
     }
 }
 
-impl Spending {
+impl Counters {
     /// Counts what `entry` has let through, and returns what is known of all.
-    pub fn exchange(&self, entry: u32, spent: &service::Spent) -> quota::Heard {
+    pub fn exchange(&self, entry: u32, spent: &service::TeamUsage) -> quota::Heard {
         let now = self.started.elapsed();
         let mut teams = self.teams.lock();
         let team = teams.entry(spent.team.clone()).or_default();
-        team.exchange(entry, &spent.told, now)
+        team.exchange(entry, &spent.report, now)
     }
 }
--- a/fw-replica/tests/replica/budget_power.rs
+++ b/fw-replica/tests/replica/budget_power.rs
@@ -43,8 +43,8 @@
         let (_, listed, more) = self.state.list(service::Position::default());
         assert!(!more, "the model reads one page only");
         let charge = |listed| match listed {
-            service::Listed::Charge(charge) => Some(charge),
-            service::Listed::Turn(_) => None,
+            service::ListedRecord::Charge(charge) => Some(charge),
+            service::ListedRecord::Turn(_) => None,
         };
         listed.into_iter().filter_map(charge).collect()
     }
--- a/fw-replica/tests/replica/budget_races.rs
+++ b/fw-replica/tests/replica/budget_races.rs
@@ -154,8 +154,8 @@
         loop {
             let (next, listed, more) = self.state.list(at);
             charges.extend(listed.into_iter().filter_map(|listed| match listed {
-                service::Listed::Charge(charge) => Some(charge),
-                service::Listed::Turn(_) => None,
+                service::ListedRecord::Charge(charge) => Some(charge),
+                service::ListedRecord::Turn(_) => None,
             }));
             if !more {
                 return charges;
--- a/fw-replica/tests/replica/call_board.rs
+++ b/fw-replica/tests/replica/call_board.rs
@@ -1,6 +1,6 @@
 //! Entries' calls, told with their reservations.
 
-use fw_replica::{board, service};
+use fw_replica::{entry_load, service};
 use googletest::prelude::*;
 
 fn load(entry: u32, calls: &[(u16, u16)]) -> service::Load {
@@ -13,7 +13,7 @@
 
 #[gtest]
 fn sums_what_the_others_told_last() {
-    let board = board::Board::default();
+    let board = entry_load::Table::default();
     expect_that!(board.exchange(load(1, &[(7, 2)])).calls, is_empty());
     expect_that!(
         board.exchange(load(2, &[(7, 1), (8, 1)])).calls,
@@ -26,5 +26,5 @@
         unordered_elements_are![eq(&(7, 1)), eq(&(8, 1)), eq(&(9, 1))]
     );
     // An entry that is cut off learns who may pass its connections on.
-    expect_that!(board.exchange(load(4, &[])).peers.len(), eq(3));
+    expect_that!(board.exchange(load(4, &[])).relays.len(), eq(3));
 }
--- a/fw-replica/tests/replica/journal_machine.rs
+++ b/fw-replica/tests/replica/journal_machine.rs
@@ -139,7 +139,7 @@
         input: vec![b'i'; usize::from(size)].into(),
         output: "o\n".into(),
         ended,
-        keep: KEEP,
+        retention: KEEP,
     }
 }
 
--- a/fw-replica/tests/replica/journal_segments.rs
+++ b/fw-replica/tests/replica/journal_segments.rs
@@ -31,7 +31,7 @@
         input: vec![b'i'; 1_000].into(),
         output: "o".into(),
         ended,
-        keep: Duration::from_secs(60),
+        retention: Duration::from_secs(60),
     })
 }
 
@@ -95,13 +95,13 @@
         epoch: 7,
         list: member::List::default(),
     };
-    let bulletin = service::Bulletin {
+    let bulletin = service::SnapshotPart {
         as_of: 3,
         bytes: "b".into(),
     };
     assert!(replica.learn(view.clone()).await);
     assert!(replica.mark_synced(true).await);
-    let bulletins = service::Bulletins {
+    let bulletins = service::Snapshot {
         config: Some(bulletin.clone()),
         upstreams: Some(bulletin),
     };
--- a/fw-replica/tests/replica/state_pages.rs
+++ b/fw-replica/tests/replica/state_pages.rs
@@ -12,7 +12,7 @@
         input: "i".into(),
         output: "o".into(),
         ended,
-        keep: Duration::from_secs(60),
+        retention: Duration::from_secs(60),
     })
 }
 
@@ -75,7 +75,7 @@
     let mut copy = state::State::new(2);
     let (_, records, _) = state.list(service::Position::default());
     for listed in records {
-        if let service::Listed::Charge(charge) = listed {
+        if let service::ListedRecord::Charge(charge) = listed {
             copy.charge(&charge);
         }
     }
--- a/fw-replica/tests/replica/store_news.rs
+++ b/fw-replica/tests/replica/store_news.rs
@@ -4,22 +4,24 @@
 
 use fw_replica::member;
 use fw_replica::server::{self, Shared};
-use fw_replica::service::{Bulletin, Bulletins, Known, Marks, Moment, Post};
+use fw_replica::service::{
+    ClockReading, KnownVersion, PartDigests, Publish, Snapshot, SnapshotPart,
+};
 use googletest::prelude::*;
 
-fn part(as_of: u64) -> Option<Bulletin> {
-    Some(Bulletin {
+fn part(as_of: u64) -> Option<SnapshotPart> {
+    Some(SnapshotPart {
         as_of,
         bytes: format!("{as_of}").into(),
     })
 }
 
-fn post(as_of: u64, marks: Marks, changed: Bulletins) -> Post {
-    Post {
-        by: 1,
+fn post(as_of: u64, marks: PartDigests, changed: Snapshot) -> Publish {
+    Publish {
+        entry: 1,
         as_of,
-        asked: None,
-        marks,
+        requested_at: None,
+        digests: marks,
         changed,
     }
 }
@@ -32,29 +34,37 @@
 async fn a_read_is_told_only_with_all_its_parts() {
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
-    let whole = Bulletins {
+    let whole = Snapshot {
         config: part(5),
         upstreams: part(6),
     };
-    let marks = whole.marks();
-    let upstreams = Bulletins {
+    let marks = whole.digests();
+    let upstreams = Snapshot {
         upstreams: part(6),
-        ..Bulletins::default()
+        ..Snapshot::default()
     };
-    expect_false!(replica.post(post(6, marks, upstreams)).await.is_whole);
-    let news = replica.news(Known::default(), Duration::ZERO).await;
-    expect_that!(news.last, none());
-    expect_true!(replica.post(post(6, marks, whole.clone())).await.is_whole);
-    let news = replica.news(Known::default(), Duration::ZERO).await;
-    expect_that!(news.last.unwrap().as_of, eq(6));
+    expect_false!(replica.post(post(6, marks, upstreams)).await.is_complete);
+    let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
+    expect_that!(news.last_read, none());
+    expect_true!(
+        replica
+            .post(post(6, marks, whole.clone()))
+            .await
+            .is_complete
+    );
+    let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
+    expect_that!(news.last_read.unwrap().as_of, eq(6));
     expect_that!(news.newer, eq(&whole));
     // That nothing has changed is news too.
-    let same = post(9, marks, Bulletins::default());
-    expect_true!(replica.post(same).await.is_whole);
-    let known = Known { as_of: 6, marks };
+    let same = post(9, marks, Snapshot::default());
+    expect_true!(replica.post(same).await.is_complete);
+    let known = KnownVersion {
+        as_of: 6,
+        digests: marks,
+    };
     let news = replica.news(known, Duration::ZERO).await;
-    expect_that!(news.last.unwrap().as_of, eq(9));
-    expect_that!(news.newer, eq(&Bulletins::default()));
+    expect_that!(news.last_read.unwrap().as_of, eq(9));
+    expect_that!(news.newer, eq(&Snapshot::default()));
 }
 
 // A member leaves, and its machine is taken away. Entries that waited for news at it were not told, and
@@ -72,7 +82,7 @@
     let begun = tokio::time::Instant::now();
     let waits = async {
         let news = replica
-            .news(Known::default(), Duration::from_secs(60))
+            .news(KnownVersion::default(), Duration::from_secs(60))
             .await;
         (news, begun.elapsed())
     };
@@ -82,11 +92,11 @@
     expect_that!(waited, lt(Duration::from_secs(60)));
 }
 
-fn upstreams(as_of: u64, bytes: &'static str) -> Bulletins {
+fn upstreams(as_of: u64, bytes: &'static str) -> Snapshot {
     let bytes = bytes.into();
-    Bulletins {
-        upstreams: Some(Bulletin { as_of, bytes }),
-        ..Bulletins::default()
+    Snapshot {
+        upstreams: Some(SnapshotPart { as_of, bytes }),
+        ..Snapshot::default()
     }
 }
 
@@ -99,27 +109,27 @@
     let old = upstreams(6, "x, y");
     expect_true!(
         replica
-            .post(post(6, old.marks(), old.clone()))
+            .post(post(6, old.digests(), old.clone()))
             .await
-            .is_whole
+            .is_complete
     );
     let new = upstreams(6, "y");
     // A post that says only that nothing has changed does not prove another list.
-    let unchanged = post(9, new.marks(), Bulletins::default());
-    expect_false!(replica.post(unchanged).await.is_whole);
+    let unchanged = post(9, new.digests(), Snapshot::default());
+    expect_false!(replica.post(unchanged).await.is_complete);
     expect_true!(
         replica
-            .post(post(6, new.marks(), new.clone()))
+            .post(post(6, new.digests(), new.clone()))
             .await
-            .is_whole
+            .is_complete
     );
-    let known = Known {
+    let known = KnownVersion {
         as_of: 6,
-        marks: old.marks(),
+        digests: old.digests(),
     };
     let news = replica.news(known, Duration::ZERO).await;
     expect_that!(news.newer, eq(&new));
-    expect_that!(news.marks, eq(new.marks()));
+    expect_that!(news.digests, eq(new.digests()));
 }
 
 // Guards against a held-up post that puts an older list in the place of a newer one.
@@ -129,12 +139,12 @@
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
     let (old, new) = (upstreams(6, "x, y"), upstreams(8, "y"));
-    let first = replica.post(post(8, new.marks(), new.clone()));
-    let second = replica.post(post(6, old.marks(), old.clone()));
+    let first = replica.post(post(8, new.digests(), new.clone()));
+    let second = replica.post(post(6, old.digests(), old.clone()));
     tokio::join!(first, second);
     expect_that!(replica.bulletins(), eq(&new));
-    let news = replica.news(Known::default(), Duration::ZERO).await;
-    expect_that!(news.last.unwrap().as_of, eq(8));
+    let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
+    expect_that!(news.last_read.unwrap().as_of, eq(8));
 }
 
 // Guards against two posts at once of which the older one reaches the disk last.
@@ -144,8 +154,8 @@
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
     let (old, new) = (upstreams(6, "x, y"), upstreams(8, "y"));
-    let first = replica.post(post(6, old.marks(), old.clone()));
-    let second = replica.post(post(8, new.marks(), new.clone()));
+    let first = replica.post(post(6, old.digests(), old.clone()));
+    let second = replica.post(post(8, new.digests(), new.clone()));
     tokio::join!(first, second);
     expect_that!(replica.bulletins(), eq(&new));
     drop(replica);
@@ -160,28 +170,28 @@
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
     let old = upstreams(6, "x, y");
-    replica.post(post(6, old.marks(), old.clone())).await;
-    let known = Known {
+    replica.post(post(6, old.digests(), old.clone())).await;
+    let known = KnownVersion {
         as_of: 7,
-        marks: upstreams(7, "y").marks(),
+        digests: upstreams(7, "y").digests(),
     };
     let begun = std::time::Instant::now();
     let wait = Duration::from_millis(30);
     let news = replica.news(known, wait).await;
-    expect_that!(news.newer, eq(&Bulletins::default()));
+    expect_that!(news.newer, eq(&Snapshot::default()));
     expect_that!(begun.elapsed(), ge(wait));
 }
 
-fn read(as_of: u64, asked: Option<Moment>) -> Post {
-    Post {
-        asked,
-        ..post(as_of, Marks::default(), Bulletins::default())
+fn read(as_of: u64, asked: Option<ClockReading>) -> Publish {
+    Publish {
+        requested_at: asked,
+        ..post(as_of, PartDigests::default(), Snapshot::default())
     }
 }
 
 async fn asked_ago(replica: &Shared) -> Option<Duration> {
-    let news = replica.news(Known::default(), Duration::ZERO).await;
-    news.last.unwrap().asked
+    let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
+    news.last_read.unwrap().asked
 }
 
 // A post that was held up on its way must not count as a new read when it comes: a key that was taken
@@ -193,7 +203,7 @@
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
     let before = replica.post(read(5, None)).await.now;
     expect_that!(asked_ago(&replica).await, none());
-    let late = Moment {
+    let late = ClockReading {
         at: before.at.saturating_sub(Duration::from_secs(9)),
         ..before
     };
@@ -205,8 +215,8 @@
     expect_that!(age, lt(Duration::from_secs(9)));
     // An older one that comes after it takes nothing back.
     replica.post(read(6, Some(late))).await;
-    let news = replica.news(Known::default(), Duration::ZERO).await;
-    expect_that!(news.last.unwrap().as_of, eq(7));
+    let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
+    expect_that!(news.last_read.unwrap().as_of, eq(7));
     expect_that!(
         asked_ago(&replica).await.unwrap(),
         lt(Duration::from_secs(9))
@@ -220,7 +230,7 @@
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
     let before = replica.post(read(5, None)).await.now;
-    let other = Moment { run: 2, ..before };
+    let other = ClockReading { run: 2, ..before };
     replica.post(read(6, Some(other))).await;
     expect_that!(asked_ago(&replica).await, none());
 }
@@ -232,12 +242,12 @@
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
     let steady = async || {
-        let news = replica.news(Known::default(), Duration::ZERO).await;
+        let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
         news.reads
     };
     let now = replica.post(read(5, None)).await.now;
     expect_that!(steady().await, none());
-    let other_start = Moment { run: 2, ..now };
+    let other_start = ClockReading { run: 2, ..now };
     replica.post(read(6, Some(other_start))).await;
     expect_that!(steady().await, none());
     replica.post(read(7, Some(now))).await;
--- a/fw-replica/tests/replica/team_spending.rs
+++ b/fw-replica/tests/replica/team_spending.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use fw_plan::quota::{Counts, Told};
-use fw_replica::service::Spent;
-use fw_replica::spending::Spending;
+use fw_replica::service::TeamUsage;
+use fw_replica::team_usage::Counters;
 use googletest::prelude::*;
 
 fn counts(requests: i64) -> Counts {
@@ -14,10 +14,10 @@
     }
 }
 
-fn spent(total: i64, recent: i64) -> Spent {
-    Spent {
+fn spent(total: i64, recent: i64) -> TeamUsage {
+    TeamUsage {
         team: "t".into(),
-        told: Told {
+        report: Told {
             total: counts(total),
             recent: counts(recent),
             window: Duration::from_secs(60),
@@ -27,7 +27,7 @@
 
 #[gtest]
 fn is_told_of_all_entries() {
-    let spending = Spending::default();
+    let spending = Counters::default();
     spending.exchange(1, &spent(1, 1));
     expect_that!(spending.exchange(2, &spent(1, 1)).recent, eq(counts(2)));
     spending.exchange(1, &spent(5, 5));
@@ -39,7 +39,7 @@
 // counts, and no more.
 #[gtest]
 fn goes_on_after_a_start() {
-    let spending = Spending::default();
+    let spending = Counters::default();
     spending.exchange(1, &spent(9_000, 7));
     expect_that!(spending.exchange(2, &spent(70, 2)).recent, eq(counts(9)));
     spending.exchange(1, &spent(9_004, 11));
@@ -48,7 +48,7 @@
 
 #[gtest]
 fn does_not_fall_with_a_late_message() {
-    let spending = Spending::default();
+    let spending = Counters::default();
     spending.exchange(1, &spent(0, 0));
     spending.exchange(1, &spent(8, 8));
     spending.exchange(1, &spent(6, 6));
