--- a/fw-gate/src/lib.rs
+++ b/fw-gate/src/lib.rs
@@ -2,7 +2,7 @@
 //! with the replicas.
 //!
 //! It knows calls, turns, routes and upstreams, but neither a platform's names nor the form of a
-//! prompt: an adapter says under which headers things stand ([`names::Names`]) and tells it of
+//! prompt: an adapter says under which headers things stand ([`names::HeaderNames`]) and tells it of
 //! configurations, upstreams and replicas ([`process::gate::Gate`]).
 //!
 //! ```
--- a/fw-gate/src/names.rs
+++ b/fw-gate/src/names.rs
@@ -6,7 +6,7 @@
 
 /// Names of headers.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct HeaderNames {
     /// Id of the caller's attempt; upstreams echo it.
     pub request_id: HeaderName,
     /// Milliseconds that the receiver may take.
--- a/fw-gate/src/process/fleet/list.rs
+++ b/fw-gate/src/process/fleet/list.rs
@@ -8,7 +8,7 @@
 use fw_plan::{lapse, pace};
 use parking_lot::Mutex;
 
-use super::{Fleet, Listed, Service, Upstream, short};
+use super::{Fleet, ListedUpstream, Service, Upstream, short};
 
 /// A read of the platform's store, by this entry or another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum List {
     /// All that is listed.
-    Whole(Vec<Listed>),
+    Whole(Vec<ListedUpstream>),
     /// What has changed, oldest first.
     Changes(Vec<Change>),
 }
@@ -40,17 +40,17 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// One is listed, or has changed.
-    Put(Listed),
+    Put(ListedUpstream),
     /// One is no longer listed.
-    Gone(id::UpstreamId),
+    Removed(id::UpstreamId),
 }
 
 impl Change {
     /// The upstream that is listed.
-    pub fn listed(self) -> Option<Listed> {
+    pub fn listed(self) -> Option<ListedUpstream> {
         match self {
             Self::Put(listed) => Some(listed),
-            Self::Gone(_) => None,
+            Self::Removed(_) => None,
         }
     }
 }
@@ -146,12 +146,12 @@
                 self.put(listed);
                 None
             }
-            Change::Gone(id) => self.miss(id),
+            Change::Removed(id) => self.miss(id),
         }
     }
 
     /// Takes a whole list; returns the upstreams that are missing now.
-    fn replace(&self, list: Vec<Listed>) -> Vec<id::UpstreamId> {
+    fn replace(&self, list: Vec<ListedUpstream>) -> Vec<id::UpstreamId> {
         self.known.store(true, Ordering::Relaxed);
         let known = self.listing().into_iter().map(|known| known.id);
         let gone = known.filter(|known| !list.iter().any(|listed| listed.id == *known));
@@ -164,7 +164,7 @@
 
     /// Adds or changes one upstream. One that leaves takes no work again before it starts anew: a late
     /// heartbeat may list it as it was.
-    pub fn put(&self, listed: Listed) {
+    pub fn put(&self, listed: ListedUpstream) {
         let service = {
             let mut services = self.services.lock();
             let service = services.entry(listed.service.clone());
@@ -179,12 +179,13 @@
             service.tell_health(now);
             return;
         };
-        let restarted = known.listed.born != listed.born || known.listed.addr != listed.addr;
+        let restarted =
+            known.listed.started_at != listed.started_at || known.listed.addr != listed.addr;
         let leaves = !known.listed.takes_work && !restarted;
         if leaves && listed.takes_work {
             tracing::info!(upstream = %id, "a late heartbeat lists an upstream that leaves as ready; it gets no calls");
         }
-        let listed = Listed {
+        let listed = ListedUpstream {
             takes_work: listed.takes_work && !leaves,
             ..listed
         };
@@ -304,7 +305,7 @@
     }
 
     /// All upstreams on the list, by id.
-    pub fn listing(&self) -> Vec<Listed> {
+    pub fn listing(&self) -> Vec<ListedUpstream> {
         let mut listing = Vec::new();
         for service in self.all_services() {
             let service = service.lock();
@@ -318,7 +319,7 @@
 
 impl Upstream {
     /// One that is listed for the first time.
-    fn new(listed: Listed) -> Self {
+    fn new(listed: ListedUpstream) -> Self {
         Self {
             short: short(&listed.id),
             listed,
--- a/fw-gate/src/process/fleet/mod.rs
+++ b/fw-gate/src/process/fleet/mod.rs
@@ -31,11 +31,11 @@
 const WOKEN: usize = 8;
 
 /// Start of an upstream, in milliseconds since the Unix epoch.
-pub type Born = u64;
+pub type StartTime = u64;
 
 /// One upstream, as the platform's store lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedUpstream {
     /// Its id.
     pub id: id::UpstreamId,
     /// The service that it runs.
@@ -49,7 +49,7 @@
     /// Whether it takes new work.
     pub takes_work: bool,
     /// When it started; 0 if not told.
-    pub born: Born,
+    pub started_at: StartTime,
 }
 
 /// What makes one upstream faster than another for a call.
@@ -82,7 +82,7 @@
 
 #[derive(Debug)]
 struct Upstream {
-    listed: Listed,
+    listed: ListedUpstream,
     /// Set while it is missing from the list, and kept.
     missing: Option<list::Missing>,
     /// Until when another upstream is taken to have its address.
--- a/fw-gate/src/process/gate.rs
+++ b/fw-gate/src/process/gate.rs
@@ -34,7 +34,7 @@
     /// Disks that may be lost together.
     pub faults: usize,
     /// Headers by which callers and upstreams say things.
-    pub names: names::Names,
+    pub names: names::HeaderNames,
     /// Where replicas may be found while the platform's store does not answer.
     pub seeds: Vec<SocketAddr>,
     /// Where this entry passes connections of others on to replicas.
--- a/fw-gate/src/process/snapshot.rs
+++ b/fw-gate/src/process/snapshot.rs
@@ -32,7 +32,7 @@
     /// The configuration.
     pub config: Option<config::Config>,
     /// All upstreams.
-    pub upstreams: Option<Vec<fleet::Listed>>,
+    pub upstreams: Option<Vec<fleet::ListedUpstream>>,
     /// Whether all is known now that the replica knows.
     pub is_whole: bool,
 }
@@ -97,7 +97,7 @@
         &mut self,
         as_of: u64,
         config: &config::Config,
-        upstreams: &[fleet::Listed],
+        upstreams: &[fleet::ListedUpstream],
     ) -> service::Bulletins {
         self.as_of = self.as_of.max(as_of);
         self.newest = self.newest.max(as_of);
@@ -176,7 +176,7 @@
         config
     }
 
-    fn hear_upstreams(&mut self, part: &service::Bulletin) -> Option<Vec<fleet::Listed>> {
+    fn hear_upstreams(&mut self, part: &service::Bulletin) -> Option<Vec<fleet::ListedUpstream>> {
         self.marks.upstreams = part.digest();
         self.upstreams = part.bytes.clone();
         let upstreams = decode(part);
--- a/fw-gate/src/request/call.rs
+++ b/fw-gate/src/request/call.rs
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// `BadRequest`, naming the header, when one cannot be read.
-    pub fn read(names: &names::Names, headers: &HeaderMap) -> Result<Self, error::Error> {
+    pub fn read(names: &names::HeaderNames, headers: &HeaderMap) -> Result<Self, error::Error> {
         let id = text(headers, &names.request_id)?;
         let Some(id) = id.filter(|id| !id.is_empty()) else {
             return Err(bad(&names.request_id, "must be given"));
@@ -109,7 +109,7 @@
 }
 
 fn tokens(
-    names: &names::Names,
+    names: &names::HeaderNames,
     headers: &HeaderMap,
 ) -> Result<(id::Tokens, id::Tokens), error::Error> {
     let Some(both) = text(headers, &names.tokens)? else {
@@ -124,7 +124,7 @@
 }
 
 /// The object named by the cookie.
-fn object(names: &names::Names, headers: &HeaderMap) -> Option<SmolStr> {
+fn object(names: &names::HeaderNames, headers: &HeaderMap) -> Option<SmolStr> {
     let cookies = headers.get_all(header::COOKIE).into_iter();
     let cookies = cookies.filter_map(|value| value.to_str().ok());
     cookies.flat_map(|value| value.split(';')).find_map(|pair| {
--- a/fw-gate/src/request/send.rs
+++ b/fw-gate/src/request/send.rs
@@ -58,7 +58,7 @@
     /// The request for `lease`, which may take until `until`.
     fn request(
         &self,
-        names: &names::Names,
+        names: &names::HeaderNames,
         lease: &fleet::Lease,
         until: Instant,
     ) -> Request<Full<Bytes>> {
@@ -86,7 +86,7 @@
 ///
 /// When there is no answer that may be passed on.
 pub async fn once(
-    names: &names::Names,
+    names: &names::HeaderNames,
     out: &Outbound,
     mut lease: fleet::Lease,
     until: Instant,
@@ -128,7 +128,7 @@
 /// Sends on an idle connection or a new one. A call that no byte of left on an idle connection,
 /// because the upstream had closed it, goes out on a new one.
 async fn send(
-    names: &names::Names,
+    names: &names::HeaderNames,
     out: &Outbound,
     lease: &mut fleet::Lease,
     until: Instant,
@@ -195,7 +195,7 @@
 
 /// Whether the answer is the upstream's to this call and may be passed on.
 fn judge(
-    names: &names::Names,
+    names: &names::HeaderNames,
     out: &Outbound,
     lease: &fleet::Lease,
     head: &response::Parts,
@@ -242,7 +242,7 @@
     Ok(())
 }
 
-fn load(names: &names::Names, headers: &HeaderMap) -> Option<fleet::Load> {
+fn load(names: &names::HeaderNames, headers: &HeaderMap) -> Option<fleet::Load> {
     let text = headers.get(&names.load)?.to_str().ok()?;
     let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
     Some(fleet::Load {
--- a/fw-gate/tests/gate/call_headers.rs
+++ b/fw-gate/tests/gate/call_headers.rs
@@ -1,14 +1,14 @@
 //! What requests say of themselves.
 
-use fw_gate::names::Names;
+use fw_gate::names::HeaderNames;
 use fw_gate::request::call::{self, Call};
 use googletest::prelude::*;
 use hyper::HeaderMap;
 use hyper::header::HeaderName;
 
-pub(crate) fn names() -> Names {
+pub(crate) fn names() -> HeaderNames {
     let header = HeaderName::from_static;
-    Names {
+    HeaderNames {
         request_id: header("id"),
         deadline_ms: header("deadline"),
         object_cookie: "object",
--- a/fw-gate/tests/gate/sent_calls.rs
+++ b/fw-gate/tests/gate/sent_calls.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use fw_base::error;
-use fw_gate::process::fleet::{Change, List, Listed, Read, Want};
+use fw_gate::process::fleet::{Change, List, ListedUpstream, Read, Want};
 use fw_gate::request::send;
 use googletest::prelude::*;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -31,15 +31,15 @@
 #[tokio::test]
 async fn are_not_sent_to_an_upstream_that_has_left_since() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let upstream = Listed {
+    let upstream = ListedUpstream {
         addr: listener.local_addr().unwrap(),
         ..listed("x")
     };
-    let leaving = Listed {
+    let leaving = ListedUpstream {
         takes_work: false,
         ..upstream.clone()
     };
-    for change in [Change::Gone("x".into()), Change::Put(leaving)] {
+    for change in [Change::Removed("x".into()), Change::Put(leaving)] {
         let fleet = fleet();
         fleet.apply(Some(Read::own(1)), List::Whole(vec![upstream.clone()]));
         let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
--- a/fw-gate/tests/gate/store_news.rs
+++ b/fw-gate/tests/gate/store_news.rs
@@ -55,7 +55,7 @@
     ];
     gate.apply(read(3, first));
     let mut other = Known::default();
-    let leaving = fleet::Listed {
+    let leaving = fleet::ListedUpstream {
         takes_work: false,
         ..listed("x")
     };
@@ -79,7 +79,7 @@
     gate.hear(&news(newer, 5), clock::since_boot());
     gate.apply(read(
         6,
-        vec![Change::Upstream(fleet::Change::Gone("x".into()))],
+        vec![Change::Upstream(fleet::Change::Removed("x".into()))],
     ));
     let chosen = gate.fleet.choose(&"s".into(), &Want::default());
     expect_that!(chosen.is_err(), eq(true));
--- a/fw-gate/tests/gate/upstream_list.rs
+++ b/fw-gate/tests/gate/upstream_list.rs
@@ -3,21 +3,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fw_gate::process::fleet::{self, Change, Fleet, List, Listed, Load, Want, Warmth};
+use fw_gate::process::fleet::{self, Change, Fleet, List, ListedUpstream, Load, Want, Warmth};
 use fw_plan::health::Seen;
 use fw_plan::{confirm, lapse};
 use fw_replica::trail;
 use googletest::prelude::*;
 
-pub(crate) fn listed(id: &str) -> Listed {
-    Listed {
+pub(crate) fn listed(id: &str) -> ListedUpstream {
+    ListedUpstream {
         id: id.into(),
         service: "s".into(),
         addr: ([127, 0, 0, 1], 1).into(),
         place: "a".into(),
         slots: 2,
         takes_work: true,
-        born: 1,
+        started_at: 1,
     }
 }
 
@@ -75,7 +75,10 @@
     let fleet = fleet();
     fleet.apply(read(1, 10_000), List::Whole(vec![listed("x")]));
     fleet.apply(read(2, 1_000), List::Whole(vec![listed("x")]));
-    fleet.apply(read(3, 500), List::Changes(vec![Change::Gone("x".into())]));
+    fleet.apply(
+        read(3, 500),
+        List::Changes(vec![Change::Removed("x".into())]),
+    );
     expect_false!(is_used(&fleet));
 }
 
@@ -95,7 +98,7 @@
 #[gtest]
 fn takes_no_work_from_one_that_leaves_until_it_starts_anew() {
     let fleet = fleet();
-    let leaving = Listed {
+    let leaving = ListedUpstream {
         takes_work: false,
         ..listed("x")
     };
@@ -103,8 +106,8 @@
     fleet.put(leaving);
     fleet.put(listed("x"));
     expect_false!(is_used(&fleet));
-    fleet.put(Listed {
-        born: 2,
+    fleet.put(ListedUpstream {
+        started_at: 2,
         ..listed("x")
     });
     expect_true!(is_used(&fleet));
@@ -114,7 +117,7 @@
 fn sends_nothing_to_one_that_leaves_or_failed_the_call() {
     let fleet = fleet();
     fleet.put(listed("x"));
-    fleet.put(Listed {
+    fleet.put(ListedUpstream {
         takes_work: false,
         ..listed("y")
     });
@@ -171,8 +174,8 @@
         expect_that!(lease.id, eq("y"));
         lease.seen(Seen::Answered);
     }
-    fleet.put(Listed {
-        born: 2,
+    fleet.put(ListedUpstream {
+        started_at: 2,
         ..listed("x")
     });
     let ids: Vec<_> = (0..40)
@@ -270,7 +273,7 @@
     // Between two turns a program calls tools, whose requests name the same session and program.
     // They run at another service; where they ran says nothing about where the prompt is.
     let fleet = many();
-    let tools = Listed {
+    let tools = ListedUpstream {
         service: "tools".into(),
         ..listed("tool")
     };
