--- a/fw-gate/src/process/snapshot.rs
+++ b/fw-gate/src/process/snapshot.rs
@@ -180,7 +180,10 @@
         config
     }
 
-    fn hear_upstreams(&mut self, part: &service::SnapshotPart) -> Option<Vec<fleet::ListedUpstream>> {
+    fn hear_upstreams(
+        &mut self,
+        part: &service::SnapshotPart,
+    ) -> Option<Vec<fleet::ListedUpstream>> {
         self.marks.upstreams = part.digest();
         self.upstreams = part.bytes.clone();
         let upstreams = decode(part);
