--- a/fw-plan/src/quota.rs
+++ b/fw-plan/src/quota.rs
@@ -255,7 +255,7 @@
     /// Request the others' counts from one replica: little is left, and others may have used it.
     Query,
     /// Report to all replicas: there are no counts of others yet, many requests were admitted since
-    /// the last report, or little is left.
+    /// the last summary, or little is left.
     Report,
 }
 
--- a/fw-plan/tests/plan/assign_upstream.rs
+++ b/fw-plan/tests/plan/assign_upstream.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets a call.
+//! Choice of the upstream for a call.
 
 use std::time::Duration;
 
@@ -71,8 +71,8 @@
 
 #[gtest]
 fn avoids_an_upstream_for_some_time_after_a_failure() {
-    // An upstream resets every connection within milliseconds, so that it always looks idle. It
-    // drew call after call until three in a row had failed, at each of many entries.
+    // An upstream that resets every connection within milliseconds always looks idle. It would
+    // attract call after call until three in a row had failed, at each of many entries.
     let broken = Candidate {
         failed_ago: Some(Duration::from_millis(100)),
         ..usual()
@@ -82,7 +82,7 @@
         ..usual()
     };
     expect_that!(chosen(&[broken, busy]), some(eq(1)));
-    // Not for ever, and not if the others are full.
+    // The penalty expires, and does not apply if the others are full.
     let later = Candidate {
         failed_ago: Some(Duration::from_secs(3)),
         ..usual()
@@ -97,7 +97,7 @@
 
 #[gtest]
 fn spreads_a_burst_of_one_entry() {
-    // Sixty calls at once over three upstreams of six slots: none gets much more than its part.
+    // Sixty calls at once over three upstreams of six slots: none gets much more than its share.
     let mut candidates = [usual(); 3];
     let mut rng = Pcg64::seed_from_u64(7);
     for _ in 0..60 {
--- a/fw-plan/tests/plan/begin_limit.rs
+++ b/fw-plan/tests/plan/begin_limit.rs
@@ -1,4 +1,4 @@
-//! Programs that may begin while others are under way.
+//! Limit on programs that begin while others are under way.
 
 use fw_plan::wait_queue::Options;
 use googletest::prelude::*;
@@ -10,33 +10,33 @@
 /// Programs whose prompts the engines' caches hold.
 const CACHED_PROGRAMS: usize = 120;
 /// Time of a turn whose prompt is cached, and of one whose prompt is not, in milliseconds.
-const CACHED_TURN: u32 = 150;
-const UNCACHED_TURN: u32 = 300;
+const CACHED_TURN_MS: u32 = 150;
+const UNCACHED_TURN_MS: u32 = 300;
 /// Turns of a program, and the pause after each, in milliseconds.
 const TURNS: u32 = 6;
-const PAUSE: u32 = 120;
-/// Time within which a program is of use, in milliseconds.
-const TIME_LIMIT: u32 = 2_200;
-/// When the burst begins and ends, in milliseconds.
-const BURST: std::ops::Range<u32> = 3_000..9_000;
+const PAUSE_MS: u32 = 120;
+/// Time within which a program has to end, in milliseconds.
+const TIME_LIMIT_MS: u32 = 2_200;
+/// Time of the burst, in milliseconds.
+const BURST_MS: std::ops::Range<u32> = 3_000..9_000;
 
 #[derive(Clone, Debug)]
 struct Program {
     begun_at: u32,
     turns_left: u32,
-    /// When it sends its next turn, or its turn ends.
+    /// Time of its next turn, or of the end of its turn.
     next_at: u32,
     is_running: bool,
 }
 
-/// Programs that ended in time, by the second in which they came, of those that came then.
+/// Share of the programs that end in time, by the second of their arrival.
 fn simulate(limited: bool) -> Vec<f64> {
     let options = Options::default();
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut under_way: Vec<Program> = Vec::new();
     let (mut arrived, mut in_time) = ([0_u32; 20], [0_u32; 20]);
     for now in 0..30_000 {
-        let rate = if BURST.contains(&now) { 0.14 } else { 0.05 };
+        let rate = if BURST_MS.contains(&now) { 0.14 } else { 0.05 };
         let running = under_way
             .iter()
             .filter(|program| program.is_running)
@@ -59,8 +59,8 @@
         }
         let mut free = SLOTS - running;
         let duration = match under_way.len() > CACHED_PROGRAMS {
-            true => UNCACHED_TURN,
-            false => CACHED_TURN,
+            true => UNCACHED_TURN_MS,
+            false => CACHED_TURN_MS,
         };
         for program in &mut under_way {
             if program.next_at > now {
@@ -69,7 +69,7 @@
             if program.is_running {
                 program.is_running = false;
                 program.turns_left -= 1;
-                program.next_at = now + PAUSE;
+                program.next_at = now + PAUSE_MS;
             } else if free > 0 {
                 free -= 1;
                 program.is_running = true;
@@ -78,7 +78,7 @@
         }
         under_way.retain(|program| {
             let ended = program.turns_left == 0;
-            if ended && now - program.begun_at <= TIME_LIMIT {
+            if ended && now - program.begun_at <= TIME_LIMIT_MS {
                 in_time[program.begun_at as usize / 1_000] += 1;
             }
             !ended
@@ -90,8 +90,9 @@
         .collect()
 }
 
-// A burst brings more programs than the engines can finish. All began, and with more under way than the
-// caches hold each turn took twice as long: nearly none was in time until long after the burst.
+// Guards against programs that stay late long after a burst: it brings more of them than the
+// engines can finish. If all begin, more are under way than the caches hold, each turn takes twice
+// as long, and nearly none is in time until long after the burst.
 #[gtest]
 fn limit_ends_lateness_with_the_burst() {
     let (without, with) = (simulate(false), simulate(true));
--- a/fw-plan/tests/plan/due_order.rs
+++ b/fw-plan/tests/plan/due_order.rs
@@ -1,4 +1,4 @@
-//! Which of the programs under way go first.
+//! Order of calls of programs under way.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -32,12 +32,12 @@
     let much = options.rank(&call(2_000), ms(0), 1);
     expect_that!(options.rank(&call(300), ms(200), 2), lt(much));
     expect_that!(options.rank(&call(300), ms(700), 2), gt(much));
-    // Beyond some seconds more time left changes nothing, so that none waits for ever.
+    // Beyond some seconds, more time left changes nothing, so that no call starves.
     let most = options.rank(&call(60_000), ms(0), 1);
     expect_that!(options.rank(&call(300), ms(1_000), 2), gt(most));
 }
 
-/// One program in the play below; times in ticks.
+/// One program in the simulation below; times in ticks.
 #[derive(Clone, Copy)]
 struct Program {
     turns: u64,
@@ -47,8 +47,8 @@
 }
 
 impl Program {
-    /// Begins at `now`. Its caller expects it in 1.2 times what it takes alone and 200 ms, and
-    /// leaves after twice that time.
+    /// Begins at `now`. Its caller expects it within 1.2 times the time that it takes alone plus
+    /// 200 ms, and leaves after twice that time.
     fn begin(now: u64, turns: u64) -> Self {
         let time = turns * TURN * 6 / 5 + 20;
         Self {
@@ -68,7 +68,7 @@
     }
 }
 
-/// What became of the programs.
+/// Number of programs by result.
 #[derive(Debug, Default)]
 struct Outcome {
     all: u32,
@@ -76,8 +76,8 @@
     late: u32,
 }
 
-/// Plays five seconds in which programs of three and of seven turns come half as fast again as the
-/// engines can serve them, within thirty of an ordinary load.
+/// Simulates five seconds in which programs of three and of seven turns arrive at one and a half
+/// times the capacity of the engines, within thirty seconds of ordinary load.
 fn simulate(options: &Options, seed: u64) -> Outcome {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut waiting = BTreeMap::<Rank, (Program, u64)>::new();
@@ -103,7 +103,7 @@
         } else {
             0.75
         };
-        // Five turns are the mean.
+        // A program has five turns on average.
         let chance = load * SLOTS as f64 / (TURN as f64 * 5.0);
         if now < 3_000 && rng.random::<f64>() < chance {
             let turns = if rng.random() { 3 } else { 7 };
@@ -130,9 +130,9 @@
     outcome
 }
 
-// A burst of short and of long conversations. In order of arrival a short one, which is due within
-// the second, waits behind long ones that have several seconds left; both sorts come late. With
-// those first that are due first, the long ones use the time that they have.
+// Guards against late programs in a burst of short and long conversations. In order of arrival a
+// short one, which is due within the second, waits behind long ones that have several seconds left,
+// and both kinds come late. In order of time left, the long ones use the time that they have.
 #[gtest]
 fn finishes_more_programs_in_time() {
     let options = Options::default();
@@ -148,7 +148,7 @@
         sum.2 += by_arrival.in_time;
     }
     let (all, by_due, by_arrival) = sum;
-    // 94 of 100 in time; in order of arrival 84.
+    // 94 of 100 are in time; 84 in order of arrival.
     expect_that!(by_due * 100, ge(all * 92));
     expect_that!(by_arrival * 100, le(all * 86));
 }
--- a/fw-plan/tests/plan/held_calls.rs
+++ b/fw-plan/tests/plan/held_calls.rs
@@ -1,4 +1,4 @@
-//! Which held-back call goes first.
+//! Order of waiting calls.
 
 use std::time::Duration;
 
@@ -26,14 +26,14 @@
     let other = options.rank(&OTHER, ms(0), 1);
     expect_that!(options.rank(&URGENT, ms(50), 2), lt(other));
     expect_that!(options.rank(&URGENT, ms(100), 2), gt(other));
-    // Among equals the first to arrive.
+    // Among equals, the first to arrive.
     expect_that!(options.rank(&OTHER, ms(0), 2), gt(other));
 }
 
 #[gtest]
 fn is_not_a_call_of_a_program_already_late() {
-    // A program that has missed its time earns little more by being a little less late; the slot
-    // makes another miss its time too.
+    // A program that has missed its time gains little by being a little less late; the slot that it
+    // takes makes another miss its time too.
     let options = Options::default();
     let late = Call {
         time_left: Some(Duration::ZERO),
@@ -50,16 +50,17 @@
     expect_true!(options.has_room(6, 7.0, true, ms(0)));
     expect_false!(options.has_room(6, 7.5, true, ms(0)));
     expect_true!(options.has_room(0, 0.0, true, ms(0)));
-    // Without its prompt there, a call does not queue behind the slots until it has waited.
+    // A call whose prompt is not in the cache there does not queue behind the slots until it has
+    // waited.
     expect_true!(options.has_room(6, 5.0, false, ms(0)));
     expect_false!(options.has_room(6, 5.5, false, ms(0)));
     expect_true!(options.has_room(6, 7.0, false, options.cold_delay));
     expect_false!(options.has_room(6, 7.5, false, options.cold_delay));
 }
 
-/// Plays a burst over one engine, and returns by class the mean wait of calls in milliseconds.
+/// Simulates a burst at one engine, and returns the mean wait of calls in milliseconds, by class.
 fn waits(options: &Options) -> (f64, f64) {
-    // Twice as many calls arrive for a second as the engine's slots can serve.
+    // For a second, calls arrive at twice the capacity of the engine's slots.
     let mut waiting = std::collections::BTreeMap::new();
     let (mut urgent, mut other) = (Vec::new(), Vec::new());
     for tick in 0..400_u64 {
@@ -92,21 +93,21 @@
         ..Options::default()
     };
     let (same, before) = waits(&in_order);
-    // In order of arrival both wait alike.
+    // In order of arrival both classes wait equally long.
     expect_that!((same - before).abs(), lt(15.0));
-    // The others wait longer than in order of arrival, but by less than the bonus.
+    // The others wait longer than in order of arrival, but by less than the priority delay.
     expect_that!(other - before, le(80.0));
     expect_that!(same - urgent, ge(20.0));
 }
 
-/// Turns of a program, one after the other.
+/// Turns of a program, in sequence.
 const TURNS: u32 = 5;
 /// Ticks of ten milliseconds that a turn takes.
 const TURN: u64 = 20;
 /// Slots of all engines together.
 const SLOTS: usize = 60;
 
-/// One program in the play below.
+/// One program in the simulation below.
 #[derive(Clone, Copy)]
 struct Program {
     begun: u64,
@@ -114,13 +115,13 @@
 }
 
 impl Program {
-    /// A program may take half as long again as it would take alone, and 200 ms.
+    /// A program may take one and a half times the time that it takes alone, plus 200 ms.
     fn is_late(&self, now: u64) -> bool {
         now > self.begun + u64::from(TURNS) * TURN * 3 / 2 + 20
     }
 }
 
-/// Plays a burst of programs, and returns how many were in time and how many there were.
+/// Simulates a burst of programs, and returns how many were in time and how many there were.
 fn in_time(options: &Options) -> (u32, u32) {
     let mut waiting = std::collections::BTreeMap::<Rank, (Program, u64)>::new();
     let mut running: Vec<(u64, Program)> = Vec::new();
@@ -139,7 +140,8 @@
             }
             false
         });
-        // Alone a slot serves a program a second: twice as many come for five seconds, then half.
+        // A slot serves one program alone in a second: twice as many arrive for five seconds, then
+        // half.
         let gap = if (500..1_000).contains(&now) { 1 } else { 3 };
         if now < 2_000 && now % gap == 0 {
             all += 1;
@@ -178,8 +180,8 @@
 
 #[gtest]
 fn lets_programs_under_way_finish_before_others_begin() {
-    // Programs come twice as fast as the engines can serve them. In order of arrival each new one
-    // makes all that are under way later, until nearly all of them miss their time.
+    // Programs arrive at twice the rate that the engines can serve. In order of arrival each new
+    // one delays all those under way, until nearly all of them miss their time.
     let options = Options::default();
     let arrival = Options {
         begin_delay: Duration::ZERO,
--- a/fw-plan/tests/plan/key_staleness.rs
+++ b/fw-plan/tests/plan/key_staleness.rs
@@ -1,4 +1,4 @@
-//! How old the knowledge may be by which keys are accepted.
+//! Greatest age of the configuration by which API keys are accepted.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     expect_that!(late, eq(Outcome::Stale { age: Some(5 * S) }));
 }
 
-// What an entry hears late from a member that is behind must not make its knowledge older.
+// A late update from a member that is behind must not make the configuration count as older.
 #[gtest]
 fn keeps_the_newest_confirmation() {
     let mut freshness = KeyFreshness::new(Some(4 * S));
--- a/fw-plan/tests/plan/lapsed_upstreams.rs
+++ b/fw-plan/tests/plan/lapsed_upstreams.rs
@@ -26,7 +26,7 @@
     expect_that!(reads.decide(Some(s(95))), eq(Outcome::Gone));
 }
 
-// Guards against a service left empty by entries that lapsed while the store was away.
+// Guards against a service left empty by entries that lapsed while the store was unavailable.
 #[gtest]
 fn lapsed_upstream_is_kept_until_it_could_be_back() {
     let listed = Some(s(100));
@@ -44,14 +44,14 @@
     );
 }
 
-// Guards against calls to an upstream that leaves moments after an outage.
+// Guards against calls to an upstream that leaves shortly after an outage.
 #[gtest]
 fn upstream_leaving_after_an_outage_is_gone_at_once() {
     let reads = reads(&[0..=100, 180..=185]);
     expect_that!(reads.decide(Some(s(180))), eq(Outcome::Gone));
 }
 
-// Guards against an entry that was cut off alone and takes its own silence for an outage.
+// Guards against an entry that alone was cut off and takes the gap in its own reads for an outage.
 #[gtest]
 fn upstream_leaving_while_only_this_entry_is_cut_off_is_gone_at_once() {
     let mut own = reads(&[0..=100, 180..=180]);
@@ -64,7 +64,7 @@
     expect_that!(own.decide(Some(s(100))), eq(Outcome::Gone));
 }
 
-// Guards against a reader that starts anew and counts a short while of its own as an outage of all.
+// Guards against a reader that restarts and takes its own short span of reads for an outage of all.
 #[gtest]
 fn earlier_reads_count_when_a_short_span_is_added() {
     let mut reads = reads(&[0..=100]);
@@ -97,14 +97,16 @@
     );
 }
 
-// Guards against a gap too short for entries to lapse that delays the news of one that leaves.
+// Guards against a gap too short for entries to lapse that delays the detection of an upstream that
+// leaves.
 #[gtest]
 fn a_reader_that_is_replaced_leaves_no_gap() {
     let reads = reads(&[0..=100, 120..=120]);
     expect_that!(reads.decide(Some(s(100))), eq(Outcome::Gone));
 }
 
-// Guards against a call that hangs through the end of an outage and makes the return look earlier.
+// Guards against a call that hangs through the end of an outage and dates the return of the store
+// too early.
 #[gtest]
 fn the_store_is_back_when_it_answers() {
     let mut reads = reads(&[0..=100]);
@@ -117,7 +119,7 @@
     expect_that!(reads.decide(Some(s(100))), eq(Outcome::Gone));
 }
 
-// Guards against a post that was held up during an outage and hides the gap.
+// Guards against a publication that was delayed during an outage and hides the gap.
 #[gtest]
 fn a_read_counts_from_its_request() {
     let mut reads = reads(&[0..=100]);
@@ -126,7 +128,8 @@
     expect_that!(reads.decide(Some(s(100))), eq(Outcome::Kept));
 }
 
-// Guards against upstreams that left while the readers were away, and are taken for lapsed ones.
+// Guards against upstreams that leave while the readers are unavailable, and are taken for lapsed
+// ones.
 #[gtest]
 fn entries_have_lapsed_only_if_most_are_missing() {
     expect_false!(lapse::has_lapsed(72, 1));
--- a/fw-plan/tests/plan/list_confirmed.rs
+++ b/fw-plan/tests/plan/list_confirmed.rs
@@ -1,4 +1,4 @@
-//! Calls that are sent by the list of upstreams.
+//! Freshness of the list of upstreams by which calls are sent.
 
 use std::time::Duration;
 
@@ -26,19 +26,19 @@
     expect_false!(is_sent(&list, 0));
     list.confirm(ms(1_000), ms(1_000));
     expect_true!(is_sent(&list, 2_500));
-    // A newer proof is wanted before.
+    // A newer confirmation is requested before that.
     expect_that!(list.refresh_due_in(ms(1_500)), some(eq(ms(400))));
     expect_false!(list.needs_refresh(ms(1_900)));
     expect_true!(list.needs_refresh(ms(1_901)));
     expect_false!(is_sent(&list, 2_501));
-    // A proof that was held up does not make it newer.
+    // A confirmation that was delayed does not make the list newer.
     list.confirm(ms(900), ms(2_501));
     expect_false!(is_sent(&list, 2_501));
     list.confirm(ms(2_400), ms(2_501));
     expect_true!(is_sent(&list, 2_501));
 }
 
-// Guards against callers of an entry that is cut off, who would wait with each call.
+// Guards against a wait of every call at an entry that is cut off.
 #[gtest]
 fn waits_once_when_no_confirmation_is_available() {
     let mut list = freshness();
@@ -53,7 +53,7 @@
     expect_true!(is_sent(&list, 11_000));
 }
 
-// Guards against calls that wait again and again in an outage, for a proof that is newer and too old.
+// Guards against repeated waits in an outage for a confirmation that is newer but still too old.
 #[gtest]
 fn does_not_wait_again_after_a_stale_confirmation() {
     let mut list = freshness();
@@ -65,7 +65,8 @@
     expect_true!(list.confirm(ms(9_000), ms(9_001)));
 }
 
-// Guards against calls that wait through each outage, though it is known before the list is old.
+// Guards against a wait of calls in each outage, although it is detected before the list is too
+// old.
 #[gtest]
 fn does_not_wait_when_reads_go_unanswered() {
     let mut list = freshness();
@@ -77,7 +78,8 @@
     expect_true!(is_sent(&list, 2_551));
 }
 
-// Guards against calls sent by an old list after an entry stood still, as its open call has failed.
+// Guards against calls sent by an old list after a suspension of the entry, because its open read
+// has failed.
 #[gtest]
 fn waits_after_failure_of_a_read_requested_earlier() {
     let mut list = freshness();
--- a/fw-plan/tests/plan/list_model.rs
+++ b/fw-plan/tests/plan/list_model.rs
@@ -1,9 +1,10 @@
-//! A model of how entries learn of upstreams that leave, message by message.
+//! Message-level model of how entries learn of upstreams that leave.
 //!
-//! Entries read the store, post to replicas and hear from them, by the rules of [`reader`] and [`confirm`].
-//! Calls to the store hang, messages are held up, machines stand still, processes are killed. What an entry
-//! knows is told by one time: all that the store had acknowledged by then. A call that is sent while that is
-//! longer ago than the bound may reach an upstream that has left.
+//! Entries read the store, publish to replicas and receive from them, by the rules of [`reader`]
+//! and [`confirm`]. Calls to the store hang, messages are delayed, machines are suspended,
+//! processes are killed. The state of an entry is modelled by one time: the store's changes
+//! acknowledged by then are included. A call that is sent while that is longer ago than the bound
+//! may reach an upstream that has left.
 
 use std::time::Duration;
 
@@ -21,26 +22,26 @@
 const READ_INTERVAL: Duration = Duration::from_millis(450);
 const READ_RETRY_DELAY: Duration = Duration::from_millis(250);
 const READ_TIMEOUT: Duration = Duration::from_millis(1_650);
-/// Longest that a message to or from a replica is held up.
+/// Longest delay of a message to or from a replica.
 const MAX_MESSAGE_DELAY: Duration = Duration::from_millis(700);
 /// Shortest time between two calls of one entry that hang.
 const MIN_HANG_INTERVAL: Duration = Duration::from_secs(3);
 
-/// What is left out of the rule.
+/// Part of the rule that is disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Ablation {
     None,
     /// Calls are sent by a list of any age.
     Confirmation,
-    /// A proof is as old as its arrival, not as the question.
+    /// A confirmation is dated by its arrival instead of the request of the read.
     RequestTime,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Update {
-    /// All that the store had acknowledged by then is contained.
+    /// All changes that the store had acknowledged by then are included.
     includes_until: Duration,
-    /// From when on that is proven.
+    /// Time up to which that is confirmed.
     confirmed_at: Duration,
 }
 
@@ -62,10 +63,10 @@
     call: Option<Call>,
     next_read: Duration,
     last_hang: Option<Duration>,
-    /// When a call of a client began to wait.
+    /// Time since which a call of a client waits.
     waiting_since: Option<Duration>,
     suspended_until: Duration,
-    /// What replicas have sent, and when it arrives.
+    /// Messages of replicas, with their time of arrival.
     inbox: Vec<(Duration, Update, reader::EntryNumber)>,
 }
 
@@ -114,7 +115,7 @@
     now: Duration,
     entries: Vec<Entry>,
     replicas: Vec<Option<Update>>,
-    /// Posts on their way.
+    /// Publications in flight.
     publications: Vec<(Duration, usize, Update, reader::EntryNumber)>,
     max_age: Duration,
 }
@@ -142,7 +143,7 @@
         most.mul_f64(self.rng.random())
     }
 
-    /// Time that a message takes.
+    /// Latency of a message.
     fn latency(&mut self) -> Duration {
         match self.rng.random_range(0..10) {
             0 => STEP + self.random_up_to(MAX_MESSAGE_DELAY),
@@ -269,7 +270,7 @@
         });
     }
 
-    /// Sends a call if one may be sent.
+    /// Sends a call if that is allowed.
     fn send(&mut self, at: usize) {
         let (now, ablation) = (self.now, self.ablation);
         let entry = &mut self.entries[at];
@@ -294,19 +295,19 @@
     }
 }
 
-/// The oldest list by which a call is sent, over some seeds.
+/// Greatest age of the list by which a call is sent, over some seeds.
 fn max_list_age(ablation: Ablation) -> Duration {
     let max_age = (0..40).map(|seed| World::new(seed, ablation).run());
     max_age.max().unwrap()
 }
 
-// Guards against a delay, or two in a row, through which calls are sent by a list older than the bound.
+// Guards against calls sent by a list older than the bound, through one delay or two in a row.
 #[gtest]
 fn calls_use_a_list_within_the_bound() {
     expect_that!(max_list_age(Ablation::None), le(BOUND));
 }
 
-// Guards against a model that would find no fault.
+// Guards against a model that cannot detect a fault.
 #[gtest]
 fn removing_a_part_of_the_rule_breaks_the_bound() {
     expect_that!(max_list_age(Ablation::Confirmation), gt(BOUND));
--- a/fw-plan/tests/plan/main.rs
+++ b/fw-plan/tests/plan/main.rs
@@ -1,7 +1,7 @@
-//! Tests of the decisions, each without clock or network.
+//! Tests of the load decisions, each without clock or network.
 //!
-//! Load patterns run in the queueing loop of the `policy` example, with fixed seeds, and are
-//! judged by what callers receive.
+//! Load patterns run in the queueing simulation of the `policy` example, with fixed seeds, and are
+//! judged by the answers that callers receive.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod admission;
--- a/fw-plan/tests/plan/pace_noise.rs
+++ b/fw-plan/tests/plan/pace_noise.rs
@@ -1,4 +1,4 @@
-//! Telling slow upstreams from chance.
+//! Distinguishing slow upstreams from noise.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use googletest::prelude::*;
 use rand::{RngExt, SeedableRng};
 
-/// A time against the mean, with a spread of a factor of two.
+/// Ratio of a time to the mean, with a spread of a factor of two.
 fn ratio(rng: &mut rand_pcg::Pcg64) -> f64 {
-    // The sum of a few uniform draws is near enough to normal.
+    // The sum of a few uniform draws approximates a normal distribution.
     let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
     (normal * 0.7 - 0.245).exp()
 }
@@ -19,9 +19,10 @@
 
 #[gtest]
 fn does_not_mistake_noise_for_slowness() {
-    // Turns differ in length. An entry sent each engine two a second, and most engines looked one
-    // and a half times slower than the rest at any time: it sent turns anywhere but where their
-    // prompts were cached, and a third of the engines' time went into reading prompts again.
+    // Guards against noise in the lengths of turns that looks like slow engines. An entry sends
+    // each engine two turns a second; most engines then look one and a half times slower than the
+    // rest at any time, turns go anywhere but where their prompts are cached, and a third of the
+    // engines' time goes into prefill of prompts that were cached elsewhere.
     let options = Options::default();
     let mut rng = rand_pcg::Pcg64::seed_from_u64(1);
     let mut false_positives = 0;
@@ -33,7 +34,7 @@
             false_positives += u32::from(pace.slowness(&options, now) > 1.1);
         }
     }
-    // Of 8,000 looks.
+    // Of 8,000 checks.
     expect_that!(false_positives, lt(400));
 }
 
@@ -63,7 +64,7 @@
     }
     expect_that!(pace.slowness(&options, secs(19.0)), gt(3.0));
     expect_that!(pace.slowness(&options, secs(23.0)), eq(1.0));
-    // What it showed before counts no more.
+    // Earlier calls no longer count.
     pace.record(&options, 1.0, secs(23.0));
     expect_that!(pace.slowness(&options, secs(23.0)), eq(1.0));
 }
--- a/fw-plan/tests/plan/poison_requests.rs
+++ b/fw-plan/tests/plan/poison_requests.rs
@@ -16,8 +16,8 @@
     format!("llm-{index}").into()
 }
 
-// An engine crashes under four requests, one of which is the cause; its caller sends it again. It
-// may take down one engine more, alone, and is then refused; the three others are cleared.
+// An engine crashes under four requests, one of which is the cause, and its caller sends it again.
+// It may crash one more engine, alone, and is then refused; the other three are cleared.
 #[gtest]
 fn only_the_cause_is_quarantined() {
     let mut poison = poison::Tracker::new(poison::Options::default());
--- a/fw-plan/tests/plan/retry_budget.rs
+++ b/fw-plan/tests/plan/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries, and which calls may be retried at all.
+//! Retries, and which calls may be retried.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 // A publish call loses its connection half-way. Sending it again may publish the page twice; the
-// error table says that it may have run, so only a call that may be repeated is sent again.
+// error table says that it may have run, so only a repeatable call is sent again.
 #[gtest]
 fn a_call_that_may_have_run_is_not_repeated() {
     let mut budget = retry::Budget::new(retry::Options::default());
@@ -65,8 +65,8 @@
 proptest! {
     #![proptest_config(crate::workload::fixed())]
 
-    // Every call to a service fails at once. Whatever the order of calls, what is sent again
-    // stays within a tenth of the first attempts, what was saved up, and one a second.
+    // Every call to a service fails at once. Whatever the order of calls, the retries stay within a
+    // tenth of the first attempts, the saved tokens, and one a second.
     #[test]
     fn retries_stay_within_the_budget(steps in prop::collection::vec((0_u64..200, 0_u8..4), 1..500)) {
         let options = retry::Options::default();
--- a/fw-plan/tests/plan/store_reader.rs
+++ b/fw-plan/tests/plan/store_reader.rs
@@ -1,4 +1,4 @@
-//! Who reads the platform's store.
+//! Election of the entries that read the platform's store.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 
 /// Time between two reads of an entry.
 const READ_INTERVAL: Duration = ms(450);
-/// Time from a read until all others have heard of it.
+/// Time from a read until all others have received it.
 const PROPAGATION: Duration = ms(20);
-/// One step of the play.
+/// Step of the simulation.
 const STEP: Duration = ms(5);
 
 struct Entry {
@@ -30,7 +30,7 @@
     rng: Pcg64,
     now: Duration,
     entries: Vec<Entry>,
-    /// Reads, and who made them.
+    /// Time and reader of each read.
     reads: Vec<(Duration, u32)>,
 }
 
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Reads in the last `time`.
+    /// Number of reads in the last `time`.
     fn rate(&self, time: Duration) -> usize {
         let recent = self.reads.iter().filter(|(at, _)| *at + time > self.now);
         recent.count()
@@ -113,8 +113,9 @@
     }
 }
 
-// The entry that reads for all dies, again and again. A worker that is leaving, or a route that was
-// moved, has to be known everywhere within two seconds: nobody may go without news for longer.
+// Guards against a gap in updates when the reader dies, again and again. An instance that is
+// leaving, or a route that was moved, has to be known everywhere within two seconds, so no entry
+// may be without updates for longer.
 #[gtest]
 fn others_take_over_from_a_reader_that_dies() {
     for seed in 0..50 {
--- a/fw-plan/tests/plan/team_quota.rs
+++ b/fw-plan/tests/plan/team_quota.rs
@@ -1,4 +1,4 @@
-//! What a team may send, over all entries together.
+//! Limit on the requests of a team over all entries together.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     burst: 50.0,
 };
 
-/// What a window of five seconds allows.
+/// Requests that the limit allows in a window of five seconds.
 const ALLOWED: i64 = 300;
 
 fn ms(ms: u64) -> Duration {
@@ -34,13 +34,13 @@
     account.decide(LIMIT, stage, now, &options()) == Outcome::Admitted
 }
 
-/// Tells the one replica of entry 1, and hears from it.
+/// Reports to the only replica as entry 1, and merges its summary.
 fn exchange(account: &mut Account, aggregate: &mut Aggregate, now: Duration) {
     let summary = aggregate.exchange(1, &account.report(now, &options()), now);
     account.merge(&summary, now, &options());
 }
 
-/// A request at each of `times`, all heard of at once; how many ran.
+/// Sends a request at each of `times`, with an exchange after each; returns how many ran.
 fn send(account: &mut Account, stage: Stage, times: impl Iterator<Item = u64>) -> i64 {
     let mut aggregate = Aggregate::default();
     let mut ran = 0;
@@ -51,7 +51,7 @@
     ran
 }
 
-/// An account that has heard of a replica which has counted for long.
+/// An account with a summary from a replica that has counted for long.
 fn synced_account() -> Account {
     let mut account = Account::default();
     account.merge(&summary(0, 0), ms(0), &options());
@@ -72,18 +72,18 @@
 
 #[gtest]
 fn refuses_beyond_the_limit() {
-    // A part of what the count may be wrong by is lent to programs under way.
+    // A part of the tolerance is available to programs under way.
     let ran = send(&mut synced_account(), Stage::Continues, 0..5_000);
     expect_that!(ran, eq(ALLOWED + 20));
 }
 
-// A team begins more programs than its quota can finish. Their first turns used it up, and nearly all
-// were broken off later.
+// Guards against a team that begins more programs than its quota can finish: their first turns use
+// it up, and nearly all are broken off later.
 #[gtest]
 fn begins_only_programs_that_can_finish() {
     let mut account = synced_account();
     let begun = send(&mut account, Stage::Begins, 0..2_000);
-    // Fifteen requests each are expected, as none was seen to its end yet.
+    // Fifteen requests each are assumed, as none has ended yet.
     expect_that!(begun, eq(ALLOWED / 15));
     let left = send(&mut account, Stage::Continues, 2_000..2_200);
     expect_that!(left, eq(200));
@@ -92,7 +92,7 @@
 #[gtest]
 fn learns_requests_per_program() {
     let mut account = synced_account();
-    // Programs of forty requests, for long.
+    // Programs of forty requests, for a long time.
     for now in (0..100_000).step_by(2_000) {
         send(&mut account, Stage::Begins, now..=now);
         send(&mut account, Stage::Continues, now..now + 39);
@@ -106,7 +106,7 @@
     let mut account = synced_account();
     send(&mut account, Stage::Continues, 0..4_000);
     let refused = account.decide(LIMIT, Stage::Continues, ms(4_000), &options());
-    // The first of them are out of the window after five seconds and a slot.
+    // The first of them leave the window after five seconds and a bucket.
     expect_that!(refused, eq(Outcome::Refused(ms(1_100))));
 }
 
@@ -128,7 +128,7 @@
     expect_false!(admits(&mut account, Stage::Continues, ms(0)));
 }
 
-// The nearest replica changes. The same requests must not be counted a second time.
+// Guards against counting the same requests a second time when the nearest replica changes.
 #[gtest]
 fn counts_the_same_requests_once_from_two_replicas() {
     let mut account = synced_account();
@@ -139,7 +139,7 @@
     expect_that!(ran, eq(ALLOWED + 20 - 200));
 }
 
-// An entry that is cut off from all replicas hears of nobody, as others may be, too.
+// An entry that is cut off from all replicas receives no counts, and others may be cut off, too.
 #[gtest]
 fn admits_few_requests_before_a_sync() {
     let mut account = synced_account();
@@ -150,13 +150,13 @@
     expect_that!(ran.count(), eq(4));
 }
 
-// All power is lost, and with it all counts. A team that had sent what it may sent as much again within
-// the same window.
+// Guards against a power failure of all machines that deletes all counts: a team that had used its
+// limit could send as much again within the same window.
 #[gtest]
 fn admits_a_fraction_after_all_counts_are_lost() {
     let mut account = Account::default();
     let ran = send(&mut account, Stage::Continues, 0..1_000);
-    // A fifth of the window is over.
+    // A fifth of the window has passed.
     expect_that!(ran, le(ALLOWED / 5 + 20));
     expect_that!(ran, ge(ALLOWED / 5));
 }
@@ -173,11 +173,11 @@
     expect_that!(decided, matches_pattern!(Outcome::Refused(_)));
 }
 
-/// What entries told, on its way to the replica.
+/// Reports of entries in flight to the replica.
 type InFlight = VecDeque<(Duration, usize, Report)>;
 
 /// Requests that ran in each millisecond, of a team that sends `per_ms` through `entries`, each of
-/// which tells the replica every 50 ms if it has to, and hears from it `lag` later.
+/// which reports to the replica every 50 ms if it has to, and receives the summary `lag` later.
 fn simulate(seed: u64, limit: Limit, entries: usize, per_ms: f64, lag: Duration) -> Vec<i64> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut accounts: Vec<_> = (0..entries).map(|_| synced_account()).collect();
@@ -206,8 +206,8 @@
     ran
 }
 
-// Counts are some tens of milliseconds old. In no window may more run than the limit and what the count may
-// be wrong by; and what is below the limit is let through.
+// Counts are some tens of milliseconds old. In no window may more requests run than the limit and
+// the tolerance allow, and a load below the limit is admitted.
 #[gtest]
 fn holds_in_every_window_over_all_entries() {
     for seed in 0..10 {
--- a/fw-plan/tests/plan/upstream_health.rs
+++ b/fw-plan/tests/plan/upstream_health.rs
@@ -1,4 +1,4 @@
-//! Which upstreams may be used.
+//! Health of upstreams.
 
 use std::time::Duration;
 
@@ -26,8 +26,9 @@
     (0..count).filter(|index| weight(*index) > 0.0).count()
 }
 
-// This process's own network fails: every call and heartbeat to every upstream fails. Ejecting
-// them all would refuse everything, also when the network is back and the ejections still run.
+// Guards against a fault of this process's own network, through which every call and heartbeat to
+// every upstream fails. Ejecting all would refuse everything, even after the network is back, until
+// the ejections end.
 #[gtest]
 fn most_upstreams_are_never_ejected() {
     let mut health = listed(9);
@@ -57,16 +58,17 @@
     expect_that!(lengths[2], gt(lengths[1]));
 }
 
-// Half of all calls fail everywhere, say for a bad model version. Three failures in a row are
-// then common by chance; ejecting for them would take a third of the engines from a service that
-// is in trouble already. The rate is learnt within the first three seconds.
+// Guards against ejections while half of all calls fail everywhere, for example because of a bad
+// model version. Three failures in a row are then common by chance; ejecting for them takes a third
+// of the engines from a service that is in trouble already. The rate is learnt within the first
+// three seconds.
 #[gtest]
 fn common_failures_eject_no_upstream() {
     let mut health = listed(9);
     for round in 0..600 {
         for index in 0..9 {
             let now = Duration::from_millis(round * 10);
-            // Runs of four failures and four answers, at another phase for each upstream.
+            // Runs of four failures and four answers, with a different phase for each upstream.
             let fails = (round as usize + index) % 8 < 4;
             let observation = if fails {
                 health::Observation::Failed
@@ -82,8 +84,8 @@
     }
 }
 
-// The instance list lags: it still calls an upstream live that has said itself that it leaves,
-// and lacks one that answers. What is seen goes before what is listed.
+// The instance list lags: it still lists an upstream as live that has reported that it is leaving,
+// and lacks one that answers. Observations take precedence over the list.
 #[gtest]
 fn own_observations_override_the_list() {
     let mut health = listed(3);
@@ -103,9 +105,10 @@
     expect_that!(health.decide(now, &name(1)).weight(), eq(1.0));
 }
 
-// A request crashes one engine, and the next one it is tried on. Of three, one only may be ejected, so
-// the second stayed in use although it had said that it was down: a good call was sent to the crashed
-// two, three times over, and its caller heard that there was no upstream, beside an idle one.
+// Guards against calls to engines that are known to be down. A request crashes one engine, and the
+// next one on which it is retried. Of three, only one may be ejected, so that the second would stay
+// in use although it reported that it is down: a good call is sent to the crashed two, three times
+// over, and its caller is told that there is no upstream, beside an idle one.
 #[gtest]
 fn a_down_upstream_is_excluded_beyond_the_ejection_limit() {
     let mut health = listed(3);
@@ -116,7 +119,7 @@
     // It is back as soon as it answers.
     health.observe(now, &name(1), health::Observation::Answered);
     expect_that!(usable(&health, now, 3), eq(2));
-    // Where nobody asks it, it is tried again once an ejection's time is over.
+    // If it is not polled, it is tried again once the time of an ejection has passed.
     health.observe(now, &name(1), health::Observation::Down);
     let later = now + health::Options::default().first_ejection;
     expect_that!(health.decide(later, &name(1)).weight(), gt(0.0));
--- a/fw-plan/tests/plan/watched_subset.rs
+++ b/fw-plan/tests/plan/watched_subset.rs
@@ -1,4 +1,4 @@
-//! Which upstreams each entry watches.
+//! Upstreams that each entry watches.
 
 use std::collections::HashSet;
 
@@ -24,8 +24,8 @@
     pairs
 }
 
-// One of a hundred entries restarts. If that reshuffled the rest, thousands of connections would
-// be made anew at once; and an upstream watched by nobody would get no work.
+// Guards against a restart of one of a hundred entries that reshuffles the rest: thousands of
+// connections would be opened again at once, and an upstream without a watcher would get no work.
 #[gtest]
 fn few_pairs_change_with_one_entry_and_each_upstream_is_watched() {
     let mut entries = members("entry", 100);
