--- a/fw-plan/examples/policy/sim/side.rs
+++ b/fw-plan/examples/policy/sim/side.rs
@@ -32,7 +32,7 @@
     /// Jobs that were pushed and not released.
     held: BTreeMap<u64, engine::Work>,
     released: HashMap<u64, Released>,
-    pauses: cache_retention::Pauses,
+    pauses: cache_retention::PauseHistogram,
     /// Ordered, so that a run with the same seed frees in the same order.
     paused: BTreeMap<usize, Paused>,
     prefill_queued: id::Tokens,
@@ -46,7 +46,7 @@
             options,
             held: BTreeMap::new(),
             released: HashMap::new(),
-            pauses: cache_retention::Pauses::new(),
+            pauses: cache_retention::PauseHistogram::new(),
             paused: BTreeMap::new(),
             prefill_queued: 0,
         }
@@ -132,12 +132,12 @@
         if excess == 0 {
             return;
         }
-        let as_paused = |paused: &Paused| cache_retention::Paused {
-            paused: now - paused.since,
+        let as_paused = |paused: &Paused| cache_retention::PausedProgram {
+            idle: now - paused.since,
             tokens: paused.tokens,
         };
         let all: Vec<_> = self.paused.values().map(as_paused).collect();
-        let line = cache_retention::line(&self.pauses, &all, excess, options);
+        let line = cache_retention::threshold(&self.pauses, &all, excess, options);
         let used = self.engine.cache.used as f64 / engine::CACHE as f64;
         let (pauses, cache) = (&self.pauses, &mut self.engine.cache);
         self.paused.retain(|program, paused| {
--- a/fw-plan/src/admit.rs
+++ b/fw-plan/src/admit.rs
@@ -86,16 +86,16 @@
     /// What a limit grows in one interval, as a part of it.
     pub grow: f64,
     /// Part of the limit that new programs may use.
-    pub new_part: f64,
+    pub new_program_fraction: f64,
     /// Multiple of the limit up to which turns of programs under way are admitted.
-    pub turn_part: f64,
+    pub turn_multiple: f64,
     /// Part of a lane's bound from which shares are enforced. What lies above is left to teams
     /// within their share; it must exceed the chance variation of the calls in flight, or a team
     /// that sends little is refused together with the one that fills the lane. The limit grows
     /// by delay, so nothing stays unused for it.
-    pub contended: f64,
+    pub contention_threshold: f64,
     /// How long a team that asks for nothing still counts in the sum of shares.
-    pub idle_after: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Options {
@@ -110,10 +110,10 @@
             max: 100_000.0,
             shrink: 0.2,
             grow: 0.03,
-            new_part: 0.8,
-            turn_part: 1.5,
-            contended: 0.7,
-            idle_after: Duration::from_secs(2),
+            new_program_fraction: 0.8,
+            turn_multiple: 1.5,
+            contention_threshold: 0.7,
+            idle_timeout: Duration::from_secs(2),
         }
     }
 }
@@ -125,8 +125,8 @@
     turns: Limit,
     plain: Limit,
     teams: HashMap<id::TeamId, Team>,
-    shares: f64,
-    swept: Duration,
+    total_share: f64,
+    last_sweep: Duration,
 }
 
 /// One team's calls in flight.
@@ -135,7 +135,7 @@
     share: f64,
     turns: u32,
     plain: u32,
-    seen: Duration,
+    last_seen: Duration,
 }
 
 impl Controller {
@@ -145,8 +145,8 @@
             turns: Limit::new(options.initial, options.target),
             plain: Limit::new(options.plain_initial, options.plain_target),
             teams: HashMap::new(),
-            shares: 0.0,
-            swept: Duration::ZERO,
+            total_share: 0.0,
+            last_sweep: Duration::ZERO,
             options,
         }
     }
@@ -154,7 +154,7 @@
     /// Decides whether `req` may start now.
     pub fn decide(&mut self, now: Duration, req: &Request) -> Outcome {
         self.adapt(now);
-        self.seen(now, req);
+        self.track_team(now, req);
         let expected = self.limit(req.lane).delay;
         if expected > req.deadline {
             return self.refuse(error::Kind::DeadlineUnmeetable, req.lane);
@@ -164,7 +164,9 @@
         if in_flight >= bound {
             return self.refuse(error::Kind::Overloaded, req.lane);
         }
-        if in_flight >= bound * self.options.contended && !self.has_share_left(req, bound) {
+        if in_flight >= bound * self.options.contention_threshold
+            && !self.has_share_left(req, bound)
+        {
             return self.refuse(error::Kind::ShareExceeded, req.lane);
         }
         Outcome::Admitted
@@ -176,9 +178,9 @@
         let Some(team) = self.teams.get_mut(team) else {
             return;
         };
-        team.seen = now;
-        let held = team.held_mut(lane);
-        *held = held.saturating_add(1);
+        team.last_seen = now;
+        let in_flight = team.in_flight_mut(lane);
+        *in_flight = in_flight.saturating_add(1);
     }
 
     /// A started call ended, after losing `queue_delay` to other calls: its wait in queues, and,
@@ -196,8 +198,8 @@
         limit.in_flight = limit.in_flight.saturating_sub(1);
         limit.observe(queue_delay);
         if let Some(team) = self.teams.get_mut(team) {
-            let held = team.held_mut(lane);
-            *held = held.saturating_sub(1);
+            let in_flight = team.in_flight_mut(lane);
+            *in_flight = in_flight.saturating_sub(1);
         }
         self.adapt(now);
     }
@@ -234,8 +236,8 @@
     fn bound(&self, lane: Lane) -> f64 {
         let part = match lane {
             Lane::Plain => 1.0,
-            Lane::Turn => self.options.turn_part,
-            Lane::NewProgram => self.options.new_part,
+            Lane::Turn => self.options.turn_multiple,
+            Lane::NewProgram => self.options.new_program_fraction,
         };
         self.limit(lane).limit * part
     }
@@ -244,8 +246,8 @@
         let Some(team) = self.teams.get(&req.team) else {
             return true;
         };
-        let fair = bound * team.share / self.shares.max(team.share);
-        f64::from(team.held(req.lane)) < fair.max(1.0)
+        let fair = bound * team.share / self.total_share.max(team.share);
+        f64::from(team.in_flight(req.lane)) < fair.max(1.0)
     }
 
     fn refuse(&self, kind: error::Kind, lane: Lane) -> Outcome {
@@ -256,19 +258,19 @@
         }
     }
 
-    fn seen(&mut self, now: Duration, req: &Request) {
+    fn track_team(&mut self, now: Duration, req: &Request) {
         if let Some(team) = self.teams.get_mut(&req.team) {
-            team.seen = now;
-            self.shares += req.share - team.share;
+            team.last_seen = now;
+            self.total_share += req.share - team.share;
             team.share = req.share;
             return;
         }
-        self.shares += req.share;
+        self.total_share += req.share;
         let team = Team {
             share: req.share,
             turns: 0,
             plain: 0,
-            seen: now,
+            last_seen: now,
         };
         self.teams.insert(req.team.clone(), team);
     }
@@ -277,32 +279,32 @@
         let options = &self.options;
         self.turns.adapt(now, options);
         self.plain.adapt(now, options);
-        if now >= self.swept + options.idle_after {
+        if now >= self.last_sweep + options.idle_timeout {
             self.sweep(now);
         }
     }
 
     fn sweep(&mut self, now: Duration) {
-        self.swept = now;
-        let idle_after = self.options.idle_after;
+        self.last_sweep = now;
+        let idle_timeout = self.options.idle_timeout;
         self.teams.retain(|_, team| {
             let idle = team.turns == 0 && team.plain == 0;
-            !idle || now < team.seen + idle_after
+            !idle || now < team.last_seen + idle_timeout
         });
         // Summing afresh keeps rounding errors of the running sum from piling up.
-        self.shares = self.teams.values().map(|team| team.share).sum();
+        self.total_share = self.teams.values().map(|team| team.share).sum();
     }
 }
 
 impl Team {
-    fn held(&self, lane: Lane) -> u32 {
+    fn in_flight(&self, lane: Lane) -> u32 {
         match lane {
             Lane::Plain => self.plain,
             Lane::Turn | Lane::NewProgram => self.turns,
         }
     }
 
-    fn held_mut(&mut self, lane: Lane) -> &mut u32 {
+    fn in_flight_mut(&mut self, lane: Lane) -> &mut u32 {
         match lane {
             Lane::Plain => &mut self.plain,
             Lane::Turn | Lane::NewProgram => &mut self.turns,
@@ -311,7 +313,7 @@
 }
 
 /// Part of what may be used at which a limit counts as in use.
-const IN_USE: f64 = 0.9;
+const IN_USE_FRACTION: f64 = 0.9;
 
 /// A limit on calls in flight that follows their queueing delay.
 #[derive(Debug)]
@@ -323,9 +325,9 @@
     peak: u32,
     /// Mean delay, smoothed over intervals.
     delay: Duration,
-    sum: Duration,
-    count: u32,
-    adapted: Duration,
+    delay_sum: Duration,
+    delay_count: u32,
+    last_adapted: Duration,
 }
 
 impl Limit {
@@ -336,9 +338,9 @@
             in_flight: 0,
             peak: 0,
             delay: Duration::ZERO,
-            sum: Duration::ZERO,
-            count: 0,
-            adapted: Duration::ZERO,
+            delay_sum: Duration::ZERO,
+            delay_count: 0,
+            last_adapted: Duration::ZERO,
         }
     }
 
@@ -348,32 +350,34 @@
     }
 
     fn observe(&mut self, delay: Duration) {
-        self.sum = self.sum.saturating_add(delay);
-        self.count += 1;
+        self.delay_sum = self.delay_sum.saturating_add(delay);
+        self.delay_count += 1;
     }
 
     fn adapt(&mut self, now: Duration, options: &Options) {
-        if now < self.adapted + options.interval {
+        if now < self.last_adapted + options.interval {
             return;
         }
-        self.adapted = now;
+        self.last_adapted = now;
         let peak = std::mem::replace(&mut self.peak, self.in_flight);
-        if self.count == 0 {
+        if self.delay_count == 0 {
             // Nothing finished: no news. An idle lane must not keep refusing on an old delay.
             if self.in_flight == 0 {
                 self.delay = Duration::ZERO;
             }
             return;
         }
-        let mean = self.sum / self.count;
-        self.sum = Duration::ZERO;
-        self.count = 0;
+        let mean = self.delay_sum / self.delay_count;
+        self.delay_sum = Duration::ZERO;
+        self.delay_count = 0;
         let smoothed = toward(self.delay.as_secs_f64(), mean.as_secs_f64(), 0.5);
         self.delay = Duration::from_secs_f64(smoothed);
-        self.limit = self.next(peak, options).clamp(options.min, options.max);
+        self.limit = self
+            .next_limit(peak, options)
+            .clamp(options.min, options.max);
     }
 
-    fn next(&self, peak: u32, options: &Options) -> f64 {
+    fn next_limit(&self, peak: u32, options: &Options) -> f64 {
         let excess = self.delay.as_secs_f64() / self.target.as_secs_f64();
         if excess > 1.0 {
             let shrink = ((excess - 1.0) * options.shrink).min(options.shrink);
@@ -381,8 +385,8 @@
             return self.limit.min(f64::from(peak)) * (1.0 - shrink);
         }
         // Teams above their share leave this much to the others.
-        let held_to = self.limit * options.new_part * options.contended;
-        let in_use = f64::from(peak) >= held_to * IN_USE;
+        let usable = self.limit * options.new_program_fraction * options.contention_threshold;
+        let in_use = f64::from(peak) >= usable * IN_USE_FRACTION;
         if in_use {
             self.limit + (self.limit * options.grow).max(1.0)
         } else {
--- a/fw-plan/src/budget.rs
+++ b/fw-plan/src/budget.rs
@@ -52,7 +52,7 @@
         /// What is left of it.
         left: id::Tokens,
         /// What the turn may need.
-        wanted: id::Tokens,
+        needed: id::Tokens,
     },
     /// No time left.
     Time {
@@ -88,9 +88,9 @@
             Self::Tokens {
                 limit,
                 left,
-                wanted,
+                needed,
             } => format!(
-                "the program has {left} of {limit} tokens left and the turn may need {wanted}; \
+                "the program has {left} of {limit} tokens left and the turn may need {needed}; \
                  lower `max_tokens` or start a new program"
             ),
             Self::Time { limit } => format!(
@@ -126,7 +126,7 @@
     ///
     /// When a bound would be exceeded if every reservation were used whole.
     pub fn reserve(&mut self, now: Duration, tokens: id::Tokens) -> Result<Reservation, Exhausted> {
-        self.take(now, Amount { turns: 1, tokens })
+        self.reserve_amount(now, Amount { turns: 1, tokens })
     }
 
     /// Sets aside `amount` for a sub-agent; settle it with what the sub-agent spent at its end.
@@ -135,7 +135,7 @@
     ///
     /// As [`Self::reserve`].
     pub fn lend(&mut self, now: Duration, amount: Amount) -> Result<Reservation, Exhausted> {
-        self.take(now, amount)
+        self.reserve_amount(now, amount)
     }
 
     /// The limits of a sub-agent that holds `loan`; its time ends with its parent's.
@@ -174,7 +174,7 @@
         self.limits.turns.map(|limit| limit.saturating_sub(used))
     }
 
-    fn take(&mut self, now: Duration, amount: Amount) -> Result<Reservation, Exhausted> {
+    fn reserve_amount(&mut self, now: Duration, amount: Amount) -> Result<Reservation, Exhausted> {
         self.check_time(now)?;
         if let (Some(left), Some(limit)) = (self.turns_left(), self.limits.turns)
             && left < amount.turns
@@ -187,7 +187,7 @@
             return Err(Exhausted::Tokens {
                 limit,
                 left,
-                wanted: amount.tokens,
+                needed: amount.tokens,
             });
         }
         self.reserved.turns = self.reserved.turns.saturating_add(amount.turns);
--- a/fw-plan/src/cache_retention.rs
+++ b/fw-plan/src/cache_retention.rs
@@ -19,15 +19,15 @@
 
 use fw_base::id;
 
-/// Buckets: pauses up to 2^i times [`FLOOR`].
+/// Buckets: pauses up to 2^i times [`MIN_PAUSE`].
 const BUCKETS: usize = 20;
 /// Upper end of the first bucket.
-const FLOOR: Duration = Duration::from_millis(50);
+const MIN_PAUSE: Duration = Duration::from_millis(50);
 /// Observations after which all counts are halved, so that old pauses fade.
-const FADE: u32 = 4_096;
+const DECAY_THRESHOLD: u32 = 4_096;
 
 /// How much more a long history counts than its part of the memory under [`Weight::Latency`].
-const LENGTH_POWER: f64 = 0.25;
+const LENGTH_EXPONENT: f64 = 0.25;
 
 /// What the operator's records weigh more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -50,7 +50,7 @@
     /// How far ahead a return counts.
     pub horizon: Duration,
     /// Chance of return below which a cache is freed even without pressure.
-    pub least_chance: f64,
+    pub min_return_probability: f64,
 }
 
 impl Default for Options {
@@ -59,7 +59,7 @@
             weight: Weight::default(),
             pressure: 0.98,
             horizon: Duration::from_secs(2),
-            least_chance: 0.02,
+            min_return_probability: 0.02,
         }
     }
 }
@@ -75,107 +75,108 @@
 
 /// A paused program.
 #[derive(Clone, Copy, Debug)]
-pub struct Paused {
+pub struct PausedProgram {
     /// Time since its last turn ended.
-    pub paused: Duration,
+    pub idle: Duration,
     /// Tokens held.
     pub tokens: id::Tokens,
 }
 
 /// Pauses learnt so far.
 #[derive(Clone, Debug)]
-pub struct Pauses {
+pub struct PauseHistogram {
     counts: [u32; BUCKETS],
     /// Programs that did not return.
-    gone: u32,
+    ended: u32,
     total: u32,
 }
 
-impl Default for Pauses {
+impl Default for PauseHistogram {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Pauses {
+impl PauseHistogram {
     /// Before anything was seen: every bucket is as likely as the others.
     pub fn new() -> Self {
         Self {
             counts: [1; BUCKETS],
-            gone: 1,
+            ended: 1,
             total: BUCKETS as u32 + 1,
         }
     }
 
     /// A program returned after `pause`.
     pub fn returned(&mut self, pause: Duration) {
-        self.counts[bucket(pause)] += 1;
-        self.add();
+        self.counts[bucket_index(pause)] += 1;
+        self.count_sample();
     }
 
     /// A program ended instead of returning.
     pub fn ended(&mut self) {
-        self.gone += 1;
-        self.add();
+        self.ended += 1;
+        self.count_sample();
     }
 
     /// The chance that a program which has paused for `paused` returns within `horizon`.
-    pub fn chance(&self, paused: Duration, horizon: Duration) -> f64 {
-        let longer = self.longer(paused) + f64::from(self.gone);
-        let within = self.longer(paused) - self.longer(paused + horizon);
-        if longer > 0.0 { within / longer } else { 0.0 }
+    pub fn return_probability(&self, paused: Duration, horizon: Duration) -> f64 {
+        let total = self.returns_after(paused) + f64::from(self.ended);
+        let within = self.returns_after(paused) - self.returns_after(paused + horizon);
+        if total > 0.0 { within / total } else { 0.0 }
     }
 
     /// How many of the returns seen came after `pause`, spread evenly within a bucket.
-    fn longer(&self, pause: Duration) -> f64 {
-        let index = bucket(pause);
+    fn returns_after(&self, pause: Duration) -> f64 {
+        let index = bucket_index(pause);
         let above: u32 = self.counts[index + 1..].iter().sum();
         let lower = if index == 0 {
             0.0
         } else {
-            upper_end(index - 1).as_secs_f64()
+            bucket_upper_bound(index - 1).as_secs_f64()
         };
-        let upper = upper_end(index).as_secs_f64();
+        let upper = bucket_upper_bound(index).as_secs_f64();
         let left = (upper - pause.as_secs_f64()) / (upper - lower);
         f64::from(above) + f64::from(self.counts[index]) * left.clamp(0.0, 1.0)
     }
 
-    fn add(&mut self) {
+    fn count_sample(&mut self) {
         self.total += 1;
-        if self.total < FADE {
+        if self.total < DECAY_THRESHOLD {
             return;
         }
         for count in &mut self.counts {
             *count = count.div_ceil(2);
         }
-        self.gone = self.gone.div_ceil(2);
-        self.total = self.counts.iter().sum::<u32>() + self.gone;
+        self.ended = self.ended.div_ceil(2);
+        self.total = self.counts.iter().sum::<u32>() + self.ended;
     }
 }
 
 /// What keeping a paused program's cache is worth: the expected saving for each token held.
 /// Only the order of scores means anything; the highest are kept.
-pub fn score(pauses: &Pauses, paused: &Paused, options: &Options) -> f64 {
-    let chance = pauses.chance(paused.paused, options.horizon);
+pub fn score(pauses: &PauseHistogram, paused: &PausedProgram, options: &Options) -> f64 {
+    let return_probability = pauses.return_probability(paused.idle, options.horizon);
     match options.weight {
-        Weight::Cache => chance,
-        Weight::Latency => chance * (paused.tokens.max(1) as f64).powf(LENGTH_POWER),
+        Weight::Cache => return_probability,
+        Weight::Latency => return_probability * (paused.tokens.max(1) as f64).powf(LENGTH_EXPONENT),
     }
 }
 
 /// What to do with a paused program's cache while `used` of the engine's cache (0 to 1) is in
-/// use and the score that keeps the cache below the pressure line is `line`, as [`line`] gives it.
+/// use and the score that keeps the cache below the pressure threshold is `threshold`, as [`threshold`] gives it.
 pub fn decide(
-    pauses: &Pauses,
-    paused: &Paused,
-    used: f64,
-    line: f64,
+    pauses: &PauseHistogram,
+    paused: &PausedProgram,
+    cache_usage: f64,
+    threshold: f64,
     options: &Options,
 ) -> Outcome {
-    let chance = pauses.chance(paused.paused, options.horizon);
-    let hopeless = chance < options.least_chance;
-    let pressed = used > options.pressure && score(pauses, paused, options) < line;
-    if hopeless || pressed {
+    let return_probability = pauses.return_probability(paused.idle, options.horizon);
+    let unlikely = return_probability < options.min_return_probability;
+    let under_pressure =
+        cache_usage > options.pressure && score(pauses, paused, options) < threshold;
+    if unlikely || under_pressure {
         Outcome::Free
     } else {
         Outcome::Keep
@@ -183,7 +184,12 @@
 }
 
 /// The score below which caches are to be freed so that `excess` tokens come free.
-pub fn line(pauses: &Pauses, paused: &[Paused], excess: id::Tokens, options: &Options) -> f64 {
+pub fn threshold(
+    pauses: &PauseHistogram,
+    paused: &[PausedProgram],
+    excess: id::Tokens,
+    options: &Options,
+) -> f64 {
     let mut scores: Vec<(f64, id::Tokens)> = paused
         .iter()
         .map(|one| (score(pauses, one, options), one.tokens))
@@ -199,12 +205,12 @@
     if excess == 0 { 0.0 } else { f64::INFINITY }
 }
 
-fn bucket(pause: Duration) -> usize {
-    let ratio = pause.as_secs_f64() / FLOOR.as_secs_f64();
+fn bucket_index(pause: Duration) -> usize {
+    let ratio = pause.as_secs_f64() / MIN_PAUSE.as_secs_f64();
     let index = ratio.max(1.0).log2().ceil() as usize;
     index.min(BUCKETS - 1)
 }
 
-fn upper_end(index: usize) -> Duration {
-    FLOOR * (1 << index)
+fn bucket_upper_bound(index: usize) -> Duration {
+    MIN_PAUSE * (1 << index)
 }
--- a/fw-plan/src/commit_window.rs
+++ b/fw-plan/src/commit_window.rs
@@ -23,22 +23,22 @@
 pub struct Options {
     /// Writes a second that all entries together may make for commits. Half of the several
     /// hundred that the store takes; leases, records and claims need the rest.
-    pub writes: f64,
+    pub max_write_rate: f64,
     /// Shortest delay.
     pub min_delay: Duration,
     /// Longest delay.
     pub max_delay: Duration,
     /// Multiple of the store's latency that commits are apart.
-    pub latency_part: f64,
+    pub latency_factor: f64,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            writes: 200.0,
+            max_write_rate: 200.0,
             min_delay: Duration::from_millis(1),
             max_delay: Duration::from_secs(4),
-            latency_part: 1.0,
+            latency_factor: 1.0,
         }
     }
 }
@@ -51,7 +51,7 @@
 pub struct CommitWindow {
     options: Options,
     latency: f64,
-    last: Option<Duration>,
+    last_commit: Option<Duration>,
 }
 
 impl CommitWindow {
@@ -60,13 +60,13 @@
         Self {
             options,
             latency: 0.0,
-            last: None,
+            last_commit: None,
         }
     }
 
     /// A commit was sent.
     pub fn committed(&mut self, now: Duration) {
-        self.last = Some(now);
+        self.last_commit = Some(now);
     }
 
     /// The store answered a commit after `latency`.
@@ -76,15 +76,15 @@
 
     /// Least time between two commits while `entries` entries share the store.
     pub fn spacing(&self, entries: u32) -> Duration {
-        let share = f64::from(entries.max(1)) / self.options.writes;
-        let answer = self.latency * self.options.latency_part;
-        let spacing = Duration::from_secs_f64(share.max(answer));
+        let share = f64::from(entries.max(1)) / self.options.max_write_rate;
+        let store_latency = self.latency * self.options.latency_factor;
+        let spacing = Duration::from_secs_f64(share.max(store_latency));
         spacing.clamp(self.options.min_delay, self.options.max_delay)
     }
 
     /// How long a change made now waits for others before it is committed.
     pub fn delay(&self, now: Duration, entries: u32) -> Duration {
-        match self.last {
+        match self.last_commit {
             Some(last) => (last + self.spacing(entries)).saturating_sub(now),
             None => Duration::ZERO,
         }
--- a/fw-plan/src/hedge.rs
+++ b/fw-plan/src/hedge.rs
@@ -19,9 +19,9 @@
 /// Buckets of the latency histogram: a factor of 2^(1/4) each, from 0.1 ms to about 100 s.
 const BUCKETS: usize = 80;
 /// Lower end of the histogram.
-const FLOOR: Duration = Duration::from_micros(100);
+const MIN_LATENCY: Duration = Duration::from_micros(100);
 /// Observations after which all counts are halved, so that old latencies fade.
-const FADE: u32 = 2_000;
+const DECAY_THRESHOLD: u32 = 2_000;
 
 /// When calls are hedged.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
     /// Quantile of recent latencies after which the copy is sent.
     pub quantile: f64,
     /// Observations needed before anything is hedged.
-    pub least: u32,
+    pub min_samples: u32,
     /// Shortest wait before the copy is sent.
     pub min_delay: Duration,
 }
@@ -38,7 +38,7 @@
     fn default() -> Self {
         Self {
             quantile: 0.95,
-            least: 100,
+            min_samples: 100,
             min_delay: Duration::from_millis(2),
         }
     }
@@ -64,17 +64,17 @@
 
     /// A call took `latency`.
     pub fn observe(&mut self, latency: Duration) {
-        self.counts[bucket(latency)] += 1;
+        self.counts[bucket_index(latency)] += 1;
         self.total += 1;
-        if self.total >= FADE {
-            self.fade();
+        if self.total >= DECAY_THRESHOLD {
+            self.decay();
         }
     }
 
     /// After which time a copy of a call is to be sent; `None` for never.
-    pub fn decide(&self, lane: admit::Lane, repeatable: bool) -> Option<Duration> {
-        let allowed = lane == admit::Lane::Plain && repeatable;
-        if !allowed || self.total < self.options.least {
+    pub fn decide(&self, lane: admit::Lane, idempotent: bool) -> Option<Duration> {
+        let allowed = lane == admit::Lane::Plain && idempotent;
+        if !allowed || self.total < self.options.min_samples {
             return None;
         }
         Some(self.quantile().max(self.options.min_delay))
@@ -82,17 +82,17 @@
 
     fn quantile(&self) -> Duration {
         let rank = f64::from(self.total) * self.options.quantile;
-        let mut below = 0.0;
+        let mut cumulative = 0.0;
         for (index, count) in self.counts.iter().enumerate() {
-            below += f64::from(*count);
-            if below >= rank {
-                return upper_end(index);
+            cumulative += f64::from(*count);
+            if cumulative >= rank {
+                return bucket_upper_bound(index);
             }
         }
-        upper_end(BUCKETS - 1)
+        bucket_upper_bound(BUCKETS - 1)
     }
 
-    fn fade(&mut self) {
+    fn decay(&mut self) {
         for count in &mut self.counts {
             *count /= 2;
         }
@@ -100,12 +100,12 @@
     }
 }
 
-fn bucket(latency: Duration) -> usize {
-    let ratio = latency.as_secs_f64() / FLOOR.as_secs_f64();
+fn bucket_index(latency: Duration) -> usize {
+    let ratio = latency.as_secs_f64() / MIN_LATENCY.as_secs_f64();
     let index = ratio.max(1.0).log2() * 4.0;
     (index as usize).min(BUCKETS - 1)
 }
 
-fn upper_end(index: usize) -> Duration {
-    FLOOR.mul_f64(2_f64.powf((index + 1) as f64 / 4.0))
+fn bucket_upper_bound(index: usize) -> Duration {
+    MIN_LATENCY.mul_f64(2_f64.powf((index + 1) as f64 / 4.0))
 }
--- a/fw-plan/src/lookup.rs
+++ b/fw-plan/src/lookup.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether the keeper may answer after all, without any news from the store.
-    fn may_pass(self) -> bool {
+    fn may_recover(self) -> bool {
         matches!(self, Self::Unreachable | Self::ConnectionBroken)
     }
 }
@@ -64,10 +64,10 @@
 
 /// Whether a call that has `waited` looks again, with the store silent for `silence`.
 pub fn should_retry(miss: Miss, waited: Duration, silence: Duration, opts: &Options) -> bool {
-    let waits_for_news = silence >= opts.outage_after && !miss.may_pass();
-    let patience = match waits_for_news {
+    let needs_store = silence >= opts.outage_after && !miss.may_recover();
+    let timeout = match needs_store {
         true => opts.timeout.min(opts.outage_timeout),
         false => opts.timeout,
     };
-    waited < patience
+    waited < timeout
 }
--- a/fw-plan/src/place.rs
+++ b/fw-plan/src/place.rs
@@ -39,16 +39,16 @@
     /// A program leaves its cache only if that saves this long,
     pub margin: Duration,
     /// and at least this part of the cost of staying.
-    pub margin_part: f64,
+    pub margin_fraction: f64,
     /// How much a second of prefill weighs against a second of waiting. Above 1 favours a small
     /// waste of cache over program latency.
     pub cache_weight: f64,
     /// Tokens that a turn is expected to generate.
-    pub output: id::Tokens,
+    pub expected_output: id::Tokens,
     /// Time to load a model that is missing.
-    pub model_load: Duration,
+    pub model_load_time: Duration,
     /// One-way delay to an upstream in another place, where no distance is set.
-    pub remote: Duration,
+    pub remote_delay: Duration,
     /// Tokens a second at which a cache is exported to another engine; 0 if engines cannot.
     pub export_rate: id::Tokens,
 }
@@ -58,11 +58,11 @@
         Self {
             choices: 2,
             margin: Duration::from_millis(300),
-            margin_part: 0.1,
+            margin_fraction: 0.1,
             cache_weight: 1.0,
-            output: 100,
-            model_load: Duration::from_secs(20),
-            remote: Duration::from_micros(500),
+            expected_output: 100,
+            model_load_time: Duration::from_secs(20),
+            remote_delay: Duration::from_micros(500),
             export_rate: 0,
         }
     }
@@ -154,7 +154,7 @@
     let chooser = choice::Chooser::new(view, req, options);
     let holder = chooser.best_holder();
     let other = chooser.best_sampled(rng);
-    let (chosen, reason) = chooser.settle(holder, other)?;
+    let (chosen, reason) = chooser.pick(holder, other)?;
     let name = |index: u32| view.upstreams[index as usize].id.clone();
     Some(Outcome {
         upstream: name(chosen.index),
--- a/fw-plan/src/place/choice.rs
+++ b/fw-plan/src/place/choice.rs
@@ -7,22 +7,22 @@
 use super::Options;
 use super::Reason;
 use super::Request;
-use super::view::Held;
-use super::view::Index;
-use super::view::Place;
+use super::view::CachedPrefix;
+use super::view::PlaceIndex;
 use super::view::Upstream;
+use super::view::UpstreamIndex;
 use super::view::View;
-use super::view::as_index;
+use super::view::to_index;
 
 /// An upstream that was compared.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
-    pub(super) index: Index,
+    pub(super) index: UpstreamIndex,
     cost: f64,
     pub(super) expected_latency: f64,
     pub(super) uncached_tokens: id::Tokens,
-    holds: id::Tokens,
-    pub(super) import_from: Option<Index>,
+    cached_tokens: id::Tokens,
+    pub(super) import_from: Option<UpstreamIndex>,
 }
 
 /// One choice under way.
@@ -30,33 +30,34 @@
     view: &'a View,
     req: &'a Request<'a>,
     options: &'a Options,
-    held: &'a [Held],
-    avoid: Vec<Index>,
-    from: Option<Place>,
+    cached: &'a [CachedPrefix],
+    avoid: Vec<UpstreamIndex>,
+    origin: Option<PlaceIndex>,
 }
 
 impl<'a> Chooser<'a> {
     pub(super) fn new(view: &'a View, req: &'a Request<'a>, options: &'a Options) -> Self {
-        let held = req.program.and_then(|program| view.caches.get(program));
+        let cached = req.program.and_then(|program| view.caches.get(program));
         Self {
             view,
             req,
             options,
-            held: held.map_or(&[][..], Vec::as_slice),
-            from: view.place(req.place),
+            cached: cached.map_or(&[][..], Vec::as_slice),
+            origin: view.place(req.place),
             avoid: req
                 .avoid
                 .iter()
                 .filter_map(|id| view.index(id))
-                .map(as_index)
+                .map(to_index)
                 .collect(),
         }
     }
 
     pub(super) fn best_holder(&self) -> Option<Candidate> {
-        let usable =
-            |held: &&Held| self.is_usable(held.upstream) && !self.avoid.contains(&held.upstream);
-        let holders = self.held.iter().filter(usable);
+        let usable = |held: &&CachedPrefix| {
+            self.is_usable(held.upstream) && !self.avoid.contains(&held.upstream)
+        };
+        let holders = self.cached.iter().filter(usable);
         holders
             .map(|held| self.candidate(held.upstream))
             .min_by(|a, b| a.cost.total_cmp(&b.cost))
@@ -65,13 +66,14 @@
     pub(super) fn best_sampled(&self, rng: &mut impl Rng) -> Option<Candidate> {
         let pool = self.pool();
         if pool.len() <= self.options.choices {
-            let wanted = |index: &&Index| self.is_usable(**index) && !self.avoid.contains(*index);
+            let wanted =
+                |index: &&UpstreamIndex| self.is_usable(**index) && !self.avoid.contains(*index);
             let best = pool
                 .iter()
                 .filter(wanted)
                 .map(|index| self.candidate(*index))
                 .min_by(|a, b| a.cost.total_cmp(&b.cost));
-            return best.or_else(|| self.any());
+            return best.or_else(|| self.any_usable());
         }
         let mut best: Option<Candidate> = None;
         let mut left = self.options.choices;
@@ -81,7 +83,7 @@
                 break;
             }
             let index = pool[rng.random_range(0..pool.len())];
-            if !self.accepts(index, rng) {
+            if !self.accept_sample(index, rng) {
                 continue;
             }
             left -= 1;
@@ -90,23 +92,23 @@
                 best = Some(candidate);
             }
         }
-        best.or_else(|| self.any())
+        best.or_else(|| self.any_usable())
     }
 
     /// Any usable upstream: one to be avoided, or one without the model, is better than none.
-    fn any(&self) -> Option<Candidate> {
+    fn any_usable(&self) -> Option<Candidate> {
         let usable = &self.view.usable;
         let wanted = usable.iter().find(|index| !self.avoid.contains(*index));
         let any = wanted.or_else(|| usable.first());
         any.map(|index| self.candidate(*index))
     }
 
-    fn is_usable(&self, index: Index) -> bool {
+    fn is_usable(&self, index: UpstreamIndex) -> bool {
         self.view.upstreams[index as usize].weight > 0.0
     }
 
     /// An upstream that warms up is drawn in proportion to its weight.
-    fn accepts(&self, index: Index, rng: &mut impl Rng) -> bool {
+    fn accept_sample(&self, index: UpstreamIndex, rng: &mut impl Rng) -> bool {
         let weight = self.view.upstreams[index as usize].weight;
         if weight <= 0.0 || self.avoid.contains(&index) {
             return false;
@@ -115,43 +117,45 @@
     }
 
     /// Upstreams with the model loaded, or all if none has it.
-    fn pool(&self) -> &[Index] {
-        let having = self.req.model.and_then(|model| self.view.models.get(model));
-        match having {
-            Some(having) if !having.is_empty() => having,
+    fn pool(&self) -> &[UpstreamIndex] {
+        let with_model = self.req.model.and_then(|model| self.view.models.get(model));
+        match with_model {
+            Some(with_model) if !with_model.is_empty() => with_model,
             _ => &self.view.usable,
         }
     }
 
-    fn candidate(&self, index: Index) -> Candidate {
+    fn candidate(&self, index: UpstreamIndex) -> Candidate {
         let upstream = &self.view.upstreams[index as usize];
-        let holds = self.holds(index);
-        let uncached_tokens = self.req.prompt_tokens.saturating_sub(holds);
-        let (import_from, missing) = self.import(index, upstream, uncached_tokens);
+        let cached_tokens = self.cached_tokens(index);
+        let uncached_tokens = self.req.prompt_tokens.saturating_sub(cached_tokens);
+        let (import_from, fill_time) = self.import(index, upstream, uncached_tokens);
         let queued = upstream.load.prefill + upstream.sent_tokens;
-        let wait = upstream.wait(self.view.service) + upstream.prefill(queued);
-        let decode = upstream.step() * self.output() as f64;
-        let load = self.model_load(upstream);
-        let far = self.view.distance(self.from, upstream.place, self.options);
-        let rest = wait + decode + load + far.as_secs_f64() * 2.0;
+        let wait = upstream.queue_time(self.view.turn_time) + upstream.prefill_time(queued);
+        let decode = upstream.step_time() * self.expected_output() as f64;
+        let model_load = self.model_load(upstream);
+        let distance = self
+            .view
+            .distance(self.origin, upstream.place, self.options);
+        let base_cost = wait + decode + model_load + distance.as_secs_f64() * 2.0;
         Candidate {
             index,
-            cost: rest + missing * self.options.cache_weight,
-            expected_latency: rest + missing,
+            cost: base_cost + fill_time * self.options.cache_weight,
+            expected_latency: base_cost + fill_time,
             uncached_tokens,
-            holds,
+            cached_tokens,
             import_from,
         }
     }
 
-    fn holds(&self, index: Index) -> id::Tokens {
-        let held = self.held.iter().find(|held| held.upstream == index);
+    fn cached_tokens(&self, index: UpstreamIndex) -> id::Tokens {
+        let held = self.cached.iter().find(|held| held.upstream == index);
         held.map_or(0, |held| held.tokens)
     }
 
-    fn output(&self) -> id::Tokens {
+    fn expected_output(&self) -> id::Tokens {
         match self.req.program {
-            Some(_) => self.options.output,
+            Some(_) => self.options.expected_output,
             None => 1,
         }
     }
@@ -159,12 +163,12 @@
     /// Seconds to fill in what the cache uncached_tokens, by prefill or, if shorter, by import.
     fn import(
         &self,
-        index: Index,
+        index: UpstreamIndex,
         upstream: &Upstream,
         uncached_tokens: id::Tokens,
-    ) -> (Option<Index>, f64) {
-        let prefill = upstream.prefill(uncached_tokens);
-        let others = self.held.iter().filter(|held| held.upstream != index);
+    ) -> (Option<UpstreamIndex>, f64) {
+        let prefill = upstream.prefill_time(uncached_tokens);
+        let others = self.cached.iter().filter(|held| held.upstream != index);
         let Some(source) = others.max_by_key(|held| held.tokens) else {
             return (None, prefill);
         };
@@ -173,7 +177,7 @@
         }
         let moved = source.tokens.min(uncached_tokens);
         let seconds = moved as f64 / self.options.export_rate as f64;
-        let imported = seconds + upstream.prefill(uncached_tokens - moved);
+        let imported = seconds + upstream.prefill_time(uncached_tokens - moved);
         if imported < prefill {
             (Some(source.upstream), imported)
         } else {
@@ -185,13 +189,13 @@
         match self.req.model {
             // An upstream that has named no models says nothing about them.
             Some(model) if !upstream.models.is_empty() && !upstream.models.contains(model) => {
-                self.options.model_load.as_secs_f64()
+                self.options.model_load_time.as_secs_f64()
             }
             _ => 0.0,
         }
     }
 
-    pub(super) fn settle(
+    pub(super) fn pick(
         &self,
         holder: Option<Candidate>,
         other: Option<Candidate>,
@@ -202,7 +206,7 @@
             (None, Some(other)) => return Some((other, self.reason(&other))),
             (Some(holder), Some(other)) => (holder, other),
         };
-        let part = holder.cost * self.options.margin_part;
+        let part = holder.cost * self.options.margin_fraction;
         let margin = part.max(self.options.margin.as_secs_f64());
         if holder.index == other.index || other.cost + margin >= holder.cost {
             return Some((holder, Reason::Cache));
@@ -211,11 +215,11 @@
     }
 
     fn reason(&self, chosen: &Candidate) -> Reason {
-        if chosen.holds > 0 {
+        if chosen.cached_tokens > 0 {
             Reason::Cache
         } else if self.view.usable.len() == 1 {
             Reason::Only
-        } else if self.held.is_empty() {
+        } else if self.cached.is_empty() {
             Reason::Delay
         } else {
             Reason::Moved
--- a/fw-plan/src/place/view.rs
+++ b/fw-plan/src/place/view.rs
@@ -11,10 +11,10 @@
 use crate::toward;
 
 /// Index of an upstream in its view.
-pub(super) type Index = u32;
+pub(super) type UpstreamIndex = u32;
 
 /// Index of a place in its view.
-pub(super) type Place = u32;
+pub(super) type PlaceIndex = u32;
 
 /// Work sent to an upstream that its last report cannot contain.
 #[derive(Clone, Copy, Debug)]
@@ -26,12 +26,12 @@
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) id: id::UpstreamId,
-    pub(super) place: Place,
+    pub(super) place: PlaceIndex,
     pub(super) load: Load,
     /// 0 for unusable, 1 for fully usable, between while it starts slowly.
     pub(super) weight: f64,
     /// Position among the usable ones.
-    position: Option<usize>,
+    usable_position: Option<usize>,
     pub(super) models: Vec<id::ModelId>,
     /// In order of time.
     sent: VecDeque<Sent>,
@@ -39,13 +39,13 @@
     /// Sent and not settled, by this process.
     outstanding: u32,
     /// Attempts there that other processes sent, smoothed over reports; `None` before the first.
-    others: Option<f64>,
+    others_load: Option<f64>,
 }
 
 /// One cached prefix.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Held {
-    pub(super) upstream: Index,
+pub(super) struct CachedPrefix {
+    pub(super) upstream: UpstreamIndex,
     pub(super) tokens: id::Tokens,
 }
 
@@ -53,33 +53,33 @@
 #[derive(Debug)]
 pub struct View {
     pub(super) upstreams: Vec<Upstream>,
-    names: HashMap<id::UpstreamId, Index>,
-    free: Vec<Index>,
-    pub(super) usable: Vec<Index>,
-    pub(super) models: HashMap<id::ModelId, Vec<Index>>,
-    pub(super) caches: HashMap<id::ProgramId, Vec<Held>>,
-    places: HashMap<id::PlaceId, Place>,
-    distances: HashMap<(Place, Place), Duration>,
+    indices: HashMap<id::UpstreamId, UpstreamIndex>,
+    free_indices: Vec<UpstreamIndex>,
+    pub(super) usable: Vec<UpstreamIndex>,
+    pub(super) models: HashMap<id::ModelId, Vec<UpstreamIndex>>,
+    pub(super) caches: HashMap<id::ProgramId, Vec<CachedPrefix>>,
+    places: HashMap<id::PlaceId, PlaceIndex>,
+    distances: HashMap<(PlaceIndex, PlaceIndex), Duration>,
     /// Engine time of one turn, smoothed, in seconds.
-    pub(super) service: f64,
+    pub(super) turn_time: f64,
 }
 
 /// Most upstreams remembered as holding a program's cache.
-const MAX_HELD: usize = 4;
+const MAX_HOLDERS: usize = 4;
 /// Engine time of a turn before any was measured, in seconds.
-const FIRST_SERVICE: f64 = 0.5;
+const DEFAULT_TURN_TIME: f64 = 0.5;
 /// Weight of the newest sample in smoothed times.
 const SMOOTHING: f64 = 0.05;
 /// Weight of the newest report in the others' part of a load.
 const REPORT_SMOOTHING: f64 = 0.3;
 /// Prefill speed before an upstream reports its own, in tokens a second.
-const FIRST_PREFILL_RATE: u64 = 20_000;
+const DEFAULT_PREFILL_RATE: u64 = 20_000;
 /// Step time before an upstream reports its own.
-const FIRST_STEP: Duration = Duration::from_micros(2_500);
+const DEFAULT_STEP: Duration = Duration::from_micros(2_500);
 /// Attempts run together by an engine that does not say.
-const FIRST_BATCH: u32 = 32;
+const DEFAULT_BATCH: u32 = 32;
 /// Work sent longer ago than this is in some report, or was lost.
-const SENT_AGE: Duration = Duration::from_secs(5);
+const MAX_SENT_AGE: Duration = Duration::from_secs(5);
 
 impl Default for View {
     fn default() -> Self {
@@ -92,14 +92,14 @@
     pub fn new() -> Self {
         Self {
             upstreams: Vec::new(),
-            names: HashMap::new(),
-            free: Vec::new(),
+            indices: HashMap::new(),
+            free_indices: Vec::new(),
             usable: Vec::new(),
             models: HashMap::new(),
             caches: HashMap::new(),
             places: HashMap::new(),
             distances: HashMap::new(),
-            service: FIRST_SERVICE,
+            turn_time: DEFAULT_TURN_TIME,
         }
     }
 
@@ -115,24 +115,25 @@
             place,
             load: Load::default(),
             weight: 0.0,
-            position: None,
+            usable_position: None,
             models: Vec::new(),
             sent: VecDeque::new(),
             sent_tokens: 0,
             outstanding: 0,
-            others: None,
+            others_load: None,
         };
-        let index = match self.free.pop() {
+        let index = match self.free_indices.pop() {
             Some(index) => {
                 self.upstreams[index as usize] = new;
                 index
             }
             None => {
                 self.upstreams.push(new);
-                Index::try_from(self.upstreams.len() - 1).expect("fewer than 2^32 upstreams")
+                UpstreamIndex::try_from(self.upstreams.len() - 1)
+                    .expect("fewer than 2^32 upstreams")
             }
         };
-        self.names.insert(upstream.clone(), index);
+        self.indices.insert(upstream.clone(), index);
         self.set_health(upstream, 1.0);
     }
 
@@ -144,18 +145,18 @@
         self.set_health(upstream, 0.0);
         self.set_models(upstream, &[]);
         self.clear_cache(upstream);
-        self.names.remove(upstream);
-        self.free.push(as_index(index));
+        self.indices.remove(upstream);
+        self.free_indices.push(to_index(index));
     }
 
     /// Upstreams known.
     pub fn len(&self) -> usize {
-        self.names.len()
+        self.indices.len()
     }
 
     /// Whether no upstream is known.
     pub fn is_empty(&self) -> bool {
-        self.names.is_empty()
+        self.indices.is_empty()
     }
 
     /// Upstreams that may be chosen.
@@ -175,16 +176,16 @@
             return;
         };
         self.upstreams[index].weight = weight.clamp(0.0, 1.0);
-        match (self.upstreams[index].position, weight > 0.0) {
+        match (self.upstreams[index].usable_position, weight > 0.0) {
             (None, true) => {
-                self.upstreams[index].position = Some(self.usable.len());
-                self.usable.push(as_index(index));
+                self.upstreams[index].usable_position = Some(self.usable.len());
+                self.usable.push(to_index(index));
             }
-            (Some(position), false) => {
-                self.upstreams[index].position = None;
-                self.usable.swap_remove(position);
-                if let Some(&moved) = self.usable.get(position) {
-                    self.upstreams[moved as usize].position = Some(position);
+            (Some(usable_position), false) => {
+                self.upstreams[index].usable_position = None;
+                self.usable.swap_remove(usable_position);
+                if let Some(&moved) = self.usable.get(usable_position) {
+                    self.upstreams[moved as usize].usable_position = Some(usable_position);
                 }
             }
             _ => {}
@@ -198,13 +199,13 @@
         };
         let before = std::mem::replace(&mut self.upstreams[index].models, models.to_vec());
         for model in before {
-            if let Some(having) = self.models.get_mut(&model) {
-                having.retain(|have| *have != as_index(index));
+            if let Some(with_model) = self.models.get_mut(&model) {
+                with_model.retain(|other| *other != to_index(index));
             }
         }
         for model in models {
-            let having = self.models.entry(model.clone()).or_default();
-            having.push(as_index(index));
+            let with_model = self.models.entry(model.clone()).or_default();
+            with_model.push(to_index(index));
         }
     }
 
@@ -216,8 +217,8 @@
         let upstream = &mut self.upstreams[index];
         upstream.load = load;
         // What was sent before the report was made is contained in it.
-        upstream.drop_sent(now.saturating_sub(load.age));
-        upstream.learn_others();
+        upstream.drop_sent_until(now.saturating_sub(load.age));
+        upstream.update_others_load();
     }
 
     /// This process sent a call that needs `tokens` of prefill.
@@ -226,7 +227,7 @@
             return;
         };
         let upstream = &mut self.upstreams[index];
-        upstream.drop_sent(now.saturating_sub(SENT_AGE));
+        upstream.drop_sent_until(now.saturating_sub(MAX_SENT_AGE));
         upstream.sent.push_back(Sent { at: now, tokens });
         upstream.sent_tokens += tokens;
         upstream.outstanding += 1;
@@ -235,7 +236,7 @@
     /// A sent call ended after `engine` time in the upstream; `None` if it did not run there.
     pub fn record_finished(&mut self, upstream: &id::UpstreamId, engine: Option<Duration>) {
         if let Some(engine) = engine {
-            self.service = toward(self.service, engine.as_secs_f64(), SMOOTHING);
+            self.turn_time = toward(self.turn_time, engine.as_secs_f64(), SMOOTHING);
         }
         if let Some(index) = self.index(upstream) {
             let upstream = &mut self.upstreams[index];
@@ -253,14 +254,14 @@
         let Some(index) = self.index(upstream) else {
             return;
         };
-        let index = as_index(index);
+        let index = to_index(index);
         let held = self.caches.entry(program.clone()).or_default();
         held.retain(|held| held.upstream != index);
         if tokens > 0 {
-            if held.len() >= MAX_HELD {
+            if held.len() >= MAX_HOLDERS {
                 held.remove(0);
             }
-            held.push(Held {
+            held.push(CachedPrefix {
                 upstream: index,
                 tokens,
             });
@@ -280,7 +281,7 @@
         let Some(index) = self.index(upstream) else {
             return;
         };
-        let index = as_index(index);
+        let index = to_index(index);
         self.caches.retain(|_, held| {
             held.retain(|held| held.upstream != index);
             !held.is_empty()
@@ -297,36 +298,41 @@
     }
 
     pub(super) fn index(&self, upstream: &id::UpstreamId) -> Option<usize> {
-        self.names.get(upstream).map(|index| *index as usize)
+        self.indices.get(upstream).map(|index| *index as usize)
     }
 
     /// The index of a place, if an upstream or a distance has named it.
-    pub(super) fn place(&self, place: &id::PlaceId) -> Option<Place> {
+    pub(super) fn place(&self, place: &id::PlaceId) -> Option<PlaceIndex> {
         self.places.get(place).copied()
     }
 
     /// One-way delay between two places; from an unknown one, all others are remote.
-    pub(super) fn distance(&self, from: Option<Place>, to: Place, options: &Options) -> Duration {
+    pub(super) fn distance(
+        &self,
+        from: Option<PlaceIndex>,
+        to: PlaceIndex,
+        options: &Options,
+    ) -> Duration {
         let Some(from) = from else {
-            return options.remote;
+            return options.remote_delay;
         };
         if from == to {
             return Duration::ZERO;
         }
         let set = self.distances.get(&(from, to));
-        set.copied().unwrap_or(options.remote)
+        set.copied().unwrap_or(options.remote_delay)
     }
 
-    fn intern(&mut self, place: &id::PlaceId) -> Place {
-        let next = Place::try_from(self.places.len()).expect("fewer than 2^32 places");
+    fn intern(&mut self, place: &id::PlaceId) -> PlaceIndex {
+        let next = PlaceIndex::try_from(self.places.len()).expect("fewer than 2^32 places");
         *self.places.entry(place.clone()).or_insert(next)
     }
 }
 
 impl Upstream {
-    fn drop_sent(&mut self, before: Duration) {
+    fn drop_sent_until(&mut self, until: Duration) {
         while let Some(first) = self.sent.front() {
-            if first.at > before {
+            if first.at > until {
                 break;
             }
             self.sent_tokens -= first.tokens;
@@ -335,45 +341,45 @@
     }
 
     /// Seconds until a job sent now has its place in the batch.
-    pub(super) fn wait(&self, service: f64) -> f64 {
+    pub(super) fn queue_time(&self, turn_time: f64) -> f64 {
         let batch = match self.load.batch {
-            0 => FIRST_BATCH,
+            0 => DEFAULT_BATCH,
             batch => batch,
         };
         // What this process sent is known to it exactly; only the others' part is a report old.
-        let there = f64::from(self.outstanding) + self.others.unwrap_or(0.0);
-        let ahead = (there + 1.0 - f64::from(batch)).max(0.0);
-        ahead * service / f64::from(batch)
+        let present = f64::from(self.outstanding) + self.others_load.unwrap_or(0.0);
+        let ahead = (present + 1.0 - f64::from(batch)).max(0.0);
+        ahead * turn_time / f64::from(batch)
     }
 
     /// Takes this process's own part out of a report. The rest changes less from report to report
     /// than the sum does, and is smoothed, so that a report taken at a busy moment neither
     /// attracts nor repels every call until the next one.
-    fn learn_others(&mut self) {
+    fn update_others_load(&mut self) {
         let reported = f64::from(self.load.queued + self.load.running);
         let own = self.outstanding.saturating_sub(self.sent.len() as u32);
         let others = (reported - f64::from(own)).max(0.0);
-        let before = self.others.unwrap_or(others);
-        self.others = Some(toward(before, others, REPORT_SMOOTHING));
+        let before = self.others_load.unwrap_or(others);
+        self.others_load = Some(toward(before, others, REPORT_SMOOTHING));
     }
 
-    pub(super) fn prefill(&self, tokens: id::Tokens) -> f64 {
+    pub(super) fn prefill_time(&self, tokens: id::Tokens) -> f64 {
         let rate = match self.load.prefill_rate {
-            0 => FIRST_PREFILL_RATE,
+            0 => DEFAULT_PREFILL_RATE,
             rate => rate,
         };
         tokens as f64 / rate as f64
     }
 
-    pub(super) fn step(&self) -> f64 {
+    pub(super) fn step_time(&self) -> f64 {
         if self.load.step.is_zero() {
-            FIRST_STEP.as_secs_f64()
+            DEFAULT_STEP.as_secs_f64()
         } else {
             self.load.step.as_secs_f64()
         }
     }
 }
 
-pub(super) fn as_index(index: usize) -> Index {
-    Index::try_from(index).expect("fewer than 2^32 upstreams")
+pub(super) fn to_index(index: usize) -> UpstreamIndex {
+    UpstreamIndex::try_from(index).expect("fewer than 2^32 upstreams")
 }
--- a/fw-plan/src/queue.rs
+++ b/fw-plan/src/queue.rs
@@ -40,7 +40,7 @@
     /// Most jobs waiting.
     pub capacity: usize,
     /// Part of the capacity from which a team is held to its share of it.
-    pub contended: f64,
+    pub contention_threshold: f64,
     /// Seconds of attained service that one second of waiting makes up for.
     pub aging: f64,
     /// Attained service beyond which programs rank alike.
@@ -48,27 +48,27 @@
     /// Prompt tokens to prefill from which a job counts as long.
     pub long_prompt: id::Tokens,
     /// Most prompt tokens in prefill together; a single job may exceed it.
-    pub prefill: id::Tokens,
+    pub max_prefill: id::Tokens,
     /// Jobs that run together if the engine does not say.
-    pub batch: u32,
+    pub default_batch: u32,
     /// How long an emptied place in the engine may go unnoticed, in steps.
-    pub notice_steps: f64,
+    pub refill_steps: f64,
     /// How long a job that must run alone waits before the engine is emptied for it.
-    pub alone_after: Duration,
+    pub drain_after: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
             capacity: 10_000,
-            contended: 0.5,
+            contention_threshold: 0.5,
             aging: 0.5,
             attained_cap: Duration::from_secs(60),
             long_prompt: 16_384,
-            prefill: 32_768,
-            batch: 32,
-            notice_steps: 2.0,
-            alone_after: Duration::from_millis(500),
+            max_prefill: 32_768,
+            default_batch: 32,
+            refill_steps: 2.0,
+            drain_after: Duration::from_millis(500),
         }
     }
 }
@@ -112,12 +112,12 @@
 /// Rank within a team, in nanoseconds of attained service; ties go by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    aged: u128,
+    aged_service: u128,
     seq: u64,
 }
 
 /// Virtual time of a team, in nanoseconds of engine time for a share of 1.
-type Virtual = u128;
+type VirtualTime = u128;
 
 /// Whether a job's prefill is long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -140,7 +140,7 @@
 #[derive(Debug, Default)]
 struct Team {
     share: f64,
-    virtual_time: Virtual,
+    virtual_time: VirtualTime,
     jobs: [BTreeMap<Rank, id::AttemptId>; 2],
 }
 
@@ -150,30 +150,30 @@
     options: Options,
     jobs: HashMap<id::AttemptId, Waiting>,
     teams: Vec<Team>,
-    names: HashMap<id::TeamId, usize>,
-    idle: Vec<usize>,
+    team_indices: HashMap<id::TeamId, usize>,
+    free_indices: Vec<usize>,
     /// Teams with short and with long jobs, by virtual time.
-    order: [BTreeSet<(Virtual, usize)>; 2],
+    by_virtual_time: [BTreeSet<(VirtualTime, usize)>; 2],
     alone: BTreeSet<(Rank, id::AttemptId)>,
     expiry: BTreeSet<(Duration, id::AttemptId)>,
     /// Shares of teams with waiting jobs.
-    shares: f64,
+    total_share: f64,
     /// Virtual time of the team served last.
-    virtual_now: Virtual,
+    virtual_now: VirtualTime,
     seq: u64,
     /// Engine time of one job, smoothed, in seconds.
-    service: f64,
+    job_time: f64,
     /// Time between releases while jobs wait, smoothed, in seconds.
-    interval: f64,
-    released: Option<Duration>,
+    release_interval: f64,
+    last_release: Option<Duration>,
     /// Time from push to release, smoothed, in seconds.
-    waited: f64,
+    mean_wait: f64,
 }
 
 /// Weight of the newest sample in smoothed times.
 const SMOOTHING: f64 = 0.1;
 /// Engine time of a job before any was measured.
-const FIRST_SERVICE: Duration = Duration::from_millis(500);
+const DEFAULT_JOB_TIME: Duration = Duration::from_millis(500);
 
 impl Queue {
     /// An empty queue.
@@ -182,18 +182,18 @@
             options,
             jobs: HashMap::new(),
             teams: Vec::new(),
-            names: HashMap::new(),
-            idle: Vec::new(),
-            order: [BTreeSet::new(), BTreeSet::new()],
+            team_indices: HashMap::new(),
+            free_indices: Vec::new(),
+            by_virtual_time: [BTreeSet::new(), BTreeSet::new()],
             alone: BTreeSet::new(),
             expiry: BTreeSet::new(),
-            shares: 0.0,
+            total_share: 0.0,
             virtual_now: 0,
             seq: 0,
-            service: FIRST_SERVICE.as_secs_f64(),
-            interval: 0.0,
-            released: None,
-            waited: 0.0,
+            job_time: DEFAULT_JOB_TIME.as_secs_f64(),
+            release_interval: 0.0,
+            last_release: None,
+            mean_wait: 0.0,
         }
     }
 
@@ -208,13 +208,13 @@
     }
 
     /// Time until a job pushed now would be released, if those before it go first.
-    pub fn delay(&self) -> Duration {
-        Duration::from_secs_f64(self.jobs.len() as f64 * self.interval)
+    pub fn expected_delay(&self) -> Duration {
+        Duration::from_secs_f64(self.jobs.len() as f64 * self.release_interval)
     }
 
     /// Time from push to release of recent jobs, smoothed.
     pub fn recent_wait(&self) -> Duration {
-        Duration::from_secs_f64(self.waited)
+        Duration::from_secs_f64(self.mean_wait)
     }
 
     /// Adds a job, or refuses it at once.
@@ -227,8 +227,8 @@
         if self.jobs.contains_key(&job.id) {
             return Ok(());
         }
-        self.check(&job)?;
-        let team = self.team(&job);
+        self.check_admission(&job)?;
+        let team = self.intern_team(&job);
         let rank = self.rank(now, &job);
         let size = self.size(job.prompt_tokens);
         let waiting = Waiting {
@@ -256,7 +256,7 @@
             return None;
         }
         if let Some(first) = self.alone.first().map(|(_, id)| *id) {
-            let due = self.jobs[&first].pushed + self.options.alone_after <= now;
+            let due = self.jobs[&first].pushed + self.options.drain_after <= now;
             let nothing_else = self.jobs.len() == self.alone.len();
             if due || nothing_else {
                 // Nothing else is released until the engine is empty: otherwise the job would
@@ -264,7 +264,7 @@
                 return (running.jobs == 0).then(|| self.release(now, first));
             }
         }
-        let id = self.next(running)?;
+        let id = self.next_job(running)?;
         Some(self.release(now, id))
     }
 
@@ -288,11 +288,11 @@
 
     /// A released job of `team` left the engine after `engine` time there: corrects what its
     /// team was charged at the release.
-    pub fn finished(&mut self, team: &id::TeamId, engine: Duration) {
-        let charged = self.service;
-        let used = engine.as_secs_f64();
-        self.service = toward(self.service, used, SMOOTHING);
-        let Some(&index) = self.names.get(team) else {
+    pub fn finished(&mut self, team: &id::TeamId, engine_time: Duration) {
+        let charged = self.job_time;
+        let used = engine_time.as_secs_f64();
+        self.job_time = toward(self.job_time, used, SMOOTHING);
+        let Some(&index) = self.team_indices.get(team) else {
             return;
         };
         let share = self.teams[index].share;
@@ -302,11 +302,11 @@
         } else {
             before.saturating_sub(nanos((charged - used) / share))
         };
-        self.reorder(index, after);
+        self.set_virtual_time(index, after);
     }
 
-    fn check(&self, job: &Job) -> Result<(), Refused> {
-        let delay = self.delay();
+    fn check_admission(&self, job: &Job) -> Result<(), Refused> {
+        let delay = self.expected_delay();
         let refuse = |kind| {
             Err(Refused {
                 kind,
@@ -316,8 +316,8 @@
         if self.jobs.len() >= self.options.capacity {
             return refuse(error::Kind::QueueFull);
         }
-        let contended = self.options.capacity as f64 * self.options.contended;
-        if self.jobs.len() as f64 >= contended && self.exceeds_share(job) {
+        let contended_from = self.options.capacity as f64 * self.options.contention_threshold;
+        if self.jobs.len() as f64 >= contended_from && self.exceeds_share(job) {
             return refuse(error::Kind::ShareExceeded);
         }
         if delay >= job.deadline {
@@ -327,11 +327,11 @@
     }
 
     fn exceeds_share(&self, job: &Job) -> bool {
-        let Some(&index) = self.names.get(&job.team) else {
+        let Some(&index) = self.team_indices.get(&job.team) else {
             return false;
         };
         let team = &self.teams[index];
-        let fair = self.options.capacity as f64 * team.share / self.shares.max(team.share);
+        let fair = self.options.capacity as f64 * team.share / self.total_share.max(team.share);
         team.waiting() as f64 >= fair
     }
 
@@ -340,7 +340,7 @@
         let attained = job.attained.min(self.options.attained_cap).as_nanos();
         let arrival = now.mul_f64(self.options.aging).as_nanos();
         Rank {
-            aged: attained + arrival,
+            aged_service: attained + arrival,
             seq: self.seq,
         }
     }
@@ -357,18 +357,18 @@
     /// is noticed and filled.
     fn window(&self, running: &Running) -> u32 {
         let batch = match running.batch {
-            0 => self.options.batch,
+            0 => self.options.default_batch,
             batch => batch,
         };
-        let notice = running.step.as_secs_f64() * self.options.notice_steps;
-        let slack = f64::from(batch) * notice / self.service.max(f64::EPSILON);
+        let notice = running.step.as_secs_f64() * self.options.refill_steps;
+        let slack = f64::from(batch) * notice / self.job_time.max(f64::EPSILON);
         batch + (slack.ceil() as u32).clamp(1, batch.max(1))
     }
 
-    fn next(&self, running: &Running) -> Option<id::AttemptId> {
-        let short = self.first(Size::Short);
+    fn next_job(&self, running: &Running) -> Option<id::AttemptId> {
+        let short = self.first_job(Size::Short);
         let long = match running.long {
-            0 => self.first(Size::Long),
+            0 => self.first_job(Size::Long),
             _ => None,
         };
         let first = match (short, long) {
@@ -377,12 +377,12 @@
         };
         let (_, _, id) = first?;
         let tokens = self.jobs[&id].tokens;
-        let fits = running.prefill == 0 || running.prefill + tokens <= self.options.prefill;
+        let fits = running.prefill == 0 || running.prefill + tokens <= self.options.max_prefill;
         fits.then_some(id)
     }
 
-    fn first(&self, size: Size) -> Option<(Virtual, Rank, id::AttemptId)> {
-        let (time, team) = self.order[size as usize].first()?;
+    fn first_job(&self, size: Size) -> Option<(VirtualTime, Rank, id::AttemptId)> {
+        let (time, team) = self.by_virtual_time[size as usize].first()?;
         let jobs = &self.teams[*team].jobs[size as usize];
         let (rank, id) = jobs.first_key_value()?;
         Some((*time, *rank, *id))
@@ -393,23 +393,23 @@
             return id;
         };
         let waited = now.saturating_sub(waiting.pushed).as_secs_f64();
-        self.waited = toward(self.waited, waited, SMOOTHING);
-        self.measure_interval(now);
+        self.mean_wait = toward(self.mean_wait, waited, SMOOTHING);
+        self.update_release_interval(now);
         let team = &self.teams[waiting.team];
         self.virtual_now = self.virtual_now.max(team.virtual_time);
-        let charged = team.virtual_time + nanos(self.service / team.share);
-        self.reorder(waiting.team, charged);
+        let charged = team.virtual_time + nanos(self.job_time / team.share);
+        self.set_virtual_time(waiting.team, charged);
         id
     }
 
     /// The interval counts only between releases with jobs left waiting; an idle time says
     /// nothing about how fast the engine takes jobs.
-    fn measure_interval(&mut self, now: Duration) {
-        if let Some(before) = self.released {
+    fn update_release_interval(&mut self, now: Duration) {
+        if let Some(before) = self.last_release {
             let interval = now.saturating_sub(before).as_secs_f64();
-            self.interval = toward(self.interval, interval, SMOOTHING);
+            self.release_interval = toward(self.release_interval, interval, SMOOTHING);
         }
-        self.released = (!self.jobs.is_empty()).then_some(now);
+        self.last_release = (!self.jobs.is_empty()).then_some(now);
     }
 
     fn take(&mut self, id: id::AttemptId) -> Option<Waiting> {
@@ -421,7 +421,7 @@
             self.dequeue(&waiting);
         }
         if self.jobs.is_empty() {
-            self.released = None;
+            self.last_release = None;
         }
         Some(waiting)
     }
@@ -429,13 +429,13 @@
     fn enqueue(&mut self, index: usize, rank: Rank, size: Size, id: id::AttemptId) {
         let team = &mut self.teams[index];
         if team.waiting() == 0 {
-            self.shares += team.share;
+            self.total_share += team.share;
             // A team that was idle gets no credit for it, or it would hold all others up.
             team.virtual_time = team.virtual_time.max(self.virtual_now);
         }
         let jobs = &mut team.jobs[size as usize];
         if jobs.is_empty() {
-            self.order[size as usize].insert((team.virtual_time, index));
+            self.by_virtual_time[size as usize].insert((team.virtual_time, index));
         }
         jobs.insert(rank, id);
     }
@@ -446,36 +446,36 @@
         jobs.remove(&waiting.rank);
         if jobs.is_empty() {
             let entry = (team.virtual_time, waiting.team);
-            self.order[waiting.size as usize].remove(&entry);
+            self.by_virtual_time[waiting.size as usize].remove(&entry);
         }
         if team.waiting() == 0 {
-            self.shares -= team.share;
+            self.total_share -= team.share;
         }
     }
 
-    fn reorder(&mut self, index: usize, virtual_time: Virtual) {
+    fn set_virtual_time(&mut self, index: usize, virtual_time: VirtualTime) {
         let team = &mut self.teams[index];
         let before = std::mem::replace(&mut team.virtual_time, virtual_time);
-        for (jobs, order) in team.jobs.iter().zip(&mut self.order) {
+        for (jobs, by_virtual_time) in team.jobs.iter().zip(&mut self.by_virtual_time) {
             if !jobs.is_empty() {
-                order.remove(&(before, index));
-                order.insert((virtual_time, index));
+                by_virtual_time.remove(&(before, index));
+                by_virtual_time.insert((virtual_time, index));
             }
         }
     }
 
-    fn team(&mut self, job: &Job) -> usize {
-        if let Some(&index) = self.names.get(&job.team) {
+    fn intern_team(&mut self, job: &Job) -> usize {
+        if let Some(&index) = self.team_indices.get(&job.team) {
             self.set_share(index, job.share);
             return index;
         }
-        self.drop_idle();
+        self.drop_idle_teams();
         let team = Team {
             share: job.share.max(MIN_SHARE),
             virtual_time: self.virtual_now,
             ..Team::default()
         };
-        let index = match self.idle.pop() {
+        let index = match self.free_indices.pop() {
             Some(index) => {
                 self.teams[index] = team;
                 index
@@ -485,7 +485,7 @@
                 self.teams.len() - 1
             }
         };
-        self.names.insert(job.team.clone(), index);
+        self.team_indices.insert(job.team.clone(), index);
         index
     }
 
@@ -493,20 +493,22 @@
         let share = share.max(MIN_SHARE);
         let team = &mut self.teams[index];
         if team.waiting() > 0 {
-            self.shares += share - team.share;
+            self.total_share += share - team.share;
         }
         team.share = share;
     }
 
     /// Forgets teams that wait for nothing once there are many; their virtual time is behind the
     /// present one by then, so they lose no claim.
-    fn drop_idle(&mut self) {
-        if self.names.len() < MAX_IDLE || !self.names.len().is_power_of_two() {
+    fn drop_idle_teams(&mut self) {
+        if self.team_indices.len() < IDLE_SWEEP_THRESHOLD
+            || !self.team_indices.len().is_power_of_two()
+        {
             return;
         }
         let now = self.virtual_now;
-        let (teams, idle) = (&self.teams, &mut self.idle);
-        self.names.retain(|_, index| {
+        let (teams, idle) = (&self.teams, &mut self.free_indices);
+        self.team_indices.retain(|_, index| {
             let team = &teams[*index];
             let keep = team.waiting() > 0 || team.virtual_time > now;
             if !keep {
@@ -520,7 +522,7 @@
 /// Least share, so that a share of zero cannot divide by zero.
 const MIN_SHARE: f64 = 0.001;
 /// Teams from which idle ones are forgotten.
-const MAX_IDLE: usize = 1_024;
+const IDLE_SWEEP_THRESHOLD: usize = 1_024;
 
 impl Team {
     fn waiting(&self) -> usize {
--- a/fw-plan/src/takeover.rs
+++ b/fw-plan/src/takeover.rs
@@ -86,15 +86,18 @@
 
 /// Decides about a shard that was taken at `since`.
 pub fn decide(now: Instant, since: Instant, holders: &Holders, options: &Options) -> Outcome {
-    let sides_cover =
-        holders.sides_known && holders.sides.iter().all(|s| s.covers(now, since, options));
+    let sides_suffice = holders.sides_known
+        && holders
+            .sides
+            .iter()
+            .all(|s| s.suffices(now, since, options));
     let awaited = |holder: &&Holder| holder.is_awaited(now, since, options);
     let sides = holders.sides.iter().filter(awaited).count();
     let entries = holders.entries.iter().filter(awaited);
-    let entries = entries.filter(|entry| entry.unresponsive_since.is_none() || !sides_cover);
+    let entries = entries.filter(|entry| entry.unresponsive_since.is_none() || !sides_suffice);
     let missing = sides + entries.count();
-    let is_over = now.saturating_duration_since(since) > options.grace;
-    match (missing, holders.sides_known, is_over) {
+    let grace_is_over = now.saturating_duration_since(since) > options.grace;
+    match (missing, holders.sides_known, grace_is_over) {
         (0, true, _) => Outcome::Serve,
         (missing, _, true) => Outcome::ServeWithout(missing),
         (missing, _, false) => Outcome::Wait(missing),
@@ -117,18 +120,19 @@
     }
 
     /// Whether it told, since `since`, all that it holds.
-    fn has_told(&self, since: Instant) -> bool {
+    fn has_reported(&self, since: Instant) -> bool {
         self.last_answered.is_some_and(|heard| heard > since) && !self.has_pending_turns
     }
 
     fn is_awaited(&self, now: Instant, since: Instant, options: &Options) -> bool {
-        let lost = |silent: Instant| now.saturating_duration_since(silent) > options.grace;
-        let is_gone = self.gone || self.unresponsive_since.is_some_and(lost);
-        !is_gone && !self.has_told(since)
+        let exceeds_grace = |since: Instant| now.saturating_duration_since(since) > options.grace;
+        let is_gone = self.gone || self.unresponsive_since.is_some_and(exceeds_grace);
+        !is_gone && !self.has_reported(since)
     }
 
-    fn covers(&self, now: Instant, since: Instant, options: &Options) -> bool {
-        let settled = |known: Instant| now.saturating_duration_since(known) > options.min_uptime;
-        self.has_told(since) && self.first_seen.is_some_and(settled)
+    fn suffices(&self, now: Instant, since: Instant, options: &Options) -> bool {
+        let is_long_enough =
+            |start: Instant| now.saturating_duration_since(start) > options.min_uptime;
+        self.has_reported(since) && self.first_seen.is_some_and(is_long_enough)
     }
 }
--- a/fw-plan/tests/plan/admission.rs
+++ b/fw-plan/tests/plan/admission.rs
@@ -110,7 +110,7 @@
     #[test]
     fn shares_conserve_work(calls in prop::collection::vec(0_usize..6, 1..300)) {
         let mut admit = admit::Controller::new(options());
-        let bound = 20.0 * options().turn_part;
+        let bound = 20.0 * options().turn_multiple;
         let mut running = 0.0;
         let mut per_team = [0.0_f64; 6];
         for team in calls {
@@ -123,7 +123,7 @@
                     per_team[team] += 1.0;
                 }
                 admit::Outcome::Refused { .. } => {
-                    prop_assert!(running >= bound * options().contended);
+                    prop_assert!(running >= bound * options().contention_threshold);
                 }
             }
             prop_assert!(running <= bound);
--- a/fw-plan/tests/plan/cache_keeping.rs
+++ b/fw-plan/tests/plan/cache_keeping.rs
@@ -5,8 +5,8 @@
 use fw_plan::cache_retention;
 use googletest::prelude::*;
 
-fn learnt() -> cache_retention::Pauses {
-    let mut pauses = cache_retention::Pauses::new();
+fn learnt() -> cache_retention::PauseHistogram {
+    let mut pauses = cache_retention::PauseHistogram::new();
     for _ in 0..500 {
         pauses.returned(Duration::from_millis(400));
         pauses.ended();
@@ -17,8 +17,8 @@
     pauses
 }
 
-fn paused(paused: Duration, tokens: u64) -> cache_retention::Paused {
-    cache_retention::Paused { paused, tokens }
+fn paused(idle: Duration, tokens: u64) -> cache_retention::PausedProgram {
+    cache_retention::PausedProgram { idle, tokens }
 }
 
 #[gtest]
@@ -35,14 +35,14 @@
 fn just_enough_is_freed_under_pressure() {
     let options = cache_retention::Options {
         weight: cache_retention::Weight::Cache,
-        least_chance: 0.0,
+        min_return_probability: 0.0,
         ..cache_retention::Options::default()
     };
     let pauses = learnt();
     let all: Vec<_> = (1..=10)
         .map(|n| paused(Duration::from_millis(n * 50), 1_000))
         .collect();
-    let line = cache_retention::line(&pauses, &all, 3_000, &options);
+    let line = cache_retention::threshold(&pauses, &all, 3_000, &options);
     let decide = |used| {
         let outcomes = all
             .iter()
--- a/fw-plan/tests/plan/commit_window.rs
+++ b/fw-plan/tests/plan/commit_window.rs
@@ -13,7 +13,10 @@
     for entries in [1, 3, 38, 380] {
         let window = commit_window::CommitWindow::new(options.clone());
         let spacing = window.spacing(entries).as_secs_f64();
-        expect_that!(f64::from(entries) / spacing, le(options.writes * 1.001));
+        expect_that!(
+            f64::from(entries) / spacing,
+            le(options.max_write_rate * 1.001)
+        );
     }
 }
 
--- a/fw-plan/tests/plan/queue_order.rs
+++ b/fw-plan/tests/plan/queue_order.rs
@@ -74,7 +74,7 @@
 fn a_full_queue_refuses_at_once_with_a_time() {
     let mut queue = queue::Queue::new(queue::Options {
         capacity: 4,
-        contended: 1.0,
+        contention_threshold: 1.0,
         ..queue::Options::default()
     });
     for id in 0..4 {
