--- a/fw-plan/examples/policy/main.rs
+++ b/fw-plan/examples/policy/main.rs
@@ -25,9 +25,9 @@
 /// Each cell without faults is run with these, and the sums are added.
 const SEEDS: [u64; 2] = [1, 2];
 const THREADS: usize = 4;
-/// Programs that arrive from `WARM` to `LAST` are followed until `END`.
-const WARM: Duration = Duration::from_secs(60);
-const LAST: Duration = Duration::from_secs(140);
+/// Programs that arrive from `MEASURE_FROM` to `LAST_ARRIVAL` are followed until `END`.
+const MEASURE_FROM: Duration = Duration::from_secs(60);
+const LAST_ARRIVAL: Duration = Duration::from_secs(140);
 const END: Duration = Duration::from_secs(230);
 
 /// Load at which faults are brought about.
@@ -35,7 +35,7 @@
 
 /// What happens to the engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Scene {
+enum Scenario {
     Steady,
     /// Each step of one engine takes three times as long, all the time.
     Slow,
@@ -51,7 +51,7 @@
     shape: trace::Shape,
     policy: policy::Policy,
     load: f64,
-    scene: Scene,
+    scenario: Scenario,
 }
 
 /// What a cell gave.
@@ -61,7 +61,7 @@
     stats: stats::Stats,
 }
 
-impl Scene {
+impl Scenario {
     const FAULTS: [Self; 3] = [Self::Slow, Self::Flap, Self::Storm];
 
     fn name(self) -> &'static str {
@@ -73,20 +73,23 @@
         }
     }
 
-    fn script(self) -> Vec<(Duration, world::Action)> {
+    fn script(self) -> Vec<(Duration, world::Fault)> {
         match self {
             Self::Steady => Vec::new(),
-            Self::Slow => vec![(Duration::ZERO, world::Action::Slow(0, 3.0))],
+            Self::Slow => vec![(Duration::ZERO, world::Fault::Slow(0, 3.0))],
             Self::Storm => {
                 let second = Duration::from_secs;
-                let storm = (second(90), world::Action::Fails(0.5));
-                vec![storm, (second(110), world::Action::Fails(world::FAILS))]
+                let storm = (second(90), world::Fault::FailureRate(0.5));
+                vec![
+                    storm,
+                    (second(110), world::Fault::FailureRate(world::FAILURE_RATE)),
+                ]
             }
             Self::Flap => (0..END.as_secs())
                 .step_by(8)
                 .flat_map(|second| {
-                    let crash = (Duration::from_secs(second), world::Action::Crash(0));
-                    let up = (Duration::from_secs(second + 4), world::Action::Up(0));
+                    let crash = (Duration::from_secs(second), world::Fault::Crash(0));
+                    let up = (Duration::from_secs(second + 4), world::Fault::Up(0));
                     [crash, up]
                 })
                 .collect(),
@@ -111,9 +114,9 @@
     let mut cells = Vec::new();
     for shape in [trace::SURATWALA, trace::FAIRGROUND] {
         for policy in policy::Policy::all(&shape) {
-            let steady = LOADS.map(|load| (load, Scene::Steady));
-            let faults = Scene::FAULTS.map(|scene| (FAULT_LOAD, scene));
-            for (load, scene) in steady.into_iter().chain(faults) {
+            let steady = LOADS.map(|load| (load, Scenario::Steady));
+            let faults = Scenario::FAULTS.map(|scenario| (FAULT_LOAD, scenario));
+            for (load, scenario) in steady.into_iter().chain(faults) {
                 // At 100 % only the product's own goodput is asked for.
                 if load == 1.0 && policy.name != policy::PRODUCT {
                     continue;
@@ -122,7 +125,7 @@
                     shape: shape.clone(),
                     policy: policy.clone(),
                     load,
-                    scene,
+                    scenario,
                 });
             }
         }
@@ -135,7 +138,7 @@
     let results = Mutex::new(vec![None; cells.len()]);
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
-            scope.spawn(|| work(cells, &next, &results));
+            scope.spawn(|| run_cells(cells, &next, &results));
         }
     });
     let results = results.into_inner().expect("no worker panicked");
@@ -143,14 +146,14 @@
     rows.map(|(cell, stats)| Row { cell, stats }).collect()
 }
 
-fn work(cells: &[Cell], next: &AtomicUsize, results: &Mutex<Vec<Option<stats::Stats>>>) {
+fn run_cells(cells: &[Cell], next: &AtomicUsize, results: &Mutex<Vec<Option<stats::Stats>>>) {
     while let Some((index, cell)) = {
         let index = next.fetch_add(1, Ordering::Relaxed);
         cells.get(index).map(|cell| (index, cell))
     } {
         let mut sum = stats::Stats::new(cell.shape.teams, cell.shape.engines);
-        let seeds = match cell.scene {
-            Scene::Steady => &SEEDS[..],
+        let seeds = match cell.scenario {
+            Scenario::Steady => &SEEDS[..],
             _ => &SEEDS[..1],
         };
         for seed in seeds.iter().copied() {
@@ -169,10 +172,10 @@
             programs: self.shape.programs(self.load, END, seed),
             plain_load: self.load,
             seed,
-            warm: WARM,
-            last: LAST,
+            measure_from: MEASURE_FROM,
+            last_arrival: LAST_ARRIVAL,
             end: END,
-            script: self.scene.script(),
+            script: self.scenario.script(),
         }
     }
 }
--- a/fw-plan/examples/policy/page.rs
+++ b/fw-plan/examples/policy/page.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use crate::Row;
-use crate::Scene;
+use crate::Scenario;
 use crate::sim::policy;
 use crate::sim::trace;
 
@@ -24,11 +24,11 @@
         let message = format!("{} lacks `{BEGIN}` or `{END}`", path.display());
         return Err(io::Error::other(message));
     };
-    let measured = measured(rows).expect("writing to a string does not fail");
+    let measured = render(rows).expect("writing to a string does not fail");
     fs::write(path, format!("{before}{BEGIN}\n\n{measured}\n{END}{after}"))
 }
 
-fn measured(rows: &[Row]) -> Result<String, std::fmt::Error> {
+fn render(rows: &[Row]) -> Result<String, std::fmt::Error> {
     let mut text = String::new();
     for shape in [trace::SURATWALA, trace::FAIRGROUND] {
         let of_shape = rows.iter().filter(|row| row.cell.shape.name == shape.name);
@@ -41,20 +41,20 @@
         )?;
         let (steady, faults): (Vec<&Row>, Vec<&Row>) = of_shape
             .into_iter()
-            .partition(|row| row.cell.scene == Scene::Steady);
-        table(&mut text, &steady)?;
-        goals(&mut text, &steady)?;
-        for scene in Scene::FAULTS {
-            writeln!(text, "With {}:\n", scene.name())?;
-            let of_scene = faults.iter().filter(|row| row.cell.scene == scene);
-            let of_scene: Vec<&Row> = of_scene.copied().collect();
-            table(&mut text, &of_scene)?;
+            .partition(|row| row.cell.scenario == Scenario::Steady);
+        write_table(&mut text, &steady)?;
+        write_goals(&mut text, &steady)?;
+        for scenario in Scenario::FAULTS {
+            writeln!(text, "With {}:\n", scenario.name())?;
+            let of_scenario = faults.iter().filter(|row| row.cell.scenario == scenario);
+            let of_scenario: Vec<&Row> = of_scenario.copied().collect();
+            write_table(&mut text, &of_scenario)?;
         }
     }
     Ok(text)
 }
 
-fn table(text: &mut String, rows: &[&Row]) -> std::fmt::Result {
+fn write_table(text: &mut String, rows: &[&Row]) -> std::fmt::Result {
     writeln!(
         text,
         "| policy | load | program p50 | p95 | p99 | p95 without tool pauses | wasted cache \
@@ -68,23 +68,23 @@
     for Row { cell, stats } in rows {
         write!(text, "| {} | {:.0} %", cell.policy.name, cell.load * 100.0)?;
         for quantile in [0.5, 0.95, 0.99] {
-            write!(text, " | {:.2} s", stats.program(quantile))?;
+            write!(text, " | {:.2} s", stats.program_latency(quantile))?;
         }
-        write!(text, " | {:.2} s", stats.waited(0.95))?;
-        write!(text, " | {:.1} %", stats.waste() * 100.0)?;
+        write!(text, " | {:.2} s", stats.latency_without_pauses(0.95))?;
+        write!(text, " | {:.1} %", stats.wasted_fraction() * 100.0)?;
         write!(text, " | {:.1}", stats.goodput())?;
         write!(text, " | {:.0}", stats.finished_turns())?;
-        write!(text, " | {:.1} %", stats.refused_part() * 100.0)?;
-        write!(text, " | {:.1} %", stats.lost_part() * 100.0)?;
+        write!(text, " | {:.1} %", stats.refused_fraction() * 100.0)?;
+        write!(text, " | {:.1} %", stats.lost_fraction() * 100.0)?;
         write!(text, " | {}", stats.unfinished)?;
         write!(text, " | {:.2}", stats.attempts_per_turn())?;
-        write!(text, " | {:.0} ms", stats.plain(0.99))?;
-        writeln!(text, " | {:.1} % |", stats.plain_refused_part() * 100.0)?;
+        write!(text, " | {:.0} ms", stats.plain_latency(0.99))?;
+        writeln!(text, " | {:.1} % |", stats.plain_refused_fraction() * 100.0)?;
     }
     writeln!(text)
 }
 
-fn goals(text: &mut String, rows: &[&Row]) -> std::fmt::Result {
+fn write_goals(text: &mut String, rows: &[&Row]) -> std::fmt::Result {
     let of = |policy: &str, load: f64| {
         let found = rows
             .iter()
@@ -101,27 +101,27 @@
     line(
         "program p95 at 95 % against fewest outstanding, FCFS",
         0.5,
-        ours(0.95).program(0.95) / fewest.program(0.95),
+        ours(0.95).program_latency(0.95) / fewest.program_latency(0.95),
     )?;
     line(
         "the same without tool pauses",
         0.5,
-        ours(0.95).waited(0.95) / fewest.waited(0.95),
+        ours(0.95).latency_without_pauses(0.95) / fewest.latency_without_pauses(0.95),
     )?;
     for load in crate::LOADS.into_iter().filter(|load| *load != 1.0) {
         let percent = load * 100.0;
         let others = rows.iter().filter(|row| row.cell.load == load);
         let others = others.filter(|row| row.cell.policy.name != policy::PRODUCT);
         let others = others.filter(|row| row.cell.policy.name != policy::NO_BUDGET);
-        let p95 = others.map(|row| row.stats.program(0.95));
+        let p95 = others.map(|row| row.stats.program_latency(0.95));
         let best = p95.fold(f64::INFINITY, f64::min);
-        let own = ours(load).program(0.95);
+        let own = ours(load).program_latency(0.95);
         line(
             &format!("program p95 at {percent:.0} % against the best other baseline"),
             1.0,
             own / best,
         )?;
-        let without = of(policy::NO_BUDGET, load).program(0.95);
+        let without = of(policy::NO_BUDGET, load).program_latency(0.95);
         line(
             &format!("program p95 at {percent:.0} % against no retry budget"),
             1.0,
@@ -131,7 +131,7 @@
     line(
         "wasted cache at 95 % against cache-blind",
         1.0 / 3.0,
-        ours(0.95).waste() / of("cache-blind", 0.95).waste(),
+        ours(0.95).wasted_fraction() / of("cache-blind", 0.95).wasted_fraction(),
     )?;
     line(
         "goodput at 100 % against that at 200 %, programs",
@@ -146,7 +146,7 @@
     line(
         "plain p99 at 200 % against 50 %",
         1.5,
-        ours(2.0).plain(0.99) / ours(0.5).plain(0.99),
+        ours(2.0).plain_latency(0.99) / ours(0.5).plain_latency(0.99),
     )?;
     writeln!(text)
 }
--- a/fw-plan/examples/policy/plot.rs
+++ b/fw-plan/examples/policy/plot.rs
@@ -7,7 +7,7 @@
 
 use crate::LOADS;
 use crate::Row;
-use crate::Scene;
+use crate::Scenario;
 use crate::sim::policy;
 use crate::sim::stats;
 use crate::sim::trace;
@@ -21,7 +21,7 @@
 const CHARTS: [Chart; 3] = [
     Chart {
         title: "program p95 in s",
-        value: |stats| stats.program(0.95),
+        value: |stats| stats.program_latency(0.95),
     },
     Chart {
         title: "turns of finished programs a second",
@@ -29,7 +29,7 @@
     },
     Chart {
         title: "history computed again, part",
-        value: stats::Stats::waste,
+        value: stats::Stats::wasted_fraction,
     },
 ];
 
@@ -47,7 +47,7 @@
         let chart = &CHARTS[index % CHARTS.len()];
         let shape = &shapes[index / CHARTS.len()];
         let of_shape = rows.iter().filter(|row| row.cell.shape.name == shape.name);
-        let of_shape = of_shape.filter(|row| row.cell.scene == Scene::Steady);
+        let of_shape = of_shape.filter(|row| row.cell.scenario == Scenario::Steady);
         let of_shape: Vec<&Row> = of_shape.collect();
         draw_chart(area, &of_shape, chart, shape)?;
     }
--- a/fw-plan/examples/policy/sim/engine.rs
+++ b/fw-plan/examples/policy/sim/engine.rs
@@ -9,21 +9,21 @@
 use fw_base::id;
 
 /// Most jobs that run together.
-pub const BATCH: usize = 16;
+pub const MAX_BATCH: usize = 16;
 /// Prompt tokens computed in one step, at most.
-const CHUNK: id::Tokens = 512;
+const MAX_CHUNK: id::Tokens = 512;
 /// Seconds of a step without any job.
-const STEP: f64 = 0.0025;
+const BASE_STEP: f64 = 0.0025;
 /// Seconds that each job in the batch adds to a step.
-const PER_JOB: f64 = 0.000_03;
+const STEP_PER_JOB: f64 = 0.000_03;
 /// Seconds that each prompt token adds to a step.
-pub const PER_PREFILL_TOKEN: f64 = 0.000_01;
+pub const STEP_PER_PREFILL_TOKEN: f64 = 0.000_01;
 /// Tokens that the cache holds.
-pub const CACHE: id::Tokens = 250_000;
+pub const CACHE_TOKENS: id::Tokens = 250_000;
 
 /// Seconds of one step.
 pub fn step_seconds(jobs: usize, prefill: id::Tokens) -> f64 {
-    STEP + jobs as f64 * PER_JOB + prefill as f64 * PER_PREFILL_TOKEN
+    BASE_STEP + jobs as f64 * STEP_PER_JOB + prefill as f64 * STEP_PER_PREFILL_TOKEN
 }
 
 /// A job as it is handed to the engine.
@@ -34,7 +34,7 @@
     pub prompt: id::Tokens,
     pub output: id::Tokens,
     /// It fails after this many tokens of its answer.
-    pub fails_at: Option<id::Tokens>,
+    pub fail_after: Option<id::Tokens>,
 }
 
 #[derive(Debug)]
@@ -50,7 +50,7 @@
 
 /// A job that left the engine.
 #[derive(Clone, Debug)]
-pub struct Left {
+pub struct FinishedJob {
     pub work: Work,
     pub started: Duration,
     /// Prompt tokens that were found in the cache.
@@ -61,7 +61,7 @@
 /// What a step brought about.
 #[derive(Debug, Default)]
 pub struct Progress {
-    pub left: Vec<Left>,
+    pub finished: Vec<FinishedJob>,
     /// Attempts whose prefill ended.
     pub prefilled: Vec<u64>,
 }
@@ -70,7 +70,7 @@
 #[derive(Debug, Default)]
 struct Prefix {
     tokens: id::Tokens,
-    used: u64,
+    last_used: u64,
     pins: u32,
 }
 
@@ -78,7 +78,7 @@
 #[derive(Debug, Default)]
 pub struct Cache {
     prefixes: HashMap<usize, Prefix>,
-    by_use: BTreeMap<u64, usize>,
+    by_last_use: BTreeMap<u64, usize>,
     clock: u64,
     pub used: id::Tokens,
     /// Programs evicted since they were last asked for.
@@ -108,7 +108,7 @@
             slowness: 1.0,
             up: true,
             stepping: false,
-            step: STEP,
+            step: BASE_STEP,
             busy: Duration::ZERO,
         }
     }
@@ -155,17 +155,17 @@
         if !self.up || self.stepping {
             return None;
         }
-        self.fill(now);
+        self.fill_batch(now);
         if self.active.is_empty() {
             return None;
         }
-        let mut chunk_left = CHUNK;
+        let mut chunk_left = MAX_CHUNK;
         for job in &mut self.active {
             job.chunk = job.prefill_left.min(chunk_left);
             chunk_left -= job.chunk;
         }
         self.stepping = true;
-        let seconds = step_seconds(self.active.len(), CHUNK - chunk_left) * self.slowness;
+        let seconds = step_seconds(self.active.len(), MAX_CHUNK - chunk_left) * self.slowness;
         self.step += (seconds - self.step) * 0.01;
         let step = Duration::from_secs_f64(seconds);
         self.busy += step;
@@ -184,13 +184,13 @@
                 continue;
             }
             let job = self.active.remove(index);
-            progress.left.push(self.finish(job));
+            progress.finished.push(self.finish(job));
         }
         progress
     }
 
-    fn fill(&mut self, now: Duration) {
-        while self.active.len() < BATCH {
+    fn fill_batch(&mut self, now: Duration) {
+        while self.active.len() < MAX_BATCH {
             let Some(work) = self.waiting.pop_front() else {
                 return;
             };
@@ -208,11 +208,11 @@
         }
     }
 
-    fn finish(&mut self, job: Active) -> Left {
+    fn finish(&mut self, job: Active) -> FinishedJob {
         let tokens = job.work.prompt + job.generated;
         self.cache.unpin(job.work.program, tokens);
-        Left {
-            failed: job.work.fails_at.is_some(),
+        FinishedJob {
+            failed: job.work.fail_after.is_some(),
             started: job.started,
             cached: job.cached,
             work: job.work,
@@ -234,13 +234,13 @@
     }
 
     fn is_done(&self) -> bool {
-        let until = self.work.fails_at.unwrap_or(self.work.output);
+        let until = self.work.fail_after.unwrap_or(self.work.output);
         self.prefill_left == 0 && self.generated >= until
     }
 }
 
 impl Cache {
-    pub fn held(&self, program: usize) -> id::Tokens {
+    pub fn cached_tokens(&self, program: usize) -> id::Tokens {
         self.prefixes
             .get(&program)
             .map_or(0, |prefix| prefix.tokens)
@@ -251,7 +251,7 @@
         let prefix = self.prefixes.entry(program).or_default();
         let held = prefix.tokens;
         prefix.pins += 1;
-        self.by_use.remove(&prefix.used);
+        self.by_last_use.remove(&prefix.last_used);
         self.resize(program, tokens.max(held));
         self.evict();
         held
@@ -263,8 +263,8 @@
             return;
         };
         prefix.pins = prefix.pins.saturating_sub(1);
-        prefix.used = self.clock;
-        self.by_use.insert(self.clock, program);
+        prefix.last_used = self.clock;
+        self.by_last_use.insert(self.clock, program);
         self.resize(program, tokens);
         self.evict();
     }
@@ -276,7 +276,7 @@
         };
         if prefix.pins == 0 {
             self.used -= prefix.tokens;
-            self.by_use.remove(&prefix.used);
+            self.by_last_use.remove(&prefix.last_used);
             self.prefixes.remove(&program);
         }
     }
@@ -289,8 +289,8 @@
     }
 
     fn evict(&mut self) {
-        while self.used > CACHE {
-            let Some((_, program)) = self.by_use.pop_first() else {
+        while self.used > CACHE_TOKENS {
+            let Some((_, program)) = self.by_last_use.pop_first() else {
                 return;
             };
             if let Some(prefix) = self.prefixes.remove(&program) {
--- a/fw-plan/examples/policy/sim/policy.rs
+++ b/fw-plan/examples/policy/sim/policy.rs
@@ -23,7 +23,7 @@
     /// Always to the cache; without one, fewest outstanding.
     CacheOnly,
     /// `place::choose`, without telling it of caches.
-    Blind,
+    CacheBlind,
     /// `place::choose`.
     Delay,
 }
@@ -32,53 +32,53 @@
 #[derive(Clone, Debug)]
 pub struct Policy {
     pub name: &'static str,
-    pub place: Place,
+    pub placement: Place,
     /// `admit` at the entries and `queue` at the sides; else the engine takes all as they come.
-    pub ordered: bool,
+    pub has_admission: bool,
     /// `retry::Budget`; else failed attempts are sent again at once, up to ten times.
-    pub budget: bool,
+    pub has_retry_budget: bool,
     /// `keep` and release of caches whose programs ended.
-    pub keep: bool,
+    pub frees_caches: bool,
     pub admit: admit::Options,
     pub queue: queue::Options,
     pub choose: place::Options,
     pub retry: retry::Options,
-    pub caches: cache_retention::Options,
+    pub retention: cache_retention::Options,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
             name: PRODUCT,
-            place: Place::Delay,
-            ordered: true,
-            budget: true,
-            keep: true,
+            placement: Place::Delay,
+            has_admission: true,
+            has_retry_budget: true,
+            frees_caches: true,
             admit: admit::Options::default(),
             queue: queue::Options::default(),
             choose: place::Options::default(),
             retry: retry::Options::default(),
-            caches: cache_retention::Options::default(),
+            retention: cache_retention::Options::default(),
         }
     }
 }
 
 impl Policy {
-    fn bare(name: &'static str, place: Place) -> Self {
+    fn baseline(name: &'static str, placement: Place) -> Self {
         Self {
             name,
-            place,
-            ordered: false,
-            budget: true,
-            keep: false,
+            placement,
+            has_admission: false,
+            has_retry_budget: true,
+            frees_caches: false,
             ..Self::default()
         }
     }
 
     /// The product's policy with what the user's records would set.
-    pub fn of(shape: &trace::Shape) -> Self {
+    pub fn product(shape: &trace::Shape) -> Self {
         Self {
-            caches: cache_retention::Options {
+            retention: cache_retention::Options {
                 weight: shape.weight,
                 ..cache_retention::Options::default()
             },
@@ -89,20 +89,20 @@
     /// The product's policy and its baselines, in the order of the table.
     pub fn all(shape: &trace::Shape) -> Vec<Self> {
         vec![
-            Self::of(shape),
-            Self::bare("random", Place::Random),
-            Self::bare("round robin", Place::RoundRobin),
-            Self::bare("fewest outstanding, FCFS", Place::Fewest),
-            Self::bare("cache-only, FCFS", Place::CacheOnly),
+            Self::product(shape),
+            Self::baseline("random", Place::Random),
+            Self::baseline("round robin", Place::RoundRobin),
+            Self::baseline("fewest outstanding, FCFS", Place::Fewest),
+            Self::baseline("cache-only, FCFS", Place::CacheOnly),
             Self {
                 name: "cache-blind",
-                place: Place::Blind,
-                ..Self::of(shape)
+                placement: Place::CacheBlind,
+                ..Self::product(shape)
             },
             Self {
                 name: NO_BUDGET,
-                budget: false,
-                ..Self::of(shape)
+                has_retry_budget: false,
+                ..Self::product(shape)
             },
         ]
     }
--- a/fw-plan/examples/policy/sim/side.rs
+++ b/fw-plan/examples/policy/sim/side.rs
@@ -30,12 +30,12 @@
     pub engine: engine::Engine,
     options: queue::Options,
     /// Jobs that were pushed and not released.
-    held: BTreeMap<u64, engine::Work>,
+    queued: BTreeMap<u64, engine::Work>,
     released: HashMap<u64, Released>,
     pauses: cache_retention::PauseHistogram,
     /// Ordered, so that a run with the same seed frees in the same order.
     paused: BTreeMap<usize, Paused>,
-    prefill_queued: id::Tokens,
+    queued_prefill: id::Tokens,
 }
 
 impl Side {
@@ -44,11 +44,11 @@
             queue: queue::Queue::new(options.clone()),
             engine: engine::Engine::new(),
             options,
-            held: BTreeMap::new(),
+            queued: BTreeMap::new(),
             released: HashMap::new(),
             pauses: cache_retention::PauseHistogram::new(),
             paused: BTreeMap::new(),
-            prefill_queued: 0,
+            queued_prefill: 0,
         }
     }
 
@@ -64,36 +64,36 @@
         }
         let tokens = job.prompt_tokens;
         self.queue.push(now, job)?;
-        self.prefill_queued += tokens;
-        self.held.insert(work.attempt, work);
+        self.queued_prefill += tokens;
+        self.queued.insert(work.attempt, work);
         Ok(())
     }
 
     /// Releases what the window allows.
     pub fn release(&mut self, now: Duration) {
         while let Some(id) = self.queue.pop(now, &self.running()) {
-            let Some(work) = self.held.remove(&id) else {
+            let Some(work) = self.queued.remove(&id) else {
                 continue;
             };
-            let prefill = self.lacks(&work);
-            self.prefill_queued = self.prefill_queued.saturating_sub(prefill);
+            let prefill = self.uncached_tokens(&work);
+            self.queued_prefill = self.queued_prefill.saturating_sub(prefill);
             let long = prefill >= self.options.long_prompt;
             self.released.insert(id, Released { prefill, long });
             self.engine.admit(work);
         }
         if self.queue.is_empty() {
-            self.prefill_queued = 0;
+            self.queued_prefill = 0;
         }
     }
 
-    pub fn lacks(&self, work: &engine::Work) -> id::Tokens {
-        let held = self.engine.cache.held(work.program);
-        work.prompt.saturating_sub(held)
+    pub fn uncached_tokens(&self, work: &engine::Work) -> id::Tokens {
+        let cached = self.engine.cache.cached_tokens(work.program);
+        work.prompt.saturating_sub(cached)
     }
 
     pub fn cancel(&mut self, attempt: u64) {
         if self.queue.remove(attempt) {
-            self.held.remove(&attempt);
+            self.queued.remove(&attempt);
         }
         self.released.remove(&attempt);
         self.engine.cancel(attempt);
@@ -106,15 +106,15 @@
         }
     }
 
-    pub fn left(&mut self, attempt: u64, team: &id::TeamId, engine: Duration) {
+    pub fn finished(&mut self, attempt: u64, team: &id::TeamId, engine_time: Duration) {
         if self.released.remove(&attempt).is_some() {
-            self.queue.finished(team, engine);
+            self.queue.finished(team, engine_time);
         }
     }
 
     /// A program's turn ended here; it may return.
     pub fn pause(&mut self, now: Duration, program: usize) {
-        let tokens = self.engine.cache.held(program);
+        let tokens = self.engine.cache.cached_tokens(program);
         self.paused.insert(program, Paused { since: now, tokens });
     }
 
@@ -126,8 +126,8 @@
     }
 
     /// Frees caches by rank while the cache is nearly full.
-    pub fn keep(&mut self, now: Duration, options: &cache_retention::Options) {
-        let bound = (engine::CACHE as f64 * options.pressure) as id::Tokens;
+    pub fn free_caches(&mut self, now: Duration, options: &cache_retention::Options) {
+        let bound = (engine::CACHE_TOKENS as f64 * options.pressure) as id::Tokens;
         let excess = self.engine.cache.used.saturating_sub(bound);
         if excess == 0 {
             return;
@@ -137,12 +137,12 @@
             tokens: paused.tokens,
         };
         let all: Vec<_> = self.paused.values().map(as_paused).collect();
-        let line = cache_retention::threshold(&self.pauses, &all, excess, options);
-        let used = self.engine.cache.used as f64 / engine::CACHE as f64;
+        let threshold = cache_retention::threshold(&self.pauses, &all, excess, options);
+        let used = self.engine.cache.used as f64 / engine::CACHE_TOKENS as f64;
         let (pauses, cache) = (&self.pauses, &mut self.engine.cache);
         self.paused.retain(|program, paused| {
             let paused = as_paused(paused);
-            let outcome = cache_retention::decide(pauses, &paused, used, line, options);
+            let outcome = cache_retention::decide(pauses, &paused, used, threshold, options);
             if outcome == cache_retention::Outcome::Free {
                 cache.free(*program);
                 cache.evicted.push(*program);
@@ -154,7 +154,7 @@
     /// What the engine crashed under.
     pub fn crash(&mut self) -> Vec<engine::Work> {
         let mut lost = self.engine.crash();
-        lost.extend(std::mem::take(&mut self.held).into_values());
+        lost.extend(std::mem::take(&mut self.queued).into_values());
         for work in &lost {
             self.queue.remove(work.attempt);
         }
@@ -168,9 +168,9 @@
         place::Load {
             queued: queued as u32,
             running: self.engine.jobs() as u32,
-            batch: engine::BATCH as u32,
-            prefill: self.engine.prefill() + self.prefill_queued,
-            prefill_rate: (1.0 / engine::PER_PREFILL_TOKEN / self.engine.slowness) as u64,
+            batch: engine::MAX_BATCH as u32,
+            prefill: self.engine.prefill() + self.queued_prefill,
+            prefill_rate: (1.0 / engine::STEP_PER_PREFILL_TOKEN / self.engine.slowness) as u64,
             delay: self.queue.recent_wait(),
             step: Duration::from_secs_f64(self.engine.step),
             age: Duration::from_millis(100),
@@ -180,7 +180,7 @@
     fn running(&self) -> queue::Running {
         queue::Running {
             jobs: self.released.len() as u32,
-            batch: engine::BATCH as u32,
+            batch: engine::MAX_BATCH as u32,
             prefill: self.released.values().map(|job| job.prefill).sum(),
             long: self.released.values().filter(|job| job.long).count() as u32,
             step: Duration::from_secs_f64(self.engine.step),
--- a/fw-plan/examples/policy/sim/stats.rs
+++ b/fw-plan/examples/policy/sim/stats.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 
 /// Largest value that the histograms tell from larger ones.
-const LARGEST: u64 = 1_000_000_000;
+const MAX_VALUE: u64 = 1_000_000_000;
 
 /// Sums over the measured part of one run.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     /// Latency of finished programs in milliseconds, tool pauses included.
     pub programs: Histogram<u64>,
     /// The same without the tool pauses, which no policy can shorten.
-    pub waited: Histogram<u64>,
+    pub without_pauses: Histogram<u64>,
     /// Programs of the cohort that were still under way at the end; their latency until then is
     /// among the others.
     pub unfinished: u64,
@@ -51,10 +51,10 @@
 
 impl Stats {
     pub fn new(teams: usize, upstreams: usize) -> Self {
-        let histogram = || Histogram::new_with_bounds(1, LARGEST, 3).expect("sound bounds");
+        let histogram = || Histogram::new_with_bounds(1, MAX_VALUE, 3).expect("sound bounds");
         Self {
             programs: histogram(),
-            waited: histogram(),
+            without_pauses: histogram(),
             unfinished: 0,
             finished: 0,
             finished_turns: 0,
@@ -76,16 +76,17 @@
     }
 
     /// A program took `latency`, `waited` of it without tool pauses.
-    pub fn took(&mut self, latency: Duration, waited: Duration) {
+    pub fn record_program(&mut self, latency: Duration, without_pauses: Duration) {
         self.programs.saturating_record(latency.as_millis() as u64);
-        self.waited.saturating_record(waited.as_millis() as u64);
+        self.without_pauses
+            .saturating_record(without_pauses.as_millis() as u64);
     }
 
     /// Adds another run's sums.
     pub fn merge(&mut self, other: &Self) {
         let same = "histograms of one shape";
         self.programs.add(&other.programs).expect(same);
-        self.waited.add(&other.waited).expect(same);
+        self.without_pauses.add(&other.without_pauses).expect(same);
         self.plain.add(&other.plain).expect(same);
         let teams = other.finished_by_team.iter();
         for (sum, part) in self.finished_by_team.iter_mut().zip(teams) {
@@ -111,13 +112,13 @@
     }
 
     /// Seconds of program latency at a quantile.
-    pub fn program(&self, quantile: f64) -> f64 {
+    pub fn program_latency(&self, quantile: f64) -> f64 {
         self.programs.value_at_quantile(quantile) as f64 / 1e3
     }
 
     /// Seconds of program latency without tool pauses at a quantile.
-    pub fn waited(&self, quantile: f64) -> f64 {
-        self.waited.value_at_quantile(quantile) as f64 / 1e3
+    pub fn latency_without_pauses(&self, quantile: f64) -> f64 {
+        self.without_pauses.value_at_quantile(quantile) as f64 / 1e3
     }
 
     /// Turns of finished programs a second.
@@ -126,7 +127,7 @@
     }
 
     /// Milliseconds of plain latency at a quantile.
-    pub fn plain(&self, quantile: f64) -> f64 {
+    pub fn plain_latency(&self, quantile: f64) -> f64 {
         self.plain.value_at_quantile(quantile) as f64 / 1e3
     }
 
@@ -141,26 +142,26 @@
     }
 
     /// Part of the reusable history that was computed again.
-    pub fn waste(&self) -> f64 {
+    pub fn wasted_fraction(&self) -> f64 {
         self.recomputed as f64 / self.reusable.max(1) as f64
     }
 
     /// Part of the programs that were refused for good.
-    pub fn refused_part(&self) -> f64 {
-        part(self.refused, self.programs.len() + self.lost)
+    pub fn refused_fraction(&self) -> f64 {
+        fraction(self.refused, self.programs.len() + self.lost)
     }
 
     /// Part of the started programs that were lost.
-    pub fn lost_part(&self) -> f64 {
-        part(self.lost, self.programs.len())
+    pub fn lost_fraction(&self) -> f64 {
+        fraction(self.lost, self.programs.len())
     }
 
     /// Part of the plain requests that were refused.
-    pub fn plain_refused_part(&self) -> f64 {
-        part(self.plain_refused, self.plain.len())
+    pub fn plain_refused_fraction(&self) -> f64 {
+        fraction(self.plain_refused, self.plain.len())
     }
 }
 
-fn part(some: u64, others: u64) -> f64 {
+fn fraction(some: u64, others: u64) -> f64 {
     some as f64 / (some + others).max(1) as f64
 }
--- a/fw-plan/examples/policy/sim/trace.rs
+++ b/fw-plan/examples/policy/sim/trace.rs
@@ -20,18 +20,18 @@
     /// Upstreams of the plain service.
     pub plain: usize,
     /// Part of the programs that are long, and the mean turns of short and long ones.
-    pub long_part: f64,
+    pub long_fraction: f64,
     pub short_turns: f64,
     pub long_turns: f64,
     /// Mean tokens of the first prompt, of each later one, and of each answer.
-    pub first: f64,
+    pub first_input: f64,
     pub input: f64,
     pub output: f64,
     /// Mean tool pause, most and few.
     pub pause: f64,
     pub long_pause: f64,
     /// Chance that a pause is a sub-agent's run.
-    pub child: f64,
+    pub child_probability: f64,
     pub teams: usize,
     /// What the user's records weigh more.
     pub weight: cache_retention::Weight,
@@ -42,15 +42,15 @@
     name: "Suratwala",
     engines: 9,
     plain: 9,
-    long_part: 0.2,
+    long_fraction: 0.2,
     short_turns: 3.0,
     long_turns: 15.0,
-    first: 700.0,
+    first_input: 700.0,
     input: 150.0,
     output: 60.0,
     pause: 0.4,
     long_pause: 4.0,
-    child: 0.05,
+    child_probability: 0.05,
     teams: 24,
     weight: cache_retention::Weight::Cache,
 };
@@ -60,15 +60,15 @@
     name: "Fairground",
     engines: 9,
     plain: 7,
-    long_part: 0.3,
+    long_fraction: 0.3,
     short_turns: 3.0,
     long_turns: 20.0,
-    first: 1_500.0,
+    first_input: 1_500.0,
     input: 250.0,
     output: 100.0,
     pause: 0.4,
     long_pause: 5.0,
-    child: 0.1,
+    child_probability: 0.1,
     teams: 12,
     weight: cache_retention::Weight::Latency,
 };
@@ -122,13 +122,13 @@
     }
 
     fn turns(&self, rng: &mut impl Rng) -> Vec<Turn> {
-        let mean = if rng.random_bool(self.long_part) {
+        let mean = if rng.random_bool(self.long_fraction) {
             self.long_turns
         } else {
             self.short_turns
         };
         let count = 1 + exponential(mean - 1.0, rng).round() as usize;
-        let first = self.turn(self.first, true, rng);
+        let first = self.turn(self.first_input, true, rng);
         let later = (1..count.min(100)).map(|_| self.turn(self.input, true, rng));
         std::iter::once(first).chain(later).collect()
     }
@@ -139,11 +139,11 @@
         } else {
             self.long_pause
         };
-        let child = may_have_child && rng.random_bool(self.child);
+        let child = may_have_child && rng.random_bool(self.child_probability);
         let child = child.then(|| self.child_turns(rng));
         Turn {
-            input: spread(input, rng),
-            output: spread(self.output, rng),
+            input: draw_size(input, rng),
+            output: draw_size(self.output, rng),
             pause: Duration::from_secs_f64(exponential(pause, rng)),
             child,
         }
@@ -151,7 +151,7 @@
 
     fn child_turns(&self, rng: &mut impl Rng) -> Vec<Turn> {
         let count = rng.random_range(1..=4);
-        let first = self.turn(self.first * 0.5, false, rng);
+        let first = self.turn(self.first_input * 0.5, false, rng);
         let later = (1..count).map(|_| self.turn(self.input, false, rng));
         std::iter::once(first).chain(later).collect()
     }
@@ -172,8 +172,9 @@
 
 /// Engine seconds of a turn in a full batch, without anything computed twice.
 fn turn_work(turn: &Turn) -> f64 {
-    let prefill = turn.input as f64 * engine::PER_PREFILL_TOKEN;
-    let decode = turn.output as f64 * engine::step_seconds(engine::BATCH, 0) / engine::BATCH as f64;
+    let prefill = turn.input as f64 * engine::STEP_PER_PREFILL_TOKEN;
+    let decode =
+        turn.output as f64 * engine::step_seconds(engine::MAX_BATCH, 0) / engine::MAX_BATCH as f64;
     let child = turn.child.iter().flatten().map(turn_work).sum::<f64>();
     prefill + decode + child
 }
@@ -183,6 +184,6 @@
 }
 
 /// A size around `mean`: a part that is always there and an exponential one.
-fn spread(mean: f64, rng: &mut impl Rng) -> id::Tokens {
+fn draw_size(mean: f64, rng: &mut impl Rng) -> id::Tokens {
     (mean * 0.4 + exponential(mean * 0.6, rng)).ceil() as id::Tokens
 }
--- a/fw-plan/examples/policy/sim/world.rs
+++ b/fw-plan/examples/policy/sim/world.rs
@@ -25,23 +25,23 @@
 mod sides;
 
 /// One-way delay between any two processes.
-const NET: Duration = Duration::from_micros(500);
+const NETWORK_DELAY: Duration = Duration::from_micros(500);
 /// How long plain requests run before they are measured.
 const PLAIN_WARM: Duration = Duration::from_secs(20);
 /// How often sides report.
 const HEARTBEAT: Duration = Duration::from_millis(250);
 /// How long a caller waits for one turn.
-const PATIENCE: Duration = Duration::from_secs(10);
+const TURN_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often the caller of a new program tries.
-const TRIES: u32 = 3;
+const MAX_TRIES: u32 = 3;
 /// Part of the attempts that fail in the engine.
-pub const FAILS: f64 = 0.002;
+pub const FAILURE_RATE: f64 = 0.002;
 /// Part of the cache events that are lost.
-const CACHE_GAPS: f64 = 0.05;
+const CACHE_EVENT_LOSS: f64 = 0.05;
 /// Entries of each user.
 pub const ENTRIES: usize = 3;
 /// Attempts of one call without a retry budget.
-const MAX_INTERNAL_RETRIES: u32 = 10;
+const MAX_UNBUDGETED_ATTEMPTS: u32 = 10;
 
 /// What is run.
 #[derive(Clone, Debug)]
@@ -54,43 +54,43 @@
     pub plain_load: f64,
     pub seed: u64,
     /// Counts are taken from here to the end, latencies of the programs that arrive from here
-    pub warm: Duration,
+    pub measure_from: Duration,
     /// to here.
-    pub last: Duration,
+    pub last_arrival: Duration,
     pub end: Duration,
     /// What happens to engines, and when.
-    pub script: Vec<(Duration, Action)>,
+    pub script: Vec<(Duration, Fault)>,
 }
 
 /// Something that happens to an engine.
 #[derive(Clone, Copy, Debug)]
-pub enum Action {
+pub enum Fault {
     /// Its steps take so many times as long from now on.
     Slow(usize, f64),
     Crash(usize),
     Up(usize),
     /// This part of the attempts fails in the engine from now on.
-    Fails(f64),
+    FailureRate(f64),
 }
 
 #[derive(Debug)]
 enum Event {
     Arrive(usize),
     Submit(usize),
-    Reach(u64),
+    Deliver(u64),
     Step(usize),
-    Answer(u64, Duration, Option<engine::Left>),
+    Answer(u64, Duration, Option<engine::FinishedJob>),
     Failed(u64, fw_plan::Refused),
-    Again(u64),
+    Retry(u64),
     Expire(usize, usize),
     Report(usize),
     Load(usize, place::Load),
-    Cached(usize, usize, id::Tokens),
+    CacheChange(usize, usize, id::Tokens),
     PlainArrive,
-    PlainReach(plain::Request),
+    PlainDeliver(plain::Request),
     PlainDone(plain::Request),
     PlainAnswer(plain::Request),
-    Act(Action),
+    Apply(Fault),
 }
 
 struct Entry {
@@ -101,7 +101,7 @@
     health: health::Health,
     outstanding: Vec<u32>,
     plain_outstanding: Vec<u32>,
-    turn_about: usize,
+    next_round_robin: usize,
 }
 
 struct Program {
@@ -117,12 +117,12 @@
     history: id::Tokens,
     attained: Duration,
     /// When the present turn was first sent.
-    asked: Duration,
+    requested_at: Duration,
     tries: u32,
     started: bool,
     attempt: Option<u64>,
-    last: Option<usize>,
-    over: bool,
+    last_upstream: Option<usize>,
+    is_done: bool,
 }
 
 struct Attempt {
@@ -131,7 +131,7 @@
     number: u32,
     lane: admit::Lane,
     arrived: Duration,
-    over: bool,
+    is_done: bool,
 }
 
 pub struct World {
@@ -148,7 +148,7 @@
     place: id::PlaceId,
     programs: Vec<Program>,
     attempts: Vec<Attempt>,
-    fails: f64,
+    failure_rate: f64,
     stats: stats::Stats,
 }
 
@@ -195,7 +195,7 @@
             place,
             programs: Vec::new(),
             attempts: Vec::new(),
-            fails: FAILS,
+            failure_rate: FAILURE_RATE,
             setup,
         }
     }
@@ -203,46 +203,48 @@
     fn start(&mut self) {
         for engine in 0..self.sides.len().max(self.plains.len()) {
             // Reports of different sides do not come together.
-            self.after(
+            self.schedule(
                 HEARTBEAT.mul_f64(engine as f64 / 9.0),
                 Event::Report(engine),
             );
         }
-        for (at, action) in self.setup.script.clone() {
-            self.after(at, Event::Act(action));
+        for (at, fault) in self.setup.script.clone() {
+            self.schedule(at, Event::Apply(fault));
         }
         if let Some(first) = self.setup.programs.first() {
-            self.after(first.at, Event::Arrive(0));
+            self.schedule(first.at, Event::Arrive(0));
         }
         if self.setup.plain_load > 0.0 {
-            let first = self.setup.warm.saturating_sub(PLAIN_WARM);
-            self.after(first, Event::PlainArrive);
+            let first = self.setup.measure_from.saturating_sub(PLAIN_WARM);
+            self.schedule(first, Event::PlainArrive);
         }
     }
 
-    fn after(&mut self, delay: Duration, event: Event) {
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.seq += 1;
         self.events.insert((self.now + delay, self.seq), event);
     }
 
-    fn measured(&self) -> bool {
-        self.now >= self.setup.warm
+    fn is_measured(&self) -> bool {
+        self.now >= self.setup.measure_from
     }
 
     fn in_cohort(&self, program: &Program) -> bool {
-        program.parent.is_none() && (self.setup.warm..self.setup.last).contains(&program.at)
+        program.parent.is_none()
+            && (self.setup.measure_from..self.setup.last_arrival).contains(&program.at)
     }
 
     /// A program that is still under way took at least as long as until now: leaving it out
     /// would make a policy look the better the longer its queues grow.
     fn count_unfinished(&mut self) {
-        self.stats.measured = self.setup.end - self.setup.warm;
-        let left = self.programs.iter().filter(|program| !program.over);
+        self.stats.measured = self.setup.end - self.setup.measure_from;
+        let left = self.programs.iter().filter(|program| !program.is_done);
         let left = left.filter(|program| self.in_cohort(program));
         let left: Vec<_> = left.map(|program| (program.at, program.paused)).collect();
         for (at, paused) in left {
             let latency = self.now - at;
-            self.stats.took(latency, latency.saturating_sub(paused));
+            self.stats
+                .record_program(latency, latency.saturating_sub(paused));
             self.stats.unfinished += 1;
         }
     }
@@ -251,20 +253,22 @@
         match event {
             Event::Arrive(index) => self.arrive(index),
             Event::Submit(program) => self.submit(program),
-            Event::Reach(attempt) => self.reach(attempt),
+            Event::Deliver(attempt) => self.deliver(attempt),
             Event::Step(engine) => self.step(engine),
-            Event::Answer(attempt, waited, left) => self.answer(attempt, waited, left),
+            Event::Answer(attempt, waited, finished) => self.answer(attempt, waited, finished),
             Event::Failed(attempt, refused) => self.failed(attempt, refused),
-            Event::Again(attempt) => self.again(attempt),
+            Event::Retry(attempt) => self.retry(attempt),
             Event::Expire(program, turn) => self.expire(program, turn),
-            Event::Report(engine) => self.report(engine),
-            Event::Load(engine, load) => self.load(engine, load),
-            Event::Cached(engine, program, tokens) => self.cached(engine, program, tokens),
+            Event::Report(engine) => self.send_report(engine),
+            Event::Load(engine, load) => self.deliver_load(engine, load),
+            Event::CacheChange(engine, program, tokens) => {
+                self.deliver_cache_change(engine, program, tokens)
+            }
             Event::PlainArrive => self.plain_arrive(),
-            Event::PlainReach(req) => self.plain_reach(req),
+            Event::PlainDeliver(req) => self.plain_deliver(req),
             Event::PlainDone(req) => self.plain_done(req),
             Event::PlainAnswer(req) => self.plain_answer(&req),
-            Event::Act(action) => self.act(action),
+            Event::Apply(fault) => self.apply(fault),
         }
     }
 }
@@ -298,7 +302,7 @@
             health,
             outstanding: vec![0; shape.engines],
             plain_outstanding: vec![0; shape.plain],
-            turn_about: 0,
+            next_round_robin: 0,
         }
     }
 }
--- a/fw-plan/examples/policy/sim/world/callers.rs
+++ b/fw-plan/examples/policy/sim/world/callers.rs
@@ -7,9 +7,9 @@
 use super::super::trace;
 use super::ENTRIES;
 use super::Event;
-use super::PATIENCE;
+use super::MAX_TRIES;
 use super::Program;
-use super::TRIES;
+use super::TURN_TIMEOUT;
 use super::World;
 
 impl World {
@@ -18,12 +18,17 @@
         let (team, turns) = (spec.team, spec.turns.clone());
         if let Some(next) = self.setup.programs.get(index + 1) {
             let event = Event::Arrive(index + 1);
-            self.after(next.at - self.now, event);
+            self.schedule(next.at - self.now, event);
         }
-        self.program(team, turns, None);
+        self.start_program(team, turns, None);
     }
 
-    pub(super) fn program(&mut self, team: usize, turns: Vec<trace::Turn>, parent: Option<usize>) {
+    pub(super) fn start_program(
+        &mut self,
+        team: usize,
+        turns: Vec<trace::Turn>,
+        parent: Option<usize>,
+    ) {
         let index = self.programs.len();
         let attained = parent.map_or(Duration::ZERO, |parent| self.programs[parent].attained);
         self.programs.push(Program {
@@ -37,28 +42,29 @@
             turn: 0,
             history: 0,
             attained,
-            asked: self.now,
+            requested_at: self.now,
             tries: 0,
             started: false,
             attempt: None,
-            last: None,
-            over: false,
+            last_upstream: None,
+            is_done: false,
         });
-        self.turn(index);
+        self.start_turn(index);
     }
 
-    pub(super) fn turn(&mut self, index: usize) {
+    pub(super) fn start_turn(&mut self, index: usize) {
         let program = &mut self.programs[index];
-        program.asked = self.now;
+        program.requested_at = self.now;
         program.tries = 0;
         let turn = program.turn;
-        self.after(PATIENCE, Event::Expire(index, turn));
+        self.schedule(TURN_TIMEOUT, Event::Expire(index, turn));
         self.submit(index);
     }
 
     pub(super) fn expire(&mut self, index: usize, turn: usize) {
         let program = &self.programs[index];
-        if program.over || program.turn != turn || self.now < program.asked + PATIENCE {
+        if program.is_done || program.turn != turn || self.now < program.requested_at + TURN_TIMEOUT
+        {
             return;
         }
         if let Some(attempt) = program.attempt {
@@ -68,13 +74,13 @@
     }
 
     pub(super) fn refused(&mut self, index: usize, retry_after: Duration) {
-        let (asked, tries) = {
+        let (requested_at, tries) = {
             let program = &mut self.programs[index];
             program.tries += 1;
-            (program.asked, program.tries)
+            (program.requested_at, program.tries)
         };
         let is_new = !self.programs[index].started && self.programs[index].parent.is_none();
-        if self.measured() {
+        if self.is_measured() {
             let refusals = if is_new {
                 &mut self.stats.new_refusals
             } else {
@@ -82,36 +88,36 @@
             };
             *refusals += 1;
         }
-        if is_new && tries >= TRIES {
+        if is_new && tries >= MAX_TRIES {
             return self.end(index, false);
         }
         let wait = retry_after.max(Duration::from_millis(100));
         let wait = wait.mul_f64(1.0 + self.rng.random::<f64>());
-        if self.now + wait < asked + PATIENCE {
-            self.after(wait, Event::Submit(index));
+        if self.now + wait < requested_at + TURN_TIMEOUT {
+            self.schedule(wait, Event::Submit(index));
         }
     }
 
     pub(super) fn end(&mut self, index: usize, finished: bool) {
-        let measured = self.measured();
+        let is_measured = self.is_measured();
         let program = &mut self.programs[index];
-        program.over = true;
-        let (parent, team, last) = (program.parent, program.team, program.last);
+        program.is_done = true;
+        let (parent, team, last) = (program.parent, program.team, program.last_upstream);
         let (started, at, entry) = (program.started, program.at, program.entry);
         let (paused, turns) = (program.paused, program.turns.len());
         let id = program.id.clone();
         self.entries[entry].view.forget_program(&id);
-        if let (Some(last), true) = (last, self.setup.policy.keep) {
+        if let (Some(last), true) = (last, self.setup.policy.frees_caches) {
             self.sides[last].forget(index);
         }
         if let Some(parent) = parent {
             self.programs[parent].paused += paused;
-            if !self.programs[parent].over {
-                self.turn(parent);
+            if !self.programs[parent].is_done {
+                self.start_turn(parent);
             }
             return;
         }
-        if measured && finished {
+        if is_measured && finished {
             self.stats.finished += 1;
             self.stats.finished_turns += turns as u64;
             self.stats.finished_by_team[team] += 1;
@@ -121,7 +127,8 @@
         }
         if finished {
             let latency = self.now - at;
-            self.stats.took(latency, latency.saturating_sub(paused));
+            self.stats
+                .record_program(latency, latency.saturating_sub(paused));
         } else if started {
             self.stats.lost += 1;
         } else {
--- a/fw-plan/examples/policy/sim/world/entries.rs
+++ b/fw-plan/examples/policy/sim/world/entries.rs
@@ -15,15 +15,15 @@
 use super::Attempt;
 use super::Entry;
 use super::Event;
-use super::MAX_INTERNAL_RETRIES;
-use super::NET;
-use super::PATIENCE;
+use super::MAX_UNBUDGETED_ATTEMPTS;
+use super::NETWORK_DELAY;
+use super::TURN_TIMEOUT;
 use super::World;
 
 impl World {
     pub(super) fn submit(&mut self, index: usize) {
         let program = &self.programs[index];
-        if program.over || program.attempt.is_some() {
+        if program.is_done || program.attempt.is_some() {
             return;
         }
         let lane = match (program.started, program.parent) {
@@ -34,10 +34,10 @@
             lane,
             team: self.teams[program.team].clone(),
             share: 1.0,
-            deadline: (program.asked + PATIENCE) - self.now,
+            deadline: (program.requested_at + TURN_TIMEOUT) - self.now,
         };
         let (entry, first) = (program.entry, program.tries == 0);
-        if self.setup.policy.ordered {
+        if self.setup.policy.has_admission {
             let outcome = self.entries[entry].admit.decide(self.now, &req);
             if let admit::Outcome::Refused { retry_after, .. } = outcome {
                 return self.refused(index, retry_after);
@@ -48,7 +48,7 @@
         if first {
             self.entries[entry].budget.earn();
         }
-        if self.measured() {
+        if self.is_measured() {
             self.stats.turns += 1;
         }
         self.attempts.push(Attempt {
@@ -57,7 +57,7 @@
             number: 0,
             lane,
             arrived: self.now,
-            over: false,
+            is_done: false,
         });
         let attempt = self.attempts.len() as u64 - 1;
         self.programs[index].attempt = Some(attempt);
@@ -66,26 +66,26 @@
 
     pub(super) fn dispatch(&mut self, attempt: u64, avoid: Option<usize>) {
         let index = self.attempts[attempt as usize].program;
-        let Some((upstream, lacks)) = self.choose(index, avoid) else {
+        let Some((upstream, uncached_tokens)) = self.choose(index, avoid) else {
             let refused = fw_plan::Refused {
                 kind: error::Kind::NoUpstream,
                 retry_after: Duration::from_millis(500),
             };
-            return self.after(NET, Event::Failed(attempt, refused));
+            return self.schedule(NETWORK_DELAY, Event::Failed(attempt, refused));
         };
         let entry = &mut self.entries[self.programs[index].entry];
         entry.outstanding[upstream] += 1;
         entry
             .view
-            .record_sent(&self.names[upstream], lacks, self.now);
+            .record_sent(&self.names[upstream], uncached_tokens, self.now);
         let record = &mut self.attempts[attempt as usize];
         record.upstream = upstream;
         record.number += 1;
-        if self.measured() {
+        if self.is_measured() {
             self.stats.attempts += 1;
             self.stats.by_upstream[upstream] += 1;
         }
-        self.after(NET, Event::Reach(attempt));
+        self.schedule(NETWORK_DELAY, Event::Deliver(attempt));
     }
 
     pub(super) fn choose(
@@ -103,21 +103,21 @@
                 .filter(others)
                 .min_by_key(|upstream| entry.outstanding[*upstream])
         };
-        let upstream = match self.setup.policy.place {
+        let upstream = match self.setup.policy.placement {
             policy::Place::Random => Some(self.rng.random_range(0..count)),
             policy::Place::RoundRobin => {
-                entry.turn_about += 1;
-                Some(entry.turn_about % count)
+                entry.next_round_robin += 1;
+                Some(entry.next_round_robin % count)
             }
             policy::Place::Fewest => fewest(entry),
-            policy::Place::CacheOnly => match (program.last, avoid) {
+            policy::Place::CacheOnly => match (program.last_upstream, avoid) {
                 (Some(last), None) => Some(last),
                 _ => fewest(entry),
             },
-            policy::Place::Blind | policy::Place::Delay => {
-                let knows = self.setup.policy.place == policy::Place::Delay;
+            policy::Place::CacheBlind | policy::Place::Delay => {
+                let knows_caches = self.setup.policy.placement == policy::Place::Delay;
                 let req = place::Request {
-                    program: knows.then_some(&program.id),
+                    program: knows_caches.then_some(&program.id),
                     prompt_tokens: prompt,
                     place: &self.place,
                     model: None,
@@ -144,42 +144,47 @@
 
     pub(super) fn finish(&mut self, attempt: u64, waited: Duration) {
         let record = &mut self.attempts[attempt as usize];
-        record.over = true;
+        record.is_done = true;
         let program = &mut self.programs[record.program];
         program.attempt = None;
-        if self.setup.policy.ordered {
+        if self.setup.policy.has_admission {
             let team = &self.teams[program.team];
             let admit = &mut self.entries[program.entry].admit;
             admit.finished(self.now, record.lane, team, waited);
         }
     }
 
-    pub(super) fn answer(&mut self, attempt: u64, waited: Duration, left: Option<engine::Left>) {
-        if self.attempts[attempt as usize].over {
+    pub(super) fn answer(
+        &mut self,
+        attempt: u64,
+        waited: Duration,
+        finished: Option<engine::FinishedJob>,
+    ) {
+        if self.attempts[attempt as usize].is_done {
             return;
         }
-        let Some(left) = left else { return };
+        let Some(finished) = finished else { return };
         let (index, upstream) = {
             let record = &self.attempts[attempt as usize];
             (record.program, record.upstream)
         };
-        let engine = (self.now - NET).saturating_sub(left.started);
+        let engine = (self.now - NETWORK_DELAY).saturating_sub(finished.started);
         self.settle(attempt, Some(engine));
         let history = self.programs[index].history;
-        let recomputed = history.saturating_sub(left.cached);
-        let lost = recomputed as f64 * engine::PER_PREFILL_TOKEN;
+        let recomputed = history.saturating_sub(finished.cached);
+        let lost = recomputed as f64 * engine::STEP_PER_PREFILL_TOKEN;
         self.finish(attempt, waited + Duration::from_secs_f64(lost));
-        let measured = self.measured();
+        let is_measured = self.is_measured();
         let program = &mut self.programs[index];
-        if measured {
+        if is_measured {
             self.stats.reusable += program.history;
             self.stats.recomputed += recomputed;
         }
-        program.history = left.work.prompt + left.work.output;
+        program.history = finished.work.prompt + finished.work.output;
         program.attained += engine;
         program.started = true;
         let moved = program
-            .last
+            .last_upstream
             .replace(upstream)
             .filter(|last| *last != upstream);
         let entry = &mut self.entries[program.entry];
@@ -190,15 +195,15 @@
         entry
             .health
             .seen(now, &self.names[upstream], health::Seen::Answered);
-        if let (Some(old), true) = (moved, self.setup.policy.keep) {
+        if let (Some(old), true) = (moved, self.setup.policy.frees_caches) {
             let id = program.id.clone();
             entry.view.set_cached(&id, &self.names[old], 0);
             self.sides[old].forget(index);
         }
-        self.next(index);
+        self.next_turn(index);
     }
 
-    pub(super) fn next(&mut self, index: usize) {
+    pub(super) fn next_turn(&mut self, index: usize) {
         let program = &mut self.programs[index];
         let done = program.turns[program.turn].clone();
         program.turn += 1;
@@ -208,19 +213,19 @@
         let team = program.team;
         if let Some(child) = done.child {
             // The parent's next turn comes when the child ends.
-            program.asked = Duration::MAX - PATIENCE;
-            return self.program(team, child, Some(index));
+            program.requested_at = Duration::MAX - TURN_TIMEOUT;
+            return self.start_program(team, child, Some(index));
         }
-        program.asked = self.now + done.pause;
+        program.requested_at = self.now + done.pause;
         program.paused += done.pause;
         program.tries = 0;
         let expire = Event::Expire(index, program.turn);
-        self.after(done.pause + PATIENCE, expire);
-        self.after(done.pause, Event::Submit(index));
+        self.schedule(done.pause + TURN_TIMEOUT, expire);
+        self.schedule(done.pause, Event::Submit(index));
     }
 
     pub(super) fn failed(&mut self, attempt: u64, refused: fw_plan::Refused) {
-        if self.attempts[attempt as usize].over {
+        if self.attempts[attempt as usize].is_done {
             return;
         }
         let record = &self.attempts[attempt as usize];
@@ -239,33 +244,33 @@
             kind: refused.kind,
             attempt: number.max(1),
             repeatable: true,
-            deadline: (self.programs[index].asked + PATIENCE).saturating_sub(self.now),
+            deadline: (self.programs[index].requested_at + TURN_TIMEOUT).saturating_sub(self.now),
             retry_after: None,
         };
         let entry = &mut self.entries[entry_index];
-        let after = if self.setup.policy.budget {
+        let after = if self.setup.policy.has_retry_budget {
             match entry.budget.decide(self.now, &failure, &mut self.rng) {
                 retry::Outcome::Retry { after } => Some(after),
                 retry::Outcome::GiveUp { .. } => None,
             }
         } else {
-            (number < MAX_INTERNAL_RETRIES).then_some(Duration::ZERO)
+            (number < MAX_UNBUDGETED_ATTEMPTS).then_some(Duration::ZERO)
         };
         if let Some(after) = after {
-            return self.after(after, Event::Again(attempt));
+            return self.schedule(after, Event::Retry(attempt));
         }
-        let asked = self.attempts[attempt as usize].arrived;
+        let arrived = self.attempts[attempt as usize].arrived;
         self.finish(attempt, Duration::ZERO);
-        if self.measured() {
-            let took = self.now.saturating_sub(asked);
+        if self.is_measured() {
+            let took = self.now.saturating_sub(arrived);
             self.stats.slowest_refusal = self.stats.slowest_refusal.max(took);
         }
         self.refused(index, refused.retry_after);
     }
 
-    pub(super) fn again(&mut self, attempt: u64) {
+    pub(super) fn retry(&mut self, attempt: u64) {
         let record = &self.attempts[attempt as usize];
-        if !record.over {
+        if !record.is_done {
             let avoid = record.upstream;
             self.dispatch(attempt, Some(avoid));
         }
@@ -277,6 +282,6 @@
         self.settle(attempt, None);
         let waited = self.now - self.attempts[attempt as usize].arrived;
         self.finish(attempt, waited);
-        self.pump(upstream);
+        self.run_engine(upstream);
     }
 }
--- a/fw-plan/examples/policy/sim/world/plains.rs
+++ b/fw-plan/examples/policy/sim/world/plains.rs
@@ -11,18 +11,18 @@
 use super::super::trace;
 use super::ENTRIES;
 use super::Event;
-use super::NET;
+use super::NETWORK_DELAY;
 use super::World;
 
 impl World {
     pub(super) fn plain_arrive(&mut self) {
-        if self.now >= self.setup.last {
+        if self.now >= self.setup.last_arrival {
             return;
         }
         let capacity = self.plains.len() as f64 * plain::SLOTS as f64 / plain::SERVICE;
         let rate = capacity * self.setup.plain_load;
         let gap = trace::exponential(1.0 / rate, &mut self.rng);
-        self.after(Duration::from_secs_f64(gap), Event::PlainArrive);
+        self.schedule(Duration::from_secs_f64(gap), Event::PlainArrive);
         let entry = self.rng.random_range(0..ENTRIES);
         let team = self.rng.random_range(0..self.teams.len());
         let service = trace::exponential(plain::SERVICE, &mut self.rng);
@@ -35,8 +35,8 @@
             reached: self.now,
             waited: Duration::ZERO,
         };
-        if self.setup.policy.ordered && !self.plain_admitted(&req) {
-            if self.measured() {
+        if self.setup.policy.has_admission && !self.plain_admitted(&req) {
+            if self.is_measured() {
                 self.stats.plain_refused += 1;
             }
             return;
@@ -47,19 +47,19 @@
         entry
             .plain
             .record_sent(&self.names[req.upstream], 0, self.now);
-        self.after(NET, Event::PlainReach(req));
+        self.schedule(NETWORK_DELAY, Event::PlainDeliver(req));
     }
 
     pub(super) fn plain_admitted(&mut self, req: &plain::Request) -> bool {
         let lane = admit::Lane::Plain;
-        let asked = admit::Request {
+        let admit_req = admit::Request {
             lane,
             team: req.team.clone(),
             share: 1.0,
             deadline: Duration::from_secs(5),
         };
         let admit = &mut self.entries[req.entry].admit;
-        let admitted = admit.decide(self.now, &asked) == admit::Outcome::Admitted;
+        let admitted = admit.decide(self.now, &admit_req) == admit::Outcome::Admitted;
         if admitted {
             admit.started(self.now, lane, &req.team);
         }
@@ -69,16 +69,16 @@
     pub(super) fn plain_choose(&mut self, entry: usize) -> usize {
         let count = self.plains.len();
         let entry = &mut self.entries[entry];
-        match self.setup.policy.place {
+        match self.setup.policy.placement {
             policy::Place::Random => self.rng.random_range(0..count),
             policy::Place::RoundRobin => {
-                entry.turn_about += 1;
-                entry.turn_about % count
+                entry.next_round_robin += 1;
+                entry.next_round_robin % count
             }
             policy::Place::Fewest | policy::Place::CacheOnly => (0..count)
                 .min_by_key(|upstream| entry.plain_outstanding[*upstream])
                 .unwrap_or(0),
-            policy::Place::Blind | policy::Place::Delay => {
+            policy::Place::CacheBlind | policy::Place::Delay => {
                 let req = place::Request {
                     program: None,
                     prompt_tokens: 0,
@@ -95,7 +95,7 @@
         }
     }
 
-    pub(super) fn plain_reach(&mut self, mut req: plain::Request) {
+    pub(super) fn plain_deliver(&mut self, mut req: plain::Request) {
         req.reached = self.now;
         let upstream = req.upstream;
         self.plains[upstream].push(req);
@@ -104,14 +104,14 @@
 
     pub(super) fn plain_start(&mut self, upstream: usize) {
         if let Some(req) = self.plains[upstream].start(self.now) {
-            self.after(req.service, Event::PlainDone(req));
+            self.schedule(req.service, Event::PlainDone(req));
         }
     }
 
     pub(super) fn plain_done(&mut self, req: plain::Request) {
         self.plains[req.upstream].finish();
         self.plain_start(req.upstream);
-        self.after(NET, Event::PlainAnswer(req));
+        self.schedule(NETWORK_DELAY, Event::PlainAnswer(req));
     }
 
     pub(super) fn plain_answer(&mut self, req: &plain::Request) {
@@ -120,11 +120,11 @@
         entry
             .plain
             .record_finished(&self.names[req.upstream], Some(req.service));
-        if self.setup.policy.ordered {
+        if self.setup.policy.has_admission {
             let lane = admit::Lane::Plain;
             entry.admit.finished(self.now, lane, &req.team, req.waited);
         }
-        if self.measured() {
+        if self.is_measured() {
             let latency = (self.now - req.at).as_micros() as u64;
             self.stats.plain.saturating_record(latency);
         }
--- a/fw-plan/examples/policy/sim/world/sides.rs
+++ b/fw-plan/examples/policy/sim/world/sides.rs
@@ -9,63 +9,63 @@
 use rand::RngExt;
 
 use super::super::engine;
-use super::Action;
-use super::CACHE_GAPS;
+use super::CACHE_EVENT_LOSS;
 use super::Event;
+use super::Fault;
 use super::HEARTBEAT;
-use super::NET;
-use super::PATIENCE;
+use super::NETWORK_DELAY;
+use super::TURN_TIMEOUT;
 use super::World;
 use super::crashed;
 
 impl World {
-    pub(super) fn reach(&mut self, attempt: u64) {
+    pub(super) fn deliver(&mut self, attempt: u64) {
         let record = &mut self.attempts[attempt as usize];
-        if record.over {
+        if record.is_done {
             return;
         }
         record.arrived = self.now;
         let upstream = record.upstream;
         let program = &self.programs[record.program];
         if !self.sides[upstream].engine.up {
-            return self.after(NET, Event::Failed(attempt, crashed()));
+            return self.schedule(NETWORK_DELAY, Event::Failed(attempt, crashed()));
         }
         let turn = &program.turns[program.turn];
-        let fails = self.rng.random_bool(self.fails);
+        let fails = self.rng.random_bool(self.failure_rate);
         let work = engine::Work {
             attempt,
             program: record.program,
             prompt: program.prompt(),
             output: turn.output,
-            fails_at: fails.then(|| turn.output.div_ceil(2)),
+            fail_after: fails.then(|| turn.output.div_ceil(2)),
         };
-        if !self.setup.policy.ordered {
+        if !self.setup.policy.has_admission {
             self.sides[upstream].engine.admit(work);
-            return self.pump(upstream);
+            return self.run_engine(upstream);
         }
         let job = queue::Job {
             id: attempt,
             team: self.teams[program.team].clone(),
             share: 1.0,
             attained: program.attained,
-            prompt_tokens: self.sides[upstream].lacks(&work),
-            deadline: (program.asked + PATIENCE).saturating_sub(self.now),
+            prompt_tokens: self.sides[upstream].uncached_tokens(&work),
+            deadline: (program.requested_at + TURN_TIMEOUT).saturating_sub(self.now),
             alone: false,
         };
         if let Err(refused) = self.sides[upstream].push(self.now, job, work) {
-            return self.after(NET, Event::Failed(attempt, refused));
+            return self.schedule(NETWORK_DELAY, Event::Failed(attempt, refused));
         }
-        self.pump(upstream);
+        self.run_engine(upstream);
     }
 
     /// Releases what may run and starts a step if none is under way.
-    pub(super) fn pump(&mut self, upstream: usize) {
+    pub(super) fn run_engine(&mut self, upstream: usize) {
         let side = &mut self.sides[upstream];
-        if self.setup.policy.ordered {
+        if self.setup.policy.has_admission {
             side.release(self.now);
         }
         if let Some(step) = side.engine.begin_step(self.now) {
-            self.after(step, Event::Step(upstream));
+            self.schedule(step, Event::Step(upstream));
         }
         self.publish_evictions(upstream);
     }
@@ -79,53 +79,58 @@
         for attempt in progress.prefilled {
             side.prefilled(attempt);
         }
-        for left in progress.left {
-            self.left(upstream, left);
+        for finished in progress.finished {
+            self.job_finished(upstream, finished);
         }
-        self.pump(upstream);
+        self.run_engine(upstream);
     }
 
-    pub(super) fn left(&mut self, upstream: usize, left: engine::Left) {
-        let attempt = left.work.attempt;
-        let index = left.work.program;
+    pub(super) fn job_finished(&mut self, upstream: usize, finished: engine::FinishedJob) {
+        let attempt = finished.work.attempt;
+        let index = finished.work.program;
         let side = &mut self.sides[upstream];
         let team = &self.teams[self.programs[index].team];
-        side.left(attempt, team, self.now - left.started);
+        side.finished(attempt, team, self.now - finished.started);
         side.pause(self.now, index);
-        if left.failed {
-            return self.after(NET, Event::Failed(attempt, crashed()));
+        if finished.failed {
+            return self.schedule(NETWORK_DELAY, Event::Failed(attempt, crashed()));
         }
-        let waited = left.started - self.attempts[attempt as usize].arrived;
-        let answer = Event::Answer(attempt, waited, Some(left));
-        self.after(NET, answer);
+        let waited = finished.started - self.attempts[attempt as usize].arrived;
+        let answer = Event::Answer(attempt, waited, Some(finished));
+        self.schedule(NETWORK_DELAY, answer);
     }
 
     pub(super) fn publish_evictions(&mut self, upstream: usize) {
         let evicted = std::mem::take(&mut self.sides[upstream].engine.cache.evicted);
         for program in evicted {
-            if self.rng.random_bool(CACHE_GAPS) {
+            if self.rng.random_bool(CACHE_EVENT_LOSS) {
                 continue;
             }
-            let late = Duration::from_millis(self.rng.random_range(200..2_000));
-            self.after(late, Event::Cached(upstream, program, 0));
+            let delay = Duration::from_millis(self.rng.random_range(200..2_000));
+            self.schedule(delay, Event::CacheChange(upstream, program, 0));
         }
     }
 
-    pub(super) fn cached(&mut self, upstream: usize, index: usize, tokens: id::Tokens) {
+    pub(super) fn deliver_cache_change(
+        &mut self,
+        upstream: usize,
+        index: usize,
+        tokens: id::Tokens,
+    ) {
         let program = &self.programs[index];
         let view = &mut self.entries[program.entry].view;
         view.set_cached(&program.id, &self.names[upstream], tokens);
     }
 
-    pub(super) fn report(&mut self, index: usize) {
+    pub(super) fn send_report(&mut self, index: usize) {
         if index < self.sides.len() {
-            if self.setup.policy.keep {
-                self.sides[index].keep(self.now, &self.setup.policy.caches);
+            if self.setup.policy.frees_caches {
+                self.sides[index].free_caches(self.now, &self.setup.policy.retention);
                 self.publish_evictions(index);
             }
             let load = self.sides[index].load();
             // The engine's own report is older than the heartbeat that carries it.
-            self.after(NET + load.age, Event::Load(index, load));
+            self.schedule(NETWORK_DELAY + load.age, Event::Load(index, load));
         }
         if let Some(plain) = self.plains.get(index) {
             let load = plain.load();
@@ -133,10 +138,10 @@
                 entry.plain.update_load(&self.names[index], load, self.now);
             }
         }
-        self.after(HEARTBEAT, Event::Report(index));
+        self.schedule(HEARTBEAT, Event::Report(index));
     }
 
-    pub(super) fn load(&mut self, index: usize, load: place::Load) {
+    pub(super) fn deliver_load(&mut self, index: usize, load: place::Load) {
         let up = self.sides[index].engine.up;
         let name = &self.names[index];
         for entry in &mut self.entries {
@@ -152,19 +157,19 @@
         }
     }
 
-    pub(super) fn act(&mut self, action: Action) {
-        match action {
-            Action::Slow(engine, factor) => self.sides[engine].engine.slowness = factor,
-            Action::Fails(part) => self.fails = part,
-            Action::Up(engine) => {
+    pub(super) fn apply(&mut self, fault: Fault) {
+        match fault {
+            Fault::Slow(engine, factor) => self.sides[engine].engine.slowness = factor,
+            Fault::FailureRate(part) => self.failure_rate = part,
+            Fault::Up(engine) => {
                 self.sides[engine].engine.up = true;
-                self.pump(engine);
+                self.run_engine(engine);
             }
-            Action::Crash(engine) => {
+            Fault::Crash(engine) => {
                 self.sides[engine].engine.up = false;
                 self.sides[engine].engine.stepping = false;
                 for work in self.sides[engine].crash() {
-                    self.after(NET, Event::Failed(work.attempt, crashed()));
+                    self.schedule(NETWORK_DELAY, Event::Failed(work.attempt, crashed()));
                 }
                 for entry in &mut self.entries {
                     entry.view.clear_cache(&self.names[engine]);
--- a/fw-plan/examples/policy/trial.rs
+++ b/fw-plan/examples/policy/trial.rs
@@ -7,7 +7,7 @@
 use crate::Cell;
 use crate::LOADS;
 use crate::Row;
-use crate::Scene;
+use crate::Scenario;
 use crate::sim::policy;
 use crate::sim::trace;
 
@@ -28,7 +28,7 @@
                 shape: shape.clone(),
                 policy: policy.clone(),
                 load,
-                scene: scene(args),
+                scenario: scenario(args),
             };
             cells.extend(loads(args).into_iter().map(cell));
         }
@@ -40,22 +40,22 @@
 pub fn print(rows: &[Row]) {
     for Row { cell, stats } in rows {
         print!("{:10} {:24}", cell.shape.name, cell.policy.name);
-        print!(" {:30}", cell.scene.name());
+        print!(" {:30}", cell.scenario.name());
         print!(" {:3.0} %", cell.load * 100.0);
         for quantile in [0.5, 0.95, 0.99] {
-            print!(" {:6.2}", stats.program(quantile));
+            print!(" {:6.2}", stats.program_latency(quantile));
         }
-        print!(" s | waited {:6.2}", stats.waited(0.95));
-        print!(" | waste {:4.1} %", stats.waste() * 100.0);
+        print!(" s | waited {:6.2}", stats.latency_without_pauses(0.95));
+        print!(" | waste {:4.1} %", stats.wasted_fraction() * 100.0);
         print!(" | goodput {:6.2}", stats.goodput());
         print!(" turns {:4.0} /s", stats.finished_turns());
-        print!(" | refused {:4.1} %", stats.refused_part() * 100.0);
-        print!(" lost {:4.1} %", stats.lost_part() * 100.0);
+        print!(" | refused {:4.1} %", stats.refused_fraction() * 100.0);
+        print!(" lost {:4.1} %", stats.lost_fraction() * 100.0);
         print!(" left {:4}", stats.unfinished);
         print!(" attempts {:4.2}", stats.attempts_per_turn());
         print!(" turns refused {:5}", stats.turn_refusals);
-        print!(" | plain p99 {:7.1} ms", stats.plain(0.99));
-        println!(" refused {:4.1} %", stats.plain_refused_part() * 100.0);
+        print!(" | plain p99 {:7.1} ms", stats.plain_latency(0.99));
+        println!(" refused {:4.1} %", stats.plain_refused_fraction() * 100.0);
     }
 }
 
@@ -72,12 +72,12 @@
     list.split(',').map(number).collect()
 }
 
-fn scene(args: &[String]) -> Scene {
+fn scenario(args: &[String]) -> Scenario {
     match value(args, "scene") {
-        Some("slow") => Scene::Slow,
-        Some("flap") => Scene::Flap,
-        Some("storm") => Scene::Storm,
-        _ => Scene::Steady,
+        Some("slow") => Scenario::Slow,
+        Some("flap") => Scenario::Flap,
+        Some("storm") => Scenario::Storm,
+        _ => Scenario::Steady,
     }
 }
 
@@ -105,10 +105,10 @@
         "place.margin" => policy.choose.margin = time,
         "place.margin_part" => policy.choose.margin_fraction = value,
         "place.cache_weight" => policy.choose.cache_weight = value,
-        "keep.horizon" => policy.caches.horizon = time,
-        "keep.latency" if value > 0.0 => policy.caches.weight = cache_retention::Weight::Latency,
-        "keep.latency" => policy.caches.weight = cache_retention::Weight::Cache,
-        "keep.pressure" => policy.caches.pressure = value,
+        "keep.horizon" => policy.retention.horizon = time,
+        "keep.latency" if value > 0.0 => policy.retention.weight = cache_retention::Weight::Latency,
+        "keep.latency" => policy.retention.weight = cache_retention::Weight::Cache,
+        "keep.pressure" => policy.retention.pressure = value,
         _ => panic!("no option `{key}`"),
     }
 }
--- a/fw-plan/tests/plan/admission.rs
+++ b/fw-plan/tests/plan/admission.rs
@@ -26,9 +26,9 @@
 }
 
 /// Sends up to `most` calls, none of which ends, and returns how many were admitted.
-fn fill(admit: &mut admit::Controller, req: &admit::Request, most: u32) -> u32 {
+fn fill(admit: &mut admit::Controller, req: &admit::Request, max: u32) -> u32 {
     let mut admitted = 0;
-    for _ in 0..most {
+    for _ in 0..max {
         if admit.decide(Duration::ZERO, req) == admit::Outcome::Admitted {
             admit.started(Duration::ZERO, req.lane, &req.team);
             admitted += 1;
--- a/fw-plan/tests/plan/budget_bounds.rs
+++ b/fw-plan/tests/plan/budget_bounds.rs
@@ -24,7 +24,7 @@
 
 // A program calls its tool and itself for ever. It must end with an answer that names the bound.
 #[gtest]
-fn a_program_that_loops_ends_with_the_bound() {
+fn a_looping_program_ends_with_the_bound() {
     let mut ledger = ledger(100, 1_000_000);
     let mut turns = 0;
     let exhausted = loop {
@@ -69,7 +69,7 @@
     // A program and its sub-agents run turns side by side. Checking at the end of each would let
     // all of them see the same rest and overdraw it together.
     #[test]
-    fn is_never_exceeded_by_a_family(
+    fn is_never_exceeded_by_a_program_and_its_sub_agents(
         steps in prop::collection::vec((0_usize..4, 1_u64..200, 0_u64..=100), 1..200)
     ) {
         let (turns, tokens) = (40, 2_000);
--- a/fw-plan/tests/plan/cache_keeping.rs
+++ b/fw-plan/tests/plan/cache_keeping.rs
@@ -5,7 +5,7 @@
 use fw_plan::cache_retention;
 use googletest::prelude::*;
 
-fn learnt() -> cache_retention::PauseHistogram {
+fn sample_pauses() -> cache_retention::PauseHistogram {
     let mut pauses = cache_retention::PauseHistogram::new();
     for _ in 0..500 {
         pauses.returned(Duration::from_millis(400));
@@ -22,13 +22,13 @@
 }
 
 #[gtest]
-fn one_that_will_return_soon_ranks_before_one_that_is_long_gone() {
+fn a_short_pause_ranks_above_a_long_one() {
     let options = cache_retention::Options::default();
-    let soon = paused(Duration::from_millis(100), 1_000);
-    let gone = paused(Duration::from_secs(5), 1_000);
-    let pauses = learnt();
+    let short = paused(Duration::from_millis(100), 1_000);
+    let long = paused(Duration::from_secs(5), 1_000);
+    let pauses = sample_pauses();
     let score = |one| cache_retention::score(&pauses, one, &options);
-    expect_that!(score(&soon), gt(score(&gone) * 2.0));
+    expect_that!(score(&short), gt(score(&long) * 2.0));
 }
 
 #[gtest]
@@ -38,15 +38,15 @@
         min_return_probability: 0.0,
         ..cache_retention::Options::default()
     };
-    let pauses = learnt();
+    let pauses = sample_pauses();
     let all: Vec<_> = (1..=10)
         .map(|n| paused(Duration::from_millis(n * 50), 1_000))
         .collect();
-    let line = cache_retention::threshold(&pauses, &all, 3_000, &options);
+    let threshold = cache_retention::threshold(&pauses, &all, 3_000, &options);
     let decide = |used| {
         let outcomes = all
             .iter()
-            .map(move |one| cache_retention::decide(&pauses, one, used, line, &options));
+            .map(move |one| cache_retention::decide(&pauses, one, used, threshold, &options));
         outcomes
             .filter(|outcome| *outcome == cache_retention::Outcome::Free)
             .count()
--- a/fw-plan/tests/plan/hot_caller.rs
+++ b/fw-plan/tests/plan/hot_caller.rs
@@ -14,7 +14,9 @@
 // if the first team were not there.
 #[gtest]
 fn does_not_crowd_out_a_quiet_team() {
-    let arrived = quiet().into_iter().filter(|spec| spec.at >= workload::WARM);
+    let arrived = quiet()
+        .into_iter()
+        .filter(|spec| spec.at >= workload::MEASURE_FROM);
     let arrived = arrived.count() as f64;
     let ours = world::run(workload::setup(workload::ours(), both()));
     expect_that!(ours.finished_by_team[QUIET] as f64, ge(arrived * 0.9));
@@ -23,7 +25,9 @@
 
 #[gtest]
 fn crowds_out_everyone_without_shares() {
-    let arrived = quiet().into_iter().filter(|spec| spec.at >= workload::WARM);
+    let arrived = quiet()
+        .into_iter()
+        .filter(|spec| spec.at >= workload::MEASURE_FROM);
     let arrived = arrived.count() as f64;
     let policy = workload::baseline("fewest outstanding, FCFS");
     let without = world::run(workload::setup(policy, both()));
--- a/fw-plan/tests/plan/keeper_lookup.rs
+++ b/fw-plan/tests/plan/keeper_lookup.rs
@@ -36,7 +36,7 @@
 // until the store is back. What showed it: `no keeper was found in time`, "nobody", the store silent
 // for as long.
 #[gtest]
-fn does_not_wait_for_news_from_a_store_that_is_away() {
+fn does_not_wait_for_the_end_of_a_store_outage() {
     for miss in [
         Miss::NoKeeper,
         Miss::NoLongerKeeper,
@@ -50,12 +50,12 @@
 // The store is back, and other entries take the dead keeper's shard; this one has not heard so yet. Its
 // callers were refused within microseconds, and gave up.
 #[gtest]
-fn waits_a_little_for_a_store_that_may_be_back() {
+fn waits_briefly_while_the_store_may_have_recovered() {
     expect_true!(should_retry(Miss::NoKeeper, 900, 2_600));
 }
 
 #[gtest]
-fn waits_for_a_keeper_that_is_known_also_without_the_store() {
+fn waits_for_a_known_keeper_during_a_store_outage() {
     for miss in [Miss::Unreachable, Miss::ConnectionBroken] {
         expect_true!(should_retry(miss, 3_000, 9_000), "{miss:?}");
         expect_false!(should_retry(miss, 4_000, 9_000), "{miss:?}");
--- a/fw-plan/tests/plan/long_jobs.rs
+++ b/fw-plan/tests/plan/long_jobs.rs
@@ -24,9 +24,12 @@
     let ours = world::run(workload::setup(workload::ours(), programs.clone()));
     let policy = workload::baseline("fewest outstanding, FCFS");
     let fewest = world::run(workload::setup(policy, programs));
-    expect_that!(ours.lost_part(), eq(0.0));
+    expect_that!(ours.lost_fraction(), eq(0.0));
     expect_that!(ours.unfinished, eq(0));
-    expect_that!(ours.waited(0.95), le(fewest.waited(0.95) * 0.7));
+    expect_that!(
+        ours.latency_without_pauses(0.95),
+        le(fewest.latency_without_pauses(0.95) * 0.7)
+    );
 }
 
 fn turn(input: u64) -> trace::Turn {
--- a/fw-plan/tests/plan/overload.rs
+++ b/fw-plan/tests/plan/overload.rs
@@ -25,15 +25,15 @@
     let full = workload::run(workload::ours(), 1.0);
     let over = workload::run(workload::ours(), load);
     expect_that!(over.goodput(), ge(full.goodput() * 0.95));
-    expect_that!(over.lost_part(), le(0.01));
-    expect_that!(over.refused_part(), ge(0.3));
+    expect_that!(over.lost_fraction(), le(0.01));
+    expect_that!(over.refused_fraction(), ge(0.3));
     expect_that!(over.slowest_refusal, le(Duration::from_secs(2)));
 }
 
 #[gtest]
 fn a_policy_without_admission_loses_programs() {
     let over = workload::run(workload::baseline("fewest outstanding, FCFS"), 5.0);
-    expect_that!(over.lost_part(), ge(0.1));
+    expect_that!(over.lost_fraction(), ge(0.1));
 }
 
 // Case status and documents are asked for while the programs' engines are overloaded, and their
@@ -49,6 +49,9 @@
         })
     };
     let (half, double) = (at(0.5), at(2.0));
-    expect_that!(double.plain(0.99), le(half.plain(0.99) * 1.5));
-    expect_that!(double.plain_refused_part(), le(0.65));
+    expect_that!(
+        double.plain_latency(0.99),
+        le(half.plain_latency(0.99) * 1.5)
+    );
+    expect_that!(double.plain_refused_fraction(), le(0.65));
 }
--- a/fw-plan/tests/plan/placement.rs
+++ b/fw-plan/tests/plan/placement.rs
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn stays_with_its_cache() {
+fn a_program_stays_with_its_cache() {
     let mut view = view(9);
     let mut rng = Pcg64::new(1, 1);
     view.set_cached(&"page".into(), &name(3), 1_900);
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn names_nobody_when_none_is_usable() {
+fn none_is_chosen_when_none_is_usable() {
     let mut view = view(1);
     view.set_health(&name(0), 0.0);
     let mut rng = Pcg64::new(1, 1);
@@ -134,7 +134,7 @@
 }
 
 #[gtest]
-fn the_one_to_avoid_is_chosen_only_if_alone() {
+fn an_avoided_upstream_is_chosen_only_if_it_is_the_only_one() {
     let place = "surat-hall-a".into();
     let avoid = [name(0)];
     let req = place::Request {
@@ -156,7 +156,7 @@
 // A call failed at two upstreams, and the third is loaded: it is sent there all the same. With the
 // last failure alone avoided, it went back to the first.
 #[gtest]
-fn all_that_failed_are_avoided() {
+fn all_failed_upstreams_are_avoided() {
     let place = "surat-hall-a".into();
     let avoid = [name(0), name(2)];
     let mut view = view(3);
--- a/fw-plan/tests/plan/queue_order.rs
+++ b/fw-plan/tests/plan/queue_order.rs
@@ -71,7 +71,7 @@
 }
 
 #[gtest]
-fn a_full_queue_refuses_at_once_with_a_time() {
+fn a_full_queue_refuses_at_once_with_a_retry_time() {
     let mut queue = queue::Queue::new(queue::Options {
         capacity: 4,
         contention_threshold: 1.0,
@@ -135,7 +135,7 @@
 }
 
 #[gtest]
-fn expired_jobs_are_handed_back() {
+fn expired_jobs_are_returned() {
     let mut queue = new();
     let short = queue::Job {
         deadline: Duration::from_secs(1),
--- a/fw-plan/tests/plan/recovery.rs
+++ b/fw-plan/tests/plan/recovery.rs
@@ -16,17 +16,17 @@
 // engine at once and send it everything (a herd): it falls over again, or its queue becomes the
 // longest. It must be given a part that grows with the time since its return.
 #[gtest]
-fn draws_no_herd() {
-    let at_return = part_of_returned(Duration::from_millis(2_100));
-    let later = part_of_returned(Duration::from_secs(7));
-    let whole = part_of_returned(Duration::from_secs(60));
+fn a_returned_upstream_is_not_flooded() {
+    let at_return = fraction_of_returned(Duration::from_millis(2_100));
+    let later = fraction_of_returned(Duration::from_secs(7));
+    let whole = fraction_of_returned(Duration::from_secs(60));
     expect_that!(at_return, all!(gt(0.0), lt(0.06)));
     expect_that!(later, gt(at_return));
     expect_that!(whole, gt(0.15));
 }
 
 /// Part of the calls that an upstream gets which was ejected at 0 for 2 s.
-fn part_of_returned(now: Duration) -> f64 {
+fn fraction_of_returned(now: Duration) -> f64 {
     let mut health = health::Health::new(health::Options::default());
     let mut view = place::View::new();
     for index in 0..9 {
--- a/fw-plan/tests/plan/slow_upstream.rs
+++ b/fw-plan/tests/plan/slow_upstream.rs
@@ -11,7 +11,7 @@
 
 const LOAD: f64 = 0.7;
 
-fn run(policy: policy::Policy, script: Vec<(Duration, world::Action)>) -> stats::Stats {
+fn run(policy: policy::Policy, script: Vec<(Duration, world::Fault)>) -> stats::Stats {
     world::run(world::Setup {
         script,
         ..workload::setup(policy, workload::programs(LOAD))
@@ -23,14 +23,17 @@
 // get what it can do and no more, and callers must notice little.
 #[gtest]
 fn gets_less_work_and_is_still_used() {
-    let slow = vec![(Duration::ZERO, world::Action::Slow(0, 3.0))];
+    let slow = vec![(Duration::ZERO, world::Fault::Slow(0, 3.0))];
     let ours = run(workload::ours(), slow);
     let all: u64 = ours.by_upstream.iter().sum();
     let part = ours.by_upstream[0] as f64 / all as f64;
     expect_that!(part, all!(gt(0.02), lt(0.25)));
-    expect_that!(ours.lost_part(), le(0.01));
+    expect_that!(ours.lost_fraction(), le(0.01));
     let healthy = run(workload::ours(), Vec::new());
-    expect_that!(ours.program(0.95), le(healthy.program(0.95) * 1.6));
+    expect_that!(
+        ours.program_latency(0.95),
+        le(healthy.program_latency(0.95) * 1.6)
+    );
 }
 
 // An engine crashes every eight seconds and is back four later. Each crash fails the turns that
@@ -39,13 +42,13 @@
 #[gtest]
 fn flapping_costs_no_program() {
     let flap = |second: u64| {
-        let crash = (Duration::from_secs(second), world::Action::Crash(0));
-        let up = (Duration::from_secs(second + 4), world::Action::Up(0));
+        let crash = (Duration::from_secs(second), world::Fault::Crash(0));
+        let up = (Duration::from_secs(second + 4), world::Fault::Up(0));
         [crash, up]
     };
     let script: Vec<_> = (0..60).step_by(8).flat_map(flap).collect();
     let ours = run(workload::ours(), script.clone());
-    expect_that!(ours.lost_part(), le(0.005));
+    expect_that!(ours.lost_fraction(), le(0.005));
     let policy = workload::baseline("fewest outstanding, FCFS");
     let fewest = run(policy, script);
     expect_that!(ours.goodput(), ge(fewest.goodput()));
--- a/fw-plan/tests/plan/taken_shards.rs
+++ b/fw-plan/tests/plan/taken_shards.rs
@@ -16,7 +16,7 @@
     Instant::now() + Duration::from_secs(1_000)
 }
 
-fn heard_at(at: Instant) -> Holder {
+fn answered_at(at: Instant) -> Holder {
     let mut holder = Holder::default();
     holder.answered(at - Duration::from_secs(500));
     holder.answered(at);
@@ -28,12 +28,12 @@
 }
 
 #[gtest]
-fn a_shard_serves_once_all_were_heard() {
+fn a_shard_serves_once_all_holders_answered() {
     let since = start();
     let mut holders = Holders {
         sides_known: true,
-        sides: vec![heard_at(since - TICK), heard_at(since + TICK)],
-        entries: vec![heard_at(since - TICK)],
+        sides: vec![answered_at(since - TICK), answered_at(since + TICK)],
+        entries: vec![answered_at(since - TICK)],
     };
     expect_that!(decide(since + TICK, since, &holders), eq(Outcome::Wait(2)));
     holders.sides[0].answered(since + TICK);
@@ -48,7 +48,7 @@
 #[gtest]
 fn a_late_heartbeat_is_waited_for() {
     let since = start();
-    let mut side = heard_at(since - TICK);
+    let mut side = answered_at(since - TICK);
     side.missed(since + TICK, false);
     let mut holders = Holders {
         sides_known: true,
@@ -66,9 +66,9 @@
 // A side tells that it holds turns of the shard, and the call that was to bring them is lost. The shard
 // counted as complete, as nothing had come back, and the turns' callers met a history without them.
 #[gtest]
-fn turns_that_were_told_of_are_waited_for() {
+fn reported_turns_are_waited_for() {
     let since = start();
-    let mut side = heard_at(since + TICK);
+    let mut side = answered_at(since + TICK);
     side.has_pending_turns = true;
     let holders = Holders {
         sides_known: true,
@@ -92,11 +92,11 @@
 #[gtest]
 fn a_dead_entry_is_not_waited_for_while_the_sides_are_there() {
     let since = start();
-    let mut dead = heard_at(since - TICK);
+    let mut dead = answered_at(since - TICK);
     dead.missed(since, false);
     let mut holders = Holders {
         sides_known: true,
-        sides: vec![heard_at(since + TICK)],
+        sides: vec![answered_at(since + TICK)],
         entries: vec![dead],
     };
     expect_that!(decide(since + TICK, since, &holders), eq(Outcome::Serve));
@@ -108,11 +108,11 @@
 }
 
 #[gtest]
-fn nobody_waits_for_the_dead() {
+fn dead_holders_are_not_waited_for() {
     let since = start();
-    let mut gone = heard_at(since - TICK);
+    let mut gone = answered_at(since - TICK);
     gone.missed(since, true);
-    let mut silent = heard_at(since - Duration::from_secs(20));
+    let mut silent = answered_at(since - Duration::from_secs(20));
     silent.missed(since - Duration::from_secs(10), false);
     let holders = Holders {
         sides_known: true,
@@ -127,7 +127,7 @@
 #[gtest]
 fn the_wait_is_bounded() {
     let since = start();
-    let mut side = heard_at(since - TICK);
+    let mut side = answered_at(since - TICK);
     side.missed(since, false);
     let holders = Holders {
         sides_known: true,
--- a/fw-plan/tests/plan/workload.rs
+++ b/fw-plan/tests/plan/workload.rs
@@ -10,8 +10,8 @@
 use crate::sim::trace;
 use crate::sim::world;
 
-pub const WARM: Duration = Duration::from_secs(10);
-pub const LAST: Duration = Duration::from_secs(30);
+pub const MEASURE_FROM: Duration = Duration::from_secs(10);
+pub const LAST_ARRIVAL: Duration = Duration::from_secs(30);
 pub const END: Duration = Duration::from_secs(60);
 
 /// Three engines, and programs that are short enough to end within a run.
@@ -32,8 +32,8 @@
         programs,
         plain_load: 0.0,
         seed: 1,
-        warm: WARM,
-        last: LAST,
+        measure_from: MEASURE_FROM,
+        last_arrival: LAST_ARRIVAL,
         end: END,
         script: Vec::new(),
     }
@@ -44,7 +44,7 @@
 }
 
 pub fn ours() -> policy::Policy {
-    policy::Policy::of(&shape())
+    policy::Policy::product(&shape())
 }
 
 pub fn baseline(name: &str) -> policy::Policy {
