--- a/fw-plan/src/admit.rs
+++ b/fw-plan/src/admit.rs
@@ -1,22 +1,22 @@
-//! Admission at the entry: whether a call starts at all.
+//! Admission control at the entry: decides whether a call may start.
 //!
-//! *Load pattern:* more programs arrive than the engines can finish, for minutes, often most of
-//! them from one team, while plain requests go on beside them.
+//! *Load pattern:* for minutes, more programs arrive than the engines can finish, often most of
+//! them from one team, while plain requests continue beside them.
 //!
-//! *Without it:* every program is taken, each turn waits behind all others, nothing finishes
-//! before its caller gives up, and the engine time of abandoned programs is lost. A fixed count
-//! has the same effect whenever the engines are slower than on the day it was chosen.
+//! *Without it:* every program is accepted and each turn waits behind all others. Nothing finishes
+//! before its caller gives up, and the engine time of abandoned programs is lost. A fixed limit on
+//! calls in flight has the same effect whenever the engines are slower than when the limit was set.
 //!
-//! *Rule:* a limit on turns in flight follows the queueing delay that finished turns report.
-//! While the mean delay of a window exceeds the target, the limit shrinks in proportion to the
-//! excess, at most by [`Options::shrink`]; while it does not and the limit is in use, the limit
-//! grows. New programs may use a part of the limit only, and turns of programs under way may
-//! exceed it somewhat, because refusing them throws away the turns before. The plain lane has a
-//! limit of its own, adapted in the same way to its own delays. Once a lane is nearly full, a
-//! team that holds more than its weighted share of it is refused in favour of the others; below
-//! that, anyone may use what is idle.
+//! *Rule:* the limit on turns in flight follows the queueing delay that finished turns report.
+//! While the mean delay exceeds the target, the limit shrinks in proportion to the excess, by at
+//! most [`Options::shrink`] per interval; otherwise it grows if it is in use. New programs may use
+//! only a fraction of the limit. Turns of running programs may exceed it to some extent, because
+//! refusing one discards the work of the turns before it. Plain requests have a limit of their own,
+//! adapted in the same way to their own delays. Once a lane is nearly full, a team that holds more
+//! than its weighted share is refused in favour of the others; below that point, any team may use
+//! idle capacity.
 //!
-//! *Grounds:* `docs/POLICY.md` has the sweep behind the target and the fractions.
+//! *Grounds:* `docs/POLICY.md` has the parameter sweep behind the target and the fractions.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 
 use crate::toward;
 
-/// The sort of call.
+/// Class of a call, which selects the limit that applies to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Lane {
     /// A plain request: not part of a program.
@@ -37,64 +37,65 @@
     NewProgram,
 }
 
-/// A call that asks to be admitted.
+/// A call to be admitted.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The sort of call.
+    /// Class of the call.
     pub lane: Lane,
     /// The team.
     pub team: id::TeamId,
-    /// The team's share relative to others; 1.0 is usual.
+    /// Weight of the team's share relative to other teams; 1.0 by default.
     pub share: f64,
     /// Time left until the caller's deadline.
     pub deadline: Duration,
 }
 
-/// What became of a call.
+/// Result of an admission decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It may start; report [`Controller::started`] and later [`Controller::finished`].
+    /// The call may start. Report its start with [`Controller::started`] and its end with
+    /// [`Controller::finished`].
     Admitted,
-    /// It does not run.
+    /// The call is refused and does not run.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         kind: error::Kind,
-        /// When a call like this is expected to be admitted, from now.
+        /// Time after which a similar call is expected to be admitted.
         retry_after: Duration,
     },
 }
 
-/// How admission adapts.
+/// Parameters of the adaptive limits.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Mean queueing delay of turns that is aimed at.
+    /// Target for the mean queueing delay of turns.
     pub target: Duration,
-    /// Mean queueing delay of plain requests that is aimed at.
+    /// Target for the mean queueing delay of plain requests.
     pub plain_target: Duration,
-    /// How often the limits are adapted.
+    /// Interval at which the limits are adapted.
     pub interval: Duration,
-    /// Turns in flight at first.
+    /// Initial limit on turns in flight.
     pub initial: f64,
-    /// Plain requests in flight at first.
+    /// Initial limit on plain requests in flight.
     pub plain_initial: f64,
-    /// Least limit of either lane.
+    /// Lower bound of both limits.
     pub min: f64,
-    /// Greatest limit of either lane.
+    /// Upper bound of both limits.
     pub max: f64,
-    /// Most that a limit shrinks in one interval, as a part of it.
+    /// Largest decrease of a limit per interval, as a fraction of it.
     pub shrink: f64,
-    /// What a limit grows in one interval, as a part of it.
+    /// Increase of a limit per interval, as a fraction of it.
     pub grow: f64,
-    /// Part of the limit that new programs may use.
+    /// Fraction of the limit that new programs may use.
     pub new_program_fraction: f64,
-    /// Multiple of the limit up to which turns of programs under way are admitted.
+    /// Multiple of the limit up to which turns of running programs are admitted.
     pub turn_multiple: f64,
-    /// Part of a lane's bound from which shares are enforced. What lies above is left to teams
-    /// within their share; it must exceed the chance variation of the calls in flight, or a team
-    /// that sends little is refused together with the one that fills the lane. The limit grows
-    /// by delay, so nothing stays unused for it.
+    /// Fraction of a lane's bound from which shares are enforced. The rest is reserved for teams
+    /// within their share; it must exceed the random variation of the calls in flight, or a team
+    /// that sends little is refused together with the one that fills the lane. Because the limit is
+    /// adapted by delay, the reserve does not leave capacity unused.
     pub contention_threshold: f64,
-    /// How long a team that asks for nothing still counts in the sum of shares.
+    /// Time after which a team without calls no longer counts in the sum of shares.
     pub idle_timeout: Duration,
 }
 
@@ -118,7 +119,7 @@
     }
 }
 
-/// Admission of one entry.
+/// Admission controller of one entry.
 #[derive(Debug)]
 pub struct Controller {
     options: Options,
@@ -139,7 +140,7 @@
 }
 
 impl Controller {
-    /// Admission with nothing in flight.
+    /// Creates a controller with no calls in flight.
     pub fn new(options: Options) -> Self {
         Self {
             turns: Limit::new(options.initial, options.target),
@@ -172,7 +173,7 @@
         Outcome::Admitted
     }
 
-    /// An admitted call starts.
+    /// Records that an admitted call has started.
     pub fn started(&mut self, now: Duration, lane: Lane, team: &id::TeamId) {
         self.limit_mut(lane).start();
         let Some(team) = self.teams.get_mut(team) else {
@@ -183,10 +184,13 @@
         *in_flight = in_flight.saturating_add(1);
     }
 
-    /// A started call ended, after losing `queue_delay` to other calls: its wait in queues, and,
-    /// where the caller of this knows it, the prefill of history that had been cached before.
-    /// The latter makes the limit answer to engines whose cache is too small for the programs
-    /// under way as well. Every started call must be reported, however it ended.
+    /// Records that a started call has ended. Every started call must be reported, however it
+    /// ended.
+    ///
+    /// `queue_delay` is the time that the call lost to other calls: its wait in queues and, where
+    /// the caller of this method knows it, the prefill of history that had been cached before.
+    /// Including the latter makes the limit also respond to engines whose cache is too small for
+    /// the running programs.
     pub fn finished(
         &mut self,
         now: Duration,
@@ -204,17 +208,17 @@
         self.adapt(now);
     }
 
-    /// A queueing delay of turns learnt otherwise, such as from a side's load report.
+    /// Records a queueing delay of turns from another source, such as a side's load report.
     pub fn observe(&mut self, delay: Duration) {
         self.turns.observe(delay);
     }
 
-    /// Turns that may be in flight at present.
+    /// Current limit on turns in flight.
     pub fn turn_limit(&self) -> f64 {
         self.turns.limit
     }
 
-    /// Plain requests that may be in flight at present.
+    /// Current limit on plain requests in flight.
     pub fn plain_limit(&self) -> f64 {
         self.plain.limit
     }
@@ -291,7 +295,7 @@
             let idle = team.turns == 0 && team.plain == 0;
             !idle || now < team.last_seen + idle_timeout
         });
-        // Summing afresh keeps rounding errors of the running sum from piling up.
+        // Recomputing the sum keeps rounding errors from accumulating.
         self.total_share = self.teams.values().map(|team| team.share).sum();
     }
 }
@@ -312,7 +316,7 @@
     }
 }
 
-/// Part of what may be used at which a limit counts as in use.
+/// Fraction of the usable limit from which the limit counts as in use.
 const IN_USE_FRACTION: f64 = 0.9;
 
 /// A limit on calls in flight that follows their queueing delay.
@@ -321,7 +325,7 @@
     limit: f64,
     target: Duration,
     in_flight: u32,
-    /// Most in flight during the present interval.
+    /// Maximum in flight during the current interval.
     peak: u32,
     /// Mean delay, smoothed over intervals.
     delay: Duration,
@@ -361,7 +365,8 @@
         self.last_adapted = now;
         let peak = std::mem::replace(&mut self.peak, self.in_flight);
         if self.delay_count == 0 {
-            // Nothing finished: no news. An idle lane must not keep refusing on an old delay.
+            // No call finished, so there is no new measurement. An idle lane must not keep refusing
+            // calls because of an old delay.
             if self.in_flight == 0 {
                 self.delay = Duration::ZERO;
             }
@@ -381,10 +386,11 @@
         let excess = self.delay.as_secs_f64() / self.target.as_secs_f64();
         if excess > 1.0 {
             let shrink = ((excess - 1.0) * options.shrink).min(options.shrink);
-            // From what is in use, so that a limit that was never reached bites at once.
+            // Shrink from the concurrency in use, so that a limit that was never reached takes
+            // effect at once.
             return self.limit.min(f64::from(peak)) * (1.0 - shrink);
         }
-        // Teams above their share leave this much to the others.
+        // The rest is reserved for teams within their share.
         let usable = self.limit * options.new_program_fraction * options.contention_threshold;
         let in_use = f64::from(peak) >= usable * IN_USE_FRACTION;
         if in_use {
--- a/fw-plan/src/budget.rs
+++ b/fw-plan/src/budget.rs
@@ -1,23 +1,23 @@
 //! Budgets of programs: turns, tokens and time.
 //!
-//! *Load pattern:* a program that loops for ever, or that starts sub-agents which do.
+//! *Load pattern:* a program that loops forever, or that starts sub-agents which do.
 //!
-//! *Without it:* one such program uses engine time until somebody notices. Checking only after
-//! each turn is not enough: turns of several sub-agents under way together would each see the
-//! same rest and overdraw it together.
+//! *Without it:* one such program uses engine time until somebody notices. Checking only after each
+//! turn is not enough: concurrent turns of several sub-agents would each see the same remaining
+//! budget and overdraw it together.
 //!
-//! *Rule:* a turn reserves its worst case before it runs, and the difference is given back when
-//! it is settled. A sub-agent draws on a loan that its parent's ledger reserved, so the two may
-//! be kept by different processes and still never exceed the parent's limits.
+//! *Rule:* a turn reserves its worst case before it runs, and the unused part is returned when the
+//! reservation is settled. A sub-agent draws on a loan that its parent's ledger has reserved, so
+//! the two may be kept by different processes and still never exceed the parent's limits.
 //!
-//! *Grounds:* the bounds are the operator's; the module has no figures of its own.
+//! *Grounds:* the operator sets the limits; the module has no figures of its own.
 
 use std::time::Duration;
 
 use fw_base::error;
 use fw_base::id;
 
-/// What a program may use; `None` sets no bound.
+/// Limits of a program; `None` means unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Limits {
     /// Turns.
@@ -37,36 +37,36 @@
     pub tokens: id::Tokens,
 }
 
-/// Which bound was met.
+/// The limit that was reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exhausted {
     /// No turns left.
     Turns {
-        /// The bound.
+        /// The limit.
         limit: id::Turn,
     },
     /// Fewer tokens left than the turn may need.
     Tokens {
-        /// The bound.
+        /// The limit.
         limit: id::Tokens,
-        /// What is left of it.
+        /// Tokens left.
         left: id::Tokens,
-        /// What the turn may need.
+        /// Tokens that the turn may need.
         needed: id::Tokens,
     },
     /// No time left.
     Time {
-        /// The bound.
+        /// The limit.
         limit: Duration,
     },
 }
 
-/// A part of a budget that is set aside. Settle it, or it stays reserved.
+/// A reserved part of a budget. It stays reserved until it is settled.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a reservation that is not settled stays reserved"]
 pub struct Reservation(Amount);
 
-/// What a program has spent and set aside.
+/// Spending and reservations of a program.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     limits: Limits,
@@ -76,10 +76,10 @@
 }
 
 impl Exhausted {
-    /// The kind to answer with.
+    /// Error kind of the answer.
     pub const KIND: error::Kind = error::Kind::BudgetExhausted;
 
-    /// The answer, with the field, its bound and the way out.
+    /// The answer to the caller: which limit was reached, its value and what to do about it.
     pub fn to_error(self) -> error::Error {
         let message = match self {
             Self::Turns { limit } => {
@@ -103,14 +103,15 @@
 }
 
 impl Reservation {
-    /// What is set aside.
+    /// The reserved amount.
     pub fn amount(&self) -> Amount {
         self.0
     }
 }
 
 impl Ledger {
-    /// A ledger of a program that started at `started` and has spent `spent`, as its journal says.
+    /// Creates the ledger of a program that started at `started` and has spent `spent` according to
+    /// its journal.
     pub fn new(limits: Limits, started: Duration, spent: Amount) -> Self {
         Self {
             limits,
@@ -120,16 +121,16 @@
         }
     }
 
-    /// Sets aside one turn that needs at most `tokens`.
+    /// Reserves one turn that needs at most `tokens`.
     ///
     /// # Errors
     ///
-    /// When a bound would be exceeded if every reservation were used whole.
+    /// If a limit would be exceeded should every reservation be used in full.
     pub fn reserve(&mut self, now: Duration, tokens: id::Tokens) -> Result<Reservation, Exhausted> {
         self.reserve_amount(now, Amount { turns: 1, tokens })
     }
 
-    /// Sets aside `amount` for a sub-agent; settle it with what the sub-agent spent at its end.
+    /// Reserves `amount` for a sub-agent. Settle it with the sub-agent's spending at its end.
     ///
     /// # Errors
     ///
@@ -138,7 +139,7 @@
         self.reserve_amount(now, amount)
     }
 
-    /// The limits of a sub-agent that holds `loan`; its time ends with its parent's.
+    /// The limits of a sub-agent that holds `loan`. Its time ends with its parent's.
     pub fn loan_limits(&self, now: Duration, loan: &Reservation) -> Limits {
         let left = |time: Duration| (self.started + time).saturating_sub(now);
         Limits {
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Books what was used of a reservation and frees the rest. A use beyond the reservation is
-    /// booked whole; the caller bounds it by passing the reserved tokens on as `max_tokens`.
+    /// Records what was used of a reservation and releases the rest. Use beyond the reservation is
+    /// recorded in full; the caller bounds it by passing the reserved tokens on as `max_tokens`.
     pub fn settle(&mut self, reservation: Reservation, used: Amount) {
         let Reservation(set_aside) = reservation;
         self.reserved.turns = self.reserved.turns.saturating_sub(set_aside.turns);
@@ -158,12 +159,12 @@
         self.spent.tokens = self.spent.tokens.saturating_add(used.tokens);
     }
 
-    /// What was spent.
+    /// Spending so far.
     pub fn spent(&self) -> Amount {
         self.spent
     }
 
-    /// Tokens neither spent nor set aside; `None` without a bound.
+    /// Tokens neither spent nor reserved; `None` if unlimited.
     pub fn tokens_left(&self) -> Option<id::Tokens> {
         let used = self.spent.tokens.saturating_add(self.reserved.tokens);
         self.limits.tokens.map(|limit| limit.saturating_sub(used))
--- a/fw-plan/src/cache_retention.rs
+++ b/fw-plan/src/cache_retention.rs
@@ -1,55 +1,57 @@
-//! Which programs' engine cache to keep over a tool pause.
+//! Retention of paused programs' KV cache over tool calls.
 //!
-//! *Load pattern:* programs pause for tools between their turns, most for seconds, some for
-//! minutes, some for ever; the cache holds far fewer histories than there are programs.
+//! *Load pattern:* programs pause for tool calls between their turns, most for seconds, some for
+//! minutes, and some never return; the cache holds far fewer histories than there are programs.
 //!
-//! *Without it:* the engine evicts the least recently used prefix, so programs that are gone
-//! crowd out those that return in a moment, and a long history is computed again each time.
+//! *Without it:* the engine evicts the least recently used prefix, so programs that have ended
+//! displace those that return shortly, and a long history is computed again each time.
 //!
-//! *Rule:* pauses are learnt as a small histogram of powers of two. The chance that a program
-//! that has paused for so long returns within the horizon, times the prefill time it would cost
-//! anew, divided by the memory it holds, ranks the programs; under pressure the lowest go first.
-//! [`Weight`] sets what prefill is counted in: the caller's wait or the engine's work.
+//! *Rule:* the lengths of pauses are recorded in a small histogram with powers of two as bounds.
+//! Programs are ranked by the probability that a program which has paused for this long returns
+//! within the horizon, times the prefill time that it would cost anew, divided by the memory that
+//! it holds. Under memory pressure the lowest ranks are freed first. [`Weight`] selects how prefill
+//! is counted: as the caller's wait or as the engine's work.
 //!
 //! *Grounds:* `docs/POLICY.md`: a horizon of 2 s is about how long a cache under pressure keeps an
-//! unused prefix, and wastes less than 30 s, in which nearly every program returns. Freeing early
-//! leaves memory unused: from 98 % on wasted less than from 90 % on.
+//! unused prefix, and wastes less than one of 30 s, in which nearly every program returns. Freeing
+//! early leaves memory unused: starting at 98 % usage wasted less than starting at 90 %.
 
 use std::time::Duration;
 
 use fw_base::id;
 
-/// Buckets: pauses up to 2^i times [`MIN_PAUSE`].
+/// Number of buckets. Bucket `i` holds pauses up to 2^i times [`MIN_PAUSE`].
 const BUCKETS: usize = 20;
 /// Upper end of the first bucket.
 const MIN_PAUSE: Duration = Duration::from_millis(50);
-/// Observations after which all counts are halved, so that old pauses fade.
+/// Samples after which all counts are halved, so that old pauses lose weight.
 const DECAY_THRESHOLD: u32 = 4_096;
 
-/// How much more a long history counts than its part of the memory under [`Weight::Latency`].
+/// Exponent of a history's length in its score under [`Weight::Latency`], beyond its share of the
+/// memory.
 const LENGTH_EXPONENT: f64 = 0.25;
 
-/// What the operator's records weigh more.
+/// The goal that the operator's records set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Weight {
-    /// Program latency: a long history, whose prefill a person would wait for, is worth more
-    /// than its part of the memory.
+    /// Low program latency: a long history, whose prefill a person would wait for, is worth more
+    /// than its share of the memory.
     #[default]
     Latency,
-    /// Wasted cache: each cached token is worth the same.
+    /// Little wasted cache: each cached token is worth the same.
     Cache,
 }
 
-/// How caches are kept.
+/// Parameters of cache retention.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// What weighs more.
+    /// The goal.
     pub weight: Weight,
-    /// Part of the cache in use from which caches are freed.
+    /// Fraction of the cache in use above which caches are freed.
     pub pressure: f64,
-    /// How far ahead a return counts.
+    /// Time within which a program's return counts.
     pub horizon: Duration,
-    /// Chance of return below which a cache is freed even without pressure.
+    /// Probability of return below which a cache is freed even without memory pressure.
     pub min_return_probability: f64,
 }
 
@@ -64,12 +66,13 @@
     }
 }
 
-/// What to do with a paused program's cache.
+/// Decision about a paused program's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Keep it; ask again later.
+    /// Keep it for now; decide again later.
     Keep,
-    /// Free it: there is pressure, and this one ranks below the line.
+    /// Free it: there is memory pressure and its score is below the threshold, or the program is
+    /// unlikely to return.
     Free,
 }
 
@@ -78,15 +81,15 @@
 pub struct PausedProgram {
     /// Time since its last turn ended.
     pub idle: Duration,
-    /// Tokens held.
+    /// Cached tokens.
     pub tokens: id::Tokens,
 }
 
-/// Pauses learnt so far.
+/// Histogram of observed pauses.
 #[derive(Clone, Debug)]
 pub struct PauseHistogram {
     counts: [u32; BUCKETS],
-    /// Programs that did not return.
+    /// Programs that ended instead of returning.
     ended: u32,
     total: u32,
 }
@@ -98,7 +101,7 @@
 }
 
 impl PauseHistogram {
-    /// Before anything was seen: every bucket is as likely as the others.
+    /// Creates a histogram without samples, in which every bucket is equally likely.
     pub fn new() -> Self {
         Self {
             counts: [1; BUCKETS],
@@ -107,26 +110,27 @@
         }
     }
 
-    /// A program returned after `pause`.
+    /// Records that a program returned after `pause`.
     pub fn returned(&mut self, pause: Duration) {
         self.counts[bucket_index(pause)] += 1;
         self.count_sample();
     }
 
-    /// A program ended instead of returning.
+    /// Records that a program ended instead of returning.
     pub fn ended(&mut self) {
         self.ended += 1;
         self.count_sample();
     }
 
-    /// The chance that a program which has paused for `paused` returns within `horizon`.
+    /// Probability that a program which has paused for `paused` returns within `horizon`.
     pub fn return_probability(&self, paused: Duration, horizon: Duration) -> f64 {
         let total = self.returns_after(paused) + f64::from(self.ended);
         let within = self.returns_after(paused) - self.returns_after(paused + horizon);
         if total > 0.0 { within / total } else { 0.0 }
     }
 
-    /// How many of the returns seen came after `pause`, spread evenly within a bucket.
+    /// Number of recorded returns after more than `pause`, assuming a uniform distribution within a
+    /// bucket.
     fn returns_after(&self, pause: Duration) -> f64 {
         let index = bucket_index(pause);
         let above: u32 = self.counts[index + 1..].iter().sum();
@@ -153,8 +157,8 @@
     }
 }
 
-/// What keeping a paused program's cache is worth: the expected saving for each token held.
-/// Only the order of scores means anything; the highest are kept.
+/// Value of keeping a paused program's cache: the expected saving per cached token. Only the order
+/// of scores is meaningful; the highest are kept.
 pub fn score(pauses: &PauseHistogram, paused: &PausedProgram, options: &Options) -> f64 {
     let return_probability = pauses.return_probability(paused.idle, options.horizon);
     match options.weight {
@@ -163,8 +167,8 @@
     }
 }
 
-/// What to do with a paused program's cache while `used` of the engine's cache (0 to 1) is in
-/// use and the score that keeps the cache below the pressure threshold is `threshold`, as [`threshold`] gives it.
+/// Decides about a paused program's cache. `cache_usage` is the fraction of the engine's cache in
+/// use (0 to 1) and `threshold` the score that [`threshold`] returns.
 pub fn decide(
     pauses: &PauseHistogram,
     paused: &PausedProgram,
@@ -183,7 +187,7 @@
     }
 }
 
-/// The score below which caches are to be freed so that `excess` tokens come free.
+/// The score below which caches are to be freed in order to free `excess` tokens.
 pub fn threshold(
     pauses: &PauseHistogram,
     paused: &[PausedProgram],
--- a/fw-plan/src/commit_window.rs
+++ b/fw-plan/src/commit_window.rs
@@ -1,34 +1,34 @@
-//! How long a keeper gathers writes into one commit.
+//! How long a keeper collects writes before one commit.
 //!
-//! *Load pattern:* thousands of turns a second are to be made durable in a store that takes
-//! several hundred writes a second from the whole fleet.
+//! *Load pattern:* thousands of turns per second must be made durable in a store that accepts
+//! several hundred writes per second from the whole fleet.
 //!
-//! *Without it:* a write for each turn overruns the store, and every entry's writes wait. With a
-//! fixed delay either small fleets wait for nothing or large ones overrun it.
+//! *Without it:* one write per turn overloads the store, and every entry's writes wait. With a
+//! fixed delay, either small fleets wait for no reason or large ones overload the store.
 //!
-//! *Rule:* each entry may write its part of the store's rate, so commits are at least
-//! `entries / rate` apart; and while the store is slower than usual, at least as far apart as it
-//! takes to answer, so that a slow store is not sent more. A lone turn after a quiet time is
+//! *Rule:* each entry may use its share of the store's write rate, so its commits are at least
+//! `entries / rate` apart. While the store is slower than that, they are at least as far apart as
+//! its latency, so that a slow store is not sent more. A single turn after an idle period is
 //! committed at once.
 //!
-//! *Grounds:* 200 of the several hundred writes a second that the store takes, for all entries; at 380
-//! entries that is a commit each 1.9 s, below the longest delay.
+//! *Grounds:* 200 of the several hundred writes per second that the store accepts, for all entries;
+//! with 380 entries this is one commit every 1.9 s, below the longest delay.
 
 use std::time::Duration;
 
 use crate::toward;
 
-/// How commits are spaced.
+/// Parameters of the spacing of commits.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Writes a second that all entries together may make for commits. Half of the several
-    /// hundred that the store takes; leases, records and claims need the rest.
+    /// Commits per second that all entries together may write. Half of the several hundred writes
+    /// that the store accepts; leases, records and claims need the rest.
     pub max_write_rate: f64,
     /// Shortest delay.
     pub min_delay: Duration,
     /// Longest delay.
     pub max_delay: Duration,
-    /// Multiple of the store's latency that commits are apart.
+    /// Least time between commits, as a multiple of the store's latency.
     pub latency_factor: f64,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl CommitWindow {
-    /// Before any commit.
+    /// Creates a window without commits.
     pub fn new(options: Options) -> Self {
         Self {
             options,
@@ -64,12 +64,12 @@
         }
     }
 
-    /// A commit was sent.
+    /// Records that a commit was sent.
     pub fn committed(&mut self, now: Duration) {
         self.last_commit = Some(now);
     }
 
-    /// The store answered a commit after `latency`.
+    /// Records that the store answered a commit after `latency`.
     pub fn observe(&mut self, latency: Duration) {
         self.latency = toward(self.latency, latency.as_secs_f64(), SMOOTHING);
     }
@@ -82,7 +82,7 @@
         spacing.clamp(self.options.min_delay, self.options.max_delay)
     }
 
-    /// How long a change made now waits for others before it is committed.
+    /// How long a change made now is held back for others before it is committed.
     pub fn delay(&self, now: Duration, entries: u32) -> Duration {
         match self.last_commit {
             Some(last) => (last + self.spacing(entries)).saturating_sub(now),
--- a/fw-plan/src/hedge.rs
+++ b/fw-plan/src/hedge.rs
@@ -1,16 +1,17 @@
 //! Hedging: a second copy of a slow plain read.
 //!
-//! *Load pattern:* one of several upstreams answers late now and then, for no fault of the call.
+//! *Load pattern:* one of several upstreams occasionally answers late, for reasons unrelated to the
+//! call.
 //!
-//! *Without it:* each such pause is seen whole by a caller. With a fixed delay, or for calls that
-//! may not be repeated, hedging doubles the load or runs a call twice.
+//! *Without it:* the caller waits for the whole of each such pause. With a fixed delay, or for
+//! calls that are not idempotent, hedging doubles the load or runs a call twice.
 //!
-//! *Rule:* only idempotent plain reads; the copy is sent once the call has taken longer than
-//! [`Options::quantile`] of recent ones, so about that share of calls is doubled at most, and each
-//! copy spends the service's retry budget as well.
+//! *Rule:* only idempotent plain reads are hedged. The copy is sent once the call has taken longer
+//! than the [`Options::quantile`] of recent calls, so at most about that fraction of calls is
+//! doubled, and each copy also draws on the service's retry budget.
 //!
 //! *Grounds:* the 95th percentile doubles at most one call in twenty, which a service at 80 % load
-//! still takes.
+//! can still serve.
 
 use std::time::Duration;
 
@@ -20,17 +21,17 @@
 const BUCKETS: usize = 80;
 /// Lower end of the histogram.
 const MIN_LATENCY: Duration = Duration::from_micros(100);
-/// Observations after which all counts are halved, so that old latencies fade.
+/// Samples after which all counts are halved, so that old latencies lose weight.
 const DECAY_THRESHOLD: u32 = 2_000;
 
-/// When calls are hedged.
+/// Parameters of hedging.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Quantile of recent latencies after which the copy is sent.
     pub quantile: f64,
-    /// Observations needed before anything is hedged.
+    /// Samples needed before any call is hedged.
     pub min_samples: u32,
-    /// Shortest wait before the copy is sent.
+    /// Shortest delay before the copy is sent.
     pub min_delay: Duration,
 }
 
@@ -44,7 +45,7 @@
     }
 }
 
-/// Latencies of one service, and when to hedge its calls.
+/// Latency histogram of one service, which decides when its calls are hedged.
 #[derive(Clone, Debug)]
 pub struct Hedge {
     options: Options,
@@ -53,7 +54,7 @@
 }
 
 impl Hedge {
-    /// Without observations yet.
+    /// Creates an empty histogram.
     pub fn new(options: Options) -> Self {
         Self {
             options,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// A call took `latency`.
+    /// Records that a call took `latency`.
     pub fn observe(&mut self, latency: Duration) {
         self.counts[bucket_index(latency)] += 1;
         self.total += 1;
@@ -71,7 +72,7 @@
         }
     }
 
-    /// After which time a copy of a call is to be sent; `None` for never.
+    /// Delay after which a copy of a call is to be sent; `None` if it is not hedged.
     pub fn decide(&self, lane: admit::Lane, idempotent: bool) -> Option<Duration> {
         let allowed = lane == admit::Lane::Plain && idempotent;
         if !allowed || self.total < self.options.min_samples {
--- a/fw-plan/src/lookup.rs
+++ b/fw-plan/src/lookup.rs
@@ -1,38 +1,40 @@
-//! Whether a call goes on looking for its program's keeper.
+//! Whether a call continues to look for its program's keeper.
 //!
-//! *Load pattern:* a keeper dies, or is cut off, and its shard is free for a lease; or the platform's
-//! store is away, and with it all news of who keeps what.
+//! *Load pattern:* a keeper dies or is partitioned, and its shard is free to be leased; or the
+//! platform's store is unavailable, and with it all information about which entry keeps which
+//! shard.
 //!
-//! *Without it:* an officer's call waits for a keeper that cannot come: nobody can take a shard while
-//! the store is away, and nobody hears of it. It is refused seconds later all the same.
+//! *Without it:* an officer's call waits for a keeper that cannot be found: no entry can take a
+//! shard while the store is unavailable, and no entry learns of one that was taken. The call is
+//! refused all the same, only seconds later.
 //!
-//! *Rule:* a call looks again until its patience is over. While the store is away the patience is
-//! shorter, unless the keeper that is known may yet answer. It is not gone: the store may be back
-//! before this entry has heard so.
+//! *Rule:* a call repeats the lookup until its timeout. While the store is unavailable the timeout
+//! is shorter, unless the known keeper may still answer. It is not zero: the store may have
+//! recovered before this entry has noticed.
 //!
-//! *Grounds:* an entry hears from the store at least at each renewal of its lease.
+//! *Grounds:* an entry receives an answer from the store at least at each renewal of its lease.
 
 use std::time::Duration;
 
 /// Why a keeper did not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Miss {
-    /// NoKeeper is known to keep the shard.
+    /// No keeper of the shard is known.
     NoKeeper,
-    /// This entry kept it, and does so no more.
+    /// This entry kept the shard and no longer does.
     NoLongerKeeper,
-    /// The entry that was asked does not keep it.
+    /// The entry that received the call does not keep the shard.
     NotKeeper,
     /// No process listens at the keeper's address.
     ConnectionRefused,
-    /// The keeper could not be connected to.
+    /// No connection to the keeper could be opened.
     Unreachable,
     /// The connection broke after the call was sent.
     ConnectionBroken,
 }
 
 impl Miss {
-    /// A counter's or log line's word for it.
+    /// Value of the label on counters and in log lines.
     pub fn label(self) -> &'static str {
         match self {
             Self::NoKeeper => "nobody",
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Whether the keeper may answer after all, without any news from the store.
+    /// Whether the keeper may still answer without an update from the store.
     fn may_recover(self) -> bool {
         matches!(self, Self::Unreachable | Self::ConnectionBroken)
     }
@@ -53,16 +55,17 @@
 /// How long a call looks for its keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Longest time: a little more than a dead keeper's lease.
+    /// Timeout of the lookup: a little more than a dead keeper's lease.
     pub timeout: Duration,
-    /// The same while the store is away: as long as a commit is waited for.
+    /// Timeout while the store is unavailable: as long as a commit is waited for.
     pub outage_timeout: Duration,
-    /// Silence of the store after which it counts as away: two renewals of the lease that were not
-    /// answered.
+    /// Time without an answer from the store after which it counts as unavailable: two lease
+    /// renewals that were not answered.
     pub outage_after: Duration,
 }
 
-/// Whether a call that has `waited` looks again, with the store silent for `silence`.
+/// Whether a call that has waited for `waited` repeats the lookup, if the store last answered
+/// `silence` ago.
 pub fn should_retry(miss: Miss, waited: Duration, silence: Duration, opts: &Options) -> bool {
     let needs_store = silence >= opts.outage_after && !miss.may_recover();
     let timeout = match needs_store {
--- a/fw-plan/src/place.rs
+++ b/fw-plan/src/place.rs
@@ -1,25 +1,26 @@
-//! Placement: which upstream runs a call, by expected delay.
+//! Placement: selects the upstream that runs a call by its expected latency.
 //!
-//! *Load pattern:* some upstreams are slow or full, what is known of them is a heartbeat old, and
-//! most of a program's prompt lies in the cache of one engine.
+//! *Load pattern:* some upstreams are slow or full, their reported state is one heartbeat old, and
+//! most of a program's prompt is in the cache of one engine.
 //!
-//! *Without it:* placing by count sends a slow upstream its full part and throws caches away;
-//! placing by cache alone piles programs on a few engines; taking the least loaded one of all on
-//! lagged reports sends everything to the same upstream until the next report (a herd).
+//! *Without it:* placing by count sends a slow upstream its full share of the work and discards
+//! caches; placing by cache alone piles programs on a few engines; choosing the least loaded
+//! upstream by lagging reports sends every call to the same one until the next report (herd
+//! behaviour).
 //!
 //! *Rule:* the cost of an upstream is the expected time until the turn is done there, in seconds:
-//! wait for a place in the batch (its reported load, and what this process has sent since the
-//! report was made), prefill of what its cache uncached_tokens, decoding at its step time, loading of a
-//! missing model, and the distance to it. Compared are the upstreams that hold the program's
-//! cache and a sample of others ("two choices", which avoids herds and costs O(1)). A program
-//! leaves its cache only where that is better by a margin.
+//! the wait for a slot in the batch (from its reported load and what this process has sent since
+//! the report was made), prefill of the tokens that its cache lacks, decoding at its step time,
+//! loading of a missing model, and the network distance. The candidates are the upstreams that hold
+//! the program's cache and a random sample of others ("power of two choices", which avoids herds
+//! and costs O(1)). A program leaves its cache only if another upstream is better by a margin.
 //!
-//! *Grounds:* `docs/POLICY.md`: a margin of 300 ms in place of 20 ms halved the wasted cache, because
-//! smaller gains are within the error of the expected delay; 4 or 9 choices in place of 2 changed
-//! nothing beyond the noise.
+//! *Grounds:* `docs/POLICY.md`: a margin of 300 ms instead of 20 ms halved the wasted cache,
+//! because smaller gains are within the error of the expected latency; 4 or 9 choices instead of 2
+//! changed nothing beyond the noise.
 //!
-//! *Cost:* upstreams are interned to indices; a choice reads a handful of them whatever their
-//! number.
+//! *Cost:* upstreams are interned to indices; a choice reads a handful of them, however many there
+//! are.
 
 use std::time::Duration;
 
@@ -31,25 +32,26 @@
 
 pub use view::View;
 
-/// How costs are weighed.
+/// Parameters of the cost function.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Upstreams sampled besides those that hold the cache.
+    /// Upstreams sampled in addition to those that hold the cache.
     pub choices: usize,
-    /// A program leaves its cache only if that saves this long,
+    /// Least saving for which a program leaves its cache, in absolute terms.
     pub margin: Duration,
-    /// and at least this part of the cost of staying.
+    /// Least saving for which a program leaves its cache, as a fraction of the cost of staying.
     pub margin_fraction: f64,
-    /// How much a second of prefill weighs against a second of waiting. Above 1 favours a small
-    /// waste of cache over program latency.
+    /// Weight of a second of prefill relative to a second of waiting. Values above 1 favour less
+    /// wasted cache over program latency.
     pub cache_weight: f64,
     /// Tokens that a turn is expected to generate.
     pub expected_output: id::Tokens,
-    /// Time to load a model that is missing.
+    /// Time to load a model that the upstream has not loaded.
     pub model_load_time: Duration,
-    /// One-way delay to an upstream in another place, where no distance is set.
+    /// One-way delay to an upstream in another place, if no distance is set.
     pub remote_delay: Duration,
-    /// Tokens a second at which a cache is exported to another engine; 0 if engines cannot.
+    /// Rate at which a cache is exported to another engine, in tokens per second; 0 if engines do
+    /// not support it.
     pub export_rate: id::Tokens,
 }
 
@@ -68,22 +70,22 @@
     }
 }
 
-/// How busy an upstream says it is; the fields have the meaning of the heartbeat's.
+/// Load that an upstream reports; the fields have the same meaning as in the heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// Attempts waiting in the side's queue.
     pub queued: u32,
-    /// Attempts in the engine.
+    /// Attempts running in the engine.
     pub running: u32,
-    /// Most attempts that the engine runs together; 0 if not known.
+    /// Largest batch of the engine; 0 if unknown.
     pub batch: u32,
-    /// Prompt tokens that wait for prefill.
+    /// Prompt tokens waiting for prefill.
     pub prefill: id::Tokens,
-    /// Prefill speed in tokens a second; 0 if not known.
+    /// Prefill rate in tokens per second; 0 if unknown.
     pub prefill_rate: u64,
     /// Time from arrival at the side to release into the engine, smoothed.
     pub delay: Duration,
-    /// Time between tokens of one stream, smoothed; zero if not known.
+    /// Time between tokens of one stream, smoothed; zero if unknown.
     pub step: Duration,
     /// Age of the report when it arrived.
     pub age: Duration,
@@ -94,13 +96,13 @@
 pub struct Request<'a> {
     /// The program; `None` for a plain request.
     pub program: Option<&'a id::ProgramId>,
-    /// Estimate of the whole prompt's tokens; 0 for a plain request.
+    /// Estimated number of tokens of the whole prompt; 0 for a plain request.
     pub prompt_tokens: id::Tokens,
     /// Place of the process that chooses.
     pub place: &'a id::PlaceId,
     /// The model; `None` for a plain request.
     pub model: Option<&'a id::ModelId>,
-    /// Upstreams not to choose if there is another, such as those where the call failed before.
+    /// Upstreams to avoid if there is another, such as those where the call failed before.
     pub avoid: &'a [id::UpstreamId],
 }
 
@@ -109,11 +111,11 @@
 pub enum Reason {
     /// It holds the program's cache.
     Cache,
-    /// The shortest expected delay; no cache is known.
+    /// It has the shortest expected latency; no cache is known.
     Delay,
-    /// The shortest expected delay; the program leaves its cache elsewhere.
+    /// It has the shortest expected latency; the program leaves its cache elsewhere.
     Moved,
-    /// It is the only one usable.
+    /// It is the only usable one.
     Only,
 }
 
@@ -129,18 +131,18 @@
     }
 }
 
-/// The choice.
+/// Result of a placement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// The upstream chosen.
+    /// The chosen upstream.
     pub upstream: id::UpstreamId,
-    /// Why.
+    /// Reason for the choice.
     pub reason: Reason,
     /// Expected time until the turn is done there.
     pub expected_latency: Duration,
-    /// Prompt tokens that its cache is believed to lack.
+    /// Prompt tokens that are probably missing from its cache.
     pub uncached_tokens: id::Tokens,
-    /// Where the program's cache is worth exporting from first.
+    /// Upstream from which importing the program's cache first is worthwhile.
     pub import_from: Option<id::UpstreamId>,
 }
 
--- a/fw-plan/src/place/choice.rs
+++ b/fw-plan/src/place/choice.rs
@@ -1,4 +1,4 @@
-//! The comparison behind a choice.
+//! Comparison of candidates for a placement.
 
 use fw_base::id;
 use rand::Rng;
@@ -14,7 +14,7 @@
 use super::view::View;
 use super::view::to_index;
 
-/// An upstream that was compared.
+/// An upstream under comparison, with its cost.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) index: UpstreamIndex,
@@ -25,7 +25,7 @@
     pub(super) import_from: Option<UpstreamIndex>,
 }
 
-/// One choice under way.
+/// State of one placement decision.
 pub(super) struct Chooser<'a> {
     view: &'a View,
     req: &'a Request<'a>,
@@ -77,7 +77,7 @@
         }
         let mut best: Option<Candidate> = None;
         let mut left = self.options.choices;
-        // A few draws may hit an upstream that is not to be used.
+        // Some draws may hit an upstream that must not be used.
         for _ in 0..self.options.choices * 4 {
             if left == 0 {
                 break;
@@ -95,7 +95,7 @@
         best.or_else(|| self.any_usable())
     }
 
-    /// Any usable upstream: one to be avoided, or one without the model, is better than none.
+    /// Any usable upstream: an avoided one, or one without the model, is better than none.
     fn any_usable(&self) -> Option<Candidate> {
         let usable = &self.view.usable;
         let wanted = usable.iter().find(|index| !self.avoid.contains(*index));
@@ -107,7 +107,7 @@
         self.view.upstreams[index as usize].weight > 0.0
     }
 
-    /// An upstream that warms up is drawn in proportion to its weight.
+    /// Accepts an upstream in slow start with a probability equal to its weight.
     fn accept_sample(&self, index: UpstreamIndex, rng: &mut impl Rng) -> bool {
         let weight = self.view.upstreams[index as usize].weight;
         if weight <= 0.0 || self.avoid.contains(&index) {
@@ -116,7 +116,7 @@
         weight >= 1.0 || rng.random::<f64>() < weight
     }
 
-    /// Upstreams with the model loaded, or all if none has it.
+    /// Upstreams with the model loaded, or all usable ones if none has it.
     fn pool(&self) -> &[UpstreamIndex] {
         let with_model = self.req.model.and_then(|model| self.view.models.get(model));
         match with_model {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Seconds to fill in what the cache uncached_tokens, by prefill or, if shorter, by import.
+    /// Seconds until the missing tokens are in the cache, by prefill or, if shorter, by import.
     fn import(
         &self,
         index: UpstreamIndex,
@@ -187,7 +187,7 @@
 
     fn model_load(&self, upstream: &Upstream) -> f64 {
         match self.req.model {
-            // An upstream that has named no models says nothing about them.
+            // An upstream that has reported no models may have any.
             Some(model) if !upstream.models.is_empty() && !upstream.models.contains(model) => {
                 self.options.model_load_time.as_secs_f64()
             }
--- a/fw-plan/src/place/view.rs
+++ b/fw-plan/src/place/view.rs
@@ -1,4 +1,4 @@
-//! What is known of the upstreams of one service.
+//! Cached state of the upstreams of one service.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
 /// Index of a place in its view.
 pub(super) type PlaceIndex = u32;
 
-/// Work sent to an upstream that its last report cannot contain.
+/// Work sent to an upstream that its last report does not include.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sent {
     at: Duration,
@@ -28,28 +28,29 @@
     pub(super) id: id::UpstreamId,
     pub(super) place: PlaceIndex,
     pub(super) load: Load,
-    /// 0 for unusable, 1 for fully usable, between while it starts slowly.
+    /// 0 for unusable, 1 for fully usable, in between during slow start.
     pub(super) weight: f64,
-    /// Position among the usable ones.
+    /// Position in the list of usable upstreams.
     usable_position: Option<usize>,
     pub(super) models: Vec<id::ModelId>,
     /// In order of time.
     sent: VecDeque<Sent>,
     pub(super) sent_tokens: id::Tokens,
-    /// Sent and not settled, by this process.
+    /// Calls sent by this process that have not finished.
     outstanding: u32,
-    /// Attempts there that other processes sent, smoothed over reports; `None` before the first.
+    /// Attempts sent there by other processes, smoothed over reports; `None` before the first
+    /// report.
     others_load: Option<f64>,
 }
 
-/// One cached prefix.
+/// A cached prefix of a program.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CachedPrefix {
     pub(super) upstream: UpstreamIndex,
     pub(super) tokens: id::Tokens,
 }
 
-/// What is known of the upstreams of one service.
+/// Cached state of the upstreams of one service.
 #[derive(Debug)]
 pub struct View {
     pub(super) upstreams: Vec<Upstream>,
@@ -64,21 +65,21 @@
     pub(super) turn_time: f64,
 }
 
-/// Most upstreams remembered as holding a program's cache.
+/// Upstreams recorded per program as holding its cache.
 const MAX_HOLDERS: usize = 4;
-/// Engine time of a turn before any was measured, in seconds.
+/// Engine time of a turn before the first measurement, in seconds.
 const DEFAULT_TURN_TIME: f64 = 0.5;
 /// Weight of the newest sample in smoothed times.
 const SMOOTHING: f64 = 0.05;
-/// Weight of the newest report in the others' part of a load.
+/// Weight of the newest report in the smoothed load from other processes.
 const REPORT_SMOOTHING: f64 = 0.3;
-/// Prefill speed before an upstream reports its own, in tokens a second.
+/// Prefill rate before an upstream reports its own, in tokens per second.
 const DEFAULT_PREFILL_RATE: u64 = 20_000;
 /// Step time before an upstream reports its own.
 const DEFAULT_STEP: Duration = Duration::from_micros(2_500);
-/// Attempts run together by an engine that does not say.
+/// Batch size of an engine that does not report one.
 const DEFAULT_BATCH: u32 = 32;
-/// Work sent longer ago than this is in some report, or was lost.
+/// Work sent longer ago than this is included in a report or was lost.
 const MAX_SENT_AGE: Duration = Duration::from_secs(5);
 
 impl Default for View {
@@ -88,7 +89,7 @@
 }
 
 impl View {
-    /// A view without upstreams.
+    /// Creates a view without upstreams.
     pub fn new() -> Self {
         Self {
             upstreams: Vec::new(),
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Adds an upstream, usable at once; known ones only change their place.
+    /// Adds an upstream, usable at once. If it is in the view already, only its place is updated.
     pub fn add(&mut self, upstream: &id::UpstreamId, place: &id::PlaceId) {
         if let Some(index) = self.index(upstream) {
             self.upstreams[index].place = self.intern(place);
@@ -137,7 +138,7 @@
         self.set_health(upstream, 1.0);
     }
 
-    /// Removes an upstream and what is known of its cache.
+    /// Removes an upstream and the record of its cache.
     pub fn remove(&mut self, upstream: &id::UpstreamId) {
         let Some(index) = self.index(upstream) else {
             return;
@@ -149,17 +150,17 @@
         self.free_indices.push(to_index(index));
     }
 
-    /// Upstreams known.
+    /// Number of upstreams.
     pub fn len(&self) -> usize {
         self.indices.len()
     }
 
-    /// Whether no upstream is known.
+    /// Whether the view has no upstreams.
     pub fn is_empty(&self) -> bool {
         self.indices.is_empty()
     }
 
-    /// Upstreams that may be chosen.
+    /// Number of upstreams that may be chosen.
     pub fn usable(&self) -> usize {
         self.usable.len()
     }
@@ -170,7 +171,8 @@
         self.distances.insert(pair, delay);
     }
 
-    /// Sets how far an upstream may be used: 0 not at all, 1 fully, between while it warms up.
+    /// Sets the weight of an upstream: 0 for unusable, 1 for fully usable, in between during slow
+    /// start.
     pub fn set_health(&mut self, upstream: &id::UpstreamId, weight: f64) {
         let Some(index) = self.index(upstream) else {
             return;
@@ -209,19 +211,19 @@
         }
     }
 
-    /// A load report arrived.
+    /// Applies a load report.
     pub fn update_load(&mut self, upstream: &id::UpstreamId, load: Load, now: Duration) {
         let Some(index) = self.index(upstream) else {
             return;
         };
         let upstream = &mut self.upstreams[index];
         upstream.load = load;
-        // What was sent before the report was made is contained in it.
+        // Work sent before the report was made is included in it.
         upstream.drop_sent_until(now.saturating_sub(load.age));
         upstream.update_others_load();
     }
 
-    /// This process sent a call that needs `tokens` of prefill.
+    /// Records that this process sent a call that needs `tokens` of prefill.
     pub fn record_sent(&mut self, upstream: &id::UpstreamId, tokens: id::Tokens, now: Duration) {
         let Some(index) = self.index(upstream) else {
             return;
@@ -233,7 +235,8 @@
         upstream.outstanding += 1;
     }
 
-    /// A sent call ended after `engine` time in the upstream; `None` if it did not run there.
+    /// Records that a sent call finished after `engine` time in the upstream; `None` if it did not
+    /// run there.
     pub fn record_finished(&mut self, upstream: &id::UpstreamId, engine: Option<Duration>) {
         if let Some(engine) = engine {
             self.turn_time = toward(self.turn_time, engine.as_secs_f64(), SMOOTHING);
@@ -244,7 +247,7 @@
         }
     }
 
-    /// An upstream's cache holds `tokens` of a program's history from now on; 0 for none.
+    /// Records that an upstream's cache now holds `tokens` of a program's history; 0 for none.
     pub fn set_cached(
         &mut self,
         program: &id::ProgramId,
@@ -271,12 +274,12 @@
         }
     }
 
-    /// A program ended: nothing of it needs to be remembered.
+    /// Forgets the caches of a program that has ended.
     pub fn forget_program(&mut self, program: &id::ProgramId) {
         self.caches.remove(program);
     }
 
-    /// An upstream's cache is empty, as after a restart.
+    /// Records that an upstream's cache is empty, as after a restart.
     pub fn clear_cache(&mut self, upstream: &id::UpstreamId) {
         let Some(index) = self.index(upstream) else {
             return;
@@ -288,7 +291,7 @@
         });
     }
 
-    /// Tokens of a program's history that an upstream is believed to hold.
+    /// Tokens of a program's history that an upstream probably has cached.
     pub fn cached_tokens(&self, program: &id::ProgramId, upstream: &id::UpstreamId) -> id::Tokens {
         let held = self.caches.get(program).map_or(&[][..], Vec::as_slice);
         self.index(upstream).map_or(0, |index| {
@@ -301,12 +304,12 @@
         self.indices.get(upstream).map(|index| *index as usize)
     }
 
-    /// The index of a place, if an upstream or a distance has named it.
+    /// Index of a place, if an upstream or a distance refers to it.
     pub(super) fn place(&self, place: &id::PlaceId) -> Option<PlaceIndex> {
         self.places.get(place).copied()
     }
 
-    /// One-way delay between two places; from an unknown one, all others are remote.
+    /// One-way delay between two places; an unknown origin is remote to all.
     pub(super) fn distance(
         &self,
         from: Option<PlaceIndex>,
@@ -340,21 +343,22 @@
         }
     }
 
-    /// Seconds until a job sent now has its place in the batch.
+    /// Expected seconds until a job sent now has a slot in the batch.
     pub(super) fn queue_time(&self, turn_time: f64) -> f64 {
         let batch = match self.load.batch {
             0 => DEFAULT_BATCH,
             batch => batch,
         };
-        // What this process sent is known to it exactly; only the others' part is a report old.
+        // The count of this process's own calls is exact; only the load from other processes is as
+        // old as the report.
         let present = f64::from(self.outstanding) + self.others_load.unwrap_or(0.0);
         let ahead = (present + 1.0 - f64::from(batch)).max(0.0);
         ahead * turn_time / f64::from(batch)
     }
 
-    /// Takes this process's own part out of a report. The rest changes less from report to report
-    /// than the sum does, and is smoothed, so that a report taken at a busy moment neither
-    /// attracts nor repels every call until the next one.
+    /// Subtracts this process's own calls from a report. The rest varies less between reports than
+    /// the sum, and is smoothed, so that a report taken at a busy moment neither attracts nor
+    /// repels every call until the next one.
     fn update_others_load(&mut self) {
         let reported = f64::from(self.load.queued + self.load.running);
         let own = self.outstanding.saturating_sub(self.sent.len() as u32);
--- a/fw-plan/src/queue.rs
+++ b/fw-plan/src/queue.rs
@@ -1,25 +1,25 @@
-//! The order of turns at the side, before an engine that knows no priorities.
+//! The wait queue at the side, before an engine without priorities.
 //!
-//! *Load pattern:* short programs arrive among long ones, one team sends many at once, and now
-//! and then a prompt of several hundred thousand tokens arrives among short turns.
+//! *Load pattern:* short programs arrive among long ones, one team sends many turns at once, and
+//! occasionally a prompt of several hundred thousand tokens arrives among short turns.
 //!
-//! *Without it:* the engine runs turns as they arrive. A program of two turns waits behind
+//! *Without it:* the engine runs turns in order of arrival. A program of two turns waits behind
 //! programs of fifty at each of its turns, a team that sends more gets more, and one long prefill
-//! stretches every step of the batch.
+//! lengthens every step of the batch.
 //!
-//! *Rule:* the queue holds all but a small window of turns back from the engine. Teams take turns
-//! by weighted virtual time, charged with the engine time that they used; within a team the
-//! program that has attained the least engine time goes first (least attained service, which needs
-//! no foreknowledge of a program's length). A turn's rank is `attained + aging * arrival`: since
-//! every waiting turn ages at the same rate, the rank is fixed at arrival, and a turn is
-//! overtaken only by those that arrive within `attained_cap / aging` after it, so none starves.
-//! At most one long prefill runs at a time. A turn that is suspected of crashing engines runs
-//! alone.
+//! *Rule:* the queue releases only a small window of turns into the engine and holds back the rest.
+//! Teams are served by weighted virtual time, charged with the engine time that they used. Within a
+//! team, the program with the least attained engine time goes first (least attained service, which
+//! needs no advance knowledge of a program's length). A turn's rank is `attained + aging *
+//! arrival`: since every waiting turn ages at the same rate, the rank is fixed at arrival. Only
+//! turns that arrive within `attained_cap / aging` after a turn can overtake it, so none starves.
+//! At most one long prefill runs at a time. A turn suspected of crashing engines runs alone.
 //!
 //! *Grounds:* with queues of seconds, p95 was 51 s by least attained service and 99 s in order of
-//! arrival within a team (`docs/POLICY.md`, trials). An aging of 0.5 with a cap of 60 s lets nobody be
-//! overtaken for longer than two minutes. A long prompt is one whose prefill takes as long as tens
-//! of steps. Releasing short turns behind a long prefill was tried and made them wait longer.
+//! arrival within a team (`docs/POLICY.md`, trials). With an aging of 0.5 and a cap of 60 s, no
+//! turn is overtaken for longer than two minutes. A prompt counts as long if its prefill takes as
+//! long as tens of steps. Releasing short turns behind a long prefill was tried and made them wait
+//! longer.
 //!
 //! *Cost:* push, pop and remove are O(log n).
 
@@ -34,26 +34,26 @@
 use crate::Refused;
 use crate::toward;
 
-/// How the queue orders and bounds its jobs.
+/// Parameters of the order and the bounds of the queue.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Most jobs waiting.
+    /// Largest number of waiting jobs.
     pub capacity: usize,
-    /// Part of the capacity from which a team is held to its share of it.
+    /// Fraction of the capacity from which a team is limited to its share.
     pub contention_threshold: f64,
-    /// Seconds of attained service that one second of waiting makes up for.
+    /// Seconds of attained service that one second of waiting offsets.
     pub aging: f64,
-    /// Attained service beyond which programs rank alike.
+    /// Attained service beyond which programs have the same rank.
     pub attained_cap: Duration,
-    /// Prompt tokens to prefill from which a job counts as long.
+    /// Uncached prompt tokens from which a job counts as long.
     pub long_prompt: id::Tokens,
-    /// Most prompt tokens in prefill together; a single job may exceed it.
+    /// Largest number of prompt tokens in prefill at once; a single job may exceed it.
     pub max_prefill: id::Tokens,
-    /// Jobs that run together if the engine does not say.
+    /// Batch size if the engine does not report one.
     pub default_batch: u32,
-    /// How long an emptied place in the engine may go unnoticed, in steps.
+    /// Time until a free slot in the engine is noticed and refilled, in steps.
     pub refill_steps: f64,
-    /// How long a job that must run alone waits before the engine is emptied for it.
+    /// Time that a job which must run alone waits before the engine is drained for it.
     pub drain_after: Duration,
 }
 
@@ -73,43 +73,43 @@
     }
 }
 
-/// A turn that waits for the engine.
+/// A turn waiting for the engine.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// The attempt.
     pub id: id::AttemptId,
     /// The team.
     pub team: id::TeamId,
-    /// The team's share relative to others; 1.0 is usual.
+    /// Weight of the team's share relative to other teams; 1.0 by default.
     pub share: f64,
-    /// Engine time that the program has attained so far.
+    /// Engine time that the program has used so far.
     pub attained: Duration,
-    /// Prompt tokens that the engine's cache lacks, as far as known.
+    /// Prompt tokens missing in the engine's cache, as far as known.
     pub prompt_tokens: id::Tokens,
     /// Time left until the caller's deadline.
     pub deadline: Duration,
-    /// Runs alone in the engine.
+    /// Whether the job must run alone in the engine.
     pub alone: bool,
 }
 
-/// What runs in the engine at present.
+/// State of the engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Running {
     /// Jobs released and not finished.
     pub jobs: u32,
-    /// Most jobs that the engine runs together; 0 if not known.
+    /// Largest batch of the engine; 0 if unknown.
     pub batch: u32,
-    /// Prompt tokens of released jobs whose first token has not come yet.
+    /// Prompt tokens of released jobs that have not produced their first token.
     pub prefill: id::Tokens,
-    /// Of these jobs, those that are long.
+    /// Number of long jobs among these.
     pub long: u32,
-    /// Time of one engine step, smoothed; zero if not known.
+    /// Time of one engine step, smoothed; zero if unknown.
     pub step: Duration,
-    /// A job that runs alone is among them.
+    /// Whether a job that must run alone is running.
     pub alone: bool,
 }
 
-/// Rank within a team, in nanoseconds of attained service; ties go by arrival.
+/// Rank within a team, in nanoseconds of attained service. Ties are broken by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     aged_service: u128,
@@ -152,18 +152,18 @@
     teams: Vec<Team>,
     team_indices: HashMap<id::TeamId, usize>,
     free_indices: Vec<usize>,
-    /// Teams with short and with long jobs, by virtual time.
+    /// Teams with short and with long jobs, in order of virtual time.
     by_virtual_time: [BTreeSet<(VirtualTime, usize)>; 2],
     alone: BTreeSet<(Rank, id::AttemptId)>,
     expiry: BTreeSet<(Duration, id::AttemptId)>,
-    /// Shares of teams with waiting jobs.
+    /// Sum of the shares of teams with waiting jobs.
     total_share: f64,
     /// Virtual time of the team served last.
     virtual_now: VirtualTime,
     seq: u64,
     /// Engine time of one job, smoothed, in seconds.
     job_time: f64,
-    /// Time between releases while jobs wait, smoothed, in seconds.
+    /// Time between releases while jobs are waiting, smoothed, in seconds.
     release_interval: f64,
     last_release: Option<Duration>,
     /// Time from push to release, smoothed, in seconds.
@@ -172,11 +172,11 @@
 
 /// Weight of the newest sample in smoothed times.
 const SMOOTHING: f64 = 0.1;
-/// Engine time of a job before any was measured.
+/// Engine time of a job before the first measurement.
 const DEFAULT_JOB_TIME: Duration = Duration::from_millis(500);
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(options: Options) -> Self {
         Self {
             options,
@@ -197,17 +197,17 @@
         }
     }
 
-    /// Jobs waiting.
+    /// Number of waiting jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether no job waits.
+    /// Whether no job is waiting.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Time until a job pushed now would be released, if those before it go first.
+    /// Expected time until release of a job pushed now, if all waiting jobs go first.
     pub fn expected_delay(&self) -> Duration {
         Duration::from_secs_f64(self.jobs.len() as f64 * self.release_interval)
     }
@@ -221,8 +221,8 @@
     ///
     /// # Errors
     ///
-    /// `QueueFull`, `ShareExceeded` or `DeadlineUnmeetable`, each with a time to retry; the job
-    /// did not run.
+    /// `QueueFull`, `ShareExceeded` or `DeadlineUnmeetable`, each with a time to retry. The job did
+    /// not run.
     pub fn push(&mut self, now: Duration, job: Job) -> Result<(), Refused> {
         if self.jobs.contains_key(&job.id) {
             return Ok(());
@@ -259,8 +259,8 @@
             let due = self.jobs[&first].pushed + self.options.drain_after <= now;
             let nothing_else = self.jobs.len() == self.alone.len();
             if due || nothing_else {
-                // Nothing else is released until the engine is empty: otherwise the job would
-                // wait for ever, because an engine in use is never empty by itself.
+                // Nothing else is released until the engine is empty: an engine in use never
+                // becomes empty by itself, and the job would wait forever.
                 return (running.jobs == 0).then(|| self.release(now, first));
             }
         }
@@ -268,12 +268,12 @@
         Some(self.release(now, id))
     }
 
-    /// Takes a waiting job out; false if it does not wait.
+    /// Removes a waiting job; returns false if it is not waiting.
     pub fn remove(&mut self, id: id::AttemptId) -> bool {
         self.take(id).is_some()
     }
 
-    /// Takes out the jobs whose deadline has passed.
+    /// Removes and returns the jobs whose deadline has passed.
     pub fn expire(&mut self, now: Duration) -> Vec<id::AttemptId> {
         let mut expired = Vec::new();
         while let Some(&(at, id)) = self.expiry.first() {
@@ -286,8 +286,8 @@
         expired
     }
 
-    /// A released job of `team` left the engine after `engine` time there: corrects what its
-    /// team was charged at the release.
+    /// Records that a released job of `team` left the engine after `engine_time` there, and
+    /// corrects what the team was charged at the release.
     pub fn finished(&mut self, team: &id::TeamId, engine_time: Duration) {
         let charged = self.job_time;
         let used = engine_time.as_secs_f64();
@@ -353,8 +353,8 @@
         }
     }
 
-    /// Jobs to keep in the engine: its batch, and as many more as finish before an emptied place
-    /// is noticed and filled.
+    /// Number of jobs to keep in the engine: its batch, and as many more as finish before a free
+    /// slot is noticed and refilled.
     fn window(&self, running: &Running) -> u32 {
         let batch = match running.batch {
             0 => self.options.default_batch,
@@ -402,8 +402,8 @@
         id
     }
 
-    /// The interval counts only between releases with jobs left waiting; an idle time says
-    /// nothing about how fast the engine takes jobs.
+    /// Measures only between releases with jobs left waiting; idle time says nothing about how fast
+    /// the engine accepts jobs.
     fn update_release_interval(&mut self, now: Duration) {
         if let Some(before) = self.last_release {
             let interval = now.saturating_sub(before).as_secs_f64();
@@ -430,7 +430,7 @@
         let team = &mut self.teams[index];
         if team.waiting() == 0 {
             self.total_share += team.share;
-            // A team that was idle gets no credit for it, or it would hold all others up.
+            // A team gets no credit for idle time, or it would block all others afterwards.
             team.virtual_time = team.virtual_time.max(self.virtual_now);
         }
         let jobs = &mut team.jobs[size as usize];
@@ -498,8 +498,8 @@
         team.share = share;
     }
 
-    /// Forgets teams that wait for nothing once there are many; their virtual time is behind the
-    /// present one by then, so they lose no claim.
+    /// Forgets teams without waiting jobs once there are many. Only teams whose virtual time is not
+    /// ahead of the current one are dropped, so they lose no claim and gain none.
     fn drop_idle_teams(&mut self) {
         if self.team_indices.len() < IDLE_SWEEP_THRESHOLD
             || !self.team_indices.len().is_power_of_two()
@@ -519,9 +519,9 @@
     }
 }
 
-/// Least share, so that a share of zero cannot divide by zero.
+/// Smallest share; prevents a division by zero.
 const MIN_SHARE: f64 = 0.001;
-/// Teams from which idle ones are forgotten.
+/// Number of teams from which idle ones are forgotten.
 const IDLE_SWEEP_THRESHOLD: usize = 1_024;
 
 impl Team {
--- a/fw-plan/src/takeover.rs
+++ b/fw-plan/src/takeover.rs
@@ -1,22 +1,24 @@
-//! Whether a shard that was taken a moment ago may serve.
+//! Whether a recently acquired shard may serve.
 //!
-//! *Load pattern:* the store is away, and programs go on: a keeper gives its callers answers that only
-//! it and the side beside the engine hold. Then the keeper dies, or its lease lapses while it is cut
-//! off or waits for processor time, and another entry takes its shards from a journal without those
-//! answers.
+//! *Load pattern:* the store is unavailable while programs continue. A keeper gives its callers
+//! answers that only it and the side beside the engine hold. Then the keeper dies, or its lease
+//! lapses while it is partitioned or gets no processor time, and another entry acquires its shards
+//! from a journal without those answers.
 //!
-//! *Without it:* the successor refuses the next turn of a program as unknown or out of order, or runs
-//! it on a history that lacks what its caller holds.
+//! *Without it:* the successor refuses the next turn of a program as unknown or out of order, or
+//! runs it on a history that lacks answers which its caller has.
 //!
-//! *Rule:* the shard serves once everyone who may hold such answers was asked for them since it was
-//! taken: each side, and each other entry, since the keeper before may live. A process that is gone
-//! holds nothing. One that is silent is waited for, up to [`Options::grace`]; silence for as long before
-//! counts as gone. Missing one heartbeat does not: a busy side is late with it. A silent entry is not
-//! waited for if all sides are known for long and have told what they hold: each answer has two
-//! holders, and a side is one of them.
+//! *Rule:* the shard serves once every process that may hold such answers has been queried since
+//! the shard was acquired: each side, and each other entry, since the previous keeper may be alive.
+//! A process that is gone holds nothing. One that does not respond is waited for, up to
+//! [`Options::grace`]; one that had not responded for that long before counts as gone. A single
+//! missed heartbeat does not count as gone, because a busy side answers late. An entry that does
+//! not respond is not waited for if all sides have been up for long and have reported what they
+//! hold: each answer has two holders, one of which is a side.
 //!
-//! *Grounds:* the grace is the lease of a keeper with its default settings. A caller waits that long for
-//! a dead keeper anyway; a holder that is silent for longer is most likely lost.
+//! *Grounds:* the grace period is the lease of a keeper with default settings. A caller waits that
+//! long for a dead keeper anyway, and a holder that does not respond for longer is most likely
+//! lost.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -24,10 +26,11 @@
 /// How long holders are waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Longest wait for holders that are silent, and time of silence after which one counts as gone.
+    /// Longest wait for holders that do not respond, and time without a response after which one
+    /// counts as gone.
     pub grace: Duration,
-    /// Time since its first answer after which a side is known for long: it has not lost, by starting
-    /// anew, what it held when the keeper before gave out its last answer.
+    /// Time since its first response after which a side counts as up for long: it has not lost, by
+    /// a restart, what it held when the previous keeper gave its last answer.
     pub min_uptime: Duration,
 }
 
@@ -40,51 +43,51 @@
     }
 }
 
-/// What is known of a process that may hold answered turns which the journal lacks.
+/// State of a process that may hold answered turns missing from the journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Holder {
-    /// When this start of the process was first heard.
+    /// When the first query answered since the current start of the process was sent.
     pub first_seen: Option<Instant>,
-    /// When the last question that it answered was sent.
+    /// When the last query that it answered was sent.
     pub last_answered: Option<Instant>,
-    /// Since when it does not answer.
+    /// Time of the first missed response since the last answer; `None` while it responds.
     pub unresponsive_since: Option<Instant>,
     /// No process listens at its address.
     pub gone: bool,
-    /// It told of turns that were not taken over yet.
+    /// It has reported turns that are not recovered yet.
     pub has_pending_turns: bool,
 }
 
-/// Who may hold answered turns of a shard.
+/// Processes that may hold answered turns of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Holders {
-    /// Whether the list of sides is known at all.
+    /// Whether the list of sides has been received.
     pub sides_known: bool,
     /// The sides.
     pub sides: Vec<Holder>,
-    /// The other entries, those included whose lease lapsed lately.
+    /// The other entries, including those whose lease lapsed recently.
     pub entries: Vec<Holder>,
 }
 
 /// Whether the shard may serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Everyone was heard.
+    /// It may: all holders have reported.
     Serve,
-    /// It may, without what this many holders may hold.
+    /// It may, without the turns that this many holders may have.
     ServeWithout(usize),
-    /// This many holders are to be heard first; none if no list of sides is known.
+    /// Not before this many holders have reported; 0 if no list of sides has been received.
     Wait(usize),
 }
 
 impl Outcome {
-    /// Whether turns are taken.
+    /// Whether the shard accepts turns.
     pub fn serves(self) -> bool {
         !matches!(self, Self::Wait(_))
     }
 }
 
-/// Decides about a shard that was taken at `since`.
+/// Decides about a shard that was acquired at `since`.
 pub fn decide(now: Instant, since: Instant, holders: &Holders, options: &Options) -> Outcome {
     let sides_suffice = holders.sides_known
         && holders
@@ -105,7 +108,7 @@
 }
 
 impl Holder {
-    /// The process answered a question that was sent at `at`.
+    /// Records that the process answered a query sent at `at`.
     pub fn answered(&mut self, at: Instant) {
         self.first_seen.get_or_insert(at);
         self.last_answered = Some(at);
@@ -113,13 +116,13 @@
         self.gone = false;
     }
 
-    /// The process did not answer; `gone` if none listens at its address.
+    /// Records that the process did not answer; `gone` if no process listens at its address.
     pub fn missed(&mut self, now: Instant, gone: bool) {
         self.unresponsive_since.get_or_insert(now);
         self.gone = gone;
     }
 
-    /// Whether it told, since `since`, all that it holds.
+    /// Whether it has reported all that it holds since `since`.
     fn has_reported(&self, since: Instant) -> bool {
         self.last_answered.is_some_and(|heard| heard > since) && !self.has_pending_turns
     }
