--- a/fw-plan/benches/plan.rs
+++ b/fw-plan/benches/plan.rs
@@ -1,4 +1,4 @@
-//! Cost of single decisions at four sizes each, so that slopes can be stated.
+//! Cost of single decisions at four sizes each, which shows how it grows with size.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -90,7 +90,8 @@
             admit.decide(Duration::ZERO, &req);
             reqs.push(req);
         }
-        // A real rate of calls: the sweep over the teams is paid for by the calls between two.
+        // A realistic rate of calls: the cost of a sweep over the teams is spread over the calls
+        // between two sweeps.
         let mut now = Duration::ZERO;
         let mut next = 0;
         group.bench_function(BenchmarkId::from_parameter(teams), |bench| {
--- a/fw-plan/examples/memory.rs
+++ b/fw-plan/examples/memory.rs
@@ -1,10 +1,10 @@
-//! Memory of what a process keeps for its decisions, at four sizes each.
+//! Memory use of the state behind the decisions, at four sizes each.
 //!
-//! `cargo run --release -p fw-plan --example memory -- view` prints the growth of the resident set, read
-//! from `/proc/self/statm`. Everything built stays alive until the end, so that no freed page is
-//! counted for the next size; sizes are large, so that what a table keeps spare while it grows
-//! counts little. The argument picks the kinds whose name contains it; one kind a run is the most
-//! exact, since a kind may otherwise live in pages that the one before it left.
+//! `cargo run --release -p fw-plan --example memory -- view` prints the growth of the resident set,
+//! read from `/proc/self/statm`. Everything built stays alive until the end, so that no freed page
+//! is counted for the next size. Sizes are large, so that the spare capacity of a growing table
+//! counts little. The argument selects the kinds whose name contains it. One kind per run is the
+//! most exact, since a kind may otherwise reuse pages left by the one before it.
 
 use std::any::Any;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use fw_plan::poison;
 use fw_plan::queue;
 
-/// Bytes of one page on the machines that this runs on.
+/// Page size of the machines that this runs on, in bytes.
 const PAGE: usize = 4_096;
 
 type Build = fn(usize) -> Box<dyn Any>;
--- a/fw-plan/examples/policy/main.rs
+++ b/fw-plan/examples/policy/main.rs
@@ -1,8 +1,8 @@
-//! Measures the decisions against their baselines in a small queueing loop.
+//! Measures the decisions against their baselines in a small queueing simulation.
 //!
-//! `cargo run --release -p fw-plan --example policy` runs all and writes the measured part of
-//! `docs/POLICY.md` and its plot. With arguments such as `admit.target=0.05 load=0.95` it runs the
-//! product's policy alone with these options and prints what came of it.
+//! `cargo run --release -p fw-plan --example policy` runs everything and writes the measured part
+//! of `docs/POLICY.md` and its plot. With arguments such as `admit.target=0.05 load=0.95` it runs
+//! only the product's policy with these options and prints the results.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -22,7 +22,7 @@
 
 /// Offered load as a multiple of capacity.
 const LOADS: [f64; 6] = [0.5, 0.8, 0.95, 1.0, 1.2, 2.0];
-/// Each cell without faults is run with these, and the sums are added.
+/// Each cell without faults is run with each of these seeds, and the results are added up.
 const SEEDS: [u64; 2] = [1, 2];
 const THREADS: usize = 4;
 /// Programs that arrive from `MEASURE_FROM` to `LAST_ARRIVAL` are followed until `END`.
@@ -30,14 +30,14 @@
 const LAST_ARRIVAL: Duration = Duration::from_secs(140);
 const END: Duration = Duration::from_secs(230);
 
-/// Load at which faults are brought about.
+/// Load at which faults are injected.
 const FAULT_LOAD: f64 = 0.8;
 
-/// What happens to the engines.
+/// Condition of the engines during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Scenario {
     Steady,
-    /// Each step of one engine takes three times as long, all the time.
+    /// Each step of one engine takes three times as long, during the whole run.
     Slow,
     /// One engine crashes every 8 s and is back 4 s later.
     Flap,
@@ -54,7 +54,7 @@
     scenario: Scenario,
 }
 
-/// What a cell gave.
+/// Results of a cell.
 #[derive(Clone, Debug)]
 struct Row {
     cell: Cell,
@@ -117,7 +117,7 @@
             let steady = LOADS.map(|load| (load, Scenario::Steady));
             let faults = Scenario::FAULTS.map(|scenario| (FAULT_LOAD, scenario));
             for (load, scenario) in steady.into_iter().chain(faults) {
-                // At 100 % only the product's own goodput is asked for.
+                // At 100 % only the product's own goodput is needed.
                 if load == 1.0 && policy.name != policy::PRODUCT {
                     continue;
                 }
--- a/fw-plan/examples/policy/page.rs
+++ b/fw-plan/examples/policy/page.rs
@@ -1,4 +1,4 @@
-//! The measured part of `docs/POLICY.md`, between two marks; the rest of the page is kept.
+//! Writes the measured part of `docs/POLICY.md` between two markers; the rest of the page is kept.
 
 use std::fmt::Write;
 use std::fs;
--- a/fw-plan/examples/policy/plot.rs
+++ b/fw-plan/examples/policy/plot.rs
@@ -12,7 +12,7 @@
 use crate::sim::stats;
 use crate::sim::trace;
 
-/// One value of a run, over load.
+/// One statistic of a run, plotted over load.
 struct Chart {
     title: &'static str,
     value: fn(&stats::Stats) -> f64,
--- a/fw-plan/examples/policy/sim/engine.rs
+++ b/fw-plan/examples/policy/sim/engine.rs
@@ -1,5 +1,5 @@
-//! A fake model engine: continuous batching, chunked prefill and a prefix cache of limited size
-//! that evicts the least recently used. It knows no priorities.
+//! A simulated model engine: continuous batching, chunked prefill and a prefix cache of limited
+//! size with least-recently-used eviction. It has no priorities.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -8,9 +8,9 @@
 
 use fw_base::id;
 
-/// Most jobs that run together.
+/// Largest number of jobs that run together.
 pub const MAX_BATCH: usize = 16;
-/// Prompt tokens computed in one step, at most.
+/// Largest number of prompt tokens computed in one step.
 const MAX_CHUNK: id::Tokens = 512;
 /// Seconds of a step without any job.
 const BASE_STEP: f64 = 0.0025;
@@ -18,7 +18,7 @@
 const STEP_PER_JOB: f64 = 0.000_03;
 /// Seconds that each prompt token adds to a step.
 pub const STEP_PER_PREFILL_TOKEN: f64 = 0.000_01;
-/// Tokens that the cache holds.
+/// Capacity of the cache in tokens.
 pub const CACHE_TOKENS: id::Tokens = 250_000;
 
 /// Seconds of one step.
@@ -26,14 +26,14 @@
     BASE_STEP + jobs as f64 * STEP_PER_JOB + prefill as f64 * STEP_PER_PREFILL_TOKEN
 }
 
-/// A job as it is handed to the engine.
+/// A job as submitted to the engine.
 #[derive(Clone, Debug)]
 pub struct Work {
     pub attempt: u64,
     pub program: usize,
     pub prompt: id::Tokens,
     pub output: id::Tokens,
-    /// It fails after this many tokens of its answer.
+    /// Number of answer tokens after which the job fails; `None` if it succeeds.
     pub fail_after: Option<id::Tokens>,
 }
 
@@ -44,7 +44,7 @@
     cached: id::Tokens,
     prefill_left: id::Tokens,
     generated: id::Tokens,
-    /// Prompt tokens computed in the step under way.
+    /// Prompt tokens computed in the current step.
     chunk: id::Tokens,
 }
 
@@ -53,12 +53,12 @@
 pub struct FinishedJob {
     pub work: Work,
     pub started: Duration,
-    /// Prompt tokens that were found in the cache.
+    /// Prompt tokens found in the cache.
     pub cached: id::Tokens,
     pub failed: bool,
 }
 
-/// What a step brought about.
+/// Result of a step.
 #[derive(Debug, Default)]
 pub struct Progress {
     pub finished: Vec<FinishedJob>,
@@ -81,7 +81,7 @@
     by_last_use: BTreeMap<u64, usize>,
     clock: u64,
     pub used: id::Tokens,
-    /// Programs evicted since they were last asked for.
+    /// Programs evicted since this list was last read.
     pub evicted: Vec<usize>,
 }
 
@@ -90,7 +90,7 @@
     pub cache: Cache,
     waiting: VecDeque<Work>,
     active: Vec<Active>,
-    /// Multiplies each step's time.
+    /// Factor by which each step takes longer.
     pub slowness: f64,
     pub up: bool,
     pub stepping: bool,
@@ -129,7 +129,7 @@
         self.waiting.push_back(work);
     }
 
-    /// Takes a job out, whether it waits or runs.
+    /// Removes a job, whether it is waiting or running.
     pub fn cancel(&mut self, attempt: u64) {
         self.waiting.retain(|work| work.attempt != attempt);
         if let Some(at) = self
@@ -150,7 +150,7 @@
         active.chain(self.waiting.drain(..)).collect()
     }
 
-    /// Starts a step, if there is work, and says how long it takes.
+    /// Starts a step if there is work, and returns its duration.
     pub fn begin_step(&mut self, now: Duration) -> Option<Duration> {
         if !self.up || self.stepping {
             return None;
@@ -246,7 +246,8 @@
             .map_or(0, |prefix| prefix.tokens)
     }
 
-    /// A job starts that needs `tokens` in the end; returns what is held already.
+    /// Pins the prefix of a starting job that needs `tokens` at its end; returns the tokens already
+    /// cached.
     fn pin(&mut self, program: usize, tokens: id::Tokens) -> id::Tokens {
         let prefix = self.prefixes.entry(program).or_default();
         let held = prefix.tokens;
--- a/fw-plan/examples/policy/sim/mod.rs
+++ b/fw-plan/examples/policy/sim/mod.rs
@@ -1,8 +1,8 @@
-//! A small queueing loop that drives the real decisions: fake engines, agent programs and plain
-//! requests at the sizes of today's two users.
+//! A small queueing simulation that drives the real decisions with simulated engines, agent
+//! programs and plain requests at the sizes of today's two users.
 //!
-//! It stands for no network and no failure protocol; it is there to compare decisions. Time is
-//! simulated, chance is seeded, and every policy is given the same trace of programs.
+//! It models no network and no failure protocol; its purpose is to compare decisions. Time is
+//! simulated, randomness is seeded, and every policy gets the same trace of programs.
 
 pub mod engine;
 pub mod plain;
--- a/fw-plan/examples/policy/sim/plain.rs
+++ b/fw-plan/examples/policy/sim/plain.rs
@@ -1,4 +1,4 @@
-//! The plain service beside the engines: short requests, first come first served.
+//! The plain service beside the engines: short requests in order of arrival.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,9 +6,9 @@
 use fw_base::id;
 use fw_plan::place;
 
-/// Requests that an upstream serves together.
+/// Requests that an upstream serves concurrently.
 pub const SLOTS: usize = 4;
-/// Mean seconds of one request.
+/// Mean service time of one request, in seconds.
 pub const SERVICE: f64 = 0.02;
 
 /// One plain request.
--- a/fw-plan/examples/policy/sim/policy.rs
+++ b/fw-plan/examples/policy/sim/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared: the product's, and the baselines.
+//! The policies that are compared: the product's and its baselines.
 
 use fw_plan::admit;
 use fw_plan::cache_retention;
@@ -10,19 +10,19 @@
 
 /// Name of the product's policy.
 pub const PRODUCT: &str = "foxtailweir";
-/// Name of the one that differs from it in retries only.
+/// Name of the baseline that differs from it in retries only.
 pub const NO_BUDGET: &str = "no retry budget";
 
-/// Where work goes.
+/// How upstreams are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
     Random,
     RoundRobin,
-    /// Fewest calls outstanding, as each entry counts them.
+    /// The one with the fewest outstanding calls, as each entry counts its own.
     Fewest,
-    /// Always to the cache; without one, fewest outstanding.
+    /// Always the one with the cache; without a cache, the one with the fewest outstanding calls.
     CacheOnly,
-    /// `place::choose`, without telling it of caches.
+    /// `place::choose` without information about caches.
     CacheBlind,
     /// `place::choose`.
     Delay,
@@ -33,11 +33,13 @@
 pub struct Policy {
     pub name: &'static str,
     pub placement: Place,
-    /// `admit` at the entries and `queue` at the sides; else the engine takes all as they come.
+    /// Whether `admit` runs at the entries and `queue` at the sides; otherwise the engines take
+    /// everything in order of arrival.
     pub has_admission: bool,
-    /// `retry::Budget`; else failed attempts are sent again at once, up to ten times.
+    /// Whether `retry::Budget` limits retries; otherwise failed attempts are repeated at once, up
+    /// to ten times.
     pub has_retry_budget: bool,
-    /// `keep` and release of caches whose programs ended.
+    /// Whether `cache_retention` frees caches, and caches of ended programs are released.
     pub frees_caches: bool,
     pub admit: admit::Options,
     pub queue: queue::Options,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// The product's policy with what the user's records would set.
+    /// The product's policy with the settings of the user's records.
     pub fn product(shape: &trace::Shape) -> Self {
         Self {
             retention: cache_retention::Options {
--- a/fw-plan/examples/policy/sim/side.rs
+++ b/fw-plan/examples/policy/sim/side.rs
@@ -1,4 +1,4 @@
-//! The process beside an engine, as far as the decisions need it.
+//! The process beside an engine, as far as the decisions depend on it.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -29,7 +29,7 @@
     pub queue: queue::Queue,
     pub engine: engine::Engine,
     options: queue::Options,
-    /// Jobs that were pushed and not released.
+    /// Jobs that are queued and not released yet.
     queued: BTreeMap<u64, engine::Work>,
     released: HashMap<u64, Released>,
     pauses: cache_retention::PauseHistogram,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Queues a turn behind the product's order.
+    /// Adds a turn to the wait queue.
     pub fn push(
         &mut self,
         now: Duration,
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// Releases what the window allows.
+    /// Releases as many jobs as the window allows.
     pub fn release(&mut self, now: Duration) {
         while let Some(id) = self.queue.pop(now, &self.running()) {
             let Some(work) = self.queued.remove(&id) else {
@@ -112,20 +112,20 @@
         }
     }
 
-    /// A program's turn ended here; it may return.
+    /// Records that a turn of a program ended here; the program may return.
     pub fn pause(&mut self, now: Duration, program: usize) {
         let tokens = self.engine.cache.cached_tokens(program);
         self.paused.insert(program, Paused { since: now, tokens });
     }
 
-    /// A program ended or moved away.
+    /// Forgets a program that ended or moved to another side.
     pub fn forget(&mut self, program: usize) {
         if self.paused.remove(&program).is_some() {
             self.engine.cache.free(program);
         }
     }
 
-    /// Frees caches by rank while the cache is nearly full.
+    /// Frees the caches of the lowest score while the cache is nearly full.
     pub fn free_caches(&mut self, now: Duration, options: &cache_retention::Options) {
         let bound = (engine::CACHE_TOKENS as f64 * options.pressure) as id::Tokens;
         let excess = self.engine.cache.used.saturating_sub(bound);
@@ -151,7 +151,7 @@
         });
     }
 
-    /// What the engine crashed under.
+    /// Crashes the engine; returns the jobs that were lost.
     pub fn crash(&mut self) -> Vec<engine::Work> {
         let mut lost = self.engine.crash();
         lost.extend(std::mem::take(&mut self.queued).into_values());
--- a/fw-plan/examples/policy/sim/stats.rs
+++ b/fw-plan/examples/policy/sim/stats.rs
@@ -1,26 +1,26 @@
-//! What callers received.
+//! Statistics of the answers that callers receive.
 
 use std::time::Duration;
 
 use fw_base::id;
 use hdrhistogram::Histogram;
 
-/// Largest value that the histograms tell from larger ones.
+/// Largest value that the histograms record exactly.
 const MAX_VALUE: u64 = 1_000_000_000;
 
-/// Sums over the measured part of one run.
+/// Totals over the measured part of one run.
 #[derive(Clone, Debug)]
 pub struct Stats {
     /// Latency of finished programs in milliseconds, tool pauses included.
     pub programs: Histogram<u64>,
     /// The same without the tool pauses, which no policy can shorten.
     pub without_pauses: Histogram<u64>,
-    /// Programs of the cohort that were still under way at the end; their latency until then is
-    /// among the others.
+    /// Programs of the cohort that were still running at the end. Their latency until then is
+    /// recorded with the others.
     pub unfinished: u64,
-    /// Programs finished.
+    /// Finished programs.
     pub finished: u64,
-    /// Turns of finished programs, without their sub-agents'.
+    /// Turns of finished programs, without those of their sub-agents.
     pub finished_turns: u64,
     /// Finished programs by team.
     pub finished_by_team: Vec<u64>,
@@ -29,22 +29,22 @@
     pub plain_refused: u64,
     /// New programs whose caller gave up after refusals.
     pub refused: u64,
-    /// Programs under way that a caller lost: a turn was not answered in time.
+    /// Running programs lost to their caller because a turn was not answered in time.
     pub lost: u64,
-    /// Refusals answered, to new programs and to turns.
+    /// Refusals sent, to new programs and to turns.
     pub new_refusals: u64,
     pub turn_refusals: u64,
     /// Longest time from a call to its refusal.
     pub slowest_refusal: Duration,
     /// Attempts sent to sides.
     pub attempts: u64,
-    /// Turns started.
+    /// Admitted turns.
     pub turns: u64,
     /// History tokens that had been cached somewhere before.
     pub reusable: id::Tokens,
-    /// Of these, those that were computed again.
+    /// Reusable tokens that were computed again.
     pub recomputed: id::Tokens,
-    /// Turns of each upstream.
+    /// Attempts sent to each upstream.
     pub by_upstream: Vec<u64>,
     pub measured: Duration,
 }
@@ -75,14 +75,14 @@
         }
     }
 
-    /// A program took `latency`, `waited` of it without tool pauses.
+    /// Records a program's latency, with and without its tool pauses.
     pub fn record_program(&mut self, latency: Duration, without_pauses: Duration) {
         self.programs.saturating_record(latency.as_millis() as u64);
         self.without_pauses
             .saturating_record(without_pauses.as_millis() as u64);
     }
 
-    /// Adds another run's sums.
+    /// Adds another run's totals.
     pub fn merge(&mut self, other: &Self) {
         let same = "histograms of one shape";
         self.programs.add(&other.programs).expect(same);
@@ -111,52 +111,52 @@
         self.measured += other.measured;
     }
 
-    /// Seconds of program latency at a quantile.
+    /// Program latency at a quantile, in seconds.
     pub fn program_latency(&self, quantile: f64) -> f64 {
         self.programs.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Seconds of program latency without tool pauses at a quantile.
+    /// Program latency without tool pauses at a quantile, in seconds.
     pub fn latency_without_pauses(&self, quantile: f64) -> f64 {
         self.without_pauses.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Turns of finished programs a second.
+    /// Turns of finished programs per second.
     pub fn finished_turns(&self) -> f64 {
         self.finished_turns as f64 / self.measured.as_secs_f64()
     }
 
-    /// Milliseconds of plain latency at a quantile.
+    /// Latency of plain requests at a quantile, in milliseconds.
     pub fn plain_latency(&self, quantile: f64) -> f64 {
         self.plain.value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Finished programs a second.
+    /// Finished programs per second.
     pub fn goodput(&self) -> f64 {
         self.finished as f64 / self.measured.as_secs_f64()
     }
 
-    /// Attempts sent for each turn admitted.
+    /// Attempts sent per admitted turn.
     pub fn attempts_per_turn(&self) -> f64 {
         self.attempts as f64 / self.turns.max(1) as f64
     }
 
-    /// Part of the reusable history that was computed again.
+    /// Fraction of the reusable history that was computed again.
     pub fn wasted_fraction(&self) -> f64 {
         self.recomputed as f64 / self.reusable.max(1) as f64
     }
 
-    /// Part of the programs that were refused for good.
+    /// Fraction of the programs whose caller gave up after refusals.
     pub fn refused_fraction(&self) -> f64 {
         fraction(self.refused, self.programs.len() + self.lost)
     }
 
-    /// Part of the started programs that were lost.
+    /// Fraction of the started programs that were lost.
     pub fn lost_fraction(&self) -> f64 {
         fraction(self.lost, self.programs.len())
     }
 
-    /// Part of the plain requests that were refused.
+    /// Fraction of the plain requests that were refused.
     pub fn plain_refused_fraction(&self) -> f64 {
         fraction(self.plain_refused, self.plain.len())
     }
--- a/fw-plan/examples/policy/sim/trace.rs
+++ b/fw-plan/examples/policy/sim/trace.rs
@@ -1,4 +1,4 @@
-//! Programs to be run, drawn before the run so that every policy meets the same ones.
+//! Traces of programs, drawn before the run so that every policy gets the same ones.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use super::engine;
 
-/// The shape of one user's load.
+/// Shape of one user's load.
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub name: &'static str,
@@ -19,7 +19,7 @@
     pub engines: usize,
     /// Upstreams of the plain service.
     pub plain: usize,
-    /// Part of the programs that are long, and the mean turns of short and long ones.
+    /// Fraction of the programs that are long, and the mean number of turns of short and long ones.
     pub long_fraction: f64,
     pub short_turns: f64,
     pub long_turns: f64,
@@ -27,13 +27,13 @@
     pub first_input: f64,
     pub input: f64,
     pub output: f64,
-    /// Mean tool pause, most and few.
+    /// Mean tool pause in seconds, for most pauses and for the few long ones.
     pub pause: f64,
     pub long_pause: f64,
-    /// Chance that a pause is a sub-agent's run.
+    /// Probability that a sub-agent runs instead of a pause.
     pub child_probability: f64,
     pub teams: usize,
-    /// What the user's records weigh more.
+    /// The goal that the user's records set.
     pub weight: cache_retention::Weight,
 }
 
@@ -78,7 +78,7 @@
 pub struct Turn {
     pub input: id::Tokens,
     pub output: id::Tokens,
-    /// Tool pause after it.
+    /// Tool pause after the turn.
     pub pause: Duration,
     /// Sub-agent that runs instead of the pause.
     pub child: Option<Vec<Turn>>,
@@ -93,7 +93,7 @@
 }
 
 impl Shape {
-    /// Programs from the start until `end`, at `load` times the capacity of all engines.
+    /// Draws the programs from the start until `end`, at `load` times the capacity of all engines.
     pub fn programs(&self, load: f64, end: Duration, seed: u64) -> Vec<Spec> {
         let rate = load * self.capacity();
         let mut rng = Pcg64::seed_from_u64(seed);
@@ -110,8 +110,8 @@
         programs
     }
 
-    /// Programs a second that keep every engine busy with full batches if no token that was
-    /// cached is ever computed again: an upper bound for any policy.
+    /// Programs per second that keep every engine busy with full batches if no cached token is ever
+    /// computed again: an upper bound for any policy.
     pub fn capacity(&self) -> f64 {
         let mut rng = Pcg64::seed_from_u64(7);
         let samples = 20_000;
@@ -156,7 +156,7 @@
         std::iter::once(first).chain(later).collect()
     }
 
-    /// Teams are of unequal size: the n-th sends 1/n of what the first does.
+    /// Teams differ in size: the n-th sends 1/n of the load of the first.
     fn team(&self, rng: &mut impl Rng) -> usize {
         let total: f64 = (1..=self.teams).map(|n| 1.0 / n as f64).sum();
         let mut left = rng.random::<f64>() * total;
@@ -170,7 +170,7 @@
     }
 }
 
-/// Engine seconds of a turn in a full batch, without anything computed twice.
+/// Engine seconds of a turn in a full batch if nothing is computed twice.
 fn turn_work(turn: &Turn) -> f64 {
     let prefill = turn.input as f64 * engine::STEP_PER_PREFILL_TOKEN;
     let decode =
@@ -183,7 +183,7 @@
     -mean * (1.0 - rng.random::<f64>()).ln()
 }
 
-/// A size around `mean`: a part that is always there and an exponential one.
+/// Draws a size around `mean`: a constant part plus an exponentially distributed one.
 fn draw_size(mean: f64, rng: &mut impl Rng) -> id::Tokens {
     (mean * 0.4 + exponential(mean * 0.6, rng)).ceil() as id::Tokens
 }
--- a/fw-plan/examples/policy/sim/world.rs
+++ b/fw-plan/examples/policy/sim/world.rs
@@ -1,4 +1,4 @@
-//! The loop: callers, entries, sides and engines under one policy.
+//! The event loop: callers, entries, sides and engines under one policy.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,50 +26,51 @@
 
 /// One-way delay between any two processes.
 const NETWORK_DELAY: Duration = Duration::from_micros(500);
-/// How long plain requests run before they are measured.
+/// Time that plain requests run before they are measured.
 const PLAIN_WARM: Duration = Duration::from_secs(20);
-/// How often sides report.
+/// Interval of the sides' load reports.
 const HEARTBEAT: Duration = Duration::from_millis(250);
 /// How long a caller waits for one turn.
 const TURN_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often the caller of a new program tries.
+/// Attempts by the caller of a new program before it gives up.
 const MAX_TRIES: u32 = 3;
-/// Part of the attempts that fail in the engine.
+/// Fraction of the attempts that fail in the engine.
 pub const FAILURE_RATE: f64 = 0.002;
-/// Part of the cache events that are lost.
+/// Fraction of the cache events that are lost.
 const CACHE_EVENT_LOSS: f64 = 0.05;
 /// Entries of each user.
 pub const ENTRIES: usize = 3;
-/// Attempts of one call without a retry budget.
+/// Attempts of one call if there is no retry budget.
 const MAX_UNBUDGETED_ATTEMPTS: u32 = 10;
 
-/// What is run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub shape: trace::Shape,
     pub policy: policy::Policy,
     /// Programs, in order of arrival.
     pub programs: Vec<trace::Spec>,
-    /// Plain requests as a multiple of what their upstreams can serve.
+    /// Load of plain requests as a multiple of what their upstreams can serve.
     pub plain_load: f64,
     pub seed: u64,
-    /// Counts are taken from here to the end, latencies of the programs that arrive from here
+    /// Start of the measurement: counts are taken from here to `end`, latencies of the programs
+    /// that arrive from here
     pub measure_from: Duration,
-    /// to here.
+    /// until here.
     pub last_arrival: Duration,
     pub end: Duration,
-    /// What happens to engines, and when.
+    /// Faults of engines and when they occur.
     pub script: Vec<(Duration, Fault)>,
 }
 
-/// Something that happens to an engine.
+/// A change in an engine's condition.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// Its steps take so many times as long from now on.
+    /// The engine's steps take this many times as long from now on.
     Slow(usize, f64),
     Crash(usize),
     Up(usize),
-    /// This part of the attempts fails in the engine from now on.
+    /// This fraction of the attempts fails in the engines from now on.
     FailureRate(f64),
 }
 
@@ -116,7 +117,7 @@
     turn: usize,
     history: id::Tokens,
     attained: Duration,
-    /// When the present turn was first sent.
+    /// When the current turn was first sent.
     requested_at: Duration,
     tries: u32,
     started: bool,
@@ -202,7 +203,7 @@
 
     fn start(&mut self) {
         for engine in 0..self.sides.len().max(self.plains.len()) {
-            // Reports of different sides do not come together.
+            // Reports of different sides are staggered.
             self.schedule(
                 HEARTBEAT.mul_f64(engine as f64 / 9.0),
                 Event::Report(engine),
@@ -234,8 +235,8 @@
             && (self.setup.measure_from..self.setup.last_arrival).contains(&program.at)
     }
 
-    /// A program that is still under way took at least as long as until now: leaving it out
-    /// would make a policy look the better the longer its queues grow.
+    /// Records the programs that are still running with their latency so far. Leaving them out
+    /// would make a policy look better the longer its queues grow.
     fn count_unfinished(&mut self) {
         self.stats.measured = self.setup.end - self.setup.measure_from;
         let left = self.programs.iter().filter(|program| !program.is_done);
--- a/fw-plan/examples/policy/sim/world/callers.rs
+++ b/fw-plan/examples/policy/sim/world/callers.rs
@@ -1,4 +1,4 @@
-//! What callers send, and when they give up.
+//! Callers: arrivals, timeouts and retries after refusals.
 
 use std::time::Duration;
 
--- a/fw-plan/examples/policy/sim/world/entries.rs
+++ b/fw-plan/examples/policy/sim/world/entries.rs
@@ -212,7 +212,7 @@
         }
         let team = program.team;
         if let Some(child) = done.child {
-            // The parent's next turn comes when the child ends.
+            // The parent's next turn starts when the sub-agent ends.
             program.requested_at = Duration::MAX - TURN_TIMEOUT;
             return self.start_program(team, child, Some(index));
         }
--- a/fw-plan/examples/policy/sim/world/plains.rs
+++ b/fw-plan/examples/policy/sim/world/plains.rs
@@ -1,4 +1,4 @@
-//! Plain requests.
+//! Plain requests: admission, placement and answers.
 
 use std::time::Duration;
 
--- a/fw-plan/examples/policy/sim/world/sides.rs
+++ b/fw-plan/examples/policy/sim/world/sides.rs
@@ -1,4 +1,4 @@
-//! Sides, engines and what they report.
+//! Sides and engines, and their reports.
 
 use std::time::Duration;
 
@@ -58,7 +58,7 @@
         self.run_engine(upstream);
     }
 
-    /// Releases what may run and starts a step if none is under way.
+    /// Releases the jobs that may run and starts a step if none is in progress.
     pub(super) fn run_engine(&mut self, upstream: usize) {
         let side = &mut self.sides[upstream];
         if self.setup.policy.has_admission {
--- a/fw-plan/examples/policy/trial.rs
+++ b/fw-plan/examples/policy/trial.rs
@@ -1,4 +1,4 @@
-//! Trials of single options, printed and not kept.
+//! Trials of single options, which are printed and not stored.
 
 use std::time::Duration;
 
@@ -11,7 +11,8 @@
 use crate::sim::policy;
 use crate::sim::trace;
 
-/// The cells that `args` ask for: `user=`, `policy=`, `load=` and `scene=` choose, all else is an option.
+/// The cells selected by `args`: `user=`, `policy=`, `load=` and `scene=` select, everything else
+/// sets an option.
 pub fn cells(args: &[String]) -> Vec<Cell> {
     let mut cells = Vec::new();
     for shape in [trace::SURATWALA, trace::FAIRGROUND] {
@@ -81,7 +82,7 @@
     }
 }
 
-/// Sets one option, durations in seconds.
+/// Sets one option; durations are in seconds.
 fn set(policy: &mut policy::Policy, arg: &str) {
     let (key, value) = arg.split_once('=').expect("arguments are `key=value`");
     if ["user", "policy", "load", "scene"].contains(&key) {
