--- a/fw-plan/tests/plan/admission.rs
+++ b/fw-plan/tests/plan/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a call starts at all.
+//! Admission of calls at the entry.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Sends up to `most` calls, none of which ends, and returns how many were admitted.
+/// Sends up to `max` calls, none of which ends, and returns the number admitted.
 fn fill(admit: &mut admit::Controller, req: &admit::Request, max: u32) -> u32 {
     let mut admitted = 0;
     for _ in 0..max {
@@ -37,8 +37,8 @@
     admitted
 }
 
-// New programs keep coming while others are half-way. Refusing a turn of a program under way
-// throws away the turns before it, so new programs must leave room for them.
+// New programs keep arriving while others are running. Refusing a turn of a running program
+// discards the work of the turns before it, so new programs must leave room for them.
 #[gtest]
 fn turns_are_admitted_where_new_programs_are_refused() {
     let mut admit = admit::Controller::new(options());
@@ -105,8 +105,8 @@
 proptest! {
     #![proptest_config(crate::workload::fixed())]
 
-    // Whatever the mix of teams, nothing is refused for its share while less than 0.7 of the bound is
-    // used, and a lone team may use all of it.
+    // For any mix of teams, no call is refused for its share while less than 0.7 of the bound is
+    // used, and a single team may use all of it.
     #[test]
     fn shares_conserve_work(calls in prop::collection::vec(0_usize..6, 1..300)) {
         let mut admit = admit::Controller::new(options());
--- a/fw-plan/tests/plan/budget_bounds.rs
+++ b/fw-plan/tests/plan/budget_bounds.rs
@@ -22,7 +22,7 @@
     )
 }
 
-// A program calls its tool and itself for ever. It must end with an answer that names the bound.
+// A program calls its tool and itself forever. It must end with an answer that names the limit.
 #[gtest]
 fn a_looping_program_ends_with_the_bound() {
     let mut ledger = ledger(100, 1_000_000);
@@ -66,8 +66,8 @@
 proptest! {
     #![proptest_config(crate::workload::fixed())]
 
-    // A program and its sub-agents run turns side by side. Checking at the end of each would let
-    // all of them see the same rest and overdraw it together.
+    // A program and its sub-agents run turns concurrently. If the budget were checked only at the
+    // end of each turn, all of them would see the same remaining budget and overdraw it together.
     #[test]
     fn is_never_exceeded_by_a_program_and_its_sub_agents(
         steps in prop::collection::vec((0_usize..4, 1_u64..200, 0_u64..=100), 1..200)
--- a/fw-plan/tests/plan/burst.rs
+++ b/fw-plan/tests/plan/burst.rs
@@ -8,9 +8,9 @@
 use crate::sim::world;
 use crate::workload;
 
-// At a load of one half, as many programs as usually come in ten seconds arrive within one. A
-// caller sees either an answer or a refusal at once; no program that was started is lost, and
-// half a minute later nothing is left of the burst.
+// At half load, as many programs as usually arrive in ten seconds arrive within one. A caller gets
+// either an answer or a prompt refusal, no started program is lost, and half a minute later no
+// trace of the burst is left.
 #[gtest]
 fn is_absorbed_or_refused_at_once() {
     let burst = burst();
--- a/fw-plan/tests/plan/cache_keeping.rs
+++ b/fw-plan/tests/plan/cache_keeping.rs
@@ -1,4 +1,4 @@
-//! Which caches to keep over a tool pause.
+//! Retention of caches over tool pauses.
 
 use std::time::Duration;
 
--- a/fw-plan/tests/plan/commit_window.rs
+++ b/fw-plan/tests/plan/commit_window.rs
@@ -1,12 +1,13 @@
-//! Spacing of commits.
+//! Spacing of commits by keepers.
 
 use std::time::Duration;
 
 use fw_plan::commit_window;
 use googletest::prelude::*;
 
-// 380 entries each commit as soon as the last commit is answered: 76,000 writes a second at 5 ms,
-// where the store takes several hundred. Together they must stay within the rate.
+// If 380 entries each commit as soon as the last commit is answered, they write 76,000 times a
+// second at 5 ms, where the store accepts several hundred writes. Together they must stay within
+// the rate.
 #[gtest]
 fn all_entries_together_stay_within_the_rate() {
     let options = commit_window::Options::default();
--- a/fw-plan/tests/plan/hot_caller.rs
+++ b/fw-plan/tests/plan/hot_caller.rs
@@ -9,9 +9,9 @@
 const HOT: usize = 0;
 const QUIET: usize = 1;
 
-// One team's script starts programs without pause, three times what all engines can do. The
-// officers of another team, who use a fifth of the engines, must see their programs finished as
-// if the first team were not there.
+// One team's script starts programs continuously, at three times the capacity of all engines. The
+// officers of another team, who use a fifth of the engines, must get their programs finished as if
+// the first team were absent.
 #[gtest]
 fn does_not_crowd_out_a_quiet_team() {
     let arrived = quiet()
--- a/fw-plan/tests/plan/hot_key.rs
+++ b/fw-plan/tests/plan/hot_key.rs
@@ -8,9 +8,9 @@
 use googletest::prelude::*;
 use rand_pcg::Pcg64;
 
-// A program starts two hundred sub-agents on its own history, all at once. Its cache lies on one
-// upstream; sending all of them there would make the last wait for a hundred others while eight
-// upstreams are idle. They must spread as soon as waiting costs more than computing the history.
+// A program starts two hundred sub-agents on its own history at once. Its cache is on one upstream;
+// if all were sent there, the last would wait for a hundred others while eight upstreams are idle.
+// They must spread once waiting costs more than computing the history.
 #[gtest]
 fn spreads_once_waiting_costs_more_than_prefill() {
     let mut view = place::View::new();
--- a/fw-plan/tests/plan/keeper_lookup.rs
+++ b/fw-plan/tests/plan/keeper_lookup.rs
@@ -1,4 +1,4 @@
-//! Who waits for a program's keeper.
+//! How long a call looks for its program's keeper.
 
 use std::time::Duration;
 
@@ -31,10 +31,10 @@
     }
 }
 
-// The store goes away before an entry has heard who took a shard. A publish request came for it and
-// was refused only after four seconds, though nobody can take the shard, nor the entry hear of it,
-// until the store is back. What showed it: `no keeper was found in time`, "nobody", the store silent
-// for as long.
+// The store becomes unavailable before an entry has learnt which entry took a shard. No entry can
+// take the shard, nor can this one learn of it, until the store recovers; yet a call that looked
+// for the keeper was refused only after four seconds (`no keeper was found in time`, reason
+// `nobody`, the store silent for as long).
 #[gtest]
 fn does_not_wait_for_the_end_of_a_store_outage() {
     for miss in [
@@ -47,8 +47,8 @@
     }
 }
 
-// The store is back, and other entries take the dead keeper's shard; this one has not heard so yet. Its
-// callers were refused within microseconds, and gave up.
+// The store has recovered and other entries are taking the dead keeper's shard, but this entry has
+// not received that yet. Its callers were refused within microseconds, and gave up.
 #[gtest]
 fn waits_briefly_while_the_store_may_have_recovered() {
     expect_true!(should_retry(Miss::NoKeeper, 900, 2_600));
--- a/fw-plan/tests/plan/long_jobs.rs
+++ b/fw-plan/tests/plan/long_jobs.rs
@@ -9,9 +9,9 @@
 use crate::sim::world;
 use crate::workload;
 
-// Each second a program arrives whose submission has 100,000 tokens. The engine computes prompts
-// in the order of arrival, so the short turns behind it would all wait a second for their first
-// token. They must go before it, and it must still be finished.
+// Every second a program arrives whose submission has 100,000 tokens. The engine computes prompts
+// in order of arrival, so all short turns behind it would wait a second for their first token. They
+// must go first, and the long one must still finish.
 #[gtest]
 fn short_programs_do_not_wait_for_long_prefills() {
     let at = |second| trace::Spec {
--- a/fw-plan/tests/plan/overload.rs
+++ b/fw-plan/tests/plan/overload.rs
@@ -1,4 +1,4 @@
-//! Sustained overload: twice and five times what the engines can do.
+//! Sustained overload: twice and five times the capacity of the engines.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use crate::sim::world;
 use crate::workload;
 
-// Callers send more programs than can be finished, for as long as the run lasts. Without
-// admission every program is started, every turn waits behind all others until its caller has
-// gone, and engines work for callers that left. What is started must be finished, about as many
-// programs as at full load, and the rest must be told at once.
+// Callers send more programs than can be finished, for the whole run. Without admission every
+// program starts, every turn waits behind all others until its caller has given up, and engines
+// work for callers that have left. Started programs must finish, about as many as at full load, and
+// the rest must be refused at once.
 #[gtest]
 fn finishes_what_it_starts_at_twice_the_capacity() {
     check(2.0);
@@ -36,8 +36,8 @@
     expect_that!(over.lost_fraction(), ge(0.1));
 }
 
-// Case status and documents are asked for while the programs' engines are overloaded, and their
-// own upstreams get twice what they can serve. Callers whose request is answered must not wait
+// Case status and documents are requested while the programs' engines are overloaded, and their own
+// upstreams get twice the load that they can serve. Callers whose request is answered must not wait
 // much longer than on a quiet day.
 #[gtest]
 fn plain_requests_stay_quick_at_twice_the_capacity() {
--- a/fw-plan/tests/plan/placement.rs
+++ b/fw-plan/tests/plan/placement.rs
@@ -1,4 +1,4 @@
-//! Choosing an upstream by expected delay.
+//! Choice of an upstream by expected latency.
 
 use std::time::Duration;
 
@@ -80,7 +80,7 @@
     expect_that!(choose(&view, "page", &mut rng), none());
 }
 
-// One engine's steps take ten times as long, and nothing waits anywhere. By queue length alone it
+// One engine's steps take ten times as long, and no upstream has a queue. By queue length alone it
 // looks as good as the others, and a ninth of all turns would take ten times as long.
 #[gtest]
 fn slow_steps_count_when_nothing_waits() {
@@ -97,7 +97,7 @@
     let mut rng = Pcg64::new(1, 1);
     let choices = (0..900).filter_map(|_| choose(&view, "page", &mut rng));
     let slow = choices.filter(|outcome| outcome.upstream == name(0));
-    // It is taken only where both samples are the slow one.
+    // It is chosen only if both samples are the slow one.
     expect_that!(slow.count(), le(30));
 }
 
@@ -153,8 +153,8 @@
     expect_that!(at(1).upstream, eq(&name(0)));
 }
 
-// A call failed at two upstreams, and the third is loaded: it is sent there all the same. With the
-// last failure alone avoided, it went back to the first.
+// A call failed at two upstreams and the third is loaded: it must be sent to the third all the
+// same. When only the last failure was avoided, it went back to the first.
 #[gtest]
 fn all_failed_upstreams_are_avoided() {
     let place = "surat-hall-a".into();
@@ -177,7 +177,8 @@
     }
 }
 
-// Two places, 40 ms apart. Half of all turns would cross for nothing if distance did not count.
+// Two places are 40 ms apart. If distance did not count, half of all turns would cross for no
+// benefit.
 #[gtest]
 fn a_near_upstream_goes_before_a_far_one() {
     let mut view = place::View::new();
@@ -197,8 +198,8 @@
     expect_that!(outcome.unwrap().upstream, eq(&name(1)));
 }
 
-// The engine that holds a long history is overloaded. Where engines can export a cache, moving it
-// costs a tenth of computing it anew, and the choice says where to fetch it.
+// The engine that holds a long history is overloaded. If engines can export a cache, importing it
+// costs a tenth of computing it again, and the outcome names the upstream to import from.
 #[gtest]
 fn a_cache_is_imported_where_that_beats_prefill() {
     let mut view = view(2);
--- a/fw-plan/tests/plan/queue_order.rs
+++ b/fw-plan/tests/plan/queue_order.rs
@@ -1,4 +1,4 @@
-//! The order in which turns are released to the engine.
+//! The order in which the wait queue releases turns to the engine.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     queue::Queue::new(queue::Options::default())
 }
 
-/// Releases everything, one job each `step`, each of which takes `engine` in the engine.
+/// Releases all jobs, one every 10 ms, each with 500 ms of engine time.
 fn drain(queue: &mut queue::Queue, teams: &HashMap<u64, id::TeamId>) -> Vec<id::AttemptId> {
     let mut order = Vec::new();
     let mut now = Duration::from_secs(1);
@@ -50,8 +50,8 @@
     );
 }
 
-// Short programs arrive without end while one of long standing waits. Least attained service
-// alone would never let it run; its caller would see a turn that hangs.
+// Short programs arrive continuously while one with much attained service waits. Under pure least
+// attained service it would never run, and its caller would see a turn that hangs.
 #[gtest]
 fn a_long_program_is_not_starved_by_short_ones() {
     let mut queue = new();
@@ -85,8 +85,8 @@
     expect_that!(refused.retry_after, gt(Duration::ZERO));
 }
 
-// A queue drains one job each 100 ms and fifty wait. A caller with one second left must be told
-// now, not when its second is over.
+// A queue releases one job every 100 ms and fifty are waiting. A caller with one second left must
+// be refused now, not when its second is over.
 #[gtest]
 fn a_deadline_that_cannot_be_met_is_refused_at_the_push() {
     let mut queue = new();
@@ -107,8 +107,8 @@
     expect_that!(refused.retry_after, gt(Duration::from_secs(1)));
 }
 
-// A request that is suspected of having crashed an engine must not take others with it: it runs
-// only in an empty engine, and a busy engine is emptied for it before long.
+// A request suspected of having crashed an engine must not take others with it: it runs only in an
+// empty engine, and a busy engine is drained for it soon.
 #[gtest]
 fn a_suspect_runs_alone_and_is_not_starved() {
     let mut queue = new();
@@ -150,8 +150,8 @@
 proptest! {
     #![proptest_config(crate::workload::fixed())]
 
-    // Every job that is pushed is released once, whatever was removed meanwhile, as long as the
-    // engine has room: nothing is lost, nothing starves, and no room stays unused.
+    // Every job that is pushed is released exactly once, whatever is removed meanwhile, as long as
+    // the engine has room: no job is lost or starves, and no room stays unused.
     #[test]
     fn every_job_is_released_once(
         jobs in prop::collection::vec((0_usize..8, 0_u64..90_000, 0_u64..40_000, any::<bool>()), 1..200)
@@ -177,7 +177,8 @@
         prop_assert_eq!(order.len() + removed, jobs.len());
     }
 
-    // Teams that all have enough waiting get engine time by their shares, within a few jobs.
+    // Teams with enough waiting jobs get engine time in proportion to their shares, within a few
+    // jobs.
     #[test]
     fn teams_get_their_shares(shares in prop::collection::vec(1_u32..5, 2..6)) {
         let mut queue = new();
--- a/fw-plan/tests/plan/recovery.rs
+++ b/fw-plan/tests/plan/recovery.rs
@@ -1,4 +1,4 @@
-//! An upstream returns after a failure.
+//! Return of an upstream after a failure.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 }
 
 // An engine returns with an empty queue while the others are full. All entries see the same idle
-// engine at once and send it everything (a herd): it falls over again, or its queue becomes the
-// longest. It must be given a part that grows with the time since its return.
+// engine at once and send it everything (a herd): it fails again, or its queue becomes the longest.
+// Its share of the work must grow with the time since its return.
 #[gtest]
 fn a_returned_upstream_is_not_flooded() {
     let at_return = fraction_of_returned(Duration::from_millis(2_100));
@@ -25,7 +25,7 @@
     expect_that!(whole, gt(0.15));
 }
 
-/// Part of the calls that an upstream gets which was ejected at 0 for 2 s.
+/// Fraction of the calls sent to an upstream that was ejected at 0 for 2 s.
 fn fraction_of_returned(now: Duration) -> f64 {
     let mut health = health::Health::new(health::Options::default());
     let mut view = place::View::new();
--- a/fw-plan/tests/plan/slow_upstream.rs
+++ b/fw-plan/tests/plan/slow_upstream.rs
@@ -1,4 +1,4 @@
-//! One engine is three times as slow as the others, or comes and goes.
+//! One engine is three times as slow as the others, or crashes and returns repeatedly.
 
 use std::time::Duration;
 
@@ -18,9 +18,9 @@
     })
 }
 
-// An engine's steps take three times as long, say for a neighbour on its host. It answers, so it
-// is not dead; but a third of all callers would wait three times as long for each turn. It must
-// get what it can do and no more, and callers must notice little.
+// An engine's steps take three times as long, for example because of another load on its host. It
+// answers, so it is not dead, but a third of all callers would wait three times as long for each
+// turn. It must get the work that it can do and no more, and callers must notice little.
 #[gtest]
 fn gets_less_work_and_is_still_used() {
     let slow = vec![(Duration::ZERO, world::Fault::Slow(0, 3.0))];
@@ -36,9 +36,9 @@
     );
 }
 
-// An engine crashes every eight seconds and is back four later. Each crash fails the turns that
-// ran there; each return would draw all new work, because it is idle, to be failed again. No
-// program may be lost, and few refused.
+// An engine crashes every eight seconds and returns four seconds later. Each crash fails the turns
+// that ran there; after each return it is idle and would attract all new work, which fails again.
+// No program may be lost, and few refused.
 #[gtest]
 fn flapping_costs_no_program() {
     let flap = |second: u64| {
--- a/fw-plan/tests/plan/taken_shards.rs
+++ b/fw-plan/tests/plan/taken_shards.rs
@@ -1,4 +1,4 @@
-//! When a shard that was taken over may serve.
+//! When a shard may serve after a takeover.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 
 const TICK: Duration = Duration::from_millis(100);
 
-/// A clock that leaves room for what happened before.
+/// An instant far enough from the clock's origin to subtract from.
 fn start() -> Instant {
     Instant::now() + Duration::from_secs(1_000)
 }
@@ -42,9 +42,9 @@
     expect_that!(decide(since + TICK, since, &holders), eq(Outcome::Serve));
 }
 
-// A side that holds a program's last answer is late with one heartbeat, as the machine is busy, just
-// as a shard is taken. It counted as out of reach, and what cannot be reached was not waited for:
-// the program's next turn was refused as out of order a tenth of a second later.
+// A side that holds a program's last answer misses one heartbeat on a busy machine, just as a shard
+// is acquired. The side counted as unreachable and was not waited for, and a tenth of a second
+// later the program's next turn was refused as out of order.
 #[gtest]
 fn a_late_heartbeat_is_waited_for() {
     let since = start();
@@ -63,8 +63,9 @@
     );
 }
 
-// A side tells that it holds turns of the shard, and the call that was to bring them is lost. The shard
-// counted as complete, as nothing had come back, and the turns' callers met a history without them.
+// A side reports that it holds turns of the shard, and the call that transfers them is lost. The
+// shard counted as complete because no turns had arrived, and the callers of those turns met a
+// history without them.
 #[gtest]
 fn reported_turns_are_waited_for() {
     let since = start();
@@ -78,8 +79,8 @@
     expect_that!(decide(since + TICK, since, &holders), eq(Outcome::Wait(1)));
 }
 
-// An entry that has just started takes shards before it has the list of sides. It knew of no side, so
-// none was missing, and it served what the journal had.
+// An entry that has just started acquires shards before it has received the list of sides. It knew
+// of no side, so none was missing, and it served what the journal had.
 #[gtest]
 fn nothing_is_served_before_the_sides_are_known() {
     let since = start();
@@ -87,8 +88,8 @@
     expect_that!(decide(since + TICK, since, &holders), eq(Outcome::Wait(0)));
 }
 
-// A machine dies with its entry: all sides are there and have told what they hold. Its programs go on
-// at once, though it can never be asked.
+// A machine dies with its entry while all sides respond and have reported what they hold. The
+// entry's programs continue at once, although it can never be queried.
 #[gtest]
 fn a_dead_entry_is_not_waited_for_while_the_sides_are_there() {
     let since = start();
@@ -100,7 +101,7 @@
         entries: vec![dead],
     };
     expect_that!(decide(since + TICK, since, &holders), eq(Outcome::Serve));
-    // Beside a side that has lately started anew, the entry may be the only holder.
+    // With a side that has restarted recently, the entry may be the only holder.
     let mut fresh = Holder::default();
     fresh.answered(since + TICK);
     holders.sides.push(fresh);
@@ -122,8 +123,8 @@
     expect_that!(decide(since + TICK, since, &holders), eq(Outcome::Serve));
 }
 
-// A silent side may be lost with what it holds. Its shards' programs wait for it for five seconds, as
-// for a dead keeper, and not for ever.
+// A side that does not respond may be lost with what it holds. The programs of its shards wait for
+// it for five seconds, as for a dead keeper, and not forever.
 #[gtest]
 fn the_wait_is_bounded() {
     let since = start();
--- a/fw-plan/tests/plan/workload.rs
+++ b/fw-plan/tests/plan/workload.rs
@@ -1,4 +1,4 @@
-//! Setups of the queueing loop, small enough for debug builds.
+//! Workloads of the simulation that are small enough for debug builds.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 pub const LAST_ARRIVAL: Duration = Duration::from_secs(30);
 pub const END: Duration = Duration::from_secs(60);
 
-/// Three engines, and programs that are short enough to end within a run.
+/// Three engines, and programs short enough to end within a run.
 pub fn shape() -> trace::Shape {
     trace::Shape {
         engines: 3,
@@ -56,7 +56,7 @@
     world::run(setup(policy, programs(load)))
 }
 
-/// Properties are tried on the same cases in each run.
+/// Property tests use the same cases in every run.
 pub fn fixed() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(1),
@@ -65,7 +65,7 @@
     }
 }
 
-/// Adds programs to a trace and sorts it by arrival.
+/// Merges two traces in order of arrival.
 pub fn join(mut one: Vec<trace::Spec>, other: Vec<trace::Spec>) -> Vec<trace::Spec> {
     one.extend(other);
     one.sort_by_key(|spec| spec.at);
