--- a/fw-gate/src/process/fleet/choose.rs
+++ b/fw-gate/src/process/fleet/choose.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use fw_base::{error, id};
-use fw_plan::{assign, hold};
-use fw_replica::trail;
+use fw_plan::{assign, wait_queue};
+use fw_replica::affinity;
 use parking_lot::Mutex;
 use smol_str::SmolStr;
 use xxhash_rust::xxh3;
@@ -23,7 +23,7 @@
 /// An upstream that a call may get, as far as it decides whether there is room.
 #[derive(Clone, Copy, Debug)]
 struct Open {
-    short: trail::Upstream,
+    short: affinity::Upstream,
     slots: u32,
     load: f64,
 }
@@ -58,14 +58,14 @@
     ) -> Result<Lease, error::Error> {
         let service = self.served(service_id)?;
         let warm = match &want.warmth {
-            Warmth::Prompt { lineage, .. } => self.trail.last(lineage).warmest(),
+            Warmth::Prompt { lineage, .. } => self.trail.last_upstreams(lineage).preferred(),
             Warmth::Object(_) | Warmth::None => None,
         };
         let ticket = Ticket::draw(&service, warm, |number| {
             self.hold.rank(&want.hold, self.now(), number)
         });
         let begun = tokio::time::Instant::now();
-        while begun.elapsed() < self.hold.most {
+        while begun.elapsed() < self.hold.max_wait {
             let reach = ticket.may_go(&self.hold);
             let fits = |open: &Open| {
                 let warm = Some(open.short) == warm;
@@ -80,13 +80,13 @@
                 return Ok(lease);
             }
             // Heard of or not: what is known of the load fades.
-            let _ = tokio::time::timeout(self.hold.look, ticket.turn.notified()).await;
+            let _ = tokio::time::timeout(self.hold.recheck_interval, ticket.turn.notified()).await;
         }
         drop(ticket);
         metrics::counter!("fw_gate_held_too_long_total").increment(1);
-        match self.hold.over(&want.hold, rand::random()) {
-            hold::Over::Send => self.choose(service_id, want),
-            hold::Over::Refuse(after) => {
+        match self.hold.expire(&want.hold, rand::random()) {
+            wait_queue::Expired::Send => self.choose(service_id, want),
+            wait_queue::Expired::Refuse(after) => {
                 let message = "programs under way need all slots";
                 let err = error::Error::new(error::Kind::Overloaded, message);
                 Err(err.with_retry_after(after))
@@ -115,7 +115,7 @@
         metrics::counter!("fw_gate_programs_refused_total").increment(1);
         let message = format!("programs under way have {load:.0} calls at {slots:.0} slots");
         let err = error::Error::new(error::Kind::Overloaded, message);
-        Err(err.with_retry_after(self.hold.back_after(rand::random())))
+        Err(err.with_retry_after(self.hold.draw_retry_after(rand::random())))
     }
 
     /// Slots of all upstreams of a service that take calls, and calls that are there or wait here.
@@ -176,7 +176,7 @@
         drop(locked);
         if let Warmth::Prompt { lineage, .. } = &want.warmth {
             let lineage = lineage.clone();
-            self.trail.note(&trail::Ran { lineage, upstream });
+            self.trail.record(&affinity::Location { lineage, upstream });
         }
         Ok(Some(lease))
     }
@@ -209,10 +209,10 @@
         let call = if service.mean > 0.0 {
             Duration::from_secs_f64(service.mean)
         } else {
-            self.options.call
+            self.options.call_duration
         };
         assign::Options {
-            call,
+            call_duration: call,
             ..self.options.clone()
         }
     }
@@ -236,7 +236,7 @@
 
     /// The upstreams that are probably faster than the rest: those that served the session and its
     /// program last; for objects the one that all entries agree on, by its hash with the object.
-    fn warm(&self, warmth: &Warmth<'_>, among: &[&Upstream]) -> trail::Last {
+    fn warm(&self, warmth: &Warmth<'_>, among: &[&Upstream]) -> affinity::LastUpstreams {
         let agreed = |object: &SmolStr| {
             let seed = xxh3::xxh3_64(object.as_bytes());
             let agreed = among.iter().max_by_key(|upstream| {
@@ -245,19 +245,19 @@
             agreed.map(|upstream| upstream.short)
         };
         match warmth {
-            Warmth::None => trail::Last::default(),
-            Warmth::Object(object) => trail::Last {
+            Warmth::None => affinity::LastUpstreams::default(),
+            Warmth::Object(object) => affinity::LastUpstreams {
                 session: agreed(object),
                 program: None,
             },
-            Warmth::Prompt { lineage, .. } => self.trail.last(lineage),
+            Warmth::Prompt { lineage, .. } => self.trail.last_upstreams(lineage),
         }
     }
 
     fn candidate(
         &self,
         upstream: &Upstream,
-        warm: &trail::Last,
+        warm: &affinity::LastUpstreams,
         cold: Duration,
     ) -> assign::Candidate {
         let this = Some(upstream.short);
@@ -270,13 +270,13 @@
         };
         assign::Candidate {
             slots: upstream.listed.slots,
-            own: upstream.own,
-            others: upstream.others,
-            age: upstream.reported.elapsed(),
-            miss,
+            own_calls: upstream.own,
+            reported_calls: upstream.others,
+            report_age: upstream.reported.elapsed(),
+            prefill: miss,
             remote: upstream.listed.place != self.place,
             slowness: upstream.pace.slowness(&self.pace, self.now()),
-            failed: upstream.failed.map(|at| at.elapsed()),
+            failed_ago: upstream.failed.map(|at| at.elapsed()),
         }
     }
 }
--- a/fw-gate/src/process/fleet/mod.rs
+++ b/fw-gate/src/process/fleet/mod.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use fw_base::id;
-use fw_plan::{assign, confirm, health, hold, lapse, pace};
-use fw_replica::{service, trail};
+use fw_plan::{assign, confirm, health, lapse, pace, wait_queue};
+use fw_replica::{affinity, service};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -31,11 +31,11 @@
 const WOKEN: usize = 8;
 
 /// Start of an upstream, in milliseconds since the Unix epoch.
-pub type Born = u64;
+pub type StartTime = u64;
 
 /// One upstream, as the platform's store lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedUpstream {
     /// Its id.
     pub id: id::UpstreamId,
     /// The service that it runs.
@@ -49,7 +49,7 @@
     /// Whether it takes new work.
     pub takes_work: bool,
     /// When it started; 0 if not told.
-    pub born: Born,
+    pub started_at: StartTime,
 }
 
 /// What makes one upstream faster than another for a call.
@@ -63,7 +63,7 @@
     /// Having the prompt in the cache.
     Prompt {
         /// What it begins like.
-        lineage: trail::Lineage,
+        lineage: affinity::Lineage,
         /// Its length.
         tokens: id::Tokens,
     },
@@ -77,18 +77,18 @@
     /// Upstreams that failed this call.
     pub avoid: &'a [id::UpstreamId],
     /// What decides its place if it has to wait.
-    pub hold: hold::Call,
+    pub hold: wait_queue::Call,
 }
 
 #[derive(Debug)]
 struct Upstream {
-    listed: Listed,
+    listed: ListedUpstream,
     /// Set while it is missing from the list, and kept.
     missing: Option<list::Missing>,
     /// Until when another upstream is taken to have its address.
     replaced_until: Option<Instant>,
     /// Short hash of its id, as entries name it to each other.
-    short: trail::Upstream,
+    short: affinity::Upstream,
     own: u32,
     others: u32,
     reported: Instant,
@@ -107,18 +107,18 @@
     /// Smoothed time of a call's comparable part, in seconds.
     part: f64,
     /// Calls that are held back until there is a free slot.
-    waiting: BTreeMap<hold::Rank, Waiter>,
+    waiting: BTreeMap<wait_queue::Rank, Waiter>,
     arrivals: u64,
 }
 
 impl Service {
     fn new() -> Self {
         let options = health::Options {
-            eject: Duration::from_millis(800),
-            eject_max: Duration::from_secs(4),
+            first_ejection: Duration::from_millis(800),
+            max_ejection: Duration::from_secs(4),
             slow_start: Duration::from_secs(1),
             // The list is what counts: one that is not on it may be leaving.
-            unlisted: Duration::ZERO,
+            unlisted_grace: Duration::ZERO,
             ..health::Options::default()
         };
         Self {
@@ -133,7 +133,7 @@
 
     /// Lets the first that waits look again, and the first whose prompt is in the cache of the
     /// upstream that has `freed` a place.
-    fn wake(&self, freed: Option<trail::Upstream>) {
+    fn wake(&self, freed: Option<affinity::Upstream>) {
         let first = self.waiting.values().next();
         let warm = freed.and_then(|freed| self.waiting.values().find(|w| w.is_warm_at(freed)));
         for waiter in first.into_iter().chain(warm) {
@@ -147,12 +147,15 @@
     }
 
     fn tell_health(&mut self, now: Duration) {
-        let lines = self.upstreams.iter().map(|upstream| health::Listed {
-            upstream: upstream.listed.id.clone(),
-            leaving: false,
-        });
+        let lines = self
+            .upstreams
+            .iter()
+            .map(|upstream| health::ListedUpstream {
+                upstream: upstream.listed.id.clone(),
+                leaving: false,
+            });
         let lines: Vec<_> = lines.collect();
-        self.health.listed(now, &lines);
+        self.health.update_list(now, &lines);
     }
 }
 
@@ -163,10 +166,10 @@
     started: Instant,
     options: assign::Options,
     pace: pace::Options,
-    hold: hold::Options,
+    hold: wait_queue::Options,
     services: Mutex<HashMap<id::ServiceId, Arc<Mutex<Service>>>>,
     /// Where this entry sent sessions, or heard that others did.
-    trail: trail::Trail,
+    trail: affinity::Table,
     /// Whether the list was ever read.
     known: AtomicBool,
     /// The reads of the store that the list is from.
@@ -179,9 +182,13 @@
 
 /// Short hash of an upstream's id. Two of a few hundred may share one; each then looks as busy as
 /// both.
-pub fn short(id: &id::UpstreamId) -> trail::Upstream {
+pub fn short(id: &id::UpstreamId) -> affinity::Upstream {
     let hash = (xxh3::xxh3_64(id.as_bytes()) & 0xffff) as u16;
-    if hash == trail::NOWHERE { 1 } else { hash }
+    if hash == affinity::NO_UPSTREAM {
+        1
+    } else {
+        hash
+    }
 }
 
 impl Fleet {
@@ -193,9 +200,9 @@
             started: Instant::now(),
             options: assign::Options::default(),
             pace: pace::Options::default(),
-            hold: hold::Options::default(),
+            hold: wait_queue::Options::default(),
             services: Mutex::default(),
-            trail: trail::Trail::default(),
+            trail: affinity::Table::default(),
             known: AtomicBool::new(false),
             reads: Mutex::new(list::Reads::new(lapse)),
             proof: Proof::new(confirm),
@@ -266,13 +273,13 @@
     }
 
     /// Whether no turn of a program is known to have run.
-    pub fn is_new(&self, lineage: &trail::Lineage) -> bool {
-        lineage.program.is_some() && self.trail.last(lineage).program.is_none()
+    pub fn is_new(&self, lineage: &affinity::Lineage) -> bool {
+        lineage.program.is_some() && self.trail.last_upstreams(lineage).program.is_none()
     }
 
     /// Where turns of `lineage` ran last, as a replica tells it: newer than what this entry knows
     /// if the last one came in through another.
-    pub fn told_last(&self, lineage: &trail::Lineage, last: trail::Last) {
-        self.trail.learn(lineage, last);
+    pub fn told_last(&self, lineage: &affinity::Lineage, last: affinity::LastUpstreams) {
+        self.trail.merge(lineage, last);
     }
 }
--- a/fw-gate/tests/gate/upstream_list.rs
+++ b/fw-gate/tests/gate/upstream_list.rs
@@ -3,21 +3,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fw_gate::process::fleet::{self, Change, Fleet, List, Listed, Load, Want, Warmth};
-use fw_plan::health::Seen;
+use fw_gate::process::fleet::{self, Change, Fleet, List, ListedUpstream, Load, Want, Warmth};
+use fw_plan::health::Observation;
 use fw_plan::{confirm, lapse};
-use fw_replica::trail;
+use fw_replica::affinity;
 use googletest::prelude::*;
 
-pub(crate) fn listed(id: &str) -> Listed {
-    Listed {
+pub(crate) fn listed(id: &str) -> ListedUpstream {
+    ListedUpstream {
         id: id.into(),
         service: "s".into(),
         addr: ([127, 0, 0, 1], 1).into(),
         place: "a".into(),
         slots: 2,
         takes_work: true,
-        born: 1,
+        started_at: 1,
     }
 }
 
@@ -75,7 +75,10 @@
     let fleet = fleet();
     fleet.apply(read(1, 10_000), List::Whole(vec![listed("x")]));
     fleet.apply(read(2, 1_000), List::Whole(vec![listed("x")]));
-    fleet.apply(read(3, 500), List::Changes(vec![Change::Gone("x".into())]));
+    fleet.apply(
+        read(3, 500),
+        List::Changes(vec![Change::Removed("x".into())]),
+    );
     expect_false!(is_used(&fleet));
 }
 
@@ -95,7 +98,7 @@
 #[gtest]
 fn takes_no_work_from_one_that_leaves_until_it_starts_anew() {
     let fleet = fleet();
-    let leaving = Listed {
+    let leaving = ListedUpstream {
         takes_work: false,
         ..listed("x")
     };
@@ -103,8 +106,8 @@
     fleet.put(leaving);
     fleet.put(listed("x"));
     expect_false!(is_used(&fleet));
-    fleet.put(Listed {
-        born: 2,
+    fleet.put(ListedUpstream {
+        started_at: 2,
         ..listed("x")
     });
     expect_true!(is_used(&fleet));
@@ -114,7 +117,7 @@
 fn sends_nothing_to_one_that_leaves_or_failed_the_call() {
     let fleet = fleet();
     fleet.put(listed("x"));
-    fleet.put(Listed {
+    fleet.put(ListedUpstream {
         takes_work: false,
         ..listed("y")
     });
@@ -140,7 +143,7 @@
     }
     for id in ["y", "z"] {
         let lease = fleet.again(&"s".into(), &id.into()).unwrap();
-        lease.seen(Seen::Down);
+        lease.seen(Observation::Down);
     }
     let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
     expect_that!(lease.id, eq("x"));
@@ -169,10 +172,10 @@
     for _ in 0..10 {
         let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
         expect_that!(lease.id, eq("y"));
-        lease.seen(Seen::Answered);
+        lease.seen(Observation::Answered);
     }
-    fleet.put(Listed {
-        born: 2,
+    fleet.put(ListedUpstream {
+        started_at: 2,
         ..listed("x")
     });
     let ids: Vec<_> = (0..40)
@@ -222,7 +225,7 @@
 }
 
 fn turn(session: Option<&str>) -> Want<'static> {
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: session.map(Into::into),
         program: Some("p".into()),
     };
@@ -250,12 +253,12 @@
     // anywhere, and the whole prompt was read again; on the larger site five of six turns missed
     // the engine that had it.
     let fleet = many();
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: Some("s".into()),
         program: None,
     };
     for id in ["u7", "u21"] {
-        let last = trail::Last {
+        let last = affinity::LastUpstreams {
             session: Some(fleet::short(&id.into())),
             program: None,
         };
@@ -270,7 +273,7 @@
     // Between two turns a program calls tools, whose requests name the same session and program.
     // They run at another service; where they ran says nothing about where the prompt is.
     let fleet = many();
-    let tools = Listed {
+    let tools = ListedUpstream {
         service: "tools".into(),
         ..listed("tool")
     };
@@ -316,11 +319,11 @@
     // nothing of it, and begin with the same prompt. All send them where the replicas say it ran.
     let began = many();
     let lease = began.choose(&"s".into(), &turn(Some("main"))).unwrap();
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: None,
         program: Some("p".into()),
     };
-    let last = trail::Last {
+    let last = affinity::LastUpstreams {
         session: None,
         program: Some(fleet::short(&lease.id)),
     };
@@ -338,17 +341,17 @@
     // within its request; its caller returns, through whichever entry. As its session ran there
     // before, every entry sent it there again, until the program had failed.
     let fleet = many();
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: Some("s".into()),
         program: Some("p".into()),
     };
     let broken = fleet::short(&"u7".into());
-    let ran = trail::Last {
+    let ran = affinity::LastUpstreams {
         session: Some(broken),
         program: Some(broken),
     };
     fleet.told_last(&lineage, ran);
-    fleet.told_last(&lineage, trail::Last::nowhere());
+    fleet.told_last(&lineage, affinity::LastUpstreams::no_upstream());
     let ids: Vec<_> = (0..20)
         .map(|_| fleet.choose(&"s".into(), &turn(Some("s"))).unwrap())
         .collect();
--- a/fw-plan/examples/policy/sim/world.rs
+++ b/fw-plan/examples/policy/sim/world.rs
@@ -81,7 +81,7 @@
     Deliver(u64),
     Step(usize),
     Answer(u64, Duration, Option<engine::FinishedJob>),
-    Failed(u64, fw_plan::Refused),
+    Failed(u64, fw_plan::Refusal),
     Retry(u64),
     Expire(usize, usize),
     Report(usize),
@@ -289,12 +289,12 @@
             view
         };
         let mut health = health::Health::new(health::Options::default());
-        let listed = |name: &id::UpstreamId| health::Listed {
+        let listed = |name: &id::UpstreamId| health::ListedUpstream {
             upstream: name.clone(),
             leaving: false,
         };
         let list: Vec<_> = names[..shape.engines].iter().map(listed).collect();
-        health.listed(Duration::ZERO, &list);
+        health.update_list(Duration::ZERO, &list);
         Self {
             admit: admit::Controller::new(policy.admit.clone()),
             view: view(shape.engines),
@@ -314,8 +314,8 @@
     }
 }
 
-fn crashed() -> fw_plan::Refused {
-    fw_plan::Refused {
+fn crashed() -> fw_plan::Refusal {
+    fw_plan::Refusal {
         kind: error::Kind::UpstreamCrashed,
         retry_after: Duration::from_millis(100),
     }
--- a/fw-plan/src/admit.rs
+++ b/fw-plan/src/admit.rs
@@ -24,7 +24,7 @@
 use fw_base::error;
 use fw_base::id;
 
-use crate::toward;
+use crate::ewma;
 
 /// Class of a call, which selects the limit that applies to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -375,7 +375,7 @@
         let mean = self.delay_sum / self.delay_count;
         self.delay_sum = Duration::ZERO;
         self.delay_count = 0;
-        let smoothed = toward(self.delay.as_secs_f64(), mean.as_secs_f64(), 0.5);
+        let smoothed = ewma(self.delay.as_secs_f64(), mean.as_secs_f64(), 0.5);
         self.delay = Duration::from_secs_f64(smoothed);
         self.limit = self
             .next_limit(peak, options)
--- a/fw-plan/src/lib.rs
+++ b/fw-plan/src/lib.rs
@@ -32,7 +32,6 @@
 pub mod confirm;
 pub mod health;
 pub mod hedge;
-pub mod hold;
 pub mod lapse;
 pub mod lookup;
 pub mod pace;
@@ -45,10 +44,11 @@
 pub mod staleness;
 pub mod subset;
 pub mod takeover;
+pub mod wait_queue;
 
 /// A refusal: why, and when the same call may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct Refusal {
     /// Why.
     pub kind: error::Kind,
     /// When to try again, from now.
@@ -56,6 +56,6 @@
 }
 
 /// `part` of the way from `old` to `new`: one step of an exponentially weighted mean.
-pub(crate) fn toward(old: f64, new: f64, part: f64) -> f64 {
+pub(crate) fn ewma(old: f64, new: f64, part: f64) -> f64 {
     old + (new - old) * part
 }
--- a/fw-plan/src/place/view.rs
+++ b/fw-plan/src/place/view.rs
@@ -8,7 +8,7 @@
 
 use super::Load;
 use super::Options;
-use crate::toward;
+use crate::ewma;
 
 /// Index of an upstream in its view.
 pub(super) type UpstreamIndex = u32;
@@ -239,7 +239,7 @@
     /// run there.
     pub fn record_finished(&mut self, upstream: &id::UpstreamId, engine: Option<Duration>) {
         if let Some(engine) = engine {
-            self.turn_time = toward(self.turn_time, engine.as_secs_f64(), SMOOTHING);
+            self.turn_time = ewma(self.turn_time, engine.as_secs_f64(), SMOOTHING);
         }
         if let Some(index) = self.index(upstream) {
             let upstream = &mut self.upstreams[index];
@@ -364,7 +364,7 @@
         let own = self.outstanding.saturating_sub(self.sent.len() as u32);
         let others = (reported - f64::from(own)).max(0.0);
         let before = self.others_load.unwrap_or(others);
-        self.others_load = Some(toward(before, others, REPORT_SMOOTHING));
+        self.others_load = Some(ewma(before, others, REPORT_SMOOTHING));
     }
 
     pub(super) fn prefill_time(&self, tokens: id::Tokens) -> f64 {
--- a/fw-plan/src/queue.rs
+++ b/fw-plan/src/queue.rs
@@ -31,8 +31,8 @@
 use fw_base::error;
 use fw_base::id;
 
-use crate::Refused;
-use crate::toward;
+use crate::Refusal;
+use crate::ewma;
 
 /// Parameters of the order and the bounds of the queue.
 #[derive(Clone, Debug)]
@@ -223,7 +223,7 @@
     ///
     /// `QueueFull`, `ShareExceeded` or `DeadlineUnmeetable`, each with a time to retry. The job did
     /// not run.
-    pub fn push(&mut self, now: Duration, job: Job) -> Result<(), Refused> {
+    pub fn push(&mut self, now: Duration, job: Job) -> Result<(), Refusal> {
         if self.jobs.contains_key(&job.id) {
             return Ok(());
         }
@@ -291,7 +291,7 @@
     pub fn finished(&mut self, team: &id::TeamId, engine_time: Duration) {
         let charged = self.job_time;
         let used = engine_time.as_secs_f64();
-        self.job_time = toward(self.job_time, used, SMOOTHING);
+        self.job_time = ewma(self.job_time, used, SMOOTHING);
         let Some(&index) = self.team_indices.get(team) else {
             return;
         };
@@ -305,10 +305,10 @@
         self.set_virtual_time(index, after);
     }
 
-    fn check_admission(&self, job: &Job) -> Result<(), Refused> {
+    fn check_admission(&self, job: &Job) -> Result<(), Refusal> {
         let delay = self.expected_delay();
         let refuse = |kind| {
-            Err(Refused {
+            Err(Refusal {
                 kind,
                 retry_after: delay.max(Duration::from_millis(100)),
             })
@@ -393,7 +393,7 @@
             return id;
         };
         let waited = now.saturating_sub(waiting.pushed).as_secs_f64();
-        self.mean_wait = toward(self.mean_wait, waited, SMOOTHING);
+        self.mean_wait = ewma(self.mean_wait, waited, SMOOTHING);
         self.update_release_interval(now);
         let team = &self.teams[waiting.team];
         self.virtual_now = self.virtual_now.max(team.virtual_time);
@@ -407,7 +407,7 @@
     fn update_release_interval(&mut self, now: Duration) {
         if let Some(before) = self.last_release {
             let interval = now.saturating_sub(before).as_secs_f64();
-            self.release_interval = toward(self.release_interval, interval, SMOOTHING);
+            self.release_interval = ewma(self.release_interval, interval, SMOOTHING);
         }
         self.last_release = (!self.jobs.is_empty()).then_some(now);
     }
