--- a/fw-plan/benches/plan.rs
+++ b/fw-plan/benches/plan.rs
@@ -26,7 +26,7 @@
     format!("team-{index}").into()
 }
 
-fn placing(criterion: &mut Criterion) {
+fn placement(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("place");
     for size in [9, 120, 1_200, 12_000] {
         let view = view(size);
@@ -109,7 +109,7 @@
     group.finish();
 }
 
-fn queueing(criterion: &mut Criterion) {
+fn queue_operations(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("queue");
     for waiting in [10, 100, 1_000, 10_000] {
         let mut queue = queue::Queue::new(queue::Options {
@@ -147,7 +147,7 @@
     queue.push(now, job).expect("the queue has room");
 }
 
-fn watching(criterion: &mut Criterion) {
+fn subset_selection(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("subset");
     group.sample_size(10);
     for entries in [3, 38, 120, 380] {
@@ -173,9 +173,9 @@
         .warm_up_time(time / 2)
         .measurement_time(time)
         .configure_from_args();
-    placing(&mut criterion);
+    placement(&mut criterion);
     admission(&mut criterion);
-    queueing(&mut criterion);
-    watching(&mut criterion);
+    queue_operations(&mut criterion);
+    subset_selection(&mut criterion);
     criterion.final_summary();
 }
--- a/fw-plan/examples/policy/trial.rs
+++ b/fw-plan/examples/policy/trial.rs
@@ -110,6 +110,6 @@
         "keep.latency" if value > 0.0 => policy.retention.weight = cache_retention::Weight::Latency,
         "keep.latency" => policy.retention.weight = cache_retention::Weight::Cache,
         "keep.pressure" => policy.retention.pressure = value,
-        _ => panic!("no option `{key}`"),
+        _ => panic!("unknown option `{key}`"),
     }
 }
--- a/fw-plan/src/place/choice.rs
+++ b/fw-plan/src/place/choice.rs
@@ -54,12 +54,12 @@
     }
 
     pub(super) fn best_holder(&self) -> Option<Candidate> {
-        let usable = |held: &&CachedPrefix| {
-            self.is_usable(held.upstream) && !self.avoid.contains(&held.upstream)
+        let usable = |prefix: &&CachedPrefix| {
+            self.is_usable(prefix.upstream) && !self.avoid.contains(&prefix.upstream)
         };
         let holders = self.cached.iter().filter(usable);
         holders
-            .map(|held| self.candidate(held.upstream))
+            .map(|prefix| self.candidate(prefix.upstream))
             .min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
@@ -149,8 +149,8 @@
     }
 
     fn cached_tokens(&self, index: UpstreamIndex) -> id::Tokens {
-        let held = self.cached.iter().find(|held| held.upstream == index);
-        held.map_or(0, |held| held.tokens)
+        let prefix = self.cached.iter().find(|prefix| prefix.upstream == index);
+        prefix.map_or(0, |prefix| prefix.tokens)
     }
 
     fn expected_output(&self) -> id::Tokens {
@@ -168,8 +168,8 @@
         uncached_tokens: id::Tokens,
     ) -> (Option<UpstreamIndex>, f64) {
         let prefill = upstream.prefill_time(uncached_tokens);
-        let others = self.cached.iter().filter(|held| held.upstream != index);
-        let Some(source) = others.max_by_key(|held| held.tokens) else {
+        let others = self.cached.iter().filter(|prefix| prefix.upstream != index);
+        let Some(source) = others.max_by_key(|prefix| prefix.tokens) else {
             return (None, prefill);
         };
         if self.options.export_rate == 0 {
--- a/fw-plan/src/place/view.rs
+++ b/fw-plan/src/place/view.rs
@@ -235,11 +235,11 @@
         upstream.outstanding += 1;
     }
 
-    /// Records that a sent call finished after `engine` time in the upstream; `None` if it did not
+    /// Records that a sent call finished after `engine_time` in the upstream; `None` if it did not
     /// run there.
-    pub fn record_finished(&mut self, upstream: &id::UpstreamId, engine: Option<Duration>) {
-        if let Some(engine) = engine {
-            self.turn_time = ewma(self.turn_time, engine.as_secs_f64(), SMOOTHING);
+    pub fn record_finished(&mut self, upstream: &id::UpstreamId, engine_time: Option<Duration>) {
+        if let Some(engine_time) = engine_time {
+            self.turn_time = ewma(self.turn_time, engine_time.as_secs_f64(), SMOOTHING);
         }
         if let Some(index) = self.index(upstream) {
             let upstream = &mut self.upstreams[index];
@@ -258,18 +258,18 @@
             return;
         };
         let index = to_index(index);
-        let held = self.caches.entry(program.clone()).or_default();
-        held.retain(|held| held.upstream != index);
+        let prefixes = self.caches.entry(program.clone()).or_default();
+        prefixes.retain(|prefix| prefix.upstream != index);
         if tokens > 0 {
-            if held.len() >= MAX_HOLDERS {
-                held.remove(0);
+            if prefixes.len() >= MAX_HOLDERS {
+                prefixes.remove(0);
             }
-            held.push(CachedPrefix {
+            prefixes.push(CachedPrefix {
                 upstream: index,
                 tokens,
             });
         }
-        if held.is_empty() {
+        if prefixes.is_empty() {
             self.caches.remove(program);
         }
     }
@@ -285,18 +285,20 @@
             return;
         };
         let index = to_index(index);
-        self.caches.retain(|_, held| {
-            held.retain(|held| held.upstream != index);
-            !held.is_empty()
+        self.caches.retain(|_, prefixes| {
+            prefixes.retain(|prefix| prefix.upstream != index);
+            !prefixes.is_empty()
         });
     }
 
     /// Tokens of a program's history that an upstream probably has cached.
     pub fn cached_tokens(&self, program: &id::ProgramId, upstream: &id::UpstreamId) -> id::Tokens {
-        let held = self.caches.get(program).map_or(&[][..], Vec::as_slice);
+        let prefixes = self.caches.get(program).map_or(&[][..], Vec::as_slice);
         self.index(upstream).map_or(0, |index| {
-            let held = held.iter().find(|held| held.upstream as usize == index);
-            held.map_or(0, |held| held.tokens)
+            let prefix = prefixes
+                .iter()
+                .find(|prefix| prefix.upstream as usize == index);
+            prefix.map_or(0, |prefix| prefix.tokens)
         })
     }
 
--- a/fw-plan/src/queue.rs
+++ b/fw-plan/src/queue.rs
@@ -360,8 +360,8 @@
             0 => self.options.default_batch,
             batch => batch,
         };
-        let notice = running.step.as_secs_f64() * self.options.refill_steps;
-        let slack = f64::from(batch) * notice / self.job_time.max(f64::EPSILON);
+        let refill_time = running.step.as_secs_f64() * self.options.refill_steps;
+        let slack = f64::from(batch) * refill_time / self.job_time.max(f64::EPSILON);
         batch + (slack.ceil() as u32).clamp(1, batch.max(1))
     }
 
--- a/fw-plan/src/takeover.rs
+++ b/fw-plan/src/takeover.rs
@@ -76,7 +76,7 @@
     Serve,
     /// It may, without the turns that this many holders may have.
     ServeWithout(usize),
-    /// Not before this many holders have reported; 0 if no list of sides has been received.
+    /// Not before this many holders have reported; 0 if only the list of sides is missing.
     Wait(usize),
 }
 
@@ -124,7 +124,7 @@
 
     /// Whether it has reported all that it holds since `since`.
     fn has_reported(&self, since: Instant) -> bool {
-        self.last_answered.is_some_and(|heard| heard > since) && !self.has_pending_turns
+        self.last_answered.is_some_and(|sent| sent > since) && !self.has_pending_turns
     }
 
     fn is_awaited(&self, now: Instant, since: Instant, options: &Options) -> bool {
