--- a/fw-plan/examples/policy/page.rs
+++ b/fw-plan/examples/policy/page.rs
@@ -91,7 +91,7 @@
             .find(|row| row.cell.policy.name == policy && row.cell.load == load);
         &found.expect("every policy runs at every load").stats
     };
-    let ours = |load| of(policy::PRODUCT, load);
+    let product = |load| of(policy::PRODUCT, load);
     let fewest = of("fewest outstanding, FCFS", 0.95);
     writeln!(text, "| goal | bound | measured | |\n|---|--:|--:|---|")?;
     let mut line = |goal: &str, bound: f64, value: f64| {
@@ -101,12 +101,12 @@
     line(
         "program p95 at 95 % against fewest outstanding, FCFS",
         0.5,
-        ours(0.95).program_latency(0.95) / fewest.program_latency(0.95),
+        product(0.95).program_latency(0.95) / fewest.program_latency(0.95),
     )?;
     line(
         "the same without tool pauses",
         0.5,
-        ours(0.95).latency_without_pauses(0.95) / fewest.latency_without_pauses(0.95),
+        product(0.95).latency_without_pauses(0.95) / fewest.latency_without_pauses(0.95),
     )?;
     for load in crate::LOADS.into_iter().filter(|load| *load != 1.0) {
         let percent = load * 100.0;
@@ -115,7 +115,7 @@
         let others = others.filter(|row| row.cell.policy.name != policy::NO_BUDGET);
         let p95 = others.map(|row| row.stats.program_latency(0.95));
         let best = p95.fold(f64::INFINITY, f64::min);
-        let own = ours(load).program_latency(0.95);
+        let own = product(load).program_latency(0.95);
         line(
             &format!("program p95 at {percent:.0} % against the best other baseline"),
             1.0,
@@ -131,22 +131,22 @@
     line(
         "wasted cache at 95 % against cache-blind",
         1.0 / 3.0,
-        ours(0.95).wasted_fraction() / of("cache-blind", 0.95).wasted_fraction(),
+        product(0.95).wasted_fraction() / of("cache-blind", 0.95).wasted_fraction(),
     )?;
     line(
         "goodput at 100 % against that at 200 %, programs",
         1.0 / 0.95,
-        ours(1.0).goodput() / ours(2.0).goodput(),
+        product(1.0).goodput() / product(2.0).goodput(),
     )?;
     line(
         "the same in turns of finished programs",
         1.0 / 0.95,
-        ours(1.0).finished_turns() / ours(2.0).finished_turns(),
+        product(1.0).finished_turns() / product(2.0).finished_turns(),
     )?;
     line(
         "plain p99 at 200 % against 50 %",
         1.5,
-        ours(2.0).plain_latency(0.99) / ours(0.5).plain_latency(0.99),
+        product(2.0).plain_latency(0.99) / product(0.5).plain_latency(0.99),
     )?;
     writeln!(text)
 }
--- a/fw-plan/examples/policy/sim/stats.rs
+++ b/fw-plan/examples/policy/sim/stats.rs
@@ -46,7 +46,7 @@
     pub recomputed: id::Tokens,
     /// Attempts sent to each upstream.
     pub by_upstream: Vec<u64>,
-    pub measured: Duration,
+    pub measured_time: Duration,
 }
 
 impl Stats {
@@ -71,7 +71,7 @@
             reusable: 0,
             recomputed: 0,
             by_upstream: vec![0; upstreams],
-            measured: Duration::ZERO,
+            measured_time: Duration::ZERO,
         }
     }
 
@@ -108,7 +108,7 @@
         self.turns += other.turns;
         self.reusable += other.reusable;
         self.recomputed += other.recomputed;
-        self.measured += other.measured;
+        self.measured_time += other.measured_time;
     }
 
     /// Program latency at a quantile, in seconds.
@@ -123,7 +123,7 @@
 
     /// Turns of finished programs per second.
     pub fn finished_turns(&self) -> f64 {
-        self.finished_turns as f64 / self.measured.as_secs_f64()
+        self.finished_turns as f64 / self.measured_time.as_secs_f64()
     }
 
     /// Latency of plain requests at a quantile, in milliseconds.
@@ -133,7 +133,7 @@
 
     /// Finished programs per second.
     pub fn goodput(&self) -> f64 {
-        self.finished as f64 / self.measured.as_secs_f64()
+        self.finished as f64 / self.measured_time.as_secs_f64()
     }
 
     /// Attempts sent per admitted turn.
--- a/fw-plan/examples/policy/sim/world.rs
+++ b/fw-plan/examples/policy/sim/world.rs
@@ -97,7 +97,7 @@
 struct Entry {
     admit: admit::Controller,
     view: place::View,
-    plain: place::View,
+    plain_view: place::View,
     budget: retry::Budget,
     health: health::Health,
     outstanding: Vec<u32>,
@@ -143,7 +143,7 @@
     rng: Pcg64,
     entries: Vec<Entry>,
     sides: Vec<side::Side>,
-    plains: Vec<plain::Upstream>,
+    plain_upstreams: Vec<plain::Upstream>,
     names: Vec<id::UpstreamId>,
     teams: Vec<id::TeamId>,
     place: id::PlaceId,
@@ -183,7 +183,7 @@
             sides: (0..shape.engines)
                 .map(|_| side::Side::new(policy.queue.clone()))
                 .collect(),
-            plains: (0..shape.plain)
+            plain_upstreams: (0..shape.plain)
                 .map(|_| plain::Upstream::default())
                 .collect(),
             teams: (0..shape.teams).map(teams).collect(),
@@ -202,7 +202,7 @@
     }
 
     fn start(&mut self) {
-        for engine in 0..self.sides.len().max(self.plains.len()) {
+        for engine in 0..self.sides.len().max(self.plain_upstreams.len()) {
             // Reports of different sides are staggered.
             self.schedule(
                 HEARTBEAT.mul_f64(engine as f64 / 9.0),
@@ -238,7 +238,7 @@
     /// Records the programs that are still running with their latency so far. Leaving them out
     /// would make a policy look better the longer its queues grow.
     fn count_unfinished(&mut self) {
-        self.stats.measured = self.setup.end - self.setup.measure_from;
+        self.stats.measured_time = self.setup.end - self.setup.measure_from;
         let left = self.programs.iter().filter(|program| !program.is_done);
         let left = left.filter(|program| self.in_cohort(program));
         let left: Vec<_> = left.map(|program| (program.at, program.paused)).collect();
@@ -298,7 +298,7 @@
         Self {
             admit: admit::Controller::new(policy.admit.clone()),
             view: view(shape.engines),
-            plain: view(shape.plain),
+            plain_view: view(shape.plain),
             budget: retry::Budget::new(policy.retry.clone()),
             health,
             outstanding: vec![0; shape.engines],
@@ -314,7 +314,7 @@
     }
 }
 
-fn crashed() -> fw_plan::Refusal {
+fn crash_refusal() -> fw_plan::Refusal {
     fw_plan::Refusal {
         kind: error::Kind::UpstreamCrashed,
         retry_after: Duration::from_millis(100),
--- a/fw-plan/examples/policy/sim/world/plains.rs
+++ b/fw-plan/examples/policy/sim/world/plains.rs
@@ -19,7 +19,7 @@
         if self.now >= self.setup.last_arrival {
             return;
         }
-        let capacity = self.plains.len() as f64 * plain::SLOTS as f64 / plain::SERVICE;
+        let capacity = self.plain_upstreams.len() as f64 * plain::SLOTS as f64 / plain::SERVICE;
         let rate = capacity * self.setup.plain_load;
         let gap = trace::exponential(1.0 / rate, &mut self.rng);
         self.schedule(Duration::from_secs_f64(gap), Event::PlainArrive);
@@ -45,7 +45,7 @@
         let entry = &mut self.entries[entry];
         entry.plain_outstanding[req.upstream] += 1;
         entry
-            .plain
+            .plain_view
             .record_sent(&self.names[req.upstream], 0, self.now);
         self.schedule(NETWORK_DELAY, Event::PlainDeliver(req));
     }
@@ -67,7 +67,7 @@
     }
 
     pub(super) fn plain_choose(&mut self, entry: usize) -> usize {
-        let count = self.plains.len();
+        let count = self.plain_upstreams.len();
         let entry = &mut self.entries[entry];
         match self.setup.policy.placement {
             policy::Place::Random => self.rng.random_range(0..count),
@@ -87,7 +87,7 @@
                     avoid: &[],
                 };
                 let options = &self.setup.policy.choose;
-                let outcome = place::choose(&entry.plain, &req, options, &mut self.rng);
+                let outcome = place::choose(&entry.plain_view, &req, options, &mut self.rng);
                 let chosen = outcome.map(|outcome| outcome.upstream);
                 let position = |id| self.names.iter().position(|name| *name == id);
                 chosen.and_then(position).unwrap_or(0)
@@ -98,18 +98,18 @@
     pub(super) fn plain_deliver(&mut self, mut req: plain::Request) {
         req.reached = self.now;
         let upstream = req.upstream;
-        self.plains[upstream].push(req);
+        self.plain_upstreams[upstream].push(req);
         self.plain_start(upstream);
     }
 
     pub(super) fn plain_start(&mut self, upstream: usize) {
-        if let Some(req) = self.plains[upstream].start(self.now) {
+        if let Some(req) = self.plain_upstreams[upstream].start(self.now) {
             self.schedule(req.service, Event::PlainDone(req));
         }
     }
 
     pub(super) fn plain_done(&mut self, req: plain::Request) {
-        self.plains[req.upstream].finish();
+        self.plain_upstreams[req.upstream].finish();
         self.plain_start(req.upstream);
         self.schedule(NETWORK_DELAY, Event::PlainAnswer(req));
     }
@@ -118,7 +118,7 @@
         let entry = &mut self.entries[req.entry];
         entry.plain_outstanding[req.upstream] -= 1;
         entry
-            .plain
+            .plain_view
             .record_finished(&self.names[req.upstream], Some(req.service));
         if self.setup.policy.has_admission {
             let lane = admit::Lane::Plain;
--- a/fw-plan/examples/policy/sim/world/sides.rs
+++ b/fw-plan/examples/policy/sim/world/sides.rs
@@ -16,7 +16,7 @@
 use super::NETWORK_DELAY;
 use super::TURN_TIMEOUT;
 use super::World;
-use super::crashed;
+use super::crash_refusal;
 
 impl World {
     pub(super) fn deliver(&mut self, attempt: u64) {
@@ -28,7 +28,7 @@
         let upstream = record.upstream;
         let program = &self.programs[record.program];
         if !self.sides[upstream].engine.up {
-            return self.schedule(NETWORK_DELAY, Event::Failed(attempt, crashed()));
+            return self.schedule(NETWORK_DELAY, Event::Failed(attempt, crash_refusal()));
         }
         let turn = &program.turns[program.turn];
         let fails = self.rng.random_bool(self.failure_rate);
@@ -93,7 +93,7 @@
         side.finished(attempt, team, self.now - finished.started);
         side.pause(self.now, index);
         if finished.failed {
-            return self.schedule(NETWORK_DELAY, Event::Failed(attempt, crashed()));
+            return self.schedule(NETWORK_DELAY, Event::Failed(attempt, crash_refusal()));
         }
         let waited = finished.started - self.attempts[attempt as usize].arrived;
         let answer = Event::Answer(attempt, waited, Some(finished));
@@ -132,10 +132,12 @@
             // The engine's own report is older than the heartbeat that carries it.
             self.schedule(NETWORK_DELAY + load.age, Event::Load(index, load));
         }
-        if let Some(plain) = self.plains.get(index) {
+        if let Some(plain) = self.plain_upstreams.get(index) {
             let load = plain.load();
             for entry in &mut self.entries {
-                entry.plain.update_load(&self.names[index], load, self.now);
+                entry
+                    .plain_view
+                    .update_load(&self.names[index], load, self.now);
             }
         }
         self.schedule(HEARTBEAT, Event::Report(index));
@@ -169,7 +171,7 @@
                 self.sides[engine].engine.up = false;
                 self.sides[engine].engine.stepping = false;
                 for work in self.sides[engine].crash() {
-                    self.schedule(NETWORK_DELAY, Event::Failed(work.attempt, crashed()));
+                    self.schedule(NETWORK_DELAY, Event::Failed(work.attempt, crash_refusal()));
                 }
                 for entry in &mut self.entries {
                     entry.view.clear_cache(&self.names[engine]);
--- a/fw-plan/tests/plan/burst.rs
+++ b/fw-plan/tests/plan/burst.rs
@@ -14,12 +14,12 @@
 #[gtest]
 fn is_absorbed_or_refused_at_once() {
     let burst = burst();
-    let programs = workload::join(workload::programs(0.5), burst);
-    let stats = world::run(workload::setup(workload::ours(), programs));
+    let programs = workload::merge(workload::programs(0.5), burst);
+    let stats = world::run(workload::setup(workload::product_policy(), programs));
     expect_that!(stats.lost_fraction(), eq(0.0));
     expect_that!(stats.unfinished, eq(0));
     expect_that!(stats.slowest_refusal, le(Duration::from_secs(2)));
-    let quiet = workload::run(workload::ours(), 0.5);
+    let quiet = workload::run(workload::product_policy(), 0.5);
     expect_that!(
         stats.program_latency(0.5),
         le(quiet.program_latency(0.5) * 3.0)
--- a/fw-plan/tests/plan/hot_caller.rs
+++ b/fw-plan/tests/plan/hot_caller.rs
@@ -18,9 +18,9 @@
         .into_iter()
         .filter(|spec| spec.at >= workload::MEASURE_FROM);
     let arrived = arrived.count() as f64;
-    let ours = world::run(workload::setup(workload::ours(), both()));
-    expect_that!(ours.finished_by_team[QUIET] as f64, ge(arrived * 0.9));
-    expect_that!(ours.finished_by_team[HOT], ge(1));
+    let product = world::run(workload::setup(workload::product_policy(), hot_and_quiet()));
+    expect_that!(product.finished_by_team[QUIET] as f64, ge(arrived * 0.9));
+    expect_that!(product.finished_by_team[HOT], ge(1));
 }
 
 #[gtest]
@@ -30,13 +30,13 @@
         .filter(|spec| spec.at >= workload::MEASURE_FROM);
     let arrived = arrived.count() as f64;
     let policy = workload::baseline("fewest outstanding, FCFS");
-    let without = world::run(workload::setup(policy, both()));
+    let without = world::run(workload::setup(policy, hot_and_quiet()));
     expect_that!(without.finished_by_team[QUIET] as f64, le(arrived * 0.7));
 }
 
-fn both() -> Vec<trace::Spec> {
+fn hot_and_quiet() -> Vec<trace::Spec> {
     let hot = of_team(workload::shape().programs(3.0, workload::END, 1), HOT);
-    workload::join(hot, quiet())
+    workload::merge(hot, quiet())
 }
 
 fn quiet() -> Vec<trace::Spec> {
--- a/fw-plan/tests/plan/long_jobs.rs
+++ b/fw-plan/tests/plan/long_jobs.rs
@@ -20,14 +20,17 @@
         turns: vec![turn(100_000)],
     };
     let long: Vec<_> = (0..55).map(at).collect();
-    let programs = workload::join(workload::programs(0.4), long);
-    let ours = world::run(workload::setup(workload::ours(), programs.clone()));
+    let programs = workload::merge(workload::programs(0.4), long);
+    let product = world::run(workload::setup(
+        workload::product_policy(),
+        programs.clone(),
+    ));
     let policy = workload::baseline("fewest outstanding, FCFS");
     let fewest = world::run(workload::setup(policy, programs));
-    expect_that!(ours.lost_fraction(), eq(0.0));
-    expect_that!(ours.unfinished, eq(0));
+    expect_that!(product.lost_fraction(), eq(0.0));
+    expect_that!(product.unfinished, eq(0));
     expect_that!(
-        ours.latency_without_pauses(0.95),
+        product.latency_without_pauses(0.95),
         le(fewest.latency_without_pauses(0.95) * 0.7)
     );
 }
--- a/fw-plan/tests/plan/overload.rs
+++ b/fw-plan/tests/plan/overload.rs
@@ -22,8 +22,8 @@
 }
 
 fn check(load: f64) {
-    let full = workload::run(workload::ours(), 1.0);
-    let over = workload::run(workload::ours(), load);
+    let full = workload::run(workload::product_policy(), 1.0);
+    let over = workload::run(workload::product_policy(), load);
     expect_that!(over.goodput(), ge(full.goodput() * 0.95));
     expect_that!(over.lost_fraction(), le(0.01));
     expect_that!(over.refused_fraction(), ge(0.3));
@@ -45,7 +45,7 @@
         let programs = workload::programs(load);
         world::run(world::Setup {
             plain_load: load,
-            ..workload::setup(workload::ours(), programs)
+            ..workload::setup(workload::product_policy(), programs)
         })
     };
     let (half, double) = (at(0.5), at(2.0));
--- a/fw-plan/tests/plan/slow_upstream.rs
+++ b/fw-plan/tests/plan/slow_upstream.rs
@@ -24,14 +24,14 @@
 #[gtest]
 fn gets_less_work_and_is_still_used() {
     let slow = vec![(Duration::ZERO, world::Fault::Slow(0, 3.0))];
-    let ours = run(workload::ours(), slow);
-    let all: u64 = ours.by_upstream.iter().sum();
-    let part = ours.by_upstream[0] as f64 / all as f64;
+    let product = run(workload::product_policy(), slow);
+    let all: u64 = product.by_upstream.iter().sum();
+    let part = product.by_upstream[0] as f64 / all as f64;
     expect_that!(part, all!(gt(0.02), lt(0.25)));
-    expect_that!(ours.lost_fraction(), le(0.01));
-    let healthy = run(workload::ours(), Vec::new());
+    expect_that!(product.lost_fraction(), le(0.01));
+    let healthy = run(workload::product_policy(), Vec::new());
     expect_that!(
-        ours.program_latency(0.95),
+        product.program_latency(0.95),
         le(healthy.program_latency(0.95) * 1.6)
     );
 }
@@ -47,9 +47,9 @@
         [crash, up]
     };
     let script: Vec<_> = (0..60).step_by(8).flat_map(flap).collect();
-    let ours = run(workload::ours(), script.clone());
-    expect_that!(ours.lost_fraction(), le(0.005));
+    let product = run(workload::product_policy(), script.clone());
+    expect_that!(product.lost_fraction(), le(0.005));
     let policy = workload::baseline("fewest outstanding, FCFS");
     let fewest = run(policy, script);
-    expect_that!(ours.goodput(), ge(fewest.goodput()));
+    expect_that!(product.goodput(), ge(fewest.goodput()));
 }
--- a/fw-plan/tests/plan/workload.rs
+++ b/fw-plan/tests/plan/workload.rs
@@ -43,7 +43,7 @@
     shape().programs(load, END, 1)
 }
 
-pub fn ours() -> policy::Policy {
+pub fn product_policy() -> policy::Policy {
     policy::Policy::product(&shape())
 }
 
@@ -66,7 +66,7 @@
 }
 
 /// Merges two traces in order of arrival.
-pub fn join(mut one: Vec<trace::Spec>, other: Vec<trace::Spec>) -> Vec<trace::Spec> {
+pub fn merge(mut one: Vec<trace::Spec>, other: Vec<trace::Spec>) -> Vec<trace::Spec> {
     one.extend(other);
     one.sort_by_key(|spec| spec.at);
     one
