--- a/fw-plan/examples/policy/main.rs
+++ b/fw-plan/examples/policy/main.rs
@@ -1,8 +1,8 @@
-//! Measures the decisions against their baselines in a small queueing loop.
+//! Measures the decisions against their baselines in a small queueing simulation.
 //!
-//! `cargo run --release -p fw-plan --example policy` runs all and writes the measured part of
-//! `docs/POLICY.md` and its plot. With arguments such as `admit.target=0.05 load=0.95` it runs the
-//! product's policy alone with these options and prints what came of it.
+//! `cargo run --release -p fw-plan --example policy` runs everything and writes the measured part
+//! of `docs/POLICY.md` and its plot. With arguments such as `admit.target=0.05 load=0.95` it runs
+//! only the product's policy with these options and prints the results.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -22,22 +22,22 @@
 
 /// Offered load as a multiple of capacity.
 const LOADS: [f64; 6] = [0.5, 0.8, 0.95, 1.0, 1.2, 2.0];
-/// Each cell without faults is run with these, and the sums are added.
+/// Each cell without faults is run with each of these seeds, and the results are added up.
 const SEEDS: [u64; 2] = [1, 2];
 const THREADS: usize = 4;
-/// Programs that arrive from `WARM` to `LAST` are followed until `END`.
-const WARM: Duration = Duration::from_secs(60);
-const LAST: Duration = Duration::from_secs(140);
+/// Programs that arrive from `MEASURE_FROM` to `LAST_ARRIVAL` are followed until `END`.
+const MEASURE_FROM: Duration = Duration::from_secs(60);
+const LAST_ARRIVAL: Duration = Duration::from_secs(140);
 const END: Duration = Duration::from_secs(230);
 
-/// Load at which faults are brought about.
+/// Load at which faults are injected.
 const FAULT_LOAD: f64 = 0.8;
 
-/// What happens to the engines.
+/// Condition of the engines during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Scene {
+enum Scenario {
     Steady,
-    /// Each step of one engine takes three times as long, all the time.
+    /// Each step of one engine takes three times as long, during the whole run.
     Slow,
     /// One engine crashes every 8 s and is back 4 s later.
     Flap,
@@ -51,17 +51,17 @@
     shape: trace::Shape,
     policy: policy::Policy,
     load: f64,
-    scene: Scene,
+    scenario: Scenario,
 }
 
-/// What a cell gave.
+/// Results of a cell.
 #[derive(Clone, Debug)]
 struct Row {
     cell: Cell,
     stats: stats::Stats,
 }
 
-impl Scene {
+impl Scenario {
     const FAULTS: [Self; 3] = [Self::Slow, Self::Flap, Self::Storm];
 
     fn name(self) -> &'static str {
@@ -73,20 +73,23 @@
         }
     }
 
-    fn script(self) -> Vec<(Duration, world::Action)> {
+    fn script(self) -> Vec<(Duration, world::Fault)> {
         match self {
             Self::Steady => Vec::new(),
-            Self::Slow => vec![(Duration::ZERO, world::Action::Slow(0, 3.0))],
+            Self::Slow => vec![(Duration::ZERO, world::Fault::Slow(0, 3.0))],
             Self::Storm => {
                 let second = Duration::from_secs;
-                let storm = (second(90), world::Action::Fails(0.5));
-                vec![storm, (second(110), world::Action::Fails(world::FAILS))]
+                let storm = (second(90), world::Fault::FailureRate(0.5));
+                vec![
+                    storm,
+                    (second(110), world::Fault::FailureRate(world::FAILURE_RATE)),
+                ]
             }
             Self::Flap => (0..END.as_secs())
                 .step_by(8)
                 .flat_map(|second| {
-                    let crash = (Duration::from_secs(second), world::Action::Crash(0));
-                    let up = (Duration::from_secs(second + 4), world::Action::Up(0));
+                    let crash = (Duration::from_secs(second), world::Fault::Crash(0));
+                    let up = (Duration::from_secs(second + 4), world::Fault::Up(0));
                     [crash, up]
                 })
                 .collect(),
@@ -111,10 +114,10 @@
     let mut cells = Vec::new();
     for shape in [trace::SURATWALA, trace::FAIRGROUND] {
         for policy in policy::Policy::all(&shape) {
-            let steady = LOADS.map(|load| (load, Scene::Steady));
-            let faults = Scene::FAULTS.map(|scene| (FAULT_LOAD, scene));
-            for (load, scene) in steady.into_iter().chain(faults) {
-                // At 100 % only the product's own goodput is asked for.
+            let steady = LOADS.map(|load| (load, Scenario::Steady));
+            let faults = Scenario::FAULTS.map(|scenario| (FAULT_LOAD, scenario));
+            for (load, scenario) in steady.into_iter().chain(faults) {
+                // At 100 % only the product's own goodput is needed.
                 if load == 1.0 && policy.name != policy::PRODUCT {
                     continue;
                 }
@@ -122,7 +125,7 @@
                     shape: shape.clone(),
                     policy: policy.clone(),
                     load,
-                    scene,
+                    scenario,
                 });
             }
         }
@@ -135,7 +138,7 @@
     let results = Mutex::new(vec![None; cells.len()]);
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
-            scope.spawn(|| work(cells, &next, &results));
+            scope.spawn(|| run_cells(cells, &next, &results));
         }
     });
     let results = results.into_inner().expect("no worker panicked");
@@ -143,14 +146,14 @@
     rows.map(|(cell, stats)| Row { cell, stats }).collect()
 }
 
-fn work(cells: &[Cell], next: &AtomicUsize, results: &Mutex<Vec<Option<stats::Stats>>>) {
+fn run_cells(cells: &[Cell], next: &AtomicUsize, results: &Mutex<Vec<Option<stats::Stats>>>) {
     while let Some((index, cell)) = {
         let index = next.fetch_add(1, Ordering::Relaxed);
         cells.get(index).map(|cell| (index, cell))
     } {
         let mut sum = stats::Stats::new(cell.shape.teams, cell.shape.engines);
-        let seeds = match cell.scene {
-            Scene::Steady => &SEEDS[..],
+        let seeds = match cell.scenario {
+            Scenario::Steady => &SEEDS[..],
             _ => &SEEDS[..1],
         };
         for seed in seeds.iter().copied() {
@@ -169,10 +172,10 @@
             programs: self.shape.programs(self.load, END, seed),
             plain_load: self.load,
             seed,
-            warm: WARM,
-            last: LAST,
+            measure_from: MEASURE_FROM,
+            last_arrival: LAST_ARRIVAL,
             end: END,
-            script: self.scene.script(),
+            script: self.scenario.script(),
         }
     }
 }
--- a/fw-plan/examples/policy/sim/policy.rs
+++ b/fw-plan/examples/policy/sim/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared: the product's, and the baselines.
+//! The policies that are compared: the product's and its baselines.
 
 use fw_plan::admit;
 use fw_plan::cache_retention;
@@ -10,20 +10,20 @@
 
 /// Name of the product's policy.
 pub const PRODUCT: &str = "foxtailweir";
-/// Name of the one that differs from it in retries only.
+/// Name of the baseline that differs from it in retries only.
 pub const NO_BUDGET: &str = "no retry budget";
 
-/// Where work goes.
+/// How upstreams are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
     Random,
     RoundRobin,
-    /// Fewest calls outstanding, as each entry counts them.
+    /// The one with the fewest outstanding calls, as each entry counts its own.
     Fewest,
-    /// Always to the cache; without one, fewest outstanding.
+    /// Always the one with the cache; without a cache, the one with the fewest outstanding calls.
     CacheOnly,
-    /// `place::choose`, without telling it of caches.
-    Blind,
+    /// `place::choose` without information about caches.
+    CacheBlind,
     /// `place::choose`.
     Delay,
 }
@@ -32,53 +32,55 @@
 #[derive(Clone, Debug)]
 pub struct Policy {
     pub name: &'static str,
-    pub place: Place,
-    /// `admit` at the entries and `queue` at the sides; else the engine takes all as they come.
-    pub ordered: bool,
-    /// `retry::Budget`; else failed attempts are sent again at once, up to ten times.
-    pub budget: bool,
-    /// `keep` and release of caches whose programs ended.
-    pub keep: bool,
+    pub placement: Place,
+    /// Whether `admit` runs at the entries and `queue` at the sides; otherwise the engines take
+    /// everything in order of arrival.
+    pub has_admission: bool,
+    /// Whether `retry::Budget` limits retries; otherwise failed attempts are repeated at once, up
+    /// to ten times.
+    pub has_retry_budget: bool,
+    /// Whether `cache_retention` frees caches, and caches of ended programs are released.
+    pub frees_caches: bool,
     pub admit: admit::Options,
     pub queue: queue::Options,
     pub choose: place::Options,
     pub retry: retry::Options,
-    pub caches: cache_retention::Options,
+    pub retention: cache_retention::Options,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
             name: PRODUCT,
-            place: Place::Delay,
-            ordered: true,
-            budget: true,
-            keep: true,
+            placement: Place::Delay,
+            has_admission: true,
+            has_retry_budget: true,
+            frees_caches: true,
             admit: admit::Options::default(),
             queue: queue::Options::default(),
             choose: place::Options::default(),
             retry: retry::Options::default(),
-            caches: cache_retention::Options::default(),
+            retention: cache_retention::Options::default(),
         }
     }
 }
 
 impl Policy {
-    fn bare(name: &'static str, place: Place) -> Self {
+    fn baseline(name: &'static str, placement: Place) -> Self {
         Self {
             name,
-            place,
-            ordered: false,
-            budget: true,
-            keep: false,
+            placement,
+            has_admission: false,
+            has_retry_budget: true,
+            frees_caches: false,
             ..Self::default()
         }
     }
 
-    /// The product's policy with what the user's records would set.
-    pub fn of(shape: &trace::Shape) -> Self {
+    /// The product's policy with the settings of the user's records.
+    pub fn product(shape: &trace::Shape) -> Self {
         Self {
-            caches: cache_retention::Options {
+            retention: cache_retention::Options {
                 weight: shape.weight,
                 ..cache_retention::Options::default()
             },
@@ -89,20 +91,20 @@
     /// The product's policy and its baselines, in the order of the table.
     pub fn all(shape: &trace::Shape) -> Vec<Self> {
         vec![
-            Self::of(shape),
-            Self::bare("random", Place::Random),
-            Self::bare("round robin", Place::RoundRobin),
-            Self::bare("fewest outstanding, FCFS", Place::Fewest),
-            Self::bare("cache-only, FCFS", Place::CacheOnly),
+            Self::product(shape),
+            Self::baseline("random", Place::Random),
+            Self::baseline("round robin", Place::RoundRobin),
+            Self::baseline("fewest outstanding, FCFS", Place::Fewest),
+            Self::baseline("cache-only, FCFS", Place::CacheOnly),
             Self {
                 name: "cache-blind",
-                place: Place::Blind,
-                ..Self::of(shape)
+                placement: Place::CacheBlind,
+                ..Self::product(shape)
             },
             Self {
                 name: NO_BUDGET,
-                budget: false,
-                ..Self::of(shape)
+                has_retry_budget: false,
+                ..Self::product(shape)
             },
         ]
     }
--- a/fw-plan/examples/policy/sim/world.rs
+++ b/fw-plan/examples/policy/sim/world.rs
@@ -1,4 +1,4 @@
-//! The loop: callers, entries, sides and engines under one policy.
+//! The event loop: callers, entries, sides and engines under one policy.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,83 +25,84 @@
 mod sides;
 
 /// One-way delay between any two processes.
-const NET: Duration = Duration::from_micros(500);
-/// How long plain requests run before they are measured.
+const NETWORK_DELAY: Duration = Duration::from_micros(500);
+/// Time that plain requests run before they are measured.
 const PLAIN_WARM: Duration = Duration::from_secs(20);
-/// How often sides report.
+/// Interval of the sides' load reports.
 const HEARTBEAT: Duration = Duration::from_millis(250);
 /// How long a caller waits for one turn.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// How often the caller of a new program tries.
-const TRIES: u32 = 3;
-/// Part of the attempts that fail in the engine.
-pub const FAILS: f64 = 0.002;
-/// Part of the cache events that are lost.
-const CACHE_GAPS: f64 = 0.05;
+const TURN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Attempts by the caller of a new program before it gives up.
+const MAX_TRIES: u32 = 3;
+/// Fraction of the attempts that fail in the engine.
+pub const FAILURE_RATE: f64 = 0.002;
+/// Fraction of the cache events that are lost.
+const CACHE_EVENT_LOSS: f64 = 0.05;
 /// Entries of each user.
 pub const ENTRIES: usize = 3;
-/// Attempts of one call without a retry budget.
-const MAX_INTERNAL_RETRIES: u32 = 10;
+/// Attempts of one call if there is no retry budget.
+const MAX_UNBUDGETED_ATTEMPTS: u32 = 10;
 
-/// What is run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub shape: trace::Shape,
     pub policy: policy::Policy,
     /// Programs, in order of arrival.
     pub programs: Vec<trace::Spec>,
-    /// Plain requests as a multiple of what their upstreams can serve.
+    /// Load of plain requests as a multiple of what their upstreams can serve.
     pub plain_load: f64,
     pub seed: u64,
-    /// Counts are taken from here to the end, latencies of the programs that arrive from here
-    pub warm: Duration,
-    /// to here.
-    pub last: Duration,
+    /// Start of the measurement: counts are taken from here to `end`, latencies of the programs
+    /// that arrive from here
+    pub measure_from: Duration,
+    /// until here.
+    pub last_arrival: Duration,
     pub end: Duration,
-    /// What happens to engines, and when.
-    pub script: Vec<(Duration, Action)>,
+    /// Faults of engines and when they occur.
+    pub script: Vec<(Duration, Fault)>,
 }
 
-/// Something that happens to an engine.
+/// A change in an engine's condition.
 #[derive(Clone, Copy, Debug)]
-pub enum Action {
-    /// Its steps take so many times as long from now on.
+pub enum Fault {
+    /// The engine's steps take this many times as long from now on.
     Slow(usize, f64),
     Crash(usize),
     Up(usize),
-    /// This part of the attempts fails in the engine from now on.
-    Fails(f64),
+    /// This fraction of the attempts fails in the engines from now on.
+    FailureRate(f64),
 }
 
 #[derive(Debug)]
 enum Event {
     Arrive(usize),
     Submit(usize),
-    Reach(u64),
+    Deliver(u64),
     Step(usize),
-    Answer(u64, Duration, Option<engine::Left>),
+    Answer(u64, Duration, Option<engine::FinishedJob>),
     Failed(u64, fw_plan::Refusal),
-    Again(u64),
+    Retry(u64),
     Expire(usize, usize),
     Report(usize),
     Load(usize, place::Load),
-    Cached(usize, usize, id::Tokens),
+    CacheChange(usize, usize, id::Tokens),
     PlainArrive,
-    PlainReach(plain::Request),
+    PlainDeliver(plain::Request),
     PlainDone(plain::Request),
     PlainAnswer(plain::Request),
-    Act(Action),
+    Apply(Fault),
 }
 
 struct Entry {
     admit: admit::Controller,
     view: place::View,
-    plain: place::View,
+    plain_view: place::View,
     budget: retry::Budget,
     health: health::Health,
     outstanding: Vec<u32>,
     plain_outstanding: Vec<u32>,
-    turn_about: usize,
+    next_round_robin: usize,
 }
 
 struct Program {
@@ -116,13 +117,13 @@
     turn: usize,
     history: id::Tokens,
     attained: Duration,
-    /// When the present turn was first sent.
-    asked: Duration,
+    /// When the current turn was first sent.
+    requested_at: Duration,
     tries: u32,
     started: bool,
     attempt: Option<u64>,
-    last: Option<usize>,
-    over: bool,
+    last_upstream: Option<usize>,
+    is_done: bool,
 }
 
 struct Attempt {
@@ -131,7 +132,7 @@
     number: u32,
     lane: admit::Lane,
     arrived: Duration,
-    over: bool,
+    is_done: bool,
 }
 
 pub struct World {
@@ -142,13 +143,13 @@
     rng: Pcg64,
     entries: Vec<Entry>,
     sides: Vec<side::Side>,
-    plains: Vec<plain::Upstream>,
+    plain_upstreams: Vec<plain::Upstream>,
     names: Vec<id::UpstreamId>,
     teams: Vec<id::TeamId>,
     place: id::PlaceId,
     programs: Vec<Program>,
     attempts: Vec<Attempt>,
-    fails: f64,
+    failure_rate: f64,
     stats: stats::Stats,
 }
 
@@ -182,7 +183,7 @@
             sides: (0..shape.engines)
                 .map(|_| side::Side::new(policy.queue.clone()))
                 .collect(),
-            plains: (0..shape.plain)
+            plain_upstreams: (0..shape.plain)
                 .map(|_| plain::Upstream::default())
                 .collect(),
             teams: (0..shape.teams).map(teams).collect(),
@@ -195,54 +196,56 @@
             place,
             programs: Vec::new(),
             attempts: Vec::new(),
-            fails: FAILS,
+            failure_rate: FAILURE_RATE,
             setup,
         }
     }
 
     fn start(&mut self) {
-        for engine in 0..self.sides.len().max(self.plains.len()) {
-            // Reports of different sides do not come together.
-            self.after(
+        for engine in 0..self.sides.len().max(self.plain_upstreams.len()) {
+            // Reports of different sides are staggered.
+            self.schedule(
                 HEARTBEAT.mul_f64(engine as f64 / 9.0),
                 Event::Report(engine),
             );
         }
-        for (at, action) in self.setup.script.clone() {
-            self.after(at, Event::Act(action));
+        for (at, fault) in self.setup.script.clone() {
+            self.schedule(at, Event::Apply(fault));
         }
         if let Some(first) = self.setup.programs.first() {
-            self.after(first.at, Event::Arrive(0));
+            self.schedule(first.at, Event::Arrive(0));
         }
         if self.setup.plain_load > 0.0 {
-            let first = self.setup.warm.saturating_sub(PLAIN_WARM);
-            self.after(first, Event::PlainArrive);
+            let first = self.setup.measure_from.saturating_sub(PLAIN_WARM);
+            self.schedule(first, Event::PlainArrive);
         }
     }
 
-    fn after(&mut self, delay: Duration, event: Event) {
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.seq += 1;
         self.events.insert((self.now + delay, self.seq), event);
     }
 
-    fn measured(&self) -> bool {
-        self.now >= self.setup.warm
+    fn is_measured(&self) -> bool {
+        self.now >= self.setup.measure_from
     }
 
     fn in_cohort(&self, program: &Program) -> bool {
-        program.parent.is_none() && (self.setup.warm..self.setup.last).contains(&program.at)
+        program.parent.is_none()
+            && (self.setup.measure_from..self.setup.last_arrival).contains(&program.at)
     }
 
-    /// A program that is still under way took at least as long as until now: leaving it out
-    /// would make a policy look the better the longer its queues grow.
+    /// Records the programs that are still running with their latency so far. Leaving them out
+    /// would make a policy look better the longer its queues grow.
     fn count_unfinished(&mut self) {
-        self.stats.measured = self.setup.end - self.setup.warm;
-        let left = self.programs.iter().filter(|program| !program.over);
+        self.stats.measured_time = self.setup.end - self.setup.measure_from;
+        let left = self.programs.iter().filter(|program| !program.is_done);
         let left = left.filter(|program| self.in_cohort(program));
         let left: Vec<_> = left.map(|program| (program.at, program.paused)).collect();
         for (at, paused) in left {
             let latency = self.now - at;
-            self.stats.took(latency, latency.saturating_sub(paused));
+            self.stats
+                .record_program(latency, latency.saturating_sub(paused));
             self.stats.unfinished += 1;
         }
     }
@@ -251,20 +254,22 @@
         match event {
             Event::Arrive(index) => self.arrive(index),
             Event::Submit(program) => self.submit(program),
-            Event::Reach(attempt) => self.reach(attempt),
+            Event::Deliver(attempt) => self.deliver(attempt),
             Event::Step(engine) => self.step(engine),
-            Event::Answer(attempt, waited, left) => self.answer(attempt, waited, left),
+            Event::Answer(attempt, waited, finished) => self.answer(attempt, waited, finished),
             Event::Failed(attempt, refused) => self.failed(attempt, refused),
-            Event::Again(attempt) => self.again(attempt),
+            Event::Retry(attempt) => self.retry(attempt),
             Event::Expire(program, turn) => self.expire(program, turn),
-            Event::Report(engine) => self.report(engine),
-            Event::Load(engine, load) => self.load(engine, load),
-            Event::Cached(engine, program, tokens) => self.cached(engine, program, tokens),
+            Event::Report(engine) => self.send_report(engine),
+            Event::Load(engine, load) => self.deliver_load(engine, load),
+            Event::CacheChange(engine, program, tokens) => {
+                self.deliver_cache_change(engine, program, tokens)
+            }
             Event::PlainArrive => self.plain_arrive(),
-            Event::PlainReach(req) => self.plain_reach(req),
+            Event::PlainDeliver(req) => self.plain_deliver(req),
             Event::PlainDone(req) => self.plain_done(req),
             Event::PlainAnswer(req) => self.plain_answer(&req),
-            Event::Act(action) => self.act(action),
+            Event::Apply(fault) => self.apply(fault),
         }
     }
 }
@@ -293,12 +298,12 @@
         Self {
             admit: admit::Controller::new(policy.admit.clone()),
             view: view(shape.engines),
-            plain: view(shape.plain),
+            plain_view: view(shape.plain),
             budget: retry::Budget::new(policy.retry.clone()),
             health,
             outstanding: vec![0; shape.engines],
             plain_outstanding: vec![0; shape.plain],
-            turn_about: 0,
+            next_round_robin: 0,
         }
     }
 }
@@ -309,7 +314,7 @@
     }
 }
 
-fn crashed() -> fw_plan::Refusal {
+fn crash_refusal() -> fw_plan::Refusal {
     fw_plan::Refusal {
         kind: error::Kind::UpstreamCrashed,
         retry_after: Duration::from_millis(100),
--- a/fw-plan/examples/policy/trial.rs
+++ b/fw-plan/examples/policy/trial.rs
@@ -1,4 +1,4 @@
-//! Trials of single options, printed and not kept.
+//! Trials of single options, which are printed and not stored.
 
 use std::time::Duration;
 
@@ -7,11 +7,12 @@
 use crate::Cell;
 use crate::LOADS;
 use crate::Row;
-use crate::Scene;
+use crate::Scenario;
 use crate::sim::policy;
 use crate::sim::trace;
 
-/// The cells that `args` ask for: `user=`, `policy=`, `load=` and `scene=` choose, all else is an option.
+/// The cells selected by `args`: `user=`, `policy=`, `load=` and `scene=` select, everything else
+/// sets an option.
 pub fn cells(args: &[String]) -> Vec<Cell> {
     let mut cells = Vec::new();
     for shape in [trace::SURATWALA, trace::FAIRGROUND] {
@@ -28,7 +29,7 @@
                 shape: shape.clone(),
                 policy: policy.clone(),
                 load,
-                scene: scene(args),
+                scenario: scenario(args),
             };
             cells.extend(loads(args).into_iter().map(cell));
         }
@@ -40,22 +41,22 @@
 pub fn print(rows: &[Row]) {
     for Row { cell, stats } in rows {
         print!("{:10} {:24}", cell.shape.name, cell.policy.name);
-        print!(" {:30}", cell.scene.name());
+        print!(" {:30}", cell.scenario.name());
         print!(" {:3.0} %", cell.load * 100.0);
         for quantile in [0.5, 0.95, 0.99] {
-            print!(" {:6.2}", stats.program(quantile));
+            print!(" {:6.2}", stats.program_latency(quantile));
         }
-        print!(" s | waited {:6.2}", stats.waited(0.95));
-        print!(" | waste {:4.1} %", stats.waste() * 100.0);
+        print!(" s | waited {:6.2}", stats.latency_without_pauses(0.95));
+        print!(" | waste {:4.1} %", stats.wasted_fraction() * 100.0);
         print!(" | goodput {:6.2}", stats.goodput());
         print!(" turns {:4.0} /s", stats.finished_turns());
-        print!(" | refused {:4.1} %", stats.refused_part() * 100.0);
-        print!(" lost {:4.1} %", stats.lost_part() * 100.0);
+        print!(" | refused {:4.1} %", stats.refused_fraction() * 100.0);
+        print!(" lost {:4.1} %", stats.lost_fraction() * 100.0);
         print!(" left {:4}", stats.unfinished);
         print!(" attempts {:4.2}", stats.attempts_per_turn());
         print!(" turns refused {:5}", stats.turn_refusals);
-        print!(" | plain p99 {:7.1} ms", stats.plain(0.99));
-        println!(" refused {:4.1} %", stats.plain_refused_part() * 100.0);
+        print!(" | plain p99 {:7.1} ms", stats.plain_latency(0.99));
+        println!(" refused {:4.1} %", stats.plain_refused_fraction() * 100.0);
     }
 }
 
@@ -72,16 +73,16 @@
     list.split(',').map(number).collect()
 }
 
-fn scene(args: &[String]) -> Scene {
+fn scenario(args: &[String]) -> Scenario {
     match value(args, "scene") {
-        Some("slow") => Scene::Slow,
-        Some("flap") => Scene::Flap,
-        Some("storm") => Scene::Storm,
-        _ => Scene::Steady,
+        Some("slow") => Scenario::Slow,
+        Some("flap") => Scenario::Flap,
+        Some("storm") => Scenario::Storm,
+        _ => Scenario::Steady,
     }
 }
 
-/// Sets one option, durations in seconds.
+/// Sets one option; durations are in seconds.
 fn set(policy: &mut policy::Policy, arg: &str) {
     let (key, value) = arg.split_once('=').expect("arguments are `key=value`");
     if ["user", "policy", "load", "scene"].contains(&key) {
@@ -93,22 +94,22 @@
         "admit.target" => policy.admit.target = time,
         "admit.plain_target" => policy.admit.plain_target = time,
         "admit.interval" => policy.admit.interval = time,
-        "admit.new_part" => policy.admit.new_part = value,
-        "admit.turn_part" => policy.admit.turn_part = value,
+        "admit.new_part" => policy.admit.new_program_fraction = value,
+        "admit.turn_part" => policy.admit.turn_multiple = value,
         "admit.grow" => policy.admit.grow = value,
         "admit.shrink" => policy.admit.shrink = value,
         "admit.initial" => policy.admit.initial = value,
         "queue.aging" => policy.queue.aging = value,
         "queue.attained_cap" => policy.queue.attained_cap = time,
-        "queue.notice_steps" => policy.queue.notice_steps = value,
+        "queue.notice_steps" => policy.queue.refill_steps = value,
         "place.choices" => policy.choose.choices = value as usize,
         "place.margin" => policy.choose.margin = time,
-        "place.margin_part" => policy.choose.margin_part = value,
+        "place.margin_part" => policy.choose.margin_fraction = value,
         "place.cache_weight" => policy.choose.cache_weight = value,
-        "keep.horizon" => policy.caches.horizon = time,
-        "keep.latency" if value > 0.0 => policy.caches.weight = cache_retention::Weight::Latency,
-        "keep.latency" => policy.caches.weight = cache_retention::Weight::Cache,
-        "keep.pressure" => policy.caches.pressure = value,
-        _ => panic!("no option `{key}`"),
+        "keep.horizon" => policy.retention.horizon = time,
+        "keep.latency" if value > 0.0 => policy.retention.weight = cache_retention::Weight::Latency,
+        "keep.latency" => policy.retention.weight = cache_retention::Weight::Cache,
+        "keep.pressure" => policy.retention.pressure = value,
+        _ => panic!("unknown option `{key}`"),
     }
 }
--- a/fw-plan/src/admit.rs
+++ b/fw-plan/src/admit.rs
@@ -1,22 +1,22 @@
-//! Admission at the entry: whether a call starts at all.
+//! Admission control at the entry: decides whether a call may start.
 //!
-//! *Load pattern:* more programs arrive than the engines can finish, for minutes, often most of
-//! them from one team, while plain requests go on beside them.
+//! *Load pattern:* for minutes, more programs arrive than the engines can finish, often most of
+//! them from one team, while plain requests continue beside them.
 //!
-//! *Without it:* every program is taken, each turn waits behind all others, nothing finishes
-//! before its caller gives up, and the engine time of abandoned programs is lost. A fixed count
-//! has the same effect whenever the engines are slower than on the day it was chosen.
+//! *Without it:* every program is accepted and each turn waits behind all others. Nothing finishes
+//! before its caller gives up, and the engine time of abandoned programs is lost. A fixed limit on
+//! calls in flight has the same effect whenever the engines are slower than when the limit was set.
 //!
-//! *Rule:* a limit on turns in flight follows the queueing delay that finished turns report.
-//! While the mean delay of a window exceeds the target, the limit shrinks in proportion to the
-//! excess, at most by [`Options::shrink`]; while it does not and the limit is in use, the limit
-//! grows. New programs may use a part of the limit only, and turns of programs under way may
-//! exceed it somewhat, because refusing them throws away the turns before. The plain lane has a
-//! limit of its own, adapted in the same way to its own delays. Once a lane is nearly full, a
-//! team that holds more than its weighted share of it is refused in favour of the others; below
-//! that, anyone may use what is idle.
+//! *Rule:* the limit on turns in flight follows the queueing delay that finished turns report.
+//! While the mean delay exceeds the target, the limit shrinks in proportion to the excess, by at
+//! most [`Options::shrink`] per interval; otherwise it grows if it is in use. New programs may use
+//! only a fraction of the limit. Turns of running programs may exceed it to some extent, because
+//! refusing one discards the work of the turns before it. Plain requests have a limit of their own,
+//! adapted in the same way to their own delays. Once a lane is nearly full, a team that holds more
+//! than its weighted share is refused in favour of the others; below that point, any team may use
+//! idle capacity.
 //!
-//! *Grounds:* `docs/POLICY.md` has the sweep behind the target and the fractions.
+//! *Grounds:* `docs/POLICY.md` has the parameter sweep behind the target and the fractions.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 
 use crate::ewma;
 
-/// The sort of call.
+/// Class of a call, which selects the limit that applies to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Lane {
     /// A plain request: not part of a program.
@@ -37,65 +37,66 @@
     NewProgram,
 }
 
-/// A call that asks to be admitted.
+/// A call to be admitted.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The sort of call.
+    /// Class of the call.
     pub lane: Lane,
     /// The team.
     pub team: id::TeamId,
-    /// The team's share relative to others; 1.0 is usual.
+    /// Weight of the team's share relative to other teams; 1.0 by default.
     pub share: f64,
     /// Time left until the caller's deadline.
     pub deadline: Duration,
 }
 
-/// What became of a call.
+/// Result of an admission decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It may start; report [`Controller::started`] and later [`Controller::finished`].
+    /// The call may start. Report its start with [`Controller::started`] and its end with
+    /// [`Controller::finished`].
     Admitted,
-    /// It does not run.
+    /// The call is refused and does not run.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         kind: error::Kind,
-        /// When a call like this is expected to be admitted, from now.
+        /// Time after which a similar call is expected to be admitted.
         retry_after: Duration,
     },
 }
 
-/// How admission adapts.
+/// Parameters of the adaptive limits.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Mean queueing delay of turns that is aimed at.
+    /// Target for the mean queueing delay of turns.
     pub target: Duration,
-    /// Mean queueing delay of plain requests that is aimed at.
+    /// Target for the mean queueing delay of plain requests.
     pub plain_target: Duration,
-    /// How often the limits are adapted.
+    /// Interval at which the limits are adapted.
     pub interval: Duration,
-    /// Turns in flight at first.
+    /// Initial limit on turns in flight.
     pub initial: f64,
-    /// Plain requests in flight at first.
+    /// Initial limit on plain requests in flight.
     pub plain_initial: f64,
-    /// Least limit of either lane.
+    /// Lower bound of both limits.
     pub min: f64,
-    /// Greatest limit of either lane.
+    /// Upper bound of both limits.
     pub max: f64,
-    /// Most that a limit shrinks in one interval, as a part of it.
+    /// Largest decrease of a limit per interval, as a fraction of it.
     pub shrink: f64,
-    /// What a limit grows in one interval, as a part of it.
+    /// Increase of a limit per interval, as a fraction of it.
     pub grow: f64,
-    /// Part of the limit that new programs may use.
-    pub new_part: f64,
-    /// Multiple of the limit up to which turns of programs under way are admitted.
-    pub turn_part: f64,
-    /// Part of a lane's bound from which shares are enforced. What lies above is left to teams
-    /// within their share; it must exceed the chance variation of the calls in flight, or a team
-    /// that sends little is refused together with the one that fills the lane. The limit grows
-    /// by delay, so nothing stays unused for it.
-    pub contended: f64,
-    /// How long a team that asks for nothing still counts in the sum of shares.
-    pub idle_after: Duration,
+    /// Fraction of the limit that new programs may use.
+    pub new_program_fraction: f64,
+    /// Multiple of the limit up to which turns of running programs are admitted.
+    pub turn_multiple: f64,
+    /// Fraction of a lane's bound from which shares are enforced. The rest is reserved for teams
+    /// within their share; it must exceed the random variation of the calls in flight, or a team
+    /// that sends little is refused together with the one that fills the lane. Because the limit is
+    /// adapted by delay, the reserve does not leave capacity unused.
+    pub contention_threshold: f64,
+    /// Time after which a team without calls no longer counts in the sum of shares.
+    pub idle_timeout: Duration,
 }
 
 impl Default for Options {
@@ -110,23 +111,23 @@
             max: 100_000.0,
             shrink: 0.2,
             grow: 0.03,
-            new_part: 0.8,
-            turn_part: 1.5,
-            contended: 0.7,
-            idle_after: Duration::from_secs(2),
+            new_program_fraction: 0.8,
+            turn_multiple: 1.5,
+            contention_threshold: 0.7,
+            idle_timeout: Duration::from_secs(2),
         }
     }
 }
 
-/// Admission of one entry.
+/// Admission controller of one entry.
 #[derive(Debug)]
 pub struct Controller {
     options: Options,
     turns: Limit,
     plain: Limit,
     teams: HashMap<id::TeamId, Team>,
-    shares: f64,
-    swept: Duration,
+    total_share: f64,
+    last_sweep: Duration,
 }
 
 /// One team's calls in flight.
@@ -135,18 +136,18 @@
     share: f64,
     turns: u32,
     plain: u32,
-    seen: Duration,
+    last_seen: Duration,
 }
 
 impl Controller {
-    /// Admission with nothing in flight.
+    /// Creates a controller with no calls in flight.
     pub fn new(options: Options) -> Self {
         Self {
             turns: Limit::new(options.initial, options.target),
             plain: Limit::new(options.plain_initial, options.plain_target),
             teams: HashMap::new(),
-            shares: 0.0,
-            swept: Duration::ZERO,
+            total_share: 0.0,
+            last_sweep: Duration::ZERO,
             options,
         }
     }
@@ -154,7 +155,7 @@
     /// Decides whether `req` may start now.
     pub fn decide(&mut self, now: Duration, req: &Request) -> Outcome {
         self.adapt(now);
-        self.seen(now, req);
+        self.track_team(now, req);
         let expected = self.limit(req.lane).delay;
         if expected > req.deadline {
             return self.refuse(error::Kind::DeadlineUnmeetable, req.lane);
@@ -164,27 +165,32 @@
         if in_flight >= bound {
             return self.refuse(error::Kind::Overloaded, req.lane);
         }
-        if in_flight >= bound * self.options.contended && !self.has_share_left(req, bound) {
+        if in_flight >= bound * self.options.contention_threshold
+            && !self.has_share_left(req, bound)
+        {
             return self.refuse(error::Kind::ShareExceeded, req.lane);
         }
         Outcome::Admitted
     }
 
-    /// An admitted call starts.
+    /// Records that an admitted call has started.
     pub fn started(&mut self, now: Duration, lane: Lane, team: &id::TeamId) {
         self.limit_mut(lane).start();
         let Some(team) = self.teams.get_mut(team) else {
             return;
         };
-        team.seen = now;
-        let held = team.held_mut(lane);
-        *held = held.saturating_add(1);
+        team.last_seen = now;
+        let in_flight = team.in_flight_mut(lane);
+        *in_flight = in_flight.saturating_add(1);
     }
 
-    /// A started call ended, after losing `queue_delay` to other calls: its wait in queues, and,
-    /// where the caller of this knows it, the prefill of history that had been cached before.
-    /// The latter makes the limit answer to engines whose cache is too small for the programs
-    /// under way as well. Every started call must be reported, however it ended.
+    /// Records that a started call has ended. Every started call must be reported, however it
+    /// ended.
+    ///
+    /// `queue_delay` is the time that the call lost to other calls: its wait in queues and, where
+    /// the caller of this method knows it, the prefill of history that had been cached before.
+    /// Including the latter makes the limit also respond to engines whose cache is too small for
+    /// the running programs.
     pub fn finished(
         &mut self,
         now: Duration,
@@ -196,23 +202,23 @@
         limit.in_flight = limit.in_flight.saturating_sub(1);
         limit.observe(queue_delay);
         if let Some(team) = self.teams.get_mut(team) {
-            let held = team.held_mut(lane);
-            *held = held.saturating_sub(1);
+            let in_flight = team.in_flight_mut(lane);
+            *in_flight = in_flight.saturating_sub(1);
         }
         self.adapt(now);
     }
 
-    /// A queueing delay of turns learnt otherwise, such as from a side's load report.
+    /// Records a queueing delay of turns from another source, such as a side's load report.
     pub fn observe(&mut self, delay: Duration) {
         self.turns.observe(delay);
     }
 
-    /// Turns that may be in flight at present.
+    /// Current limit on turns in flight.
     pub fn turn_limit(&self) -> f64 {
         self.turns.limit
     }
 
-    /// Plain requests that may be in flight at present.
+    /// Current limit on plain requests in flight.
     pub fn plain_limit(&self) -> f64 {
         self.plain.limit
     }
@@ -234,8 +240,8 @@
     fn bound(&self, lane: Lane) -> f64 {
         let part = match lane {
             Lane::Plain => 1.0,
-            Lane::Turn => self.options.turn_part,
-            Lane::NewProgram => self.options.new_part,
+            Lane::Turn => self.options.turn_multiple,
+            Lane::NewProgram => self.options.new_program_fraction,
         };
         self.limit(lane).limit * part
     }
@@ -244,8 +250,8 @@
         let Some(team) = self.teams.get(&req.team) else {
             return true;
         };
-        let fair = bound * team.share / self.shares.max(team.share);
-        f64::from(team.held(req.lane)) < fair.max(1.0)
+        let fair = bound * team.share / self.total_share.max(team.share);
+        f64::from(team.in_flight(req.lane)) < fair.max(1.0)
     }
 
     fn refuse(&self, kind: error::Kind, lane: Lane) -> Outcome {
@@ -256,19 +262,19 @@
         }
     }
 
-    fn seen(&mut self, now: Duration, req: &Request) {
+    fn track_team(&mut self, now: Duration, req: &Request) {
         if let Some(team) = self.teams.get_mut(&req.team) {
-            team.seen = now;
-            self.shares += req.share - team.share;
+            team.last_seen = now;
+            self.total_share += req.share - team.share;
             team.share = req.share;
             return;
         }
-        self.shares += req.share;
+        self.total_share += req.share;
         let team = Team {
             share: req.share,
             turns: 0,
             plain: 0,
-            seen: now,
+            last_seen: now,
         };
         self.teams.insert(req.team.clone(), team);
     }
@@ -277,32 +283,32 @@
         let options = &self.options;
         self.turns.adapt(now, options);
         self.plain.adapt(now, options);
-        if now >= self.swept + options.idle_after {
+        if now >= self.last_sweep + options.idle_timeout {
             self.sweep(now);
         }
     }
 
     fn sweep(&mut self, now: Duration) {
-        self.swept = now;
-        let idle_after = self.options.idle_after;
+        self.last_sweep = now;
+        let idle_timeout = self.options.idle_timeout;
         self.teams.retain(|_, team| {
             let idle = team.turns == 0 && team.plain == 0;
-            !idle || now < team.seen + idle_after
+            !idle || now < team.last_seen + idle_timeout
         });
-        // Summing afresh keeps rounding errors of the running sum from piling up.
-        self.shares = self.teams.values().map(|team| team.share).sum();
+        // Recomputing the sum keeps rounding errors from accumulating.
+        self.total_share = self.teams.values().map(|team| team.share).sum();
     }
 }
 
 impl Team {
-    fn held(&self, lane: Lane) -> u32 {
+    fn in_flight(&self, lane: Lane) -> u32 {
         match lane {
             Lane::Plain => self.plain,
             Lane::Turn | Lane::NewProgram => self.turns,
         }
     }
 
-    fn held_mut(&mut self, lane: Lane) -> &mut u32 {
+    fn in_flight_mut(&mut self, lane: Lane) -> &mut u32 {
         match lane {
             Lane::Plain => &mut self.plain,
             Lane::Turn | Lane::NewProgram => &mut self.turns,
@@ -310,8 +316,8 @@
     }
 }
 
-/// Part of what may be used at which a limit counts as in use.
-const IN_USE: f64 = 0.9;
+/// Fraction of the usable limit from which the limit counts as in use.
+const IN_USE_FRACTION: f64 = 0.9;
 
 /// A limit on calls in flight that follows their queueing delay.
 #[derive(Debug)]
@@ -319,13 +325,13 @@
     limit: f64,
     target: Duration,
     in_flight: u32,
-    /// Most in flight during the present interval.
+    /// Maximum in flight during the current interval.
     peak: u32,
     /// Mean delay, smoothed over intervals.
     delay: Duration,
-    sum: Duration,
-    count: u32,
-    adapted: Duration,
+    delay_sum: Duration,
+    delay_count: u32,
+    last_adapted: Duration,
 }
 
 impl Limit {
@@ -336,9 +342,9 @@
             in_flight: 0,
             peak: 0,
             delay: Duration::ZERO,
-            sum: Duration::ZERO,
-            count: 0,
-            adapted: Duration::ZERO,
+            delay_sum: Duration::ZERO,
+            delay_count: 0,
+            last_adapted: Duration::ZERO,
         }
     }
 
@@ -348,41 +354,45 @@
     }
 
     fn observe(&mut self, delay: Duration) {
-        self.sum = self.sum.saturating_add(delay);
-        self.count += 1;
+        self.delay_sum = self.delay_sum.saturating_add(delay);
+        self.delay_count += 1;
     }
 
     fn adapt(&mut self, now: Duration, options: &Options) {
-        if now < self.adapted + options.interval {
+        if now < self.last_adapted + options.interval {
             return;
         }
-        self.adapted = now;
+        self.last_adapted = now;
         let peak = std::mem::replace(&mut self.peak, self.in_flight);
-        if self.count == 0 {
-            // Nothing finished: no news. An idle lane must not keep refusing on an old delay.
+        if self.delay_count == 0 {
+            // No call finished, so there is no new measurement. An idle lane must not keep refusing
+            // calls because of an old delay.
             if self.in_flight == 0 {
                 self.delay = Duration::ZERO;
             }
             return;
         }
-        let mean = self.sum / self.count;
-        self.sum = Duration::ZERO;
-        self.count = 0;
+        let mean = self.delay_sum / self.delay_count;
+        self.delay_sum = Duration::ZERO;
+        self.delay_count = 0;
         let smoothed = ewma(self.delay.as_secs_f64(), mean.as_secs_f64(), 0.5);
         self.delay = Duration::from_secs_f64(smoothed);
-        self.limit = self.next(peak, options).clamp(options.min, options.max);
+        self.limit = self
+            .next_limit(peak, options)
+            .clamp(options.min, options.max);
     }
 
-    fn next(&self, peak: u32, options: &Options) -> f64 {
+    fn next_limit(&self, peak: u32, options: &Options) -> f64 {
         let excess = self.delay.as_secs_f64() / self.target.as_secs_f64();
         if excess > 1.0 {
             let shrink = ((excess - 1.0) * options.shrink).min(options.shrink);
-            // From what is in use, so that a limit that was never reached bites at once.
+            // Shrink from the concurrency in use, so that a limit that was never reached takes
+            // effect at once.
             return self.limit.min(f64::from(peak)) * (1.0 - shrink);
         }
-        // Teams above their share leave this much to the others.
-        let held_to = self.limit * options.new_part * options.contended;
-        let in_use = f64::from(peak) >= held_to * IN_USE;
+        // The rest is reserved for teams within their share.
+        let usable = self.limit * options.new_program_fraction * options.contention_threshold;
+        let in_use = f64::from(peak) >= usable * IN_USE_FRACTION;
         if in_use {
             self.limit + (self.limit * options.grow).max(1.0)
         } else {
--- a/fw-plan/src/commit_window.rs
+++ b/fw-plan/src/commit_window.rs
@@ -1,44 +1,44 @@
-//! How long a keeper gathers writes into one commit.
+//! How long a keeper collects writes before one commit.
 //!
-//! *Load pattern:* thousands of turns a second are to be made durable in a store that takes
-//! several hundred writes a second from the whole fleet.
+//! *Load pattern:* thousands of turns per second must be made durable in a store that accepts
+//! several hundred writes per second from the whole fleet.
 //!
-//! *Without it:* a write for each turn overruns the store, and every entry's writes wait. With a
-//! fixed delay either small fleets wait for nothing or large ones overrun it.
+//! *Without it:* one write per turn overloads the store, and every entry's writes wait. With a
+//! fixed delay, either small fleets wait for no reason or large ones overload the store.
 //!
-//! *Rule:* each entry may write its part of the store's rate, so commits are at least
-//! `entries / rate` apart; and while the store is slower than usual, at least as far apart as it
-//! takes to answer, so that a slow store is not sent more. A lone turn after a quiet time is
+//! *Rule:* each entry may use its share of the store's write rate, so its commits are at least
+//! `entries / rate` apart. While the store is slower than that, they are at least as far apart as
+//! its latency, so that a slow store is not sent more. A single turn after an idle period is
 //! committed at once.
 //!
-//! *Grounds:* 200 of the several hundred writes a second that the store takes, for all entries; at 380
-//! entries that is a commit each 1.9 s, below the longest delay.
+//! *Grounds:* 200 of the several hundred writes per second that the store accepts, for all entries;
+//! with 380 entries this is one commit every 1.9 s, below the longest delay.
 
 use std::time::Duration;
 
 use crate::ewma;
 
-/// How commits are spaced.
+/// Parameters of the spacing of commits.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Writes a second that all entries together may make for commits. Half of the several
-    /// hundred that the store takes; leases, records and claims need the rest.
-    pub writes: f64,
+    /// Commits per second that all entries together may write. Half of the several hundred writes
+    /// that the store accepts; leases, records and claims need the rest.
+    pub max_write_rate: f64,
     /// Shortest delay.
     pub min_delay: Duration,
     /// Longest delay.
     pub max_delay: Duration,
-    /// Multiple of the store's latency that commits are apart.
-    pub latency_part: f64,
+    /// Least time between commits, as a multiple of the store's latency.
+    pub latency_factor: f64,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            writes: 200.0,
+            max_write_rate: 200.0,
             min_delay: Duration::from_millis(1),
             max_delay: Duration::from_secs(4),
-            latency_part: 1.0,
+            latency_factor: 1.0,
         }
     }
 }
@@ -51,40 +51,40 @@
 pub struct CommitWindow {
     options: Options,
     latency: f64,
-    last: Option<Duration>,
+    last_commit: Option<Duration>,
 }
 
 impl CommitWindow {
-    /// Before any commit.
+    /// Creates a window without commits.
     pub fn new(options: Options) -> Self {
         Self {
             options,
             latency: 0.0,
-            last: None,
+            last_commit: None,
         }
     }
 
-    /// A commit was sent.
+    /// Records that a commit was sent.
     pub fn committed(&mut self, now: Duration) {
-        self.last = Some(now);
+        self.last_commit = Some(now);
     }
 
-    /// The store answered a commit after `latency`.
+    /// Records that the store answered a commit after `latency`.
     pub fn observe(&mut self, latency: Duration) {
         self.latency = ewma(self.latency, latency.as_secs_f64(), SMOOTHING);
     }
 
     /// Least time between two commits while `entries` entries share the store.
     pub fn spacing(&self, entries: u32) -> Duration {
-        let share = f64::from(entries.max(1)) / self.options.writes;
-        let answer = self.latency * self.options.latency_part;
-        let spacing = Duration::from_secs_f64(share.max(answer));
+        let share = f64::from(entries.max(1)) / self.options.max_write_rate;
+        let store_latency = self.latency * self.options.latency_factor;
+        let spacing = Duration::from_secs_f64(share.max(store_latency));
         spacing.clamp(self.options.min_delay, self.options.max_delay)
     }
 
-    /// How long a change made now waits for others before it is committed.
+    /// How long a change made now is held back for others before it is committed.
     pub fn delay(&self, now: Duration, entries: u32) -> Duration {
-        match self.last {
+        match self.last_commit {
             Some(last) => (last + self.spacing(entries)).saturating_sub(now),
             None => Duration::ZERO,
         }
--- a/fw-plan/tests/plan/commit_window.rs
+++ b/fw-plan/tests/plan/commit_window.rs
@@ -1,19 +1,23 @@
-//! Spacing of commits.
+//! Spacing of commits by keepers.
 
 use std::time::Duration;
 
 use fw_plan::commit_window;
 use googletest::prelude::*;
 
-// 380 entries each commit as soon as the last commit is answered: 76,000 writes a second at 5 ms,
-// where the store takes several hundred. Together they must stay within the rate.
+// If 380 entries each commit as soon as the last commit is answered, they write 76,000 times a
+// second at 5 ms, where the store accepts several hundred writes. Together they must stay within
+// the rate.
 #[gtest]
 fn all_entries_together_stay_within_the_rate() {
     let options = commit_window::Options::default();
     for entries in [1, 3, 38, 380] {
         let window = commit_window::CommitWindow::new(options.clone());
         let spacing = window.spacing(entries).as_secs_f64();
-        expect_that!(f64::from(entries) / spacing, le(options.writes * 1.001));
+        expect_that!(
+            f64::from(entries) / spacing,
+            le(options.max_write_rate * 1.001)
+        );
     }
 }
 
--- a/fw-plan/tests/plan/long_jobs.rs
+++ b/fw-plan/tests/plan/long_jobs.rs
@@ -9,9 +9,9 @@
 use crate::sim::world;
 use crate::workload;
 
-// Each second a program arrives whose submission has 100,000 tokens. The engine computes prompts
-// in the order of arrival, so the short turns behind it would all wait a second for their first
-// token. They must go before it, and it must still be finished.
+// Every second a program arrives whose submission has 100,000 tokens. The engine computes prompts
+// in order of arrival, so all short turns behind it would wait a second for their first token. They
+// must go first, and the long one must still finish.
 #[gtest]
 fn short_programs_do_not_wait_for_long_prefills() {
     let at = |second| trace::Spec {
@@ -20,13 +20,19 @@
         turns: vec![turn(100_000)],
     };
     let long: Vec<_> = (0..55).map(at).collect();
-    let programs = workload::join(workload::programs(0.4), long);
-    let ours = world::run(workload::setup(workload::ours(), programs.clone()));
+    let programs = workload::merge(workload::programs(0.4), long);
+    let product = world::run(workload::setup(
+        workload::product_policy(),
+        programs.clone(),
+    ));
     let policy = workload::baseline("fewest outstanding, FCFS");
     let fewest = world::run(workload::setup(policy, programs));
-    expect_that!(ours.lost_part(), eq(0.0));
-    expect_that!(ours.unfinished, eq(0));
-    expect_that!(ours.waited(0.95), le(fewest.waited(0.95) * 0.7));
+    expect_that!(product.lost_fraction(), eq(0.0));
+    expect_that!(product.unfinished, eq(0));
+    expect_that!(
+        product.latency_without_pauses(0.95),
+        le(fewest.latency_without_pauses(0.95) * 0.7)
+    );
 }
 
 fn turn(input: u64) -> trace::Turn {
--- a/fw-plan/tests/plan/workload.rs
+++ b/fw-plan/tests/plan/workload.rs
@@ -1,4 +1,4 @@
-//! Setups of the queueing loop, small enough for debug builds.
+//! Workloads of the simulation that are small enough for debug builds.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::sim::trace;
 use crate::sim::world;
 
-pub const WARM: Duration = Duration::from_secs(10);
-pub const LAST: Duration = Duration::from_secs(30);
+pub const MEASURE_FROM: Duration = Duration::from_secs(10);
+pub const LAST_ARRIVAL: Duration = Duration::from_secs(30);
 pub const END: Duration = Duration::from_secs(60);
 
-/// Three engines, and programs that are short enough to end within a run.
+/// Three engines, and programs short enough to end within a run.
 pub fn shape() -> trace::Shape {
     trace::Shape {
         engines: 3,
@@ -32,8 +32,8 @@
         programs,
         plain_load: 0.0,
         seed: 1,
-        warm: WARM,
-        last: LAST,
+        measure_from: MEASURE_FROM,
+        last_arrival: LAST_ARRIVAL,
         end: END,
         script: Vec::new(),
     }
@@ -43,8 +43,8 @@
     shape().programs(load, END, 1)
 }
 
-pub fn ours() -> policy::Policy {
-    policy::Policy::of(&shape())
+pub fn product_policy() -> policy::Policy {
+    policy::Policy::product(&shape())
 }
 
 pub fn baseline(name: &str) -> policy::Policy {
@@ -56,7 +56,7 @@
     world::run(setup(policy, programs(load)))
 }
 
-/// Properties are tried on the same cases in each run.
+/// Property tests use the same cases in every run.
 pub fn fixed() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(1),
@@ -65,8 +65,8 @@
     }
 }
 
-/// Adds programs to a trace and sorts it by arrival.
-pub fn join(mut one: Vec<trace::Spec>, other: Vec<trace::Spec>) -> Vec<trace::Spec> {
+/// Merges two traces in order of arrival.
+pub fn merge(mut one: Vec<trace::Spec>, other: Vec<trace::Spec>) -> Vec<trace::Spec> {
     one.extend(other);
     one.sort_by_key(|spec| spec.at);
     one
