--- a/fw-keep/src/balance.rs
+++ b/fw-keep/src/balance.rs
@@ -56,27 +56,27 @@
 
 /// Who is to take each free shard: the entry that ranks highest for it among those with room.
 pub fn assignments<'a>(view: &View<'a>) -> Vec<Assignment<'a>> {
-    let mut room = room(view);
+    let mut spare = spare_capacity(view);
     let mut assignments = Vec::new();
     for shard in free_shards(view) {
-        let best = room.iter_mut().max_by_key(|(entry, _)| rank(entry, shard));
+        let best = spare.iter_mut().max_by_key(|(entry, _)| rank(entry, shard));
         let Some((entry, left)) = best else { break };
         assignments.push(Assignment { shard, entry });
         *left -= 1;
         if *left == 0 {
             let full = *entry;
-            room.retain(|(entry, _)| *entry != full);
+            spare.retain(|(entry, _)| *entry != full);
         }
     }
     assignments
 }
 
 /// The entries that should take more shards, and how many.
-fn room<'a>(view: &View<'a>) -> Vec<(&'a str, usize)> {
-    let kept = kept(view);
+fn spare_capacity<'a>(view: &View<'a>) -> Vec<(&'a str, usize)> {
+    let counts = shard_counts(view);
     let quotas = quotas(view).into_iter();
-    let room = quotas.map(|(entry, quota)| (entry, quota.saturating_sub(kept[entry])));
-    room.filter(|(_, left)| *left > 0).collect()
+    let spare = quotas.map(|(entry, quota)| (entry, quota.saturating_sub(counts[entry])));
+    spare.filter(|(_, left)| *left > 0).collect()
 }
 
 /// Hands over what exceeds the quota.
@@ -95,27 +95,27 @@
 }
 
 /// Number of shards that each entry keeps.
-fn kept<'a>(view: &View<'a>) -> BTreeMap<&'a str, usize> {
-    let mut kept: BTreeMap<&str, usize> = view.entries.iter().map(|e| (*e, 0)).collect();
+fn shard_counts<'a>(view: &View<'a>) -> BTreeMap<&'a str, usize> {
+    let mut counts: BTreeMap<&str, usize> = view.entries.iter().map(|e| (*e, 0)).collect();
     for owner in view.owners.iter().flatten() {
-        if let Some(count) = kept.get_mut(owner) {
+        if let Some(count) = counts.get_mut(owner) {
             *count += 1;
         }
     }
-    kept
+    counts
 }
 
 /// The most shards of each entry that is not passive. Those that keep most get the odd ones, so
 /// that they need not hand them over.
 fn quotas<'a>(view: &View<'a>) -> Vec<(&'a str, usize)> {
-    let kept = kept(view);
+    let counts = shard_counts(view);
     let is_passive = |entry: &str| view.passive.contains(entry);
-    let taken: usize = kept
+    let taken: usize = counts
         .iter()
         .filter(|(e, _)| is_passive(e))
         .map(|(_, n)| n)
         .sum();
-    let mut active: Vec<_> = kept.into_iter().filter(|(e, _)| !is_passive(e)).collect();
+    let mut active: Vec<_> = counts.into_iter().filter(|(e, _)| !is_passive(e)).collect();
     active.sort_by_key(|(entry, kept)| (Reverse(*kept), *entry));
     let count = active.len().max(1);
     let shards = view.owners.len() - taken;
--- a/fw-keep/src/keeper/acquire.rs
+++ b/fw-keep/src/keeper/acquire.rs
@@ -14,11 +14,11 @@
 
 /// Transactions tried for one batch. Each failure removes the shards that others hold, so more
 /// than a few mean that the store does not answer.
-const TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 
 /// A shard to take.
 #[derive(Clone, Debug)]
-pub(super) struct Want {
+pub(super) struct Request {
     pub(super) shard: id::ShardId,
     /// The journal's head must have this value; not checked if absent.
     pub(super) head: Option<Option<Vec<u8>>>,
@@ -36,32 +36,39 @@
 ///
 /// With a new lease the caller has to judge anew what it may take: the shards of others, whose leases
 /// have lapsed as well, are left to them for a while.
-pub(super) async fn run(inner: &Inner, lease: kv::LeaseId, wants: Vec<Want>) -> Outcome {
+pub(super) async fn run(inner: &Inner, lease: kv::LeaseId, requests: Vec<Request>) -> Outcome {
     let mut outcome = Outcome::default();
-    for chunk in wants.chunks(BATCH) {
-        batch(inner, lease, chunk.to_vec(), &mut outcome).await;
+    for chunk in requests.chunks(BATCH) {
+        acquire_batch(inner, lease, chunk.to_vec(), &mut outcome).await;
     }
-    note(inner, &outcome);
+    record(inner, &outcome);
     outcome
 }
 
-async fn batch(inner: &Inner, lease: kv::LeaseId, mut wants: Vec<Want>, outcome: &mut Outcome) {
+async fn acquire_batch(
+    inner: &Inner,
+    lease: kv::LeaseId,
+    mut requests: Vec<Request>,
+    outcome: &mut Outcome,
+) {
     let mut backoff = Backoff::new();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let is_in_force = lease != 0 && *inner.lease.borrow() == lease;
-        if wants.is_empty() || !is_in_force {
+        if requests.is_empty() || !is_in_force {
             return;
         }
-        match inner.store.txn(&txn(inner, &wants, lease)).await {
+        match inner.store.txn(&txn(inner, &requests, lease)).await {
             Ok(done) if done.succeeded => {
-                inner.note_contact();
-                let taken = wants.iter().map(|want| (want.shard, done.revision));
+                inner.record_contact();
+                let taken = requests
+                    .iter()
+                    .map(|request| (request.shard, done.revision));
                 outcome.taken.extend(taken);
                 return;
             }
             Ok(done) => {
-                inner.note_contact();
-                wants = judge(inner, wants, &done.into_kvs(), outcome);
+                inner.record_contact();
+                requests = classify(inner, requests, &done.into_kvs(), outcome);
             }
             // The next try finds our own key if this one took effect after all.
             Err(_) => backoff.pause().await,
@@ -69,17 +76,17 @@
     }
 }
 
-fn txn(inner: &Inner, wants: &[Want], lease: kv::LeaseId) -> kv::Txn {
+fn txn(inner: &Inner, requests: &[Request], lease: kv::LeaseId) -> kv::Txn {
     let root = &inner.opts.root;
-    let value = own(inner).encode();
+    let value = owner_value(inner).encode();
     let mut txn = kv::Txn::default();
-    for want in wants {
-        let owner = keys::owner(root, want.shard);
-        let head = keys::head(root, want.shard);
+    for request in requests {
+        let owner = keys::owner(root, request.shard);
+        let head = keys::head(root, request.shard);
         txn.compares
             .push(kv::Compare::CreateRevision(owner.clone(), 0));
         txn.otherwise.push(kv::Op::get(&owner));
-        if let Some(expected) = &want.head {
+        if let Some(expected) = &request.head {
             txn.compares.push(match expected {
                 Some(value) => kv::Compare::Value(head.clone(), value.clone()),
                 None => kv::Compare::CreateRevision(head.clone(), 0),
@@ -96,39 +103,47 @@
 }
 
 /// Sorts the shards by what the store holds; returns those that are still free.
-fn judge(inner: &Inner, wants: Vec<Want>, kvs: &[kv::Kv], outcome: &mut Outcome) -> Vec<Want> {
+fn classify(
+    inner: &Inner,
+    requests: Vec<Request>,
+    kvs: &[kv::Kv],
+    outcome: &mut Outcome,
+) -> Vec<Request> {
     let find = |key: String| kvs.iter().find(|kv| kv.key == key);
     let mut free = Vec::new();
-    for want in wants {
-        let owner = find(keys::owner(&inner.opts.root, want.shard));
-        let head = find(keys::head(&inner.opts.root, want.shard)).map(|kv| kv.value.clone());
-        let is_same = want.head.as_ref().is_none_or(|expected| *expected == head);
+    for request in requests {
+        let owner = find(keys::owner(&inner.opts.root, request.shard));
+        let head = find(keys::head(&inner.opts.root, request.shard)).map(|kv| kv.value.clone());
+        let is_same = request
+            .head
+            .as_ref()
+            .is_none_or(|expected| *expected == head);
         let is_ours = |kv: &kv::Kv| {
             OwnerValue::decode(&kv.value).is_some_and(|value| value.nonce == inner.nonce)
         };
         match owner {
-            None if is_same => free.push(want),
+            None if is_same => free.push(request),
             Some(kv) if is_ours(kv) && is_same => {
-                outcome.taken.push((want.shard, kv.create_revision));
+                outcome.taken.push((request.shard, kv.create_revision));
             }
-            _ => outcome.lost.push(want.shard),
+            _ => outcome.lost.push(request.shard),
         }
     }
     free
 }
 
-fn note(inner: &Inner, outcome: &Outcome) {
+fn record(inner: &Inner, outcome: &Outcome) {
     count("taken", outcome.taken.len());
     count("lost", outcome.lost.len());
     let mut table = inner.table.write();
     for (shard, fence) in &outcome.taken {
-        let own = own(inner).holder(*fence);
-        table.note(*shard, Some(own), *fence);
+        let holder = owner_value(inner).into_holder(*fence);
+        table.update_owner(*shard, Some(holder), *fence);
     }
 }
 
 /// The value of this process's keys.
-fn own(inner: &Inner) -> OwnerValue {
+fn owner_value(inner: &Inner) -> OwnerValue {
     OwnerValue {
         entry: inner.opts.entry.clone(),
         nonce: inner.nonce,
--- a/fw-keep/src/keeper/close.rs
+++ b/fw-keep/src/keeper/close.rs
@@ -16,12 +16,12 @@
 const BATCH: usize = 120;
 
 /// Time between two looks at whether the last changes are in the store.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Hands over everything at a graceful stop.
 pub(super) async fn run(inner: &Inner) -> CloseReport {
     inner.closing.send_replace(true);
-    leave(inner).await;
+    deregister(inner).await;
     let mut kept = Vec::new();
     for shard in 0..inner.opts.shards {
         if let Some(slot) = inner.slot(shard).lock().kept() {
@@ -47,20 +47,20 @@
     let deadline = time::Instant::now() + inner.opts.close_wait;
     let mut done = Vec::new();
     for shard in shards {
-        if flushed(inner, shard, deadline).await {
+        if wait_flushed(inner, shard, deadline).await {
             done.push(shard);
         } else if !inner.is_closing() {
-            stay(inner, shard);
+            cancel_handover(inner, shard);
         }
     }
     for chunk in done.chunks(BATCH) {
-        delete(inner, chunk).await;
+        delete_owner_keys(inner, chunk).await;
     }
     done.len()
 }
 
 /// Takes the entry off the table, so that no other waits for it to take shards.
-async fn leave(inner: &Inner) {
+async fn deregister(inner: &Inner) {
     let key = keys::entry(&inner.opts.root, &inner.opts.entry);
     let txn = kv::Txn {
         then: vec![kv::Op::delete(key)],
@@ -70,7 +70,7 @@
     let _ = inner.store.txn(&txn).await;
 }
 
-async fn flushed(inner: &Inner, shard: id::ShardId, deadline: time::Instant) -> bool {
+async fn wait_flushed(inner: &Inner, shard: id::ShardId, deadline: time::Instant) -> bool {
     loop {
         match inner.slot(shard).lock().kept() {
             None => return false,
@@ -81,17 +81,17 @@
             return false;
         }
         inner.mark_dirty(shard);
-        time::sleep(LOOK).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn stay(inner: &Inner, shard: id::ShardId) {
+fn cancel_handover(inner: &Inner, shard: id::ShardId) {
     if let Some(kept) = inner.slot(shard).lock().kept() {
         kept.is_leaving = false;
     }
 }
 
-async fn delete(inner: &Inner, shards: &[id::ShardId]) {
+async fn delete_owner_keys(inner: &Inner, shards: &[id::ShardId]) {
     let mut txn = kv::Txn::default();
     for shard in shards {
         let fence = match inner.slot(*shard).lock().kept() {
@@ -113,6 +113,6 @@
     if done.succeeded {
         let mut table = inner.table.write();
         let given = shards.iter();
-        given.for_each(|shard| table.note(*shard, None, done.revision));
+        given.for_each(|shard| table.update_owner(*shard, None, done.revision));
     }
 }
--- a/fw-keep/src/keeper/flush.rs
+++ b/fw-keep/src/keeper/flush.rs
@@ -21,31 +21,31 @@
 use crate::shard;
 
 /// Longest random wait before the shards of a lapsed lease are taken again.
-const MAX_SPREAD: Duration = Duration::from_millis(500);
+const MAX_VERIFY_DELAY: Duration = Duration::from_millis(500);
 
 /// Changes on their way to the store.
-struct Round {
+struct GroupCommit {
     jobs: Vec<Job>,
-    upto: BTreeMap<id::ShardId, shard::Position>,
+    end_positions: BTreeMap<id::ShardId, shard::Position>,
 }
 
 pub(super) async fn run(inner: Arc<Inner>) {
     let mut lease = inner.lease.subscribe();
-    let mut pace = Pace::default();
+    let mut pacer = CommitPacer::default();
     loop {
         tokio::select! {
-            () = inner.dirtied.notified() => {
-                if let Some(next) = pace.next(&inner) {
+            () = inner.dirty_added.notified() => {
+                if let Some(next) = pacer.next_due(&inner) {
                     // The first change after a quiet time goes at once; those close behind share
                     // the next call. So the rate is bounded and a lone turn need not wait.
                     tokio::time::sleep_until(next).await;
                 }
-                pace.commit(&inner).await;
+                pacer.commit(&inner).await;
             }
-            () = inner.lapsed.notified() => verify(&inner, &mut pace).await,
+            () = inner.verify_due.notified() => verify_ownership(&inner, &mut pacer).await,
             _ = lease.changed() => {
                 lease.borrow_and_update();
-                verify(&inner, &mut pace).await;
+                verify_ownership(&inner, &mut pacer).await;
             }
         }
     }
@@ -53,26 +53,28 @@
 
 /// When group commits are made.
 #[derive(Default)]
-struct Pace {
+struct CommitPacer {
     /// When the last one began.
-    last: Option<Instant>,
+    last_started: Option<Instant>,
 }
 
-impl Pace {
+impl CommitPacer {
     /// The earliest time of the next commit; `None` before the first.
-    fn next(&self, inner: &Inner) -> Option<Instant> {
-        Some(self.last? + spacing(inner))
+    fn next_due(&self, inner: &Inner) -> Option<Instant> {
+        Some(self.last_started? + commit_interval(inner))
     }
 
     async fn commit(&mut self, inner: &Inner) {
-        self.last = Some(Instant::now());
-        let round = collect(inner);
-        write(inner, round).await;
+        self.last_started = Some(Instant::now());
+        let group = collect(inner);
+        write(inner, group).await;
     }
 
     /// Makes a commit if something has changed and one is due.
     async fn commit_if_due(&mut self, inner: &Inner) {
-        let is_due = self.next(inner).is_none_or(|next| next <= Instant::now());
+        let is_due = self
+            .next_due(inner)
+            .is_none_or(|next| next <= Instant::now());
         if is_due && !inner.dirty.lock().is_empty() {
             self.commit(inner).await;
         }
@@ -81,18 +83,18 @@
 
 /// Least time between two commits: longer the slower the store answers, and the more entries share
 /// its writes.
-fn spacing(inner: &Inner) -> Duration {
+fn commit_interval(inner: &Inner) -> Duration {
     let keepers = u32::try_from(inner.table.read().keepers().count()).unwrap_or(u32::MAX);
-    let shared = inner.pacing.lock().spacing(keepers);
-    shared.max(*inner.window.lock())
+    let adaptive = inner.window.lock().spacing(keepers);
+    adaptive.max(*inner.window_min.lock())
 }
 
 /// Takes the pending changes of every changed shard and plans their journal segments.
-fn collect(inner: &Inner) -> Round {
+fn collect(inner: &Inner) -> GroupCommit {
     let dirty = std::mem::take(&mut *inner.dirty.lock());
-    let mut round = Round {
+    let mut group = GroupCommit {
         jobs: Vec::new(),
-        upto: BTreeMap::new(),
+        end_positions: BTreeMap::new(),
     };
     for shard in dirty {
         let mut slot = inner.slot(shard).lock();
@@ -102,26 +104,26 @@
         let nonce = rand::random();
         let job = if kept.writer.is_snapshot_due() {
             let batch = kept.shard.take_snapshot();
-            round.upto.insert(shard, batch.upto);
+            group.end_positions.insert(shard, batch.upto);
             kept.writer.snapshot(&batch.entries, nonce)
         } else {
             let Some(batch) = kept.shard.take_batch() else {
                 continue;
             };
-            round.upto.insert(shard, batch.upto);
+            group.end_positions.insert(shard, batch.upto);
             kept.writer.append(&batch.entries, nonce)
         };
-        round.jobs.push(job);
+        group.jobs.push(job);
     }
-    round
+    group
 }
 
 /// Writes a round to its end: every shard in it is durable or lost.
-async fn write(inner: &Inner, round: Round) {
-    let mut jobs = round.jobs;
+async fn write(inner: &Inner, group: GroupCommit) {
+    let mut jobs = group.jobs;
     while !jobs.is_empty() {
-        let lapsed = commit_jobs(inner, jobs, &round.upto).await;
-        jobs = take_again(inner, lapsed).await;
+        let lapsed = commit_jobs(inner, jobs, &group.end_positions).await;
+        jobs = reacquire(inner, lapsed).await;
     }
 }
 
@@ -129,7 +131,7 @@
 async fn commit_jobs(
     inner: &Inner,
     jobs: Vec<Job>,
-    upto: &BTreeMap<id::ShardId, shard::Position>,
+    end_positions: &BTreeMap<id::ShardId, shard::Position>,
 ) -> Vec<Job> {
     let mut commit = Commit::new(jobs, inner.opts.commit);
     let mut backoff = Backoff::new();
@@ -143,7 +145,7 @@
         let failed = !matches!(reply, Reply::Answer(_));
         commit.on(reply);
         for verdict in commit.take_verdicts() {
-            settle(inner, verdict, upto, &mut lapsed);
+            apply_verdict(inner, verdict, end_positions, &mut lapsed);
         }
         if failed {
             backoff.pause().await;
@@ -157,8 +159,8 @@
     let sent = Instant::now();
     match inner.store.txn(txn).await {
         Ok(outcome) => {
-            inner.note_contact();
-            inner.pacing.lock().observe(sent.elapsed());
+            inner.record_contact();
+            inner.window.lock().observe(sent.elapsed());
             Reply::Answer(outcome)
         }
         Err(err) if err.may_have_applied() => {
@@ -172,17 +174,17 @@
     }
 }
 
-fn settle(
+fn apply_verdict(
     inner: &Inner,
     verdict: Verdict,
-    upto: &BTreeMap<id::ShardId, shard::Position>,
+    end_positions: &BTreeMap<id::ShardId, shard::Position>,
     lapsed: &mut Vec<Job>,
 ) {
     match verdict {
         Verdict::Committed { shard } => {
             count("committed");
             if let Some(kept) = inner.slot(shard).lock().kept() {
-                kept.note_durable(upto[&shard]);
+                kept.mark_durable(end_positions[&shard]);
             }
         }
         Verdict::Lapsed(job) => {
@@ -191,11 +193,11 @@
         }
         Verdict::Lost { shard } => {
             count("lost");
-            lose(inner, shard, "stale_fence");
+            drop_shard(inner, shard, "stale_fence");
         }
         Verdict::Foreign { shard } => {
             count("foreign");
-            lose(inner, shard, "foreign_journal");
+            drop_shard(inner, shard, "foreign_journal");
         }
     }
 }
@@ -205,20 +207,20 @@
 /// A shard is asked for until the store has told who holds it. Acquisitions take effect although their
 /// answers are lost: written on under the old fencing number, a group would meet this keeper's own new
 /// key, which looks like another's, and its changes would be dropped.
-async fn take_again(inner: &Inner, lapsed: Vec<Job>) -> Vec<Job> {
+async fn reacquire(inner: &Inner, lapsed: Vec<Job>) -> Vec<Job> {
     let mut undecided = lapsed;
     let mut taken = Vec::new();
     let mut backoff = Backoff::new();
     while !undecided.is_empty() {
         wait_for_lease(inner).await;
-        let wants = undecided.iter().map(|job| acquire::Want {
+        let requests = undecided.iter().map(|job| acquire::Request {
             shard: job.shard,
             head: Some(job.before.clone()),
         });
-        let doubts = inner.doubts();
+        let epoch = inner.ownership_epoch();
         let lease = *inner.lease.borrow();
-        let outcome = acquire::run(inner, lease, wants.collect()).await;
-        let fences = refence(inner, &outcome, doubts);
+        let outcome = acquire::run(inner, lease, requests.collect()).await;
+        let fences = apply_outcome(inner, &outcome, epoch);
         undecided.retain(|job| !outcome.lost.contains(&job.shard));
         for job in std::mem::take(&mut undecided) {
             match fences.get(&job.shard) {
@@ -243,50 +245,50 @@
 /// Thousands of shards take many calls, and nothing may wait for the last of them: changes are committed
 /// between the calls, a shard serves as soon as the store has told of it, and those that calls wait for
 /// go first.
-async fn verify(inner: &Inner, pace: &mut Pace) {
-    if inner.in_doubt().is_empty() {
+async fn verify_ownership(inner: &Inner, pacer: &mut CommitPacer) {
+    if inner.shards_in_doubt().is_empty() {
         return;
     }
     // All entries come here together when the store is back.
-    tokio::time::sleep(keeper::jitter(MAX_SPREAD.min(inner.opts.ttl / 4))).await;
+    tokio::time::sleep(keeper::jitter(MAX_VERIFY_DELAY.min(inner.opts.ttl / 4))).await;
     if *inner.lease.borrow() == 0 {
         return;
     }
     let started = Instant::now();
-    let mut pending = inner.in_doubt();
-    tracing::info!(entry = %inner.opts.entry, shards = pending.len(), doubts = inner.doubts(), "asks the store who keeps its shards");
+    let mut pending = inner.shards_in_doubt();
+    tracing::info!(entry = %inner.opts.entry, shards = pending.len(), doubts = inner.ownership_epoch(), "asks the store who keeps its shards");
     while !pending.is_empty() {
-        pace.commit_if_due(inner).await;
-        let part = inner.wanted_first(&mut pending, acquire::BATCH);
-        if !ask_for(inner, &part).await {
+        pacer.commit_if_due(inner).await;
+        let batch = inner.take_prioritized_first(&mut pending, acquire::BATCH);
+        if !verify_shards(inner, &batch).await {
             break;
         }
     }
-    let left = inner.in_doubt().len();
+    let left = inner.shards_in_doubt().len();
     tracing::info!(entry = %inner.opts.entry, left, took = ?started.elapsed(), "has asked the store who keeps its shards");
     if left > 0 {
-        inner.lapsed.notify_one();
+        inner.verify_due.notify_one();
     }
 }
 
 /// Takes `shards` again or drops them; false if the store has not told of all.
-async fn ask_for(inner: &Inner, shards: &[id::ShardId]) -> bool {
+async fn verify_shards(inner: &Inner, shards: &[id::ShardId]) -> bool {
     // A lease that lapses while the store is asked is a doubt of its own.
-    let doubts = inner.doubts();
-    let wants = heads(inner, shards);
-    let asked = wants.len();
+    let epoch = inner.ownership_epoch();
+    let requests = ownership_requests(inner, shards);
+    let asked = requests.len();
     let lease = *inner.lease.borrow();
-    let outcome = acquire::run(inner, lease, wants).await;
-    refence(inner, &outcome, doubts);
+    let outcome = acquire::run(inner, lease, requests).await;
+    apply_outcome(inner, &outcome, epoch);
     outcome.taken.len() + outcome.lost.len() == asked
 }
 
 /// Those of `shards` that are kept, with the heads that their journals must have.
-fn heads(inner: &Inner, shards: &[id::ShardId]) -> Vec<acquire::Want> {
+fn ownership_requests(inner: &Inner, shards: &[id::ShardId]) -> Vec<acquire::Request> {
     let kept = shards.iter().filter_map(|&shard| {
         let mut slot = inner.slot(shard).lock();
         let head = slot.kept()?.writer.stored_head().map(<[u8]>::to_vec);
-        Some(acquire::Want {
+        Some(acquire::Request {
             shard,
             head: Some(head),
         })
@@ -295,19 +297,19 @@
 }
 
 /// Notes what the store has told of kept shards when it was asked, after so many `doubts`.
-fn refence(
+fn apply_outcome(
     inner: &Inner,
     outcome: &acquire::Outcome,
-    doubts: u64,
+    epoch: u64,
 ) -> BTreeMap<id::ShardId, id::Fence> {
     for shard in &outcome.lost {
-        lose(inner, *shard, "taken_over");
+        drop_shard(inner, *shard, "taken_over");
     }
     for (shard, fence) in &outcome.taken {
         if let Some(kept) = inner.slot(*shard).lock().kept() {
             kept.writer.set_fence(*fence);
             kept.is_superseded = false;
-            kept.confirmed = kept.confirmed.max(Some(doubts));
+            kept.confirmed_epoch = kept.confirmed_epoch.max(Some(epoch));
         }
     }
     outcome.taken.iter().copied().collect()
@@ -321,7 +323,7 @@
 }
 
 /// Drops a shard that has another keeper. Whoever waits for a change of it is told.
-fn lose(inner: &Inner, shard: id::ShardId, reason: &'static str) {
+fn drop_shard(inner: &Inner, shard: id::ShardId, reason: &'static str) {
     *inner.slot(shard).lock() = Slot::Absent;
     metrics::counter!(keeper::LOST_TOTAL, "reason" => reason).increment(1);
     tracing::warn!(entry = %inner.opts.entry, shard, reason, "shard lost");
--- a/fw-keep/src/keeper/inner.rs
+++ b/fw-keep/src/keeper/inner.rs
@@ -32,47 +32,47 @@
     pub(super) slots: Box<[Mutex<Slot>]>,
     pub(super) table: RwLock<Table>,
     pub(super) dirty: Mutex<BTreeSet<id::ShardId>>,
-    pub(super) dirtied: Notify,
+    pub(super) dirty_added: Notify,
     /// Shards without a known keeper that calls wait for.
-    pub(super) wanted: Mutex<BTreeSet<id::ShardId>>,
+    pub(super) prioritized: Mutex<BTreeSet<id::ShardId>>,
     /// The store is to be asked for kept shards that are in doubt.
-    pub(super) lapsed: Notify,
+    pub(super) verify_due: Notify,
     /// How often it came to be in doubt whether others have taken the kept shards.
-    doubts: AtomicU64,
+    ownership_epoch: AtomicU64,
     /// The lease in force; 0 for none.
     pub(super) lease: watch::Sender<kv::LeaseId>,
     /// When the store answered last.
-    pub(super) contact: Mutex<Instant>,
+    pub(super) last_contact: Mutex<Instant>,
     /// Until when the lease runs at least: it was granted or renewed, and the store counts from the
     /// call's arrival, which is later than its sending.
-    pub(super) sure_until: Mutex<Instant>,
+    pub(super) lease_valid_until: Mutex<Instant>,
     /// When a shard was loaded last.
-    pub(super) loaded: Mutex<Option<Instant>>,
-    pub(super) window: Mutex<Duration>,
-    pub(super) pacing: Mutex<window::Window>,
+    pub(super) last_loaded: Mutex<Option<Instant>>,
+    pub(super) window_min: Mutex<Duration>,
+    pub(super) window: Mutex<window::Window>,
     pub(super) closing: watch::Sender<bool>,
 }
 
 impl Inner {
     pub(super) fn new(store: fw_store::Client, opts: Options) -> Self {
         let shards = usize::from(opts.shards);
-        let window = Mutex::new(opts.window);
+        let window_min = Mutex::new(opts.window);
         Self {
             store,
             nonce: rand::random(),
             slots: (0..shards).map(|_| Mutex::new(Slot::Absent)).collect(),
             table: RwLock::new(Table::new(shards)),
             dirty: Mutex::new(BTreeSet::new()),
-            dirtied: Notify::new(),
-            wanted: Mutex::default(),
-            lapsed: Notify::new(),
-            doubts: AtomicU64::new(0),
+            dirty_added: Notify::new(),
+            prioritized: Mutex::default(),
+            verify_due: Notify::new(),
+            ownership_epoch: AtomicU64::new(0),
             lease: watch::Sender::new(0),
-            contact: Mutex::new(Instant::now()),
-            sure_until: Mutex::new(Instant::now()),
-            loaded: Mutex::new(None),
-            window,
-            pacing: Mutex::new(window::Window::new(window::Options {
+            last_contact: Mutex::new(Instant::now()),
+            lease_valid_until: Mutex::new(Instant::now()),
+            last_loaded: Mutex::new(None),
+            window_min,
+            window: Mutex::new(window::Window::new(window::Options {
                 max: opts.window_max,
                 ..window::Options::default()
             })),
@@ -136,12 +136,12 @@
         };
         kept.is_superseded = true;
         drop(slot);
-        self.lapsed.notify_one();
+        self.verify_due.notify_one();
     }
 
     pub(super) fn mark_dirty(&self, shard: id::ShardId) {
         self.dirty.lock().insert(shard);
-        self.dirtied.notify_one();
+        self.dirty_added.notify_one();
     }
 
     pub(super) async fn wait_durable(&self, ticket: Ticket, wait: Duration) -> Result<(), Error> {
@@ -150,7 +150,7 @@
             let kept = slot
                 .kept()
                 .filter(|kept| kept.incarnation == ticket.incarnation);
-            kept.map(|kept| kept.progress.subscribe())
+            kept.map(|kept| kept.durable_position.subscribe())
         };
         let mut progress = progress.ok_or(Error::StaleFence)?;
         let reached = progress.wait_for(|position| *position >= ticket.position);
@@ -162,24 +162,24 @@
         }
     }
 
-    pub(super) fn note_contact(&self) {
-        let before = std::mem::replace(&mut *self.contact.lock(), Instant::now());
+    pub(super) fn record_contact(&self) {
+        let before = std::mem::replace(&mut *self.last_contact.lock(), Instant::now());
         if before.elapsed() > self.opts.ttl {
-            self.doubt();
+            self.invalidate_ownership();
         }
     }
 
     /// Notes that others may have taken the kept shards: the lease lapsed, or the store is back
     /// after a silence in which it may have. Until each was looked at, what is in memory may be
     /// the past of programs that have gone on elsewhere.
-    pub(super) fn doubt(&self) {
-        self.doubts.fetch_add(1, Ordering::AcqRel);
-        self.lapsed.notify_one();
+    pub(super) fn invalidate_ownership(&self) {
+        self.ownership_epoch.fetch_add(1, Ordering::AcqRel);
+        self.verify_due.notify_one();
     }
 
     /// The number of doubts so far.
-    pub(super) fn doubts(&self) -> u64 {
-        self.doubts.load(Ordering::Acquire)
+    pub(super) fn ownership_epoch(&self) -> u64 {
+        self.ownership_epoch.load(Ordering::Acquire)
     }
 
     /// Whether the store was not asked who keeps `shard` since the last doubt.
@@ -188,16 +188,16 @@
             return false;
         };
         let mut slot = slot.lock();
-        let doubts = self.doubts();
-        slot.kept().is_some_and(|kept| kept.is_in_doubt(doubts))
+        let epoch = self.ownership_epoch();
+        slot.kept().is_some_and(|kept| kept.is_in_doubt(epoch))
     }
 
     /// The kept shards that the store is to be asked for.
-    pub(super) fn in_doubt(&self) -> Vec<id::ShardId> {
-        let doubts = self.doubts();
+    pub(super) fn shards_in_doubt(&self) -> Vec<id::ShardId> {
+        let epoch = self.ownership_epoch();
         let is_in_doubt = |slot: &Mutex<Slot>| {
             let mut slot = slot.lock();
-            slot.kept().is_some_and(|kept| kept.is_in_doubt(doubts))
+            slot.kept().is_some_and(|kept| kept.is_in_doubt(epoch))
         };
         let numbered = (0..).zip(&self.slots);
         let in_doubt = numbered.filter(|(_, slot)| is_in_doubt(slot));
@@ -205,37 +205,37 @@
     }
 
     /// Takes up to `most` out of `shards`, those first that calls wait for.
-    pub(super) fn wanted_first(
+    pub(super) fn take_prioritized_first(
         &self,
         shards: &mut Vec<id::ShardId>,
         most: usize,
     ) -> Vec<id::ShardId> {
-        let mut wanted = self.wanted.lock();
-        shards.sort_by_key(|shard| !wanted.contains(shard));
+        let mut prioritized = self.prioritized.lock();
+        shards.sort_by_key(|shard| !prioritized.contains(shard));
         let part: Vec<_> = shards.drain(..most.min(shards.len())).collect();
-        wanted.retain(|shard| !part.contains(shard));
+        prioritized.retain(|shard| !part.contains(shard));
         part
     }
 
     /// Notes that kept shards were seen without keeper in the store.
-    pub(super) fn doubt_shards(&self, shards: &[id::ShardId]) {
+    pub(super) fn invalidate_shards(&self, shards: &[id::ShardId]) {
         for shard in shards {
             if let Some(kept) = self.slot(*shard).lock().kept() {
-                kept.confirmed = None;
+                kept.confirmed_epoch = None;
             }
         }
-        self.lapsed.notify_one();
+        self.verify_due.notify_one();
     }
 
     /// Notes until when the lease runs at least.
-    pub(super) fn sure_until(&self, until: Instant) {
-        let mut known = self.sure_until.lock();
-        *known = until.max(*known);
+    pub(super) fn extend_lease_validity(&self, until: Instant) {
+        let mut valid_until = self.lease_valid_until.lock();
+        *valid_until = until.max(*valid_until);
     }
 
     /// Whether the lease runs by this process's own clock.
     pub(super) fn has_lease(&self) -> bool {
-        Instant::now() < *self.sure_until.lock()
+        Instant::now() < *self.lease_valid_until.lock()
     }
 
     pub(super) fn is_closing(&self) -> bool {
--- a/fw-keep/src/keeper/lease.rs
+++ b/fw-keep/src/keeper/lease.rs
@@ -12,7 +12,7 @@
 use crate::keeper::table::EntryValue;
 
 /// Renewals within one lease: two may be lost before it lapses.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_LEASE: u32 = 3;
 
 /// Shortest and longest pause before a call to a store that does not answer is made again. The
 /// pause is drawn at random below a doubling bound, so that entries don't come back together.
@@ -21,14 +21,14 @@
 
 pub(super) async fn run(inner: Arc<Inner>) {
     loop {
-        let lease = granted(&inner).await;
+        let lease = acquire_lease(&inner).await;
         inner.lease.send_replace(lease);
         tracing::info!(entry = %inner.opts.entry, lease, "lease granted");
-        until_lapsed(&inner, lease).await;
+        renew_until_lapsed(&inner, lease).await;
         count("lapsed");
         tracing::warn!(entry = %inner.opts.entry, lease, "lease lapsed");
         inner.lease.send_replace(0);
-        inner.doubt();
+        inner.invalidate_ownership();
     }
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-async fn granted(inner: &Inner) -> kv::LeaseId {
+async fn acquire_lease(inner: &Inner) -> kv::LeaseId {
     let mut backoff = Backoff::new();
     loop {
         if let Some(lease) = try_grant(inner).await {
@@ -63,8 +63,8 @@
 async fn try_grant(inner: &Inner) -> Option<kv::LeaseId> {
     let sent = Instant::now();
     let lease = inner.store.grant(inner.opts.ttl).await.ok()?;
-    inner.note_contact();
-    inner.sure_until(sent + lease.ttl);
+    inner.record_contact();
+    inner.extend_lease_validity(sent + lease.ttl);
     if inner.is_closing() {
         return Some(lease.id);
     }
@@ -86,16 +86,16 @@
     Some(lease.id)
 }
 
-async fn until_lapsed(inner: &Inner, lease: kv::LeaseId) {
-    let period = inner.opts.ttl / RENEWALS;
+async fn renew_until_lapsed(inner: &Inner, lease: kv::LeaseId) {
+    let period = inner.opts.ttl / RENEWALS_PER_LEASE;
     loop {
         // Early by up to a tenth, so that entries started together drift apart.
         tokio::time::sleep(period - keeper::jitter(period / 10)).await;
         let sent = Instant::now();
         match inner.store.keep_alive(lease).await {
             Ok(renewed) => {
-                inner.note_contact();
-                inner.sure_until(sent + renewed.ttl);
+                inner.record_contact();
+                inner.extend_lease_validity(sent + renewed.ttl);
                 count("renewed");
             }
             Err(fw_store::error::Error::LeaseGone { .. }) => return,
--- a/fw-keep/src/keeper/load.rs
+++ b/fw-keep/src/keeper/load.rs
@@ -19,41 +19,44 @@
 const BATCH: usize = 60;
 
 /// Bytes of segments read in one call. Bounds the memory that loading takes besides the shards.
-const MAX_BYTES: u64 = 4_000_000;
+const MAX_READ_BYTES: u64 = 4_000_000;
 
 /// Segments read in one call of a journal above [`MAX_BYTES`]; each is up to a megabyte.
-const SEGMENTS: u64 = 4;
+const SEGMENTS_PER_READ: u64 = 4;
 
 /// A taken shard whose journal is to be read.
 #[derive(Clone, Debug)]
-struct Fresh {
+struct UnloadedShard {
     shard: id::ShardId,
     fence: id::Fence,
     head: Option<Vec<u8>>,
     /// The head as far as it can be read, for its sizes.
-    sizes: Head,
+    decoded_head: Head,
 }
 
 /// Loads the shards; those whose journal can't be read now stay absent and are tried again later.
 pub(super) async fn run(inner: &Inner, taken: Vec<(id::ShardId, id::Fence)>) {
     for chunk in taken.chunks(BATCH) {
         // A lease that lapses while the journals are read is a doubt of its own.
-        let doubts = inner.doubts();
-        let Some(fresh) = heads(inner, chunk).await else {
+        let epoch = inner.ownership_epoch();
+        let Some(unloaded) = read_heads(inner, chunk).await else {
             count("unavailable", chunk.len());
             continue;
         };
-        for group in groups(fresh) {
-            load_group(inner, group, doubts).await;
+        for group in group_by_size(unloaded) {
+            load_group(inner, group, epoch).await;
         }
         // Nobody was asked for these when the doubt came.
-        if inner.doubts() != doubts {
-            inner.lapsed.notify_one();
+        if inner.ownership_epoch() != epoch {
+            inner.verify_due.notify_one();
         }
     }
 }
 
-async fn heads(inner: &Inner, taken: &[(id::ShardId, id::Fence)]) -> Option<Vec<Fresh>> {
+async fn read_heads(
+    inner: &Inner,
+    taken: &[(id::ShardId, id::Fence)],
+) -> Option<Vec<UnloadedShard>> {
     let root = &inner.opts.root;
     let reads = taken.iter().flat_map(|(shard, _)| {
         let owner = kv::Op::get(keys::owner(root, *shard));
@@ -65,7 +68,7 @@
         let owner = kvs.iter().find(|kv| kv.key == key);
         owner.is_some_and(|kv| kv.create_revision == *fence)
     };
-    let fresh = taken.iter().filter(is_ours).map(|(shard, fence)| {
+    let unloaded = taken.iter().filter(is_ours).map(|(shard, fence)| {
         let key = keys::head(root, *shard);
         let head = kvs
             .iter()
@@ -74,26 +77,26 @@
         let decoded = head
             .as_ref()
             .and_then(|v| Head::decode(&key, *shard, v).ok());
-        Fresh {
+        UnloadedShard {
             shard: *shard,
             fence: *fence,
             head,
-            sizes: decoded.unwrap_or_default(),
+            decoded_head: decoded.unwrap_or_default(),
         }
     });
-    Some(fresh.collect())
+    Some(unloaded.collect())
 }
 
 /// Groups shards whose journals are read together.
-fn groups(fresh: Vec<Fresh>) -> Vec<Vec<Fresh>> {
-    let mut groups: Vec<Vec<Fresh>> = Vec::new();
+fn group_by_size(unloaded: Vec<UnloadedShard>) -> Vec<Vec<UnloadedShard>> {
+    let mut groups: Vec<Vec<UnloadedShard>> = Vec::new();
     let mut bytes = u64::MAX;
-    for shard in fresh {
-        bytes = bytes.saturating_add(shard.sizes.bytes);
+    for shard in unloaded {
+        bytes = bytes.saturating_add(shard.decoded_head.bytes);
         match groups.last_mut() {
-            Some(group) if bytes <= MAX_BYTES => group.push(shard),
+            Some(group) if bytes <= MAX_READ_BYTES => group.push(shard),
             _ => {
-                bytes = shard.sizes.bytes;
+                bytes = shard.decoded_head.bytes;
                 groups.push(vec![shard]);
             }
         }
@@ -101,8 +104,10 @@
     groups
 }
 
-async fn load_group(inner: &Inner, group: Vec<Fresh>, doubts: u64) {
-    let is_large = group.iter().any(|shard| shard.sizes.bytes > MAX_BYTES);
+async fn load_group(inner: &Inner, group: Vec<UnloadedShard>, epoch: u64) {
+    let is_large = group
+        .iter()
+        .any(|shard| shard.decoded_head.bytes > MAX_READ_BYTES);
     let values = if is_large {
         read_large(inner, &group[0]).await
     } else {
@@ -112,29 +117,29 @@
         count("unavailable", group.len());
         return;
     };
-    for fresh in group {
-        let prefix = keys::segments(&inner.opts.root, fresh.shard);
+    for unloaded in group {
+        let prefix = keys::segments(&inner.opts.root, unloaded.shard);
         let own = values.iter().filter(|kv| kv.key.starts_with(&prefix));
         let own = own.map(|kv| (kv.key.clone(), kv.value.clone())).collect();
-        install(inner, fresh, own, doubts);
+        install(inner, unloaded, own, epoch);
     }
 }
 
-async fn read_small(inner: &Inner, group: &[Fresh]) -> Option<Vec<kv::Kv>> {
+async fn read_small(inner: &Inner, group: &[UnloadedShard]) -> Option<Vec<kv::Kv>> {
     let prefixes = group
         .iter()
-        .map(|fresh| keys::segments(&inner.opts.root, fresh.shard));
+        .map(|unloaded| keys::segments(&inner.opts.root, unloaded.shard));
     let reads = prefixes.map(|prefix| kv::Op::Get(kv::Range::prefix(prefix)));
     read(inner, reads.collect()).await
 }
 
-async fn read_large(inner: &Inner, fresh: &Fresh) -> Option<Vec<kv::Kv>> {
-    let head = &fresh.sizes;
+async fn read_large(inner: &Inner, unloaded: &UnloadedShard) -> Option<Vec<kv::Kv>> {
+    let head = &unloaded.decoded_head;
     let mut kvs = Vec::new();
-    for first in (0..head.next).step_by(SEGMENTS as usize) {
-        let last = (first + SEGMENTS).min(head.next);
+    for first in (0..head.next).step_by(SEGMENTS_PER_READ as usize) {
+        let last = (first + SEGMENTS_PER_READ).min(head.next);
         let reads = (first..last).map(|seq| {
-            let key = keys::segment(&inner.opts.root, fresh.shard, head.generation, seq);
+            let key = keys::segment(&inner.opts.root, unloaded.shard, head.generation, seq);
             kv::Op::get(key)
         });
         kvs.extend(read(inner, reads.collect()).await?);
@@ -148,14 +153,14 @@
         ..kv::Txn::default()
     };
     let outcome = inner.store.txn(&txn).await.ok()?;
-    inner.note_contact();
+    inner.record_contact();
     Some(outcome.into_kvs())
 }
 
-fn install(inner: &Inner, fresh: Fresh, values: Vec<(String, Vec<u8>)>, doubts: u64) {
-    let Fresh { shard, fence, .. } = fresh;
+fn install(inner: &Inner, unloaded: UnloadedShard, values: Vec<(String, Vec<u8>)>, epoch: u64) {
+    let UnloadedShard { shard, fence, .. } = unloaded;
     let opts = &inner.opts;
-    let replayed = replay::read(&opts.root, shard, fresh.head, values);
+    let replayed = replay::read(&opts.root, shard, unloaded.head, values);
     let damaged = replayed.is_damaged();
     count(if damaged { "damaged" } else { "clean" }, 1);
     let loaded = Shard::load(shard, replayed.items)
@@ -175,8 +180,8 @@
     let mut slot = inner.slot(shard).lock();
     // Another task can't have loaded it meanwhile: only `member` loads.
     if slot.kept().is_none() {
-        let kept = Kept::new(loaded, writer, doubts);
-        *inner.loaded.lock() = Some(kept.since);
+        let kept = Kept::new(loaded, writer, epoch);
+        *inner.last_loaded.lock() = Some(kept.since);
         *slot = Slot::Kept(Box::new(kept));
     }
 }
--- a/fw-keep/src/keeper/member.rs
+++ b/fw-keep/src/keeper/membership.rs
@@ -14,15 +14,15 @@
 use crate::keeper::Inner;
 use crate::keeper::acquire;
 use crate::keeper::close;
-use crate::keeper::freshness::Freshness;
 use crate::keeper::lease::Backoff;
 use crate::keeper::load;
+use crate::keeper::owner_lookup;
 use crate::keeper::table::Table;
-use crate::keeper::wanted;
+use crate::keeper::watch_health::WatchHealth;
 
 /// Shards taken or handed over at a time. Between two keepers nobody answers for a shard: moved all
 /// together, each of thousands would be without a keeper until the last one has moved.
-const MOVED: usize = 60;
+const MOVE_BATCH: usize = 60;
 
 /// When this entry may take shards that it did not keep before.
 struct Grace {
@@ -38,10 +38,10 @@
         lease: 0,
         until: Instant::now(),
     };
-    let mut freshness = Freshness::new(&inner.opts.entry);
+    let mut watch_health = WatchHealth::new(&inner.opts.entry);
     loop {
         let mut watch = read_table(&inner).await;
-        follow(&inner, &mut watch, &mut grace, &mut freshness).await;
+        follow(&inner, &mut watch, &mut grace, &mut watch_health).await;
     }
 }
 
@@ -50,10 +50,10 @@
     let mut backoff = Backoff::new();
     loop {
         if let Ok(read) = inner.store.range(&kv::Range::prefix(&prefix)).await {
-            inner.note_contact();
+            inner.record_contact();
             let mut table = inner.table.write();
             table.reset(&inner.opts.root, read.kvs, read.revision);
-            give_way(inner, &table);
+            supersede_taken(inner, &table);
             drop(table);
             return inner.store.watch(prefix, read.revision + 1);
         }
@@ -62,38 +62,43 @@
 }
 
 /// Follows the watch until the table has to be read anew.
-async fn follow(inner: &Inner, watch: &mut Watch, grace: &mut Grace, freshness: &mut Freshness) {
+async fn follow(
+    inner: &Inner,
+    watch: &mut Watch,
+    grace: &mut Grace,
+    watch_health: &mut WatchHealth,
+) {
     let mut lease = inner.lease.subscribe();
     let mut sweep = time::interval(inner.opts.sweep_interval);
-    let mut act_at = time::Instant::now() + settle(inner);
+    let mut rebalance_at = time::Instant::now() + debounce(inner);
     loop {
         tokio::select! {
             next = watch.next() => match next {
                 Ok(batch) => {
-                    inner.note_contact();
-                    freshness.told(batch.revision);
+                    inner.record_contact();
+                    watch_health.record_progress(batch.revision);
                     if apply(inner, batch.events) {
-                        act_at = act_at.min(time::Instant::now() + settle(inner));
+                        rebalance_at = rebalance_at.min(time::Instant::now() + debounce(inner));
                     }
                 }
                 Err(fw_store::error::Error::Compacted { .. }) => return,
                 Err(err) => {
-                    freshness.failed(&err, watch.age());
+                    watch_health.record_failure(&err, watch.age());
                     // Leases may have lapsed since, and shards changed hands.
                     if watch.age() > inner.opts.ttl {
                         return;
                     }
                     // It opens again by itself, after a pause.
-                    time::sleep(settle(inner)).await;
+                    time::sleep(debounce(inner)).await;
                 }
             },
-            _ = lease.changed() => act_at = act_at.min(time::Instant::now() + settle(inner)),
-            () = time::sleep_until(act_at) => {
-                let pause = match act(inner, grace).await {
-                    Left::More => Duration::ZERO,
-                    Left::Nothing => inner.opts.ttl / 3,
+            _ = lease.changed() => rebalance_at = rebalance_at.min(time::Instant::now() + debounce(inner)),
+            () = time::sleep_until(rebalance_at) => {
+                let pause = match rebalance(inner, grace).await {
+                    Next::Again => Duration::ZERO,
+                    Next::Wait => inner.opts.ttl / 3,
                 };
-                act_at = time::Instant::now() + pause;
+                rebalance_at = time::Instant::now() + pause;
             }
             _ = sweep.tick() => sweep_all(inner),
         }
@@ -102,51 +107,51 @@
 
 fn apply(inner: &Inner, events: Vec<fw_store::watch::Event>) -> bool {
     let mut table = inner.table.write();
-    let mut matters = false;
-    let is_news = !events.is_empty();
+    let mut changes_plan = false;
+    let has_events = !events.is_empty();
     for event in events {
-        matters |= table.apply(&inner.opts.root, event);
+        changes_plan |= table.apply(&inner.opts.root, event);
     }
-    give_way(inner, &table);
+    supersede_taken(inner, &table);
     // Entries that act on tables a moment apart may each leave a shard to the other. What others
     // take changes the plan for the rest, so it is looked at again while anything is free.
-    matters || (is_news && table.has_free())
+    changes_plan || (has_events && table.has_free_shards())
 }
 
 /// Stops serving shards that others have taken. Their programs go on there: what is in memory here is
 /// their past, and callers of newer turns would be refused for good.
-fn give_way(inner: &Inner, table: &Table) {
+fn supersede_taken(inner: &Inner, table: &Table) {
     for (shard, fence) in table.kept_by_others(inner.nonce) {
         inner.supersede(shard, fence);
     }
 }
 
 /// A burst of changes, as when a data centre restarts, is acted on once.
-fn settle(inner: &Inner) -> Duration {
+fn debounce(inner: &Inner) -> Duration {
     inner.opts.debounce + keeper::jitter(inner.opts.debounce)
 }
 
 /// Whether an entry has more to do at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Left {
+enum Next {
     /// Some shards are to be taken yet.
-    More,
+    Again,
     /// It waits for news.
-    Nothing,
+    Wait,
 }
 
-async fn act(inner: &Inner, grace: &mut Grace) -> Left {
+async fn rebalance(inner: &Inner, grace: &mut Grace) -> Next {
     let lease = *inner.lease.borrow();
     if lease == 0 || inner.is_closing() || !inner.opts.keeps {
-        return Left::Nothing;
+        return Next::Wait;
     }
-    grace.note(lease, inner.opts.ttl);
-    adopt(inner).await;
-    wanted::look_up(inner).await;
+    grace.on_lease(lease, inner.opts.ttl);
+    load_missing(inner).await;
+    owner_lookup::refresh(inner).await;
     let plan = inner.table.write().plan(&inner.opts.entry, inner.opts.ttl);
-    let left = take(inner, plan.acquire, grace).await;
+    let next = take_shards(inner, plan.acquire, grace).await;
     hand_over(inner, plan.release).await;
-    left
+    next
 }
 
 /// Takes some of the `free` shards.
@@ -155,35 +160,35 @@
 /// each group was tried several times in vain, and nothing that the store had to tell was read: seconds
 /// after it was back the entry still took a dead entry for the keeper of its shards. So the table is
 /// read after each group, and a store that does not answer ends the attempt.
-async fn take(inner: &Inner, free: Vec<id::ShardId>, grace: &Grace) -> Left {
+async fn take_shards(inner: &Inner, free: Vec<id::ShardId>, grace: &Grace) -> Next {
     let is_kept = |shard: &id::ShardId| inner.slot(*shard).lock().kept().is_some();
     let (kept, mut absent): (Vec<_>, Vec<_>) = free.into_iter().partition(is_kept);
     // These lapsed with our lease. Loading them would drop changes that the store lacks.
     if !kept.is_empty() {
-        inner.doubt_shards(&kept);
+        inner.invalidate_shards(&kept);
     }
     if absent.is_empty() || !grace.is_over() {
-        return Left::Nothing;
+        return Next::Wait;
     }
     // A turn whose shard is among the last of thousands would be given up before it is taken.
-    let part = inner.wanted_first(&mut absent, MOVED);
-    let asked = part.len();
-    let wants = part
+    let batch = inner.take_prioritized_first(&mut absent, MOVE_BATCH);
+    let asked = batch.len();
+    let requests = batch
         .into_iter()
-        .map(|shard| acquire::Want { shard, head: None });
-    let outcome = acquire::run(inner, grace.lease, wants.collect()).await;
+        .map(|shard| acquire::Request { shard, head: None });
+    let outcome = acquire::run(inner, grace.lease, requests.collect()).await;
     let (taken, lost) = (outcome.taken.len(), outcome.lost.len());
     load::run(inner, outcome.taken).await;
     tracing::info!(entry = %inner.opts.entry, asked, taken, lost, "shards taken");
     // What others hold is still free in a table that lags; it is not asked for again at once.
-    let goes_on = taken > 0 && taken + lost == asked;
-    if goes_on { Left::More } else { Left::Nothing }
+    let has_more = taken > 0 && taken + lost == asked;
+    if has_more { Next::Again } else { Next::Wait }
 }
 
 impl Grace {
     /// After an outage of the store every entry finds its own lease lapsed and all shards free.
     /// Those that kept them hold changes that the store lacks, so they go first; others wait.
-    fn note(&mut self, lease: kv::LeaseId, wait: Duration) {
+    fn on_lease(&mut self, lease: kv::LeaseId, wait: Duration) {
         if lease == self.lease {
             return;
         }
@@ -201,7 +206,7 @@
 
 /// Loads shards that the store says are ours and that are not loaded: the answer to their
 /// acquisition was lost, or their journal could not be read.
-async fn adopt(inner: &Inner) {
+async fn load_missing(inner: &Inner) {
     let kept = inner.table.read().kept_by(inner.nonce);
     let absent = |shard: &id::ShardId| inner.slot(*shard).lock().kept().is_none();
     let missing: Vec<_> = kept
@@ -215,7 +220,7 @@
 
 /// Hands over shards beyond this entry's share, as far as nothing is under way in them.
 async fn hand_over(inner: &Inner, shards: Vec<id::ShardId>) {
-    let quiet = |shard: &id::ShardId| {
+    let start_leaving = |shard: &id::ShardId| {
         let mut slot = inner.slot(*shard).lock();
         let Some(kept) = slot.serving() else {
             return false;
@@ -226,8 +231,8 @@
         kept.is_leaving = true;
         true
     };
-    for part in shards.chunks(MOVED) {
-        let leaving: Vec<id::ShardId> = part.iter().copied().filter(quiet).collect();
+    for batch in shards.chunks(MOVE_BATCH) {
+        let leaving: Vec<id::ShardId> = batch.iter().copied().filter(start_leaving).collect();
         if !leaving.is_empty() {
             close::release(inner, leaving).await;
         }
--- a/fw-keep/src/keeper/mod.rs
+++ b/fw-keep/src/keeper/mod.rs
@@ -7,14 +7,14 @@
 mod acquire;
 mod close;
 mod flush;
-mod freshness;
 mod inner;
 mod lease;
 mod load;
-mod member;
+mod membership;
+mod owner_lookup;
 mod slot;
 mod table;
-mod wanted;
+mod watch_health;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -224,7 +224,7 @@
         let inner = Arc::new(Inner::new(store, opts));
         let tasks = vec![
             tokio::spawn(lease::run(Arc::clone(&inner))),
-            tokio::spawn(member::run(Arc::clone(&inner))),
+            tokio::spawn(membership::run(Arc::clone(&inner))),
             tokio::spawn(flush::run(Arc::clone(&inner))),
         ];
         Self {
@@ -245,7 +245,7 @@
 
     /// A call waits for a keeper of `shard`: should this entry take it, then before others.
     pub fn prioritize(&self, shard: id::ShardId) {
-        self.inner.wanted.lock().insert(shard);
+        self.inner.prioritized.lock().insert(shard);
     }
 
     /// The shards kept here, in order.
@@ -275,7 +275,7 @@
     /// Whether nobody else can have taken the shards that are kept here: the lease still runs, by this
     /// process's own clock, and no shard is in doubt.
     pub fn is_sole_keeper(&self) -> bool {
-        self.inner.has_lease() && self.inner.in_doubt().is_empty()
+        self.inner.has_lease() && self.inner.shards_in_doubt().is_empty()
     }
 
     /// Whether nobody else can have taken `shard`, if it is kept here.
@@ -299,20 +299,20 @@
     pub fn recent_entries(&self) -> Vec<(id::EntryId, SmolStr)> {
         let table = self.inner.table.read();
         let mut entries = table.entries();
-        entries.extend(table.lately_gone());
+        entries.extend(table.recently_gone());
         entries.retain(|(entry, _)| *entry != self.inner.opts.entry);
         entries
     }
 
     /// When a shard was loaded last.
     pub fn last_loaded_at(&self) -> Option<Instant> {
-        *self.inner.loaded.lock()
+        *self.inner.last_loaded.lock()
     }
 
     /// The shards that were loaded after `since`, kept here still.
     pub fn loaded_since(&self, since: Option<Instant>) -> Vec<KeptShard> {
         let is_new = |at: Instant| since.is_none_or(|since| at > since);
-        if !self.inner.loaded.lock().is_some_and(is_new) {
+        if !self.inner.last_loaded.lock().is_some_and(is_new) {
             return Vec::new();
         }
         let mut shards = self.shards();
@@ -334,7 +334,7 @@
 
     /// Time since the store last answered this keeper.
     pub fn time_since_contact(&self) -> Duration {
-        self.inner.contact.lock().elapsed()
+        self.inner.last_contact.lock().elapsed()
     }
 
     /// The error for a shard that nobody keeps.
@@ -348,7 +348,7 @@
 
     /// Changes the least time from one group commit to the next.
     pub fn set_window(&self, window: Duration) {
-        *self.inner.window.lock() = window;
+        *self.inner.window_min.lock() = window;
     }
 
     /// Runs `f` on the shard of `program`, under its lock.
@@ -400,7 +400,7 @@
             shard::ClaimOutcome::Again(claim::Again::Refused(err)) => refuse(err),
             shard::ClaimOutcome::Opening { .. } => {
                 let durable = self.wait_durable(changed.ticket).await;
-                self.opened(shard, key, fingerprint, durable)
+                self.finish_claim(shard, key, fingerprint, durable)
             }
         }
     }
@@ -415,10 +415,10 @@
         &self,
         key: &claim::Key,
         fingerprint: Digest,
-        how: Settlement,
+        settlement: Settlement,
     ) -> Result<Option<Ticket>, Owner> {
         let shard = self.shard_of(&key.shard_name());
-        let changed = self.with_shard(shard, |kept| match how {
+        let changed = self.with_shard(shard, |kept| match settlement {
             Settlement::NotRun => kept.claim_not_run(key, fingerprint),
             Settlement::Unknown => {
                 kept.claim_unknown(key, fingerprint);
@@ -444,7 +444,7 @@
     }
 
     /// A claim that did not become durable is withdrawn: its call is refused as not run.
-    fn opened(
+    fn finish_claim(
         &self,
         shard: id::ShardId,
         key: &claim::Key,
--- a/fw-keep/src/keeper/wanted.rs
+++ b/fw-keep/src/keeper/owner_lookup.rs
@@ -12,8 +12,8 @@
 use crate::keeper::acquire;
 
 /// Notes in the table who keeps the shards that calls wait for and did not find where it says.
-pub(super) async fn look_up(inner: &Inner) {
-    let shards = wanted_elsewhere(inner);
+pub(super) async fn refresh(inner: &Inner) {
+    let shards = prioritized_elsewhere(inner);
     if shards.is_empty() {
         return;
     }
@@ -32,20 +32,20 @@
             return;
         }
     };
-    inner.note_contact();
+    inner.record_contact();
     let revision = found.revision;
     inner
         .table
         .write()
-        .learn(root, &shards, found.into_kvs(), revision);
+        .update_owners(root, &shards, found.into_kvs(), revision);
     tracing::info!(entry = %inner.opts.entry, asked = shards.len(), revision, "looked up who keeps the shards that calls wait for");
 }
 
 /// The shards that calls wait for and that others keep by the table.
-fn wanted_elsewhere(inner: &Inner) -> Vec<id::ShardId> {
+fn prioritized_elsewhere(inner: &Inner) -> Vec<id::ShardId> {
     let table = inner.table.read();
-    let wanted = inner.wanted.lock();
+    let prioritized = inner.prioritized.lock();
     let kept = table.kept_by_others(inner.nonce).map(|(shard, _)| shard);
-    let elsewhere = kept.filter(|shard| wanted.contains(shard));
+    let elsewhere = kept.filter(|shard| prioritized.contains(shard));
     elsewhere.take(acquire::BATCH).collect()
 }
--- a/fw-keep/src/keeper/slot.rs
+++ b/fw-keep/src/keeper/slot.rs
@@ -32,14 +32,14 @@
     /// Another entry was seen to have taken it since; the store is to be asked.
     pub(super) is_superseded: bool,
     /// Number of doubts up to which the store was asked who keeps it; `None` if it is to be asked anyway.
-    pub(super) confirmed: Option<u64>,
+    pub(super) confirmed_epoch: Option<u64>,
     /// Position up to which changes are in the store.
-    pub(super) progress: watch::Sender<shard::Position>,
+    pub(super) durable_position: watch::Sender<shard::Position>,
 }
 
 impl Kept {
     /// A shard whose keeper the store told after so many doubts.
-    pub(super) fn new(shard: Shard, writer: Writer, confirmed: u64) -> Self {
+    pub(super) fn new(shard: Shard, writer: Writer, confirmed_epoch: u64) -> Self {
         Self {
             shard,
             writer,
@@ -47,8 +47,8 @@
             since: Instant::now(),
             is_leaving: false,
             is_superseded: false,
-            confirmed: Some(confirmed),
-            progress: watch::Sender::new(0),
+            confirmed_epoch: Some(confirmed_epoch),
+            durable_position: watch::Sender::new(0),
         }
     }
 
@@ -61,8 +61,8 @@
     }
 
     /// Whether the store is to be asked who keeps it, after so many `doubts`.
-    pub(super) fn is_in_doubt(&self, doubts: u64) -> bool {
-        self.is_superseded || self.confirmed != Some(doubts)
+    pub(super) fn is_in_doubt(&self, epoch: u64) -> bool {
+        self.is_superseded || self.confirmed_epoch != Some(epoch)
     }
 
     /// Whether all changes are in the store.
@@ -70,9 +70,9 @@
         self.shard.durable_position() >= self.shard.last_position()
     }
 
-    pub(super) fn note_durable(&mut self, position: shard::Position) {
+    pub(super) fn mark_durable(&mut self, position: shard::Position) {
         self.shard.durable(position);
-        self.progress.send_replace(position);
+        self.durable_position.send_replace(position);
     }
 }
 
--- a/fw-keep/src/keeper/table.rs
+++ b/fw-keep/src/keeper/table.rs
@@ -50,7 +50,7 @@
     }
 
     /// The keeper that this names, under the fencing number of its key.
-    pub(super) fn holder(self, fence: id::Fence) -> owners::Holder {
+    pub(super) fn into_holder(self, fence: id::Fence) -> owners::Holder {
         owners::Holder {
             entry: self.entry,
             nonce: self.nonce,
@@ -71,7 +71,7 @@
 
 /// How long an entry is remembered whose key is gone. Its lease may have lapsed while it lives on and
 /// holds answers that its callers have and the store lacks; it goes on to offer them itself.
-const GONE_KEPT: Duration = Duration::from_secs(60);
+const GONE_RETENTION: Duration = Duration::from_secs(60);
 
 impl Table {
     pub(super) fn new(shards: usize) -> Self {
@@ -89,8 +89,8 @@
         let entries = self.entries.keys().map(|entry| keys::entry(root, entry));
         let owners = (0..).zip(self.owners.all());
         let owners = owners.map(|(shard, _)| keys::owner(root, shard));
-        let known: Vec<_> = entries.chain(owners).collect();
-        for key in known.iter().filter(|key| !listed.contains(*key)) {
+        let cached: Vec<_> = entries.chain(owners).collect();
+        for key in cached.iter().filter(|key| !listed.contains(*key)) {
             self.delete(root, key, revision);
         }
         for kv in kvs {
@@ -99,7 +99,7 @@
     }
 
     /// Takes over who keeps `shards`, as the store told at `revision`.
-    pub(super) fn learn(
+    pub(super) fn update_owners(
         &mut self,
         root: &str,
         shards: &[id::ShardId],
@@ -110,9 +110,9 @@
             let key = keys::owner(root, *shard);
             let holder = found.iter().find(|kv| kv.key == key).and_then(|kv| {
                 let value = OwnerValue::decode(&kv.value)?;
-                Some(value.holder(kv.create_revision))
+                Some(value.into_holder(kv.create_revision))
             });
-            self.note(*shard, holder, revision);
+            self.update_owner(*shard, holder, revision);
         }
     }
 
@@ -132,23 +132,23 @@
     }
 
     /// The entries whose key is gone for not longer than [`GONE_KEPT`].
-    pub(super) fn lately_gone(&self) -> Vec<(id::EntryId, SmolStr)> {
+    pub(super) fn recently_gone(&self) -> Vec<(id::EntryId, SmolStr)> {
         let gone = self.gone.iter();
-        let lately = gone.filter(|(id, (_, since))| {
-            since.elapsed() < GONE_KEPT && !self.entries.contains_key(*id)
+        let recent = gone.filter(|(id, (_, since))| {
+            since.elapsed() < GONE_RETENTION && !self.entries.contains_key(*id)
         });
-        lately
+        recent
             .map(|(id, (value, _))| (id.clone(), value.address.clone()))
             .collect()
     }
 
-    fn note_gone(&mut self, entry: id::EntryId, value: EntryValue) {
+    fn record_gone(&mut self, entry: id::EntryId, value: EntryValue) {
         self.gone
-            .retain(|_, (_, since)| since.elapsed() < GONE_KEPT);
+            .retain(|_, (_, since)| since.elapsed() < GONE_RETENTION);
         self.gone.insert(entry, (value, Instant::now()));
     }
 
-    pub(super) fn has_free(&self) -> bool {
+    pub(super) fn has_free_shards(&self) -> bool {
         self.owners.has_free()
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Notes who kept a shard at `revision`, as an own call or the watch has told.
-    pub(super) fn note(
+    pub(super) fn update_owner(
         &mut self,
         shard: id::ShardId,
         holder: Option<owners::Holder>,
@@ -194,25 +194,28 @@
     ) {
         let now = Instant::now();
         let taker = holder.as_ref().map(|holder| holder.entry.clone());
-        let is_news = self.owners.update(shard, holder, revision, now);
-        if let Some(taker) = taker.filter(|_| is_news) {
+        let has_changed = self.owners.update(shard, holder, revision, now);
+        if let Some(taker) = taker.filter(|_| has_changed) {
             self.progress.record_taken(&taker, now);
         }
     }
 
     /// The plan of entry `me`, which looks every `round` at least.
-    pub(super) fn plan(&mut self, me: &id::EntryId, round: Duration) -> balance::Plan {
+    pub(super) fn plan(&mut self, me: &id::EntryId, stall_timeout: Duration) -> balance::Plan {
         let assignments = balance::assignments(&self.view()).into_iter();
         let others = assignments.filter(|assignment| assignment.entry != me);
-        let due = others.filter_map(|assignment| {
+        let pending = others.filter_map(|assignment| {
             Some(progress::PendingShard {
                 entry: assignment.entry.into(),
                 free_since: self.owners.free_since(assignment.shard)?,
             })
         });
-        let due: Vec<_> = due.collect();
-        for stuck in self.progress.detect_stalled(due, round, Instant::now()) {
-            tracing::warn!(entry = %me, %stuck, "an entry takes no free shards; others take its share");
+        let pending: Vec<_> = pending.collect();
+        for stalled in self
+            .progress
+            .detect_stalled(pending, stall_timeout, Instant::now())
+        {
+            tracing::warn!(entry = %me, stuck = %stalled, "an entry takes no free shards; others take its share");
         }
         balance::plan(me, &self.view())
     }
@@ -250,8 +253,8 @@
             }
             Some(keys::Live::Shard(shard)) => {
                 let value = OwnerValue::decode(&kv.value);
-                let holder = value.map(|value| value.holder(kv.create_revision));
-                self.note(shard, holder, kv.mod_revision);
+                let holder = value.map(|value| value.into_holder(kv.create_revision));
+                self.update_owner(shard, holder, kv.mod_revision);
                 false
             }
             _ => false,
@@ -266,11 +269,11 @@
                 };
                 tracing::info!(gone = entry, address = %value.address, "an entry is listed no more");
                 self.progress.record_unlisted(&entry.into());
-                self.note_gone(entry.into(), value);
+                self.record_gone(entry.into(), value);
                 true
             }
             Some(keys::Live::Shard(shard)) => {
-                self.note(shard, None, revision);
+                self.update_owner(shard, None, revision);
                 true
             }
             _ => false,
--- a/fw-keep/src/keeper/freshness.rs
+++ b/fw-keep/src/keeper/watch_health.rs
@@ -7,14 +7,14 @@
 use fw_store::error::Error;
 
 /// The outcomes of the watch, over all its openings.
-pub(super) struct Freshness {
+pub(super) struct WatchHealth {
     entry: id::EntryId,
     /// Failures in a row, and when the first of them was.
     failures: u32,
     failing_since: Instant,
 }
 
-impl Freshness {
+impl WatchHealth {
     /// Nothing has failed yet.
     pub(super) fn new(entry: &id::EntryId) -> Self {
         Self {
@@ -25,7 +25,7 @@
     }
 
     /// Notes that the watch has told of all changes up to `revision`.
-    pub(super) fn told(&mut self, revision: id::Revision) {
+    pub(super) fn record_progress(&mut self, revision: id::Revision) {
         let failures = std::mem::take(&mut self.failures);
         if failures > 0 {
             let failing_for = self.failing_since.elapsed();
@@ -34,7 +34,7 @@
     }
 
     /// Notes that the watch broke or could not be opened, with a table of this `age`.
-    pub(super) fn failed(&mut self, err: &Error, age: Duration) {
+    pub(super) fn record_failure(&mut self, err: &Error, age: Duration) {
         self.failures += 1;
         if self.failures == 1 {
             self.failing_since = Instant::now();
--- a/fw-keep/src/owners.rs
+++ b/fw-keep/src/owners.rs
@@ -25,30 +25,30 @@
 }
 
 #[derive(Clone, Debug)]
-struct Place {
+struct Ownership {
     holder: Option<Holder>,
     /// Since when nobody is known to keep it; stands still while somebody does.
     free_since: Instant,
     /// Revision of the store that this is known from.
-    known: id::Revision,
+    revision: id::Revision,
 }
 
 /// The keepers of all shards.
 #[derive(Clone, Debug)]
 pub struct Owners {
-    places: Vec<Place>,
+    ownerships: Vec<Ownership>,
 }
 
 impl Owners {
     /// As many `shards`, of which nothing is known.
     pub fn new(shards: usize, now: Instant) -> Self {
-        let place = Place {
+        let ownership = Ownership {
             holder: None,
             free_since: now,
-            known: 0,
+            revision: 0,
         };
         Self {
-            places: vec![place; shards],
+            ownerships: vec![ownership; shards],
         }
     }
 
@@ -60,42 +60,46 @@
         revision: id::Revision,
         now: Instant,
     ) -> bool {
-        let Some(place) = self.places.get_mut(usize::from(shard)) else {
+        let Some(ownership) = self.ownerships.get_mut(usize::from(shard)) else {
             return false;
         };
-        if revision < place.known {
+        if revision < ownership.revision {
             return false;
         }
-        place.known = revision;
-        if place.holder == holder {
+        ownership.revision = revision;
+        if ownership.holder == holder {
             return false;
         }
         if holder.is_none() {
-            place.free_since = now;
+            ownership.free_since = now;
         }
-        place.holder = holder;
+        ownership.holder = holder;
         true
     }
 
     /// The keeper of `shard`, if one is known.
     pub fn holder(&self, shard: id::ShardId) -> Option<&Holder> {
-        self.places.get(usize::from(shard))?.holder.as_ref()
+        self.ownerships.get(usize::from(shard))?.holder.as_ref()
     }
 
     /// Since when `shard` is free, if nobody keeps it now.
     pub fn free_since(&self, shard: id::ShardId) -> Option<Instant> {
-        let place = self.places.get(usize::from(shard))?;
-        place.holder.is_none().then_some(place.free_since)
+        let ownership = self.ownerships.get(usize::from(shard))?;
+        ownership.holder.is_none().then_some(ownership.free_since)
     }
 
     /// Whether any shard is free.
     pub fn has_free(&self) -> bool {
-        self.places.iter().any(|place| place.holder.is_none())
+        self.ownerships
+            .iter()
+            .any(|ownership| ownership.holder.is_none())
     }
 
     /// The keeper of each shard, in order.
     pub fn all(&self) -> impl Iterator<Item = Option<&Holder>> {
-        self.places.iter().map(|place| place.holder.as_ref())
+        self.ownerships
+            .iter()
+            .map(|ownership| ownership.holder.as_ref())
     }
 
     /// The shards that are kept, with their keepers.
--- a/fw-keep/src/progress.rs
+++ b/fw-keep/src/progress.rs
@@ -21,7 +21,7 @@
 
 /// Rounds for which a stuck entry gets no shards: long enough that they don't go to and fro around
 /// it, and not for good, since it may have been merely slow.
-const PASSIVE_ROUNDS: u32 = 20;
+const PASSIVE_TIMEOUTS: u32 = 20;
 
 /// A free shard that an entry is to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,59 +36,64 @@
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
     /// Since when each live entry is listed.
-    listed: BTreeMap<id::EntryId, Instant>,
+    listed_since: BTreeMap<id::EntryId, Instant>,
     /// When each live entry last took a shard.
-    took: BTreeMap<id::EntryId, Instant>,
+    last_taken: BTreeMap<id::EntryId, Instant>,
     /// Until when an entry gets no shards.
-    passive: BTreeMap<id::EntryId, Instant>,
+    passive_until: BTreeMap<id::EntryId, Instant>,
 }
 
 impl Progress {
     /// Notes that an entry is listed.
     pub fn record_listed(&mut self, entry: &id::EntryId, now: Instant) {
-        self.listed.entry(entry.clone()).or_insert(now);
+        self.listed_since.entry(entry.clone()).or_insert(now);
     }
 
     /// Notes that an entry is listed no more.
     pub fn record_unlisted(&mut self, entry: &id::EntryId) {
-        self.listed.remove(entry);
-        self.took.remove(entry);
+        self.listed_since.remove(entry);
+        self.last_taken.remove(entry);
     }
 
     /// Notes that an entry has taken a shard.
     pub fn record_taken(&mut self, entry: &id::EntryId, now: Instant) {
-        self.took.insert(entry.clone(), now);
+        self.last_taken.insert(entry.clone(), now);
     }
 
     /// Judges the entries by the shards that are due; returns those that are found stuck.
     pub fn detect_stalled(
         &mut self,
-        due: impl IntoIterator<Item = PendingShard>,
-        round: Duration,
+        pending: impl IntoIterator<Item = PendingShard>,
+        stall_timeout: Duration,
         now: Instant,
     ) -> BTreeSet<id::EntryId> {
-        self.passive.retain(|_, until| *until > now);
-        let stuck = due.into_iter().filter(|due| self.is_stuck(due, round, now));
-        let stuck: BTreeSet<_> = stuck.map(|due| due.entry).collect();
-        let until = now + round * PASSIVE_ROUNDS;
-        let passive = stuck.iter().map(|entry| (entry.clone(), until));
-        self.passive.extend(passive);
-        stuck
+        self.passive_until.retain(|_, until| *until > now);
+        let stalled = pending
+            .into_iter()
+            .filter(|pending| self.is_stalled(pending, stall_timeout, now));
+        let stalled: BTreeSet<_> = stalled.map(|pending| pending.entry).collect();
+        let until = now + stall_timeout * PASSIVE_TIMEOUTS;
+        let passive = stalled.iter().map(|entry| (entry.clone(), until));
+        self.passive_until.extend(passive);
+        stalled
     }
 
     /// The entries that get no shards, as of the last judgement.
     pub fn passive(&self) -> impl Iterator<Item = &id::EntryId> {
-        self.passive.keys()
+        self.passive_until.keys()
     }
 
-    fn is_stuck(&self, due: &PendingShard, round: Duration, now: Instant) -> bool {
-        let may_take = self.listed.get(&due.entry).map(|since| *since + round);
-        let took = self.took.get(&due.entry).copied();
-        let waits_since = [Some(due.free_since), may_take, took];
-        waits_since
+    fn is_stalled(&self, pending: &PendingShard, stall_timeout: Duration, now: Instant) -> bool {
+        let may_take = self
+            .listed_since
+            .get(&pending.entry)
+            .map(|since| *since + stall_timeout);
+        let last_taken = self.last_taken.get(&pending.entry).copied();
+        let waiting_since = [Some(pending.free_since), may_take, last_taken];
+        waiting_since
             .into_iter()
             .max()
             .flatten()
-            .is_some_and(|since| since + round < now)
+            .is_some_and(|since| since + stall_timeout < now)
     }
 }
