--- a/fw-keep/tests/keep/fleet.rs
+++ b/fw-keep/tests/keep/fleet.rs
@@ -21,8 +21,8 @@
 pub const SHARDS: u16 = 16;
 
 /// Pause between two looks, and the most looks; together far above any lease here.
-const LOOK: Duration = Duration::from_millis(5);
-const LOOKS: usize = 6_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+const MAX_POLLS: usize = 6_000;
 
 /// A store with one port for each keeper.
 pub struct Fleet {
@@ -31,7 +31,7 @@
 
 impl Fleet {
     pub async fn start(ports: usize) -> Self {
-        log();
+        init_logging();
         let opts = store::Options {
             ports,
             ..store::Options::default()
@@ -77,7 +77,7 @@
 
 /// Prints what the keepers log if `RUST_LOG` says so. Their tasks run on threads of their own, whose
 /// output the test runner does not hold back: run one test at a time.
-fn log() {
+fn init_logging() {
     let off = tracing_subscriber::filter::LevelFilter::OFF.into();
     let filter = tracing_subscriber::EnvFilter::builder().with_default_directive(off);
     let filter = filter.from_env_lossy();
@@ -86,22 +86,22 @@
     let _already_set = lines.try_init();
 }
 
-/// Looks until `is_so`, and fails with `what` if it never is.
-pub async fn until(what: &str, mut is_so: impl FnMut() -> bool) {
-    for _ in 0..LOOKS {
-        if is_so() {
+/// Looks until `condition`, and fails with `what` if it never is.
+pub async fn until(description: &str, mut condition: impl FnMut() -> bool) {
+    for _ in 0..MAX_POLLS {
+        if condition() {
             return;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("never: {what}");
+    panic!("timed out waiting until {description}");
 }
 
 pub async fn until_kept(keeper: &Keeper, count: usize) {
     until("the shards are kept", || keeper.shards().len() == count).await;
 }
 
-pub async fn until_mine(keeper: &Keeper, program: &str) {
+pub async fn until_local(keeper: &Keeper, program: &str) {
     let shard = keeper.shard_of(program);
     until("the shard is kept", || keeper.owner(shard) == Owner::Local).await;
 }
@@ -139,7 +139,7 @@
 
 /// Runs a turn to its answer, and returns what to wait for.
 pub fn turn(keeper: &Keeper, program: &str, number: u32) -> Ticket {
-    let attempt = rand_attempt(program, number);
+    let attempt = attempt_id(program, number);
     let begun = begin(
         keeper,
         program,
@@ -160,7 +160,7 @@
 }
 
 /// Number of a program's committed turns, and its digest.
-pub fn standing(keeper: &Keeper, program: &str) -> Option<(u32, Digest)> {
+pub fn committed(keeper: &Keeper, program: &str) -> Option<(u32, Digest)> {
     let known = keeper.with_program(program, |shard| {
         let known = shard.program(&program.into())?;
         Some((known.turn(), known.digest()))
@@ -179,7 +179,7 @@
     Digest::of_bytes(body.as_bytes())
 }
 
-fn rand_attempt(program: &str, number: u32) -> u64 {
+fn attempt_id(program: &str, number: u32) -> u64 {
     let text = format!("{program}/{number}");
     let bytes = Digest::of_bytes(text.as_bytes());
     u64::from_le_bytes(bytes.as_bytes()[..8].try_into().unwrap())
--- a/fw-keep/tests/keep/held_turns.rs
+++ b/fw-keep/tests/keep/held_turns.rs
@@ -91,7 +91,7 @@
 // A side holds an answer of an attempt that was given up: the turn ran again elsewhere and went
 // into the journal with another answer. The held turn after it stands on a history that never was.
 #[gtest]
-fn a_turn_of_another_history_is_not_mixed_in() {
+fn a_turn_of_another_history_is_not_applied() {
     let mut shard = shard::Shard::new(0);
     let program: id::ProgramId = "p".into();
     let other = program::Held {
--- a/fw-keep/tests/keep/keeper_doubt.rs
+++ b/fw-keep/tests/keep/keeper_doubt.rs
@@ -16,18 +16,18 @@
 // another's: `shard lost` with reason `stale_fence`, nobody else holding it, and the change dropped.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn its_own_acquisition_does_not_fence_it_off() {
+async fn an_unanswered_acquisition_does_not_fence_its_own_keeper() {
     let fleet = Fleet::start(1).await;
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
-    let lose = |chance| fleet.store.faults(0, |f| f.lose_probability = chance);
-    lose(1.0);
+    let lose_answers = |chance| fleet.store.faults(0, |f| f.lose_probability = chance);
+    lose_answers(1.0);
     fleet
         .store
         .delete(&keys::owner(fleet::ROOT, a.shard_of("p")));
     let ticket = fleet::turn(&a, "p", 1);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    lose(0.0);
+    lose_answers(0.0);
     let mut done = a.wait_durable(ticket).await;
     for _ in 0..40 {
         if done != Err(keeper::Error::StoreUnavailable) {
@@ -36,7 +36,7 @@
         done = a.wait_durable(ticket).await;
     }
     expect_that!(done, ok(anything()));
-    expect_that!(fleet::standing(&a, "p"), some((eq(1), anything())));
+    expect_that!(fleet::committed(&a, "p"), some((eq(1), anything())));
 }
 
 // A keeper's lease lapses, the answers to its renewals are lost, and another entry takes its shards
@@ -44,7 +44,7 @@
 // what was in its memory, and told callers of the newer turns, for good, that they were out of order.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn it_serves_nothing_that_the_table_shows_elsewhere() {
+async fn shards_that_the_table_shows_elsewhere_are_not_served() {
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
@@ -63,7 +63,7 @@
 // past. It may run turns, which are fenced when they commit, but it is not sure of anything.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn it_is_sure_for_no_longer_than_its_lease() {
+async fn sole_ownership_ends_with_the_lease() {
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
@@ -101,7 +101,7 @@
 // that to the reading of their journals.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn shards_loaded_after_a_silence_are_asked_for() {
+async fn shards_loaded_after_a_store_outage_are_verified() {
     // Longer than the silence after which shards are doubted, shorter than the lease.
     let outages = (0..20).map(|n| Duration::from_millis(1_200 + 30 * n));
     for opened in futures_util::future::join_all(outages.map(interrupted)).await {
@@ -112,21 +112,21 @@
 }
 
 /// Shards that take many calls to ask the store for.
-const MANY: u16 = 1_200;
+const SHARD_COUNT: u16 = 1_200;
 
 // Guards against programs that wait for the last of thousands of shards after a lapsed lease.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_shard_that_calls_wait_for_is_out_of_doubt_first() {
+async fn prioritized_shards_are_verified_first() {
     let fleet = Fleet::start(1).await;
     let opts = keeper::Options {
-        shards: MANY,
+        shards: SHARD_COUNT,
         ..Fleet::options("a")
     };
     let a = keeper::Keeper::open(fleet.client(0), opts);
-    fleet::until_kept(&a, usize::from(MANY)).await;
+    fleet::until_kept(&a, usize::from(SHARD_COUNT)).await;
     let last = a.shards().last().unwrap().shard;
-    let others_in_doubt = || {
+    let count_in_doubt = || {
         let kept = a.shards();
         kept.iter().filter(|kept| a.is_in_doubt(kept.shard)).count()
     };
@@ -134,14 +134,17 @@
         .store
         .faults(0, |faults| faults.delay = Duration::from_millis(100));
     fleet.lapse("a");
-    fleet::until("all is in doubt", || others_in_doubt() == usize::from(MANY)).await;
+    fleet::until("all is in doubt", || {
+        count_in_doubt() == usize::from(SHARD_COUNT)
+    })
+    .await;
     expect_false!(a.is_sole_keeper_of(last));
     fleet::until("the shard is out of doubt", || {
         a.prioritize(last);
         !a.is_in_doubt(last)
     })
     .await;
-    expect_that!(others_in_doubt(), gt(0));
+    expect_that!(count_in_doubt(), gt(0));
     expect_false!(a.is_sole_keeper());
     fleet::until("a is sure again", || a.is_sole_keeper()).await;
 }
--- a/fw-keep/tests/keep/keeper_handover.rs
+++ b/fw-keep/tests/keep/keeper_handover.rs
@@ -31,9 +31,9 @@
     let begun = Instant::now();
     let closed = a.close().await;
     expect_that!(closed.unflushed, eq(0));
-    fleet::until_mine(&b, &program).await;
+    fleet::until_local(&b, &program).await;
     expect_that!(begun.elapsed(), lt(Duration::from_secs(1_000)));
-    expect_that!(fleet::standing(&b, &program), some((eq(1), anything())));
+    expect_that!(fleet::committed(&b, &program), some((eq(1), anything())));
     expect_that!(a.shards(), is_empty());
 }
 
@@ -68,6 +68,6 @@
         } else {
             &b
         };
-        expect_that!(fleet::standing(keeper, program), some((eq(1), anything())));
+        expect_that!(fleet::committed(keeper, program), some((eq(1), anything())));
     }
 }
--- a/fw-keep/tests/keep/keeper_outage.rs
+++ b/fw-keep/tests/keep/keeper_outage.rs
@@ -15,7 +15,7 @@
 
 /// The store is down for longer than the leases. Conversations go on meanwhile; when it is back,
 /// every turn of that time must be in it, though every lease has lapsed and all shards are free.
-async fn outage_of(outage: Outage) {
+async fn flushes_turns_after_outage(outage: Outage) {
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
     let b = fleet.keeper("b", 1);
@@ -56,20 +56,20 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn turns_of_an_outage_that_refuses_are_flushed_after_it() {
-    outage_of(Outage::Refuse).await;
+    flushes_turns_after_outage(Outage::Refuse).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn turns_of_an_outage_that_hangs_are_flushed_after_it() {
-    outage_of(Outage::Hang).await;
+    flushes_turns_after_outage(Outage::Hang).await;
 }
 
 /// The store stays away while a program runs turn after turn. What waits for it is bounded, and
 /// beyond the bound the caller is told, truly, that the turn did not run.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn changes_that_wait_for_the_store_are_bounded() {
+async fn pending_changes_are_bounded() {
     let fleet = Fleet::start(1).await;
     let opts = keeper::Options {
         max_pending: 4,
@@ -115,7 +115,7 @@
 }
 
 /// Shards of a keeper that needs many calls to take them all again.
-const MANY: u16 = 1_200;
+const SHARD_COUNT: u16 = 1_200;
 
 // The store was away for longer than the lease. Once it is back the keeper takes its hundreds of shards
 // again, sixty with each call. A publish request that came meanwhile was refused: its claim was not
@@ -123,15 +123,15 @@
 // `store_unavailable` 3.5 s after `lease granted`.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn changes_are_stored_while_shards_are_taken_again() {
+async fn changes_are_stored_while_shards_are_reacquired() {
     let fleet = Fleet::start(1).await;
     let opts = keeper::Options {
-        shards: MANY,
+        shards: SHARD_COUNT,
         ttl: Duration::from_secs(30),
         ..Fleet::options("a")
     };
     let a = Keeper::open(fleet.client(0), opts);
-    fleet::until_kept(&a, usize::from(MANY)).await;
+    fleet::until_kept(&a, usize::from(SHARD_COUNT)).await;
     let owners = || {
         let all = fleet.store.all();
         let prefix = keys::owner(fleet::ROOT, 0);
@@ -142,7 +142,7 @@
         owned.count()
     };
     let all = owners();
-    expect_that!(all, ge(usize::from(MANY)));
+    expect_that!(all, ge(usize::from(SHARD_COUNT)));
     // Slow enough that a turn comes while shards are taken.
     fleet
         .store
@@ -163,15 +163,15 @@
 // keeper was found in time` 3.4 s after `lease granted`, and `turn recovered` 1.2 s later.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn shards_that_calls_wait_for_are_taken_first() {
+async fn prioritized_shards_are_taken_first() {
     let fleet = Fleet::start(2).await;
     let opts = |name| keeper::Options {
-        shards: MANY,
+        shards: SHARD_COUNT,
         ..Fleet::options(name)
     };
     let a = Keeper::open(fleet.client(0), opts("a"));
     let b = Keeper::open(fleet.client(1), opts("b"));
-    let half = usize::from(MANY / 2);
+    let half = usize::from(SHARD_COUNT / 2);
     fleet::until_kept(&a, half).await;
     fleet::until_kept(&b, half).await;
     let theirs = a.shards();
@@ -181,7 +181,7 @@
         .faults(1, |faults| faults.delay = Duration::from_millis(20));
     a.abort();
     b.prioritize(last);
-    fleet::until_kept(&b, usize::from(MANY)).await;
+    fleet::until_kept(&b, usize::from(SHARD_COUNT)).await;
     let fence = b.fence(last).unwrap();
     let before = theirs
         .iter()
@@ -190,25 +190,25 @@
 }
 
 /// Shards whose keeper tells of them in many messages when it hands them over.
-const ALL: u16 = 4_000;
+const LARGE_SHARD_COUNT: u16 = 4_000;
 
 /// Groups of shards that may be taken before one that a call waits for, and shards in a group.
-const GROUPS: usize = 4;
-const GROUP: usize = 60;
+const MAX_GROUPS: usize = 4;
+const GROUP_SIZE: usize = 60;
 
 // Guards against an entry that falls behind with the news while it takes thousands of shards.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn news_are_read_while_shards_are_taken() {
+async fn table_updates_are_read_while_shards_are_taken() {
     let fleet = Fleet::start(2).await;
     let opts = |name| keeper::Options {
-        shards: ALL,
+        shards: LARGE_SHARD_COUNT,
         ttl: Duration::from_secs(3),
         ..Fleet::options(name)
     };
     let a = Keeper::open(fleet.client(0), opts("a"));
     let b = Keeper::open(fleet.client(1), opts("b"));
-    let half = usize::from(ALL / 2);
+    let half = usize::from(LARGE_SHARD_COUNT / 2);
     fleet::until_kept(&a, half).await;
     fleet::until_kept(&b, half).await;
     let last = a.shards().last().unwrap().shard;
@@ -222,5 +222,5 @@
     })
     .await;
     let taken = b.shards().len() - half;
-    expect_that!(taken, le(GROUPS * GROUP));
+    expect_that!(taken, le(MAX_GROUPS * GROUP_SIZE));
 }
--- a/fw-keep/tests/keep/keeper_roles.rs
+++ b/fw-keep/tests/keep/keeper_roles.rs
@@ -10,7 +10,7 @@
 // that does not must still be known to the others, and know who keeps what.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_entry_that_keeps_nothing_knows_the_keepers() {
+async fn an_entry_without_shards_knows_the_keepers() {
     let fleet = Fleet::start(2).await;
     let opts = keeper::Options {
         keeps: false,
--- a/fw-keep/tests/keep/keeper_takeover.rs
+++ b/fw-keep/tests/keep/keeper_takeover.rs
@@ -20,14 +20,14 @@
     fleet::until_kept(&a, 16).await;
     let ticket = fleet::turn(&a, "p", 1);
     expect_that!(a.wait_durable(ticket).await, ok(anything()));
-    expect_that!(fleet::standing(&a, "p"), some((eq(1), anything())));
+    expect_that!(fleet::committed(&a, "p"), some((eq(1), anything())));
 }
 
 /// A shopkeeper's editor has two turns behind it when the entry that keeps the program dies. Her
 /// third turn reaches another entry. Without a replay, that one would start an empty history.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_dead_keepers_programs_go_on_elsewhere() {
+async fn programs_of_a_dead_keeper_continue_elsewhere() {
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
@@ -35,13 +35,13 @@
         a.wait_durable(fleet::turn(&a, program, 1)).await.unwrap();
         a.wait_durable(fleet::turn(&a, program, 2)).await.unwrap();
     }
-    let before = fleet::standing(&a, "p");
+    let before = fleet::committed(&a, "p");
     fleet.store.faults(0, |faults| {
         faults.outage = Some(fw_fake::store::Outage::Hang)
     });
     let b = fleet.keeper("b", 1);
     fleet::until_kept(&b, 16).await;
-    expect_that!(fleet::standing(&b, "p"), eq(before));
+    expect_that!(fleet::committed(&b, "p"), eq(before));
     b.wait_durable(fleet::turn(&b, "p", 3)).await.unwrap();
     let replay = fleet::begin(&b, "q", fleet::delta(2, "ask 2", 77));
     expect_that!(replay, pat!(program::Outcome::Replay { turn: eq(&2), .. }));
@@ -52,7 +52,7 @@
 /// the program would have two third turns, and the caller of the second would lose hers.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_paused_keeper_that_wakes_is_fenced() {
+async fn a_paused_keeper_that_resumes_is_fenced() {
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
@@ -66,7 +66,7 @@
     let other = fleet::begin(&b, "p", fleet::delta(2, "another ask", 21));
     expect_that!(other, pat!(program::Outcome::Run(anything())));
     b.wait_durable(fleet::finish(&b, "p", 2, 21)).await.unwrap();
-    let after = fleet::standing(&b, "p");
+    let after = fleet::committed(&b, "p");
     fleet.store.faults(0, |faults| faults.outage = None);
     let lost = async {
         loop {
@@ -81,7 +81,7 @@
         .unwrap();
     expect_that!(lost, err(eq(keeper::Error::StaleFence)));
     // Awake, it gets its share of the shards again, perhaps this one.
-    let standing = || fleet::standing(&b, "p").or_else(|| fleet::standing(&a, "p"));
+    let standing = || fleet::committed(&b, "p").or_else(|| fleet::committed(&a, "p"));
     fleet::until("the shard is kept", || standing().is_some()).await;
     expect_that!(standing(), eq(after));
 }
@@ -139,7 +139,7 @@
 /// own get a clear error instead of a history with a hole.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_torn_segment_refuses_its_own_shard_only() {
+async fn a_truncated_segment_affects_its_own_shard_only() {
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
@@ -172,7 +172,7 @@
 /// found free, most of their writes would fail, and some would end up with all shards.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn many_that_start_at_once_share_without_a_stampede() {
+async fn simultaneous_starts_share_shards_without_contention() {
     let fleet = Fleet::start(1).await;
     let keepers: Vec<_> = (0..12).map(|n| fleet.keeper(&format!("e{n}"), 0)).collect();
     let count = |least: usize| keepers.iter().all(|k| k.shards().len() >= least);
@@ -186,7 +186,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn others_are_told_who_keeps_a_shard() {
+async fn other_entries_see_who_keeps_a_shard() {
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
@@ -225,7 +225,7 @@
 /// the store, they would lack the turns whose callers wait.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_keeper_whose_keys_vanished_goes_on_with_what_it_has() {
+async fn a_keeper_whose_keys_vanished_keeps_its_pending_changes() {
     let fleet = Fleet::start(1).await;
     let opts = keeper::Options {
         window: Duration::from_millis(1_500),
@@ -258,7 +258,7 @@
 /// from it would answer the next turn on a history that lacks one.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_keeper_that_comes_back_to_free_shards_reads_them_anew() {
+async fn a_returning_keeper_reloads_free_shards() {
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
     fleet::until_kept(&a, 16).await;
@@ -271,7 +271,7 @@
     b.wait_durable(fleet::turn(&b, "p", 2)).await.unwrap();
     b.close().await;
     fleet.store.faults(0, |faults| faults.outage = None);
-    let turns = || fleet::standing(&a, "p").map(|(turns, _)| turns);
+    let turns = || fleet::committed(&a, "p").map(|(turns, _)| turns);
     fleet::until("a has the second turn", || turns() == Some(2)).await;
     fleet::until_kept(&a, 16).await;
 }
@@ -296,7 +296,7 @@
 /// would refuse the program's next turn for a history that has gone on elsewhere.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_table_out_of_date_gives_no_shards_back() {
+async fn a_stale_table_gives_no_shards_back() {
     let fleet = Fleet::start(2).await;
     let client = fw_store::Client::new(fw_store::Options {
         endpoints: vec![fleet.store.endpoint(0)],
@@ -319,7 +319,7 @@
         b.wait_durable(fleet::turn(&b, program, 2)).await.unwrap();
     }
     fleet.store.faults(0, |faults| faults.outage = None);
-    let turns = |program: &String| fleet::standing(&a, program).map(|(turns, _)| turns);
+    let turns = |program: &String| fleet::committed(&a, program).map(|(turns, _)| turns);
     fleet::until("a knows that its lease lapsed", || {
         programs.iter().all(|program| turns(program) != Some(1))
     })
--- a/fw-keep/tests/keep/shard_balance.rs
+++ b/fw-keep/tests/keep/shard_balance.rs
@@ -10,7 +10,7 @@
     /// Shards that changed keeper after having had one.
     moves: usize,
     /// Attempts to take a shard that another took in the same round.
-    clashes: usize,
+    conflicts: usize,
 }
 
 impl Fleet {
@@ -19,7 +19,7 @@
             entries: (0..entries).map(|n| format!("e{n}")).collect(),
             owners: vec![None; shards],
             moves: 0,
-            clashes: 0,
+            conflicts: 0,
         }
     }
 
@@ -43,14 +43,14 @@
             }
             for shard in plan.acquire {
                 let owner = &mut self.owners[usize::from(shard)];
-                self.clashes += usize::from(owner.is_some());
+                self.conflicts += usize::from(owner.is_some());
                 owner.get_or_insert(entry.clone());
             }
         }
         changed
     }
 
-    fn settle(&mut self) -> usize {
+    fn run_until_stable(&mut self) -> usize {
         let rounds = (1..100).find(|_| !self.round());
         rounds.unwrap()
     }
@@ -60,7 +60,7 @@
         self.entries.iter().map(kept).collect()
     }
 
-    fn fail(&mut self, entry: usize) {
+    fn remove_entry(&mut self, entry: usize) {
         let gone = self.entries.remove(entry);
         for owner in &mut self.owners {
             if owner.as_ref() == Some(&gone) {
@@ -71,11 +71,11 @@
 }
 
 #[gtest]
-fn many_that_start_at_once_never_clash_and_share_evenly() {
+fn simultaneous_starts_never_conflict_and_share_evenly() {
     for entries in [1, 3, 10, 60] {
         let mut fleet = Fleet::new(entries, 600);
-        expect_that!(fleet.settle(), le(2));
-        expect_that!((fleet.clashes, fleet.moves), eq((0, 0)));
+        expect_that!(fleet.run_until_stable(), le(2));
+        expect_that!((fleet.conflicts, fleet.moves), eq((0, 0)));
         let counts = fleet.counts();
         let spread = counts.iter().max().unwrap() - counts.iter().min().unwrap();
         expect_that!(spread, le(1), "{entries} entries");
@@ -104,9 +104,9 @@
 #[gtest]
 fn a_joining_entry_moves_its_own_share_only() {
     let mut fleet = Fleet::new(10, 4096);
-    fleet.settle();
+    fleet.run_until_stable();
     fleet.entries.push("new".to_owned());
-    fleet.settle();
+    fleet.run_until_stable();
     expect_that!(fleet.moves, le(4096 / 11 + 1));
     expect_that!(fleet.counts().iter().min(), some(ge(&(4096 / 11))));
 }
@@ -114,9 +114,9 @@
 #[gtest]
 fn a_failed_entrys_shards_go_to_many_and_no_other_moves() {
     let mut fleet = Fleet::new(10, 4096);
-    fleet.settle();
-    fleet.fail(4);
-    fleet.settle();
+    fleet.run_until_stable();
+    fleet.remove_entry(4);
+    fleet.run_until_stable();
     expect_that!(fleet.moves, eq(0));
     let counts = fleet.counts();
     expect_that!(
@@ -128,7 +128,7 @@
 /// An entry that should take a dead one's shards is itself stuck, with a live lease. The callers
 /// of those programs would wait for as long as it hangs, if nobody else ever took them.
 #[gtest]
-fn a_passive_entry_is_passed_over_and_keeps_what_it_has() {
+fn a_passive_entry_is_passed_over_and_keeps_its_shards() {
     let mut owners: Vec<Option<&str>> = vec![None; 30];
     owners[..4].fill(Some("b"));
     let view = balance::View {
--- a/fw-keep/tests/keep/shard_owners.rs
+++ b/fw-keep/tests/keep/shard_owners.rs
@@ -17,7 +17,7 @@
 
 // Guards against a shard that was taken again looking free when its former key's end is heard late.
 #[gtest]
-fn older_news_change_nothing() {
+fn older_revisions_are_ignored() {
     let now = Instant::now();
     let mut owners = owners::Owners::new(2, now);
     expect_true!(owners.update(0, holder("a", 5), 5, now));
@@ -30,7 +30,7 @@
 
 // Guards against a shard that another has taken looking like one's own by an older reading.
 #[gtest]
-fn a_reading_of_before_gives_no_shard_back() {
+fn an_older_reading_does_not_return_a_shard() {
     let now = Instant::now();
     let mut owners = owners::Owners::new(1, now);
     owners.update(0, holder("b", 12), 12, now);
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn a_free_shard_is_free_since_it_was_given_up() {
+fn free_since_is_the_time_of_release() {
     let start = Instant::now();
     let later = start + Duration::from_secs(1);
     let mut owners = owners::Owners::new(1, start);
@@ -52,7 +52,7 @@
 }
 
 #[gtest]
-fn a_shard_beyond_the_last_is_nobodys() {
+fn a_shard_out_of_range_has_no_keeper() {
     let now = Instant::now();
     let mut owners = owners::Owners::new(1, now);
     expect_false!(owners.update(1, holder("a", 2), 2, now));
--- a/fw-keep/tests/keep/taking_progress.rs
+++ b/fw-keep/tests/keep/taking_progress.rs
@@ -9,11 +9,11 @@
 use fw_keep::progress;
 use googletest::prelude::*;
 
-const ROUND: Duration = Duration::from_secs(2);
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Shards that are taken with one call, and the time that it takes.
-const GROUP: usize = 60;
-const CALL: Duration = Duration::from_millis(250);
+const GROUP_SIZE: usize = 60;
+const CALL_DURATION: Duration = Duration::from_millis(250);
 
 /// Entries that take free shards side by side, each by the same table.
 struct Fleet {
@@ -55,21 +55,22 @@
     }
 
     /// The entries that are found stuck by `me`.
-    fn judge(&mut self, me: &str) -> BTreeSet<id::EntryId> {
+    fn detect_stalled(&mut self, me: &str) -> BTreeSet<id::EntryId> {
         let assignments = balance::assignments(&self.view()).into_iter();
         let others = assignments.filter(|assignment| assignment.entry != me);
-        let due = others.map(|assignment| progress::PendingShard {
+        let pending = others.map(|assignment| progress::PendingShard {
             entry: assignment.entry.into(),
             free_since: self.start,
         });
-        let due: Vec<_> = due.collect();
-        self.progress.detect_stalled(due, ROUND, self.now)
+        let pending: Vec<_> = pending.collect();
+        self.progress
+            .detect_stalled(pending, STALL_TIMEOUT, self.now)
     }
 
     /// Lets `entry` take one group; returns how many shards that are.
     fn take(&mut self, entry: &str) -> usize {
         let mut group = balance::plan(entry, &self.view()).acquire;
-        group.truncate(GROUP);
+        group.truncate(GROUP_SIZE);
         for shard in &group {
             self.owners[usize::from(*shard)] = Some(entry.into());
         }
@@ -82,16 +83,16 @@
 
 // Guards against entries that take thousands of shards for longer than a round counting as stuck.
 #[gtest]
-fn entries_that_go_on_taking_are_not_stuck() {
+fn entries_that_keep_taking_shards_are_not_stalled() {
     let mut fleet = Fleet::new(&["a", "b"], usize::from(id::SHARDS));
     while fleet.owners.iter().any(Option::is_none) {
-        expect_that!(fleet.judge("a"), is_empty());
-        expect_that!(fleet.judge("b"), is_empty());
+        expect_that!(fleet.detect_stalled("a"), is_empty());
+        expect_that!(fleet.detect_stalled("b"), is_empty());
         fleet.take("a");
         fleet.take("b");
-        fleet.now += CALL;
+        fleet.now += CALL_DURATION;
     }
-    expect_that!(fleet.now - fleet.start, gt(ROUND * 2));
+    expect_that!(fleet.now - fleet.start, gt(STALL_TIMEOUT * 2));
 }
 
 // Guards against callers who wait for the shards of an entry that hangs with a live lease.
@@ -99,8 +100,8 @@
 fn an_entry_that_takes_nothing_is_passed_over() {
     let mut fleet = Fleet::new(&["a", "b"], 100);
     fleet.take("a");
-    fleet.now += ROUND * 2 + CALL;
-    expect_that!(fleet.judge("a"), unordered_elements_are![eq("b")]);
+    fleet.now += STALL_TIMEOUT * 2 + CALL_DURATION;
+    expect_that!(fleet.detect_stalled("a"), unordered_elements_are![eq("b")]);
     expect_that!(fleet.take("a"), gt(0));
     expect_true!(fleet.owners.iter().all(Option::is_some));
 }
@@ -110,35 +111,35 @@
 fn an_entry_that_stops_taking_is_passed_over() {
     let mut fleet = Fleet::new(&["a", "b"], 400);
     fleet.take("b");
-    fleet.now += ROUND + CALL;
-    expect_that!(fleet.judge("a"), is_empty());
-    fleet.now += ROUND;
-    expect_that!(fleet.judge("a"), unordered_elements_are![eq("b")]);
+    fleet.now += STALL_TIMEOUT + CALL_DURATION;
+    expect_that!(fleet.detect_stalled("a"), is_empty());
+    fleet.now += STALL_TIMEOUT;
+    expect_that!(fleet.detect_stalled("a"), unordered_elements_are![eq("b")]);
 }
 
 // Guards against an entry that has just joined counting as stuck for shards that were free before.
 #[gtest]
-fn an_entry_that_joins_has_its_time() {
+fn a_joining_entry_is_given_time() {
     let mut fleet = Fleet::new(&["a"], 400);
-    fleet.now += ROUND * 5;
+    fleet.now += STALL_TIMEOUT * 5;
     fleet.entries.push("b".into());
     fleet.progress.record_listed(&"b".into(), fleet.now);
-    fleet.now += ROUND * 2;
-    expect_that!(fleet.judge("a"), is_empty());
-    fleet.now += CALL;
-    expect_that!(fleet.judge("a"), unordered_elements_are![eq("b")]);
+    fleet.now += STALL_TIMEOUT * 2;
+    expect_that!(fleet.detect_stalled("a"), is_empty());
+    fleet.now += CALL_DURATION;
+    expect_that!(fleet.detect_stalled("a"), unordered_elements_are![eq("b")]);
 }
 
 // Guards against an entry that was passed over never getting shards again.
 #[gtest]
 fn a_passive_entry_gets_its_share_again() {
     let mut fleet = Fleet::new(&["a", "b"], 400);
-    fleet.now += ROUND * 2 + CALL;
-    expect_that!(fleet.judge("a"), not(is_empty()));
+    fleet.now += STALL_TIMEOUT * 2 + CALL_DURATION;
+    expect_that!(fleet.detect_stalled("a"), not(is_empty()));
     fleet
         .progress
-        .record_taken(&"b".into(), fleet.now + ROUND * 19);
-    fleet.now += ROUND * 20;
-    expect_that!(fleet.judge("a"), is_empty());
+        .record_taken(&"b".into(), fleet.now + STALL_TIMEOUT * 19);
+    fleet.now += STALL_TIMEOUT * 20;
+    expect_that!(fleet.detect_stalled("a"), is_empty());
     expect_that!(fleet.progress.passive().count(), eq(0));
 }
--- a/fw-keep/tests/keep/whole_model.rs
+++ b/fw-keep/tests/keep/whole_model.rs
@@ -1,5 +1,5 @@
 //! The real state machines of three holders over one store, driven through crashes, pauses, lost
-//! answers and delayed copies, against a plain record of what callers were told.
+//! answers and delayed copies, against a plain record of what callers were reported.
 //!
 //! Whatever happens, what was reported durable stays, turns stay in order, a claimed call runs at
 //! most once, and a holder whose lease lapsed writes nothing.
@@ -41,7 +41,7 @@
 
 /// What becomes of a call to the store.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Delivery {
     Answered,
     AnswerLost,
     /// Given up by the sender; it may arrive later.
@@ -85,21 +85,21 @@
     },
     Call {
         holder: usize,
-        fate: Fate,
+        delivery: Delivery,
     },
     Arrive {
         copy: usize,
     },
-    TakeAgain {
+    Reacquire {
         holder: usize,
     },
 }
 
 /// Nothing but the choice of events: what they lead to is for the world to say.
 #[derive(Clone, Debug)]
-struct Choice;
+struct EventGenerator;
 
-impl ReferenceStateMachine for Choice {
+impl ReferenceStateMachine for EventGenerator {
     type State = ();
     type Transition = Event;
 
@@ -109,30 +109,33 @@
 
     fn transitions((): &()) -> BoxedStrategy<Event> {
         let holder = 0..HOLDERS;
-        let place = || (0..HOLDERS, 0..SHARDS);
-        let fate = prop_oneof![
-            4 => Just(Fate::Answered),
-            2 => Just(Fate::AnswerLost),
-            2 => Just(Fate::Delayed),
-            1 => Just(Fate::NotSent),
+        let target = || (0..HOLDERS, 0..SHARDS);
+        let delivery = prop_oneof![
+            4 => Just(Delivery::Answered),
+            2 => Just(Delivery::AnswerLost),
+            2 => Just(Delivery::Delayed),
+            1 => Just(Delivery::NotSent),
         ];
         prop_oneof![
-            4 => place().prop_map(|(holder, shard)| Event::Acquire { holder, shard }),
+            4 => target().prop_map(|(holder, shard)| Event::Acquire { holder, shard }),
             1 => holder.clone().prop_map(|holder| Event::Lapse { holder }),
             1 => holder.clone().prop_map(|holder| Event::Crash { holder }),
-            1 => place().prop_map(|(holder, shard)| Event::HandOver { holder, shard }),
-            5 => place().prop_map(|(holder, shard)| Event::Turn { holder, shard }),
-            3 => place().prop_map(|(holder, shard)| Event::Claim { holder, shard }),
-            2 => (place(), any::<bool>()).prop_map(|((holder, shard), ran)| Event::Settle {
+            1 => target().prop_map(|(holder, shard)| Event::HandOver { holder, shard }),
+            5 => target().prop_map(|(holder, shard)| Event::Turn { holder, shard }),
+            3 => target().prop_map(|(holder, shard)| Event::Claim { holder, shard }),
+            2 => (target(), any::<bool>()).prop_map(|((holder, shard), ran)| Event::Settle {
                 holder,
                 shard,
                 ran
             }),
             4 => (holder.clone(), prop::bool::weighted(0.2))
                 .prop_map(|(holder, snapshot)| Event::Collect { holder, snapshot }),
-            10 => (holder.clone(), fate).prop_map(|(holder, fate)| Event::Call { holder, fate }),
+            10 => (holder.clone(), delivery).prop_map(|(holder, delivery)| Event::Call {
+                holder,
+                delivery
+            }),
             2 => (0..8_usize).prop_map(|copy| Event::Arrive { copy }),
-            2 => holder.prop_map(|holder| Event::TakeAgain { holder }),
+            2 => holder.prop_map(|holder| Event::Reacquire { holder }),
         ]
         .boxed()
     }
@@ -148,7 +151,7 @@
     turns: BTreeMap<Position, Vec<(u32, Digest)>>,
     /// Claims made here and not yet reported durable.
     claims: BTreeMap<Position, usize>,
-    /// The claim whose call this holder was told to send.
+    /// The claim whose call this holder was reported to send.
     running: Option<usize>,
 }
 
@@ -161,11 +164,11 @@
     lapsed: Vec<Job>,
 }
 
-/// What callers were told, and did.
+/// What callers were reported, and did.
 #[derive(Default)]
-struct Told {
-    /// Digest after each turn told durable, by shard: one program in each. A turn whose answer was
-    /// lost and whose holder then lost the shard is durable, too, and nobody was told.
+struct Reported {
+    /// Digest after each turn reported durable, by shard: one program in each. A turn whose answer was
+    /// lost and whose holder then lost the shard is durable, too, and nobody was reported.
     turns: BTreeMap<u16, BTreeMap<u32, Digest>>,
     /// How often each claimed call was sent.
     sent: BTreeMap<(u16, usize), u32>,
@@ -176,7 +179,7 @@
     holders: Vec<Holder>,
     /// Writes that are still on their way.
     copies: Vec<kv::Txn>,
-    told: Told,
+    reported: Reported,
     nonce: u64,
     next_claim: usize,
 }
@@ -208,19 +211,24 @@
             holders: (0..HOLDERS).map(holder).collect(),
             store,
             copies: Vec::new(),
-            told: Told::default(),
+            reported: Reported::default(),
             nonce: 0,
             next_claim: 0,
         }
     }
 
-    fn draw(&mut self) -> u64 {
+    fn next_nonce(&mut self) -> u64 {
         self.nonce += 1;
         self.nonce
     }
 
     /// Creates the owner's key if it is absent and the head is as expected.
-    fn own(&mut self, holder: usize, shard: u16, head: Option<Option<Vec<u8>>>) -> Option<i64> {
+    fn create_owner_key(
+        &mut self,
+        holder: usize,
+        shard: u16,
+        head: Option<Option<Vec<u8>>>,
+    ) -> Option<i64> {
         let owner = keys::owner(ROOT, shard);
         let mut compares = vec![kv::Compare::CreateRevision(owner.clone(), 0)];
         let head_key = keys::head(ROOT, shard);
@@ -255,7 +263,7 @@
         if self.holders[holder].kept.contains_key(&shard) {
             return;
         }
-        let Some(fence) = self.own(holder, shard, None) else {
+        let Some(fence) = self.create_owner_key(holder, shard, None) else {
             return;
         };
         let read = self.read(shard);
@@ -308,7 +316,7 @@
     }
 
     fn turn(&mut self, holder: usize, shard: u16) {
-        let attempt = self.draw();
+        let attempt = self.next_nonce();
         let Some(kept) = self.holders[holder].kept.get_mut(&shard) else {
             return;
         };
@@ -330,7 +338,7 @@
 
     fn claim(&mut self, holder: usize, shard: u16) {
         // Old keys come again as well as new ones.
-        let claim = (self.draw() as usize) % (self.next_claim + 1);
+        let claim = (self.next_nonce() as usize) % (self.next_claim + 1);
         self.next_claim = self.next_claim.max(claim + 1);
         let Some(kept) = self.holders[holder].kept.get_mut(&shard) else {
             return;
@@ -343,7 +351,7 @@
         }
     }
 
-    /// The call that a holder was told to send has ended, or could not be sent.
+    /// The call that a holder was reported to send has ended, or could not be sent.
     fn settle(&mut self, holder: usize, shard: u16, ran: bool) {
         let Some(kept) = self.holders[holder].kept.get_mut(&shard) else {
             return;
@@ -357,12 +365,12 @@
             kept.shard.claim_done(&key, body, answer, NOW).unwrap();
         } else {
             kept.shard.claim_not_run(&key, body).unwrap();
-            self.told.sent.remove(&(shard, claim));
+            self.reported.sent.remove(&(shard, claim));
         }
     }
 
     fn collect(&mut self, holder: usize, snapshot: bool) {
-        let nonce = self.draw();
+        let nonce = self.next_nonce();
         let me = &mut self.holders[holder];
         if me.commit.is_some() || !me.lapsed.is_empty() {
             return;
@@ -390,7 +398,7 @@
         me.commit = Some(Commit::new(jobs, opts));
     }
 
-    fn call(&mut self, holder: usize, fate: Fate) {
+    fn call(&mut self, holder: usize, delivery: Delivery) {
         let Some(mut commit) = self.holders[holder].commit.take() else {
             return;
         };
@@ -398,17 +406,17 @@
             Step::Done => return,
             Step::Write(txn) | Step::Read(txn) => txn,
         };
-        let reply = match fate {
-            Fate::Answered => Reply::Answer(self.store.txn(&txn).unwrap()),
-            Fate::AnswerLost => {
+        let reply = match delivery {
+            Delivery::Answered => Reply::Answer(self.store.txn(&txn).unwrap()),
+            Delivery::AnswerLost => {
                 self.store.txn(&txn).unwrap();
                 Reply::Unknown
             }
-            Fate::Delayed => {
+            Delivery::Delayed => {
                 self.copies.push(txn);
                 Reply::Unknown
             }
-            Fate::NotSent => Reply::NotSent,
+            Delivery::NotSent => Reply::NotSent,
         };
         commit.on(reply);
         let verdicts = commit.take_verdicts();
@@ -416,11 +424,11 @@
             self.holders[holder].commit = Some(commit);
         }
         for verdict in verdicts {
-            self.conclude(holder, verdict);
+            self.apply_verdict(holder, verdict);
         }
     }
 
-    fn conclude(&mut self, holder: usize, verdict: Verdict) {
+    fn apply_verdict(&mut self, holder: usize, verdict: Verdict) {
         match verdict {
             Verdict::Committed { shard } => self.durable(holder, shard),
             Verdict::Lapsed(job) => self.holders[holder].lapsed.push(job),
@@ -440,22 +448,22 @@
         };
         kept.shard.durable(upto);
         let later = kept.turns.split_off(&(upto + 1));
-        let told = self.told.turns.entry(shard).or_default();
+        let reported = self.reported.turns.entry(shard).or_default();
         for (number, digest) in std::mem::replace(&mut kept.turns, later)
             .into_values()
             .flatten()
         {
-            let last = told.last_key_value().map_or(0, |(last, _)| *last);
+            let last = reported.last_key_value().map_or(0, |(last, _)| *last);
             assert!(
                 number > last,
                 "turn {number} became durable after turn {last}"
             );
-            told.insert(number, digest);
+            reported.insert(number, digest);
         }
         let later = kept.claims.split_off(&(upto + 1));
         for claim in std::mem::replace(&mut kept.claims, later).into_values() {
             if kept.shard.claim_opened(&claim_key(claim), NOW) {
-                *self.told.sent.entry((shard, claim)).or_default() += 1;
+                *self.reported.sent.entry((shard, claim)).or_default() += 1;
                 kept.running = Some(claim);
             }
         }
@@ -469,14 +477,14 @@
     }
 
     /// As in the keeper, only once the commit has ended for all its shards.
-    fn take_again(&mut self, holder: usize) {
+    fn reacquire(&mut self, holder: usize) {
         if self.holders[holder].commit.is_some() {
             return;
         }
         let mut jobs = Vec::new();
         for job in std::mem::take(&mut self.holders[holder].lapsed) {
             let shard = job.shard;
-            match self.own(holder, shard, Some(job.before.clone())) {
+            match self.create_owner_key(holder, shard, Some(job.before.clone())) {
                 Some(fence) => {
                     let kept = self.holders[holder].kept.get_mut(&shard).unwrap();
                     kept.writer.set_fence(fence);
@@ -493,19 +501,19 @@
         }
     }
 
-    /// What the store holds bears out what callers were told.
+    /// What the store holds bears out what callers were reported.
     fn check(&self) {
         for shard in 0..SHARDS {
             let read = self.read(shard);
             assert!(!read.is_damaged(), "{:?}", read.items);
             let stored = Shard::load(shard, read.items);
-            let told = self.told.turns.get(&shard);
-            let Some(told) = told.filter(|told| !told.is_empty()) else {
+            let reported = self.reported.turns.get(&shard);
+            let Some(reported) = reported.filter(|reported| !reported.is_empty()) else {
                 continue;
             };
             let known = stored.program(&program(shard));
             let history = known.expect("a durable program is stored").history();
-            for (number, expected) in told {
+            for (number, expected) in reported {
                 let messages = 2 * *number as usize;
                 let turns = history.get(..messages);
                 let turns = turns.expect("a durable turn was lost");
@@ -513,7 +521,7 @@
                 assert_eq!(digest, *expected, "durable turn {number} was changed");
             }
         }
-        for (claim, sent) in &self.told.sent {
+        for (claim, sent) in &self.reported.sent {
             assert!(*sent <= 1, "claim {claim:?} was sent {sent} times");
         }
     }
@@ -523,7 +531,7 @@
 
 impl StateMachineTest for Test {
     type SystemUnderTest = World;
-    type Reference = Choice;
+    type Reference = EventGenerator;
 
     fn init_test((): &()) -> World {
         World::new()
@@ -539,9 +547,9 @@
             Event::Claim { holder, shard } => world.claim(holder, shard),
             Event::Settle { holder, shard, ran } => world.settle(holder, shard, ran),
             Event::Collect { holder, snapshot } => world.collect(holder, snapshot),
-            Event::Call { holder, fate } => world.call(holder, fate),
+            Event::Call { holder, delivery } => world.call(holder, delivery),
             Event::Arrive { copy } => world.arrive(copy),
-            Event::TakeAgain { holder } => world.take_again(holder),
+            Event::Reacquire { holder } => world.reacquire(holder),
         }
         world
     }
