--- a/fw-keep/src/balance.rs
+++ b/fw-keep/src/balance.rs
@@ -1,10 +1,10 @@
-//! Decides which entry keeps which shard.
+//! Assigns shards to entries.
 //!
-//! Load pattern: entries come and go, several hundred at once when a data centre restarts, and
-//! each looks at the same table and must act alone. If each took what it found free, all would
-//! race for the same shards and most of their writes would fail; if each counted its own share
-//! only, moves would cascade. Here every entry computes the same plan from the same table, so a
-//! free shard has one assignment, and a shard moves only if its keeper has more than its share.
+//! Load pattern: entries join and leave, several hundred at once when a data centre restarts, and each
+//! reads the same table and acts without coordination. If each took every free shard, all would race
+//! for the same shards and most of their writes would fail; if each counted only its own share, moves
+//! would cascade. Here every entry computes the same plan from the same table, so each free shard is
+//! assigned to exactly one entry, and a shard moves only if its keeper has more than its share.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,19 +13,19 @@
 use fw_base::id;
 use xxhash_rust::xxh3;
 
-/// What an entry knows of the fleet.
+/// The fleet as one entry sees it.
 #[derive(Clone, Debug, Default)]
 pub struct View<'a> {
-    /// Entries that are live and stay, this one included.
+    /// Live entries that take shards and are not leaving, this one included.
     pub entries: Vec<&'a str>,
-    /// Those among them that left shards lying which they should have taken. They keep what they
-    /// have and get no more.
+    /// Those among them that did not take the free shards assigned to them. They keep their current
+    /// shards and are assigned no more.
     pub passive: BTreeSet<&'a str>,
-    /// The keeper of each shard, live or leaving; `None` for a free one.
+    /// The keeper of each shard, live or leaving; `None` for a free shard.
     pub owners: Vec<Option<&'a str>>,
 }
 
-/// What one entry is to do.
+/// The moves that one entry is to make.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     /// Free shards to acquire.
@@ -34,16 +34,16 @@
     pub release: Vec<id::ShardId>,
 }
 
-/// Who is to take a free shard.
+/// A free shard and the entry that is to take it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assignment<'a> {
     /// The shard.
     pub shard: id::ShardId,
-    /// The entry.
+    /// The entry that takes it.
     pub entry: &'a str,
 }
 
-/// The plan of entry `me`.
+/// Computes the plan of entry `me`.
 pub fn plan(me: &str, view: &View<'_>) -> Plan {
     let mine = assignments(view)
         .into_iter()
@@ -54,7 +54,7 @@
     }
 }
 
-/// Who is to take each free shard: the entry that ranks highest for it among those with room.
+/// Assigns each free shard to the entry that ranks highest for it among those with spare capacity.
 pub fn assignments<'a>(view: &View<'a>) -> Vec<Assignment<'a>> {
     let mut spare = spare_capacity(view);
     let mut assignments = Vec::new();
@@ -71,7 +71,7 @@
     assignments
 }
 
-/// The entries that should take more shards, and how many.
+/// The entries below their quota, with the number of shards they lack.
 fn spare_capacity<'a>(view: &View<'a>) -> Vec<(&'a str, usize)> {
     let counts = shard_counts(view);
     let quotas = quotas(view).into_iter();
@@ -79,7 +79,7 @@
     spare.filter(|(_, left)| *left > 0).collect()
 }
 
-/// Hands over what exceeds the quota.
+/// The shards of `me` in excess of its quota, lowest rank first.
 fn release(me: &str, view: &View<'_>) -> Vec<id::ShardId> {
     let quotas = quotas(view);
     let Some((_, quota)) = quotas.iter().find(|(entry, _)| *entry == me) else {
@@ -94,7 +94,7 @@
     mine
 }
 
-/// Number of shards that each entry keeps.
+/// Number of shards kept by each entry.
 fn shard_counts<'a>(view: &View<'a>) -> BTreeMap<&'a str, usize> {
     let mut counts: BTreeMap<&str, usize> = view.entries.iter().map(|e| (*e, 0)).collect();
     for owner in view.owners.iter().flatten() {
@@ -105,8 +105,8 @@
     counts
 }
 
-/// The most shards of each entry that is not passive. Those that keep most get the odd ones, so
-/// that they need not hand them over.
+/// The maximum number of shards of each entry that is not passive. The remainder of the division goes
+/// to the entries that keep most, so that they need not hand those shards over.
 fn quotas<'a>(view: &View<'a>) -> Vec<(&'a str, usize)> {
     let counts = shard_counts(view);
     let is_passive = |entry: &str| view.passive.contains(entry);
@@ -131,7 +131,7 @@
     free.map(|(shard, _)| shard).collect()
 }
 
-/// Rendezvous hashing: an order of the entries for each shard that all of them agree on.
+/// Rank of an entry for a shard, by rendezvous hashing: all entries compute the same order.
 fn rank(entry: &str, shard: id::ShardId) -> u64 {
     xxh3::xxh3_64_with_seed(entry.as_bytes(), u64::from(shard))
 }
--- a/fw-keep/src/keeper/acquire.rs
+++ b/fw-keep/src/keeper/acquire.rs
@@ -1,4 +1,4 @@
-//! Takes shards: creates their keeper's keys where nobody else has.
+//! Acquires shards by creating their owner keys in the store, where absent.
 
 use fw_base::id;
 use fw_store::kv;
@@ -9,33 +9,33 @@
 use crate::keeper::lease::Backoff;
 use crate::keeper::table::OwnerValue;
 
-/// Shards in one transaction, which has up to two steps for each; etcd allows 128.
+/// Maximum number of shards per transaction, which has up to two operations for each; etcd allows 128.
 pub(super) const BATCH: usize = 60;
 
-/// Transactions tried for one batch. Each failure removes the shards that others hold, so more
-/// than a few mean that the store does not answer.
+/// Maximum number of transactions per batch. Each failed one removes the shards that others hold, so
+/// that repeated failures mean that the store does not answer.
 const MAX_ATTEMPTS: usize = 4;
 
-/// A shard to take.
+/// A shard to acquire.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub(super) shard: id::ShardId,
-    /// The journal's head must have this value; not checked if absent.
+    /// Value that the journal's head must have (`Some(None)`: no head); `None` skips the check.
     pub(super) head: Option<Option<Vec<u8>>>,
 }
 
-/// What became of the shards asked for. Those in neither list are undecided.
+/// Outcome of the requests. Shards in neither list are undecided.
 #[derive(Debug, Default)]
 pub(super) struct Outcome {
     pub(super) taken: Vec<(id::ShardId, id::Fence)>,
-    /// Somebody else holds them, or has changed their journal.
+    /// Shards that another process holds, or whose journal it has changed.
     pub(super) lost: Vec<id::ShardId>,
 }
 
-/// Takes shards under `lease`, for as long as that is the one in force.
+/// Acquires shards under `lease`, as long as that lease is in force.
 ///
-/// With a new lease the caller has to judge anew what it may take: the shards of others, whose leases
-/// have lapsed as well, are left to them for a while.
+/// After a new lease the caller has to decide again which shards it may take: if the leases of other
+/// entries have lapsed as well, their shards are left to them for a while.
 pub(super) async fn run(inner: &Inner, lease: kv::LeaseId, requests: Vec<Request>) -> Outcome {
     let mut outcome = Outcome::default();
     for chunk in requests.chunks(BATCH) {
@@ -70,7 +70,7 @@
                 inner.record_contact();
                 requests = classify(inner, requests, &done.into_kvs(), outcome);
             }
-            // The next try finds our own key if this one took effect after all.
+            // If this attempt took effect, the next one finds our own key.
             Err(_) => backoff.pause().await,
         }
     }
@@ -102,7 +102,7 @@
     txn
 }
 
-/// Sorts the shards by what the store holds; returns those that are still free.
+/// Classifies the requested shards by the stored keys; returns those that are still free.
 fn classify(
     inner: &Inner,
     requests: Vec<Request>,
@@ -142,7 +142,7 @@
     }
 }
 
-/// The value of this process's keys.
+/// The value of the owner keys of this process.
 fn owner_value(inner: &Inner) -> OwnerValue {
     OwnerValue {
         entry: inner.opts.entry.clone(),
--- a/fw-keep/src/keeper/close.rs
+++ b/fw-keep/src/keeper/close.rs
@@ -1,4 +1,4 @@
-//! Hands shards over: their last changes go to the store, then their keeper's keys are deleted.
+//! Hands shards over: flushes their last changes to the store, then deletes their owner keys.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use crate::keeper::Inner;
 use crate::keeper::slot::Slot;
 
-/// Shards in one transaction; etcd allows 128 steps.
+/// Maximum number of shards per transaction; etcd allows 128 operations.
 const BATCH: usize = 120;
 
-/// Time between two looks at whether the last changes are in the store.
+/// Interval at which a shard is checked for unflushed changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Hands over everything at a graceful stop.
+/// Hands over all shards at a graceful stop.
 pub(super) async fn run(inner: &Inner) -> CloseReport {
     inner.closing.send_replace(true);
     deregister(inner).await;
@@ -33,7 +33,7 @@
     let handed_over = release(inner, kept).await;
     let lease = *inner.lease.borrow();
     if lease != 0 {
-        // If this fails, the lease lapses by itself.
+        // If this fails, the lease expires.
         let _ = inner.store.revoke(lease).await;
     }
     CloseReport {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Hands over shards that are marked as leaving; returns how many.
+/// Hands over shards that are marked as leaving; returns the number handed over.
 pub(super) async fn release(inner: &Inner, shards: Vec<id::ShardId>) -> usize {
     let deadline = time::Instant::now() + inner.opts.close_wait;
     let mut done = Vec::new();
@@ -59,14 +59,14 @@
     done.len()
 }
 
-/// Takes the entry off the table, so that no other waits for it to take shards.
+/// Removes the entry from the table, so that no shards are assigned to it any more.
 async fn deregister(inner: &Inner) {
     let key = keys::entry(&inner.opts.root, &inner.opts.entry);
     let txn = kv::Txn {
         then: vec![kv::Op::delete(key)],
         ..kv::Txn::default()
     };
-    // If this fails, the key goes with the lease.
+    // If this fails, the key is deleted when the lease expires.
     let _ = inner.store.txn(&txn).await;
 }
 
@@ -99,14 +99,15 @@
             None => continue,
         };
         let owner = keys::owner(&inner.opts.root, *shard);
-        // A key of another fencing number is its new keeper's.
+        // A key with another fencing number belongs to the shard's new keeper.
         txn.compares
             .push(kv::Compare::CreateRevision(owner.clone(), fence));
         txn.then.push(kv::Op::delete(owner));
         *inner.slot(*shard).lock() = Slot::Absent;
         metrics::counter!(keeper::LOST_TOTAL, "reason" => "handed_over").increment(1);
     }
-    // If this fails or its answer is lost, the table says so and the shards are loaded again.
+    // If this fails or its answer is lost, the table still names this process as the keeper of those
+    // shards, and they are loaded again.
     let Ok(done) = inner.store.txn(&txn).await else {
         return;
     };
--- a/fw-keep/src/keeper/flush.rs
+++ b/fw-keep/src/keeper/flush.rs
@@ -1,4 +1,4 @@
-//! Commits the changes of all shards together, and takes shards again after a lapsed lease.
+//! Group commit of the changes of all shards, and reacquisition of shards after a lapsed lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,10 +20,10 @@
 use crate::keeper::slot::Slot;
 use crate::shard;
 
-/// Longest random wait before the shards of a lapsed lease are taken again.
+/// Maximum random delay before the ownership of shards is verified after a lapsed lease.
 const MAX_VERIFY_DELAY: Duration = Duration::from_millis(500);
 
-/// Changes on their way to the store.
+/// The journal segments of one group commit, and the position up to which it covers each shard.
 struct GroupCommit {
     jobs: Vec<Job>,
     end_positions: BTreeMap<id::ShardId, shard::Position>,
@@ -36,8 +36,8 @@
         tokio::select! {
             () = inner.dirty_added.notified() => {
                 if let Some(next) = pacer.next_due(&inner) {
-                    // The first change after a quiet time goes at once; those close behind share
-                    // the next call. So the rate is bounded and a lone turn need not wait.
+                    // The first change after an idle period is committed at once; later ones share
+                    // the next call. This bounds the rate without delaying a single turn.
                     tokio::time::sleep_until(next).await;
                 }
                 pacer.commit(&inner).await;
@@ -51,15 +51,15 @@
     }
 }
 
-/// When group commits are made.
+/// Schedules group commits.
 #[derive(Default)]
 struct CommitPacer {
-    /// When the last one began.
+    /// When the last commit started.
     last_started: Option<Instant>,
 }
 
 impl CommitPacer {
-    /// The earliest time of the next commit; `None` before the first.
+    /// The earliest time of the next commit; `None` before the first one.
     fn next_due(&self, inner: &Inner) -> Option<Instant> {
         Some(self.last_started? + commit_interval(inner))
     }
@@ -70,7 +70,7 @@
         write(inner, group).await;
     }
 
-    /// Makes a commit if something has changed and one is due.
+    /// Commits pending changes, if there are any and a commit is due.
     async fn commit_if_due(&mut self, inner: &Inner) {
         let is_due = self
             .next_due(inner)
@@ -81,15 +81,15 @@
     }
 }
 
-/// Least time between two commits: longer the slower the store answers, and the more entries share
-/// its writes.
+/// Minimum interval between two commits. It grows with the store's response time and with the number of
+/// entries that share its write rate.
 fn commit_interval(inner: &Inner) -> Duration {
     let keepers = u32::try_from(inner.table.read().keepers().count()).unwrap_or(u32::MAX);
     let adaptive = inner.window.lock().spacing(keepers);
     adaptive.max(*inner.window_min.lock())
 }
 
-/// Takes the pending changes of every changed shard and plans their journal segments.
+/// Takes the pending changes of every dirty shard and builds their journal segments.
 fn collect(inner: &Inner) -> GroupCommit {
     let dirty = std::mem::take(&mut *inner.dirty.lock());
     let mut group = GroupCommit {
@@ -118,7 +118,7 @@
     group
 }
 
-/// Writes a round to its end: every shard in it is durable or lost.
+/// Writes a group commit to completion: afterwards each of its shards is durable or lost.
 async fn write(inner: &Inner, group: GroupCommit) {
     let mut jobs = group.jobs;
     while !jobs.is_empty() {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Commits `jobs`; returns those whose shards nobody holds.
+/// Commits `jobs`; returns those whose shards have no owner.
 async fn commit_jobs(
     inner: &Inner,
     jobs: Vec<Job>,
@@ -202,11 +202,11 @@
     }
 }
 
-/// Takes the shards of `lapsed` again, where nobody else has; returns what is left to write.
+/// Reacquires the shards of `lapsed` that no other process has taken; returns the jobs left to write.
 ///
-/// A shard is asked for until the store has told who holds it. Acquisitions take effect although their
-/// answers are lost: written on under the old fencing number, a group would meet this keeper's own new
-/// key, which looks like another's, and its changes would be dropped.
+/// Each acquisition is retried until the store has answered who holds the shard, since it may take effect
+/// although its answer is lost. A job written under the old fencing number would then fail on this
+/// keeper's own new key, which looks like that of another keeper, and its changes would be dropped.
 async fn reacquire(inner: &Inner, lapsed: Vec<Job>) -> Vec<Job> {
     let mut undecided = lapsed;
     let mut taken = Vec::new();
@@ -238,18 +238,18 @@
     taken
 }
 
-/// Asks the store for the kept shards that are in doubt, as after a lapsed lease: takes them again where
-/// nobody else has taken them and their journal is as this keeper left it, and drops the others. Safety
-/// does not need this, since every commit compares the fencing number: it lets idle shards go on, too.
+/// Verifies in the store the ownership of kept shards that are in doubt, as after a lapsed lease: reacquires
+/// those that no other process has taken and whose journal is unchanged, and drops the others. This is not
+/// needed for safety, since every commit compares the fencing number; it lets idle shards serve again.
 ///
-/// Thousands of shards take many calls, and nothing may wait for the last of them: changes are committed
-/// between the calls, a shard serves as soon as the store has told of it, and those that calls wait for
-/// go first.
+/// Thousands of shards take many calls, and requests must not wait for the last one: changes are committed
+/// between the calls, a shard serves as soon as its own ownership is verified, and shards that requests
+/// wait for are verified first.
 async fn verify_ownership(inner: &Inner, pacer: &mut CommitPacer) {
     if inner.shards_in_doubt().is_empty() {
         return;
     }
-    // All entries come here together when the store is back.
+    // All entries get here at the same time when the store recovers.
     tokio::time::sleep(keeper::jitter(MAX_VERIFY_DELAY.min(inner.opts.ttl / 4))).await;
     if *inner.lease.borrow() == 0 {
         return;
@@ -271,9 +271,9 @@
     }
 }
 
-/// Takes `shards` again or drops them; false if the store has not told of all.
+/// Reacquires or drops each of `shards`; returns whether the store has answered for all of them.
 async fn verify_shards(inner: &Inner, shards: &[id::ShardId]) -> bool {
-    // A lease that lapses while the store is asked is a doubt of its own.
+    // Read before the call: a lease that lapses during it puts the shards in doubt again.
     let epoch = inner.ownership_epoch();
     let requests = ownership_requests(inner, shards);
     let asked = requests.len();
@@ -283,7 +283,7 @@
     outcome.taken.len() + outcome.lost.len() == asked
 }
 
-/// Those of `shards` that are kept, with the heads that their journals must have.
+/// Acquisition requests for those of `shards` that are kept, with the expected heads of their journals.
 fn ownership_requests(inner: &Inner, shards: &[id::ShardId]) -> Vec<acquire::Request> {
     let kept = shards.iter().filter_map(|&shard| {
         let mut slot = inner.slot(shard).lock();
@@ -296,7 +296,7 @@
     kept.collect()
 }
 
-/// Notes what the store has told of kept shards when it was asked, after so many `doubts`.
+/// Applies the outcome of acquisitions to kept shards; `epoch` is the ownership epoch before the calls.
 fn apply_outcome(
     inner: &Inner,
     outcome: &acquire::Outcome,
@@ -318,11 +318,11 @@
 async fn wait_for_lease(inner: &Inner) {
     let mut lease = inner.lease.subscribe();
     let granted = lease.wait_for(|id| *id != 0);
-    // The pause bounds how often this goes round while the store answers and grants no lease.
+    // The timeout bounds the retry rate while the store answers calls but grants no lease.
     let _ = tokio::time::timeout(Duration::from_secs(1), granted).await;
 }
 
-/// Drops a shard that has another keeper. Whoever waits for a change of it is told.
+/// Drops a shard that has another keeper. Pending waits for its changes fail with `StaleFence`.
 fn drop_shard(inner: &Inner, shard: id::ShardId, reason: &'static str) {
     *inner.slot(shard).lock() = Slot::Absent;
     metrics::counter!(keeper::LOST_TOTAL, "reason" => reason).increment(1);
--- a/fw-keep/src/keeper/inner.rs
+++ b/fw-keep/src/keeper/inner.rs
@@ -1,4 +1,4 @@
-//! What a keeper's tasks and handles share.
+//! State shared by a keeper's tasks and handles.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::AtomicU64;
@@ -23,33 +23,39 @@
 use crate::keeper::table::Table;
 use crate::shard::Shard;
 
-/// What the tasks and the handles share.
+/// State shared by the tasks and the handles.
 pub(super) struct Inner {
     pub(super) store: fw_store::Client,
     pub(super) opts: Options,
-    /// Drawn at the start; marks the keys that this process wrote.
+    /// Random number drawn at the start, which marks the keys written by this process.
     pub(super) nonce: u64,
+    /// One slot per shard.
     pub(super) slots: Box<[Mutex<Slot>]>,
     pub(super) table: RwLock<Table>,
+    /// Shards with changes that are not yet part of a commit.
     pub(super) dirty: Mutex<BTreeSet<id::ShardId>>,
+    /// Notified when a shard becomes dirty.
     pub(super) dirty_added: Notify,
-    /// Shards without a known keeper that calls wait for.
+    /// Shards that requests wait for, which are acquired and verified before others.
     pub(super) prioritized: Mutex<BTreeSet<id::ShardId>>,
-    /// The store is to be asked for kept shards that are in doubt.
+    /// Notified when the ownership of kept shards has to be verified in the store.
     pub(super) verify_due: Notify,
-    /// How often it came to be in doubt whether others have taken the kept shards.
+    /// Incremented whenever other entries may have taken the kept shards.
     ownership_epoch: AtomicU64,
-    /// The lease in force; 0 for none.
+    /// The lease in force, or 0 for none.
     pub(super) lease: watch::Sender<kv::LeaseId>,
-    /// When the store answered last.
+    /// When the store last answered.
     pub(super) last_contact: Mutex<Instant>,
-    /// Until when the lease runs at least: it was granted or renewed, and the store counts from the
-    /// call's arrival, which is later than its sending.
+    /// The earliest time at which the lease can expire, counted from when the grant or renewal was sent;
+    /// the store counts from its later arrival.
     pub(super) lease_valid_until: Mutex<Instant>,
-    /// When a shard was loaded last.
+    /// When a shard was last loaded.
     pub(super) last_loaded: Mutex<Option<Instant>>,
+    /// Configured minimum interval between two group commits.
     pub(super) window_min: Mutex<Duration>,
+    /// Adaptive interval between two group commits.
     pub(super) window: Mutex<window::Window>,
+    /// Whether the keeper is being closed.
     pub(super) closing: watch::Sender<bool>,
 }
 
@@ -118,14 +124,14 @@
         Ok(Changed { value, ticket })
     }
 
-    /// Whether the shard of `ticket` has been kept without a break since the change, and serves.
+    /// Whether the shard of `ticket` has been kept without interruption since the change, and serves.
     pub(super) fn is_kept(&self, ticket: Ticket) -> bool {
         let mut slot = self.slot(ticket.shard).lock();
         let kept = slot.serving();
         kept.is_some_and(|kept| kept.incarnation == ticket.incarnation)
     }
 
-    /// Notes that another entry holds `shard` under `fence`.
+    /// Records that another entry holds `shard` under `fence`.
     pub(super) fn supersede(&self, shard: id::ShardId, fence: id::Fence) {
         if usize::from(shard) >= self.slots.len() {
             return;
@@ -162,6 +168,7 @@
         }
     }
 
+    /// Records that the store has answered.
     pub(super) fn record_contact(&self) {
         let before = std::mem::replace(&mut *self.last_contact.lock(), Instant::now());
         if before.elapsed() > self.opts.ttl {
@@ -169,20 +176,20 @@
         }
     }
 
-    /// Notes that others may have taken the kept shards: the lease lapsed, or the store is back
-    /// after a silence in which it may have. Until each was looked at, what is in memory may be
-    /// the past of programs that have gone on elsewhere.
+    /// Records that other entries may have taken the kept shards: the lease lapsed, or the store answers
+    /// again after an interval in which it may have. Until its ownership is verified, a shard's state in
+    /// memory may be outdated, since its programs may have continued elsewhere.
     pub(super) fn invalidate_ownership(&self) {
         self.ownership_epoch.fetch_add(1, Ordering::AcqRel);
         self.verify_due.notify_one();
     }
 
-    /// The number of doubts so far.
+    /// The number of times that ownership was invalidated.
     pub(super) fn ownership_epoch(&self) -> u64 {
         self.ownership_epoch.load(Ordering::Acquire)
     }
 
-    /// Whether the store was not asked who keeps `shard` since the last doubt.
+    /// Whether `shard` is kept and its ownership was not verified in the current ownership epoch.
     pub(super) fn is_in_doubt(&self, shard: id::ShardId) -> bool {
         let Some(slot) = self.slots.get(usize::from(shard)) else {
             return false;
@@ -192,7 +199,7 @@
         slot.kept().is_some_and(|kept| kept.is_in_doubt(epoch))
     }
 
-    /// The kept shards that the store is to be asked for.
+    /// The kept shards whose ownership has to be verified.
     pub(super) fn shards_in_doubt(&self) -> Vec<id::ShardId> {
         let epoch = self.ownership_epoch();
         let is_in_doubt = |slot: &Mutex<Slot>| {
@@ -204,7 +211,7 @@
         in_doubt.map(|(shard, _)| shard).collect()
     }
 
-    /// Takes up to `most` out of `shards`, those first that calls wait for.
+    /// Removes up to `most` of `shards`, prioritized ones first.
     pub(super) fn take_prioritized_first(
         &self,
         shards: &mut Vec<id::ShardId>,
@@ -217,7 +224,7 @@
         part
     }
 
-    /// Notes that kept shards were seen without keeper in the store.
+    /// Records that kept shards have no keeper in the store.
     pub(super) fn invalidate_shards(&self, shards: &[id::ShardId]) {
         for shard in shards {
             if let Some(kept) = self.slot(*shard).lock().kept() {
@@ -227,13 +234,13 @@
         self.verify_due.notify_one();
     }
 
-    /// Notes until when the lease runs at least.
+    /// Records that the lease cannot expire before `until`.
     pub(super) fn extend_lease_validity(&self, until: Instant) {
         let mut valid_until = self.lease_valid_until.lock();
         *valid_until = until.max(*valid_until);
     }
 
-    /// Whether the lease runs by this process's own clock.
+    /// Whether the lease is still valid by this process's own clock.
     pub(super) fn has_lease(&self) -> bool {
         Instant::now() < *self.lease_valid_until.lock()
     }
--- a/fw-keep/src/keeper/lease.rs
+++ b/fw-keep/src/keeper/lease.rs
@@ -1,4 +1,4 @@
-//! Keeps the entry's lease alive, and asks for another when it has lapsed.
+//! Renews the entry's lease, and acquires a new one when it has lapsed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use crate::keeper::Inner;
 use crate::keeper::table::EntryValue;
 
-/// Renewals within one lease: two may be lost before it lapses.
+/// Renewals per lease TTL: two may be lost before the lease lapses.
 const RENEWALS_PER_LEASE: u32 = 3;
 
-/// Shortest and longest pause before a call to a store that does not answer is made again. The
-/// pause is drawn at random below a doubling bound, so that entries don't come back together.
+/// Minimum and maximum bound of the pause before a failed call to the store is retried. The pause is
+/// drawn at random below a doubling bound, so that entries do not retry in step.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Pauses that grow with each failure.
+/// Exponential backoff with jitter.
 pub(super) struct Backoff {
     bound: Duration,
 }
@@ -81,7 +81,7 @@
         then: vec![put],
         ..kv::Txn::default()
     };
-    // Writing the same value again does no harm, so a lost answer needs no look.
+    // The write is idempotent, so a lost answer needs no check.
     inner.store.txn(&txn).await.ok()?;
     Some(lease.id)
 }
@@ -89,7 +89,7 @@
 async fn renew_until_lapsed(inner: &Inner, lease: kv::LeaseId) {
     let period = inner.opts.ttl / RENEWALS_PER_LEASE;
     loop {
-        // Early by up to a tenth, so that entries started together drift apart.
+        // Early by up to a tenth, so that entries that start together do not renew in step.
         tokio::time::sleep(period - keeper::jitter(period / 10)).await;
         let sent = Instant::now();
         match inner.store.keep_alive(lease).await {
@@ -99,7 +99,7 @@
                 count("renewed");
             }
             Err(fw_store::error::Error::LeaseGone { .. }) => return,
-            // Only the store can say that it lapsed: it may live on through the store's outage.
+            // Only the store decides that a lease has lapsed: it may survive the store's outage.
             Err(_) => count("unavailable"),
         }
     }
--- a/fw-keep/src/keeper/load.rs
+++ b/fw-keep/src/keeper/load.rs
@@ -1,6 +1,6 @@
-//! Reads the journals of newly taken shards.
+//! Loads newly acquired shards by replaying their journals.
 //!
-//! Many small journals share one store call; a large one is read some segments at a time.
+//! Small journals share a store call; a large one is read a few segments at a time.
 
 use fw_base::id;
 use fw_store::kv;
@@ -15,29 +15,30 @@
 use crate::keeper::slot::Slot;
 use crate::shard::Shard;
 
-/// Shards looked at in one transaction, with two reads each; etcd allows 128 steps.
+/// Maximum number of shards per transaction, with two reads each; etcd allows 128 operations.
 const BATCH: usize = 60;
 
-/// Bytes of segments read in one call. Bounds the memory that loading takes besides the shards.
+/// Maximum bytes of segments read in one call. Bounds the memory used by loading, apart from the shards.
 const MAX_READ_BYTES: u64 = 4_000_000;
 
-/// Segments read in one call of a journal above [`MAX_BYTES`]; each is up to a megabyte.
+/// Segments read per call from a journal larger than [`MAX_READ_BYTES`]; each is up to a megabyte.
 const SEGMENTS_PER_READ: u64 = 4;
 
-/// A taken shard whose journal is to be read.
+/// An acquired shard whose journal is not yet read.
 #[derive(Clone, Debug)]
 struct UnloadedShard {
     shard: id::ShardId,
     fence: id::Fence,
+    /// The stored value of the journal's head.
     head: Option<Vec<u8>>,
-    /// The head as far as it can be read, for its sizes.
+    /// The decoded head, or the default if it cannot be decoded; used for its sizes.
     decoded_head: Head,
 }
 
-/// Loads the shards; those whose journal can't be read now stay absent and are tried again later.
+/// Loads the shards; those whose journal cannot be read stay absent and are retried later.
 pub(super) async fn run(inner: &Inner, taken: Vec<(id::ShardId, id::Fence)>) {
     for chunk in taken.chunks(BATCH) {
-        // A lease that lapses while the journals are read is a doubt of its own.
+        // Read before the calls: a lease that lapses during them puts the shards in doubt.
         let epoch = inner.ownership_epoch();
         let Some(unloaded) = read_heads(inner, chunk).await else {
             count("unavailable", chunk.len());
@@ -46,7 +47,7 @@
         for group in group_by_size(unloaded) {
             load_group(inner, group, epoch).await;
         }
-        // Nobody was asked for these when the doubt came.
+        // These shards were not yet kept when ownership was invalidated, so they were not verified.
         if inner.ownership_epoch() != epoch {
             inner.verify_due.notify_one();
         }
@@ -87,7 +88,7 @@
     Some(unloaded.collect())
 }
 
-/// Groups shards whose journals are read together.
+/// Groups shards so that each group's journals are read with one call.
 fn group_by_size(unloaded: Vec<UnloadedShard>) -> Vec<Vec<UnloadedShard>> {
     let mut groups: Vec<Vec<UnloadedShard>> = Vec::new();
     let mut bytes = u64::MAX;
@@ -178,7 +179,7 @@
         opts.journal,
     );
     let mut slot = inner.slot(shard).lock();
-    // Another task can't have loaded it meanwhile: only `member` loads.
+    // No other task can have loaded it meanwhile: only `membership` loads shards.
     if slot.kept().is_none() {
         let kept = Kept::new(loaded, writer, epoch);
         *inner.last_loaded.lock() = Some(kept.since);
--- a/fw-keep/src/keeper/membership.rs
+++ b/fw-keep/src/keeper/membership.rs
@@ -1,4 +1,4 @@
-//! Follows the table of live entries, and takes and hands over shards as it changes.
+//! Follows the table of live entries, and acquires and hands over shards as it changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use crate::keeper::table::Table;
 use crate::keeper::watch_health::WatchHealth;
 
-/// Shards taken or handed over at a time. Between two keepers nobody answers for a shard: moved all
-/// together, each of thousands would be without a keeper until the last one has moved.
+/// Shards acquired or handed over at a time. A shard has no keeper while it moves: if thousands moved
+/// together, each would be without a keeper until the last one has moved.
 const MOVE_BATCH: usize = 60;
 
-/// When this entry may take shards that it did not keep before.
+/// Grace period before this entry may take shards that it did not keep before.
 struct Grace {
-    /// Whether a lease was held before the one in force.
+    /// Whether an earlier lease was held.
     had_lease: bool,
     lease: kv::LeaseId,
     until: Instant,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Follows the watch until the table has to be read anew.
+/// Follows the watch until the table has to be read again.
 async fn follow(
     inner: &Inner,
     watch: &mut Watch,
@@ -84,11 +84,11 @@
                 Err(fw_store::error::Error::Compacted { .. }) => return,
                 Err(err) => {
                     watch_health.record_failure(&err, watch.age());
-                    // Leases may have lapsed since, and shards changed hands.
+                    // Leases may have lapsed since, and shards may have new keepers.
                     if watch.age() > inner.opts.ttl {
                         return;
                     }
-                    // It opens again by itself, after a pause.
+                    // The watch reconnects by itself after a pause.
                     time::sleep(debounce(inner)).await;
                 }
             },
@@ -105,6 +105,7 @@
     }
 }
 
+/// Applies watch events to the table; returns whether the plan has to be computed again.
 fn apply(inner: &Inner, events: Vec<fw_store::watch::Event>) -> bool {
     let mut table = inner.table.write();
     let mut changes_plan = false;
@@ -113,30 +114,31 @@
         changes_plan |= table.apply(&inner.opts.root, event);
     }
     supersede_taken(inner, &table);
-    // Entries that act on tables a moment apart may each leave a shard to the other. What others
-    // take changes the plan for the rest, so it is looked at again while anything is free.
+    // Entries whose tables differ for an instant may each leave a shard to the other. Shards taken by
+    // others change the plan for the rest, so it is computed again while any shard is free.
     changes_plan || (has_events && table.has_free_shards())
 }
 
-/// Stops serving shards that others have taken. Their programs go on there: what is in memory here is
-/// their past, and callers of newer turns would be refused for good.
+/// Stops serving shards that other entries have taken. Their programs continue there, so the state in
+/// memory here is outdated, and callers of newer turns would be refused permanently.
 fn supersede_taken(inner: &Inner, table: &Table) {
     for (shard, fence) in table.kept_by_others(inner.nonce) {
         inner.supersede(shard, fence);
     }
 }
 
-/// A burst of changes, as when a data centre restarts, is acted on once.
+/// Delay after a change of the table, so that a burst of changes, as when a data centre restarts, is
+/// handled once.
 fn debounce(inner: &Inner) -> Duration {
     inner.opts.debounce + keeper::jitter(inner.opts.debounce)
 }
 
-/// Whether an entry has more to do at once.
+/// When to rebalance next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Next {
-    /// Some shards are to be taken yet.
+    /// At once: more shards are to be acquired.
     Again,
-    /// It waits for news.
+    /// After the next change of the table or the regular pause.
     Wait,
 }
 
@@ -154,23 +156,23 @@
     next
 }
 
-/// Takes some of the `free` shards.
+/// Acquires one batch of the `free` shards.
 ///
-/// *Failure:* a plan of thousands of shards was carried out to its end. Meanwhile the store went away,
-/// each group was tried several times in vain, and nothing that the store had to tell was read: seconds
-/// after it was back the entry still took a dead entry for the keeper of its shards. So the table is
-/// read after each group, and a store that does not answer ends the attempt.
+/// *Failure:* if a plan of thousands of shards is carried out to its end and the store becomes unavailable
+/// meanwhile, each batch is retried several times in vain and no watch events are read: seconds after the
+/// store has recovered, the entry still regards a dead entry as the keeper of its shards. So watch events
+/// are read after each batch, and a store that does not answer ends the attempt.
 async fn take_shards(inner: &Inner, free: Vec<id::ShardId>, grace: &Grace) -> Next {
     let is_kept = |shard: &id::ShardId| inner.slot(*shard).lock().kept().is_some();
     let (kept, mut absent): (Vec<_>, Vec<_>) = free.into_iter().partition(is_kept);
-    // These lapsed with our lease. Loading them would drop changes that the store lacks.
+    // These lapsed with our lease. Loading them would drop changes that are not yet in the store.
     if !kept.is_empty() {
         inner.invalidate_shards(&kept);
     }
     if absent.is_empty() || !grace.is_over() {
         return Next::Wait;
     }
-    // A turn whose shard is among the last of thousands would be given up before it is taken.
+    // A turn that waits for one of the last of thousands of shards would time out before it is taken.
     let batch = inner.take_prioritized_first(&mut absent, MOVE_BATCH);
     let asked = batch.len();
     let requests = batch
@@ -180,14 +182,16 @@
     let (taken, lost) = (outcome.taken.len(), outcome.lost.len());
     load::run(inner, outcome.taken).await;
     tracing::info!(entry = %inner.opts.entry, asked, taken, lost, "shards taken");
-    // What others hold is still free in a table that lags; it is not asked for again at once.
+    // Shards held by others may still be free in a stale table; they are not requested again at once.
     let has_more = taken > 0 && taken + lost == asked;
     if has_more { Next::Again } else { Next::Wait }
 }
 
 impl Grace {
-    /// After an outage of the store every entry finds its own lease lapsed and all shards free.
-    /// Those that kept them hold changes that the store lacks, so they go first; others wait.
+    /// Starts the grace period if `lease` replaces a lapsed one.
+    ///
+    /// After an outage of the store every lease has lapsed and all shards are free. Their former keepers
+    /// hold changes that are not yet in the store, so they reacquire them first, and other entries wait.
     fn on_lease(&mut self, lease: kv::LeaseId, wait: Duration) {
         if lease == self.lease {
             return;
@@ -204,8 +208,8 @@
     }
 }
 
-/// Loads shards that the store says are ours and that are not loaded: the answer to their
-/// acquisition was lost, or their journal could not be read.
+/// Loads shards that this process owns according to the table but has not loaded, because the answer to
+/// their acquisition was lost or their journal could not be read.
 async fn load_missing(inner: &Inner) {
     let kept = inner.table.read().kept_by(inner.nonce);
     let absent = |shard: &id::ShardId| inner.slot(*shard).lock().kept().is_none();
@@ -218,7 +222,7 @@
     }
 }
 
-/// Hands over shards beyond this entry's share, as far as nothing is under way in them.
+/// Hands over shards in excess of this entry's share, except those with work in progress.
 async fn hand_over(inner: &Inner, shards: Vec<id::ShardId>) {
     let start_leaving = |shard: &id::ShardId| {
         let mut slot = inner.slot(*shard).lock();
@@ -239,10 +243,11 @@
     }
 }
 
+/// Removes expired state from all kept shards.
 fn sweep_all(inner: &Inner) {
     let now = keeper::now();
     for shard in 0..inner.opts.shards {
-        // Not kept: nothing to sweep.
+        // An error means that the shard is not kept here, so there is nothing to remove.
         let _ = inner.with_shard(shard, |kept| kept.sweep(now));
     }
 }
--- a/fw-keep/src/keeper/mod.rs
+++ b/fw-keep/src/keeper/mod.rs
@@ -1,8 +1,8 @@
-//! Keeps shards for one entry: runs the pure core on tokio against the store.
+//! Keeps shards for one entry: runs the I/O-free core on tokio against the store.
 //!
-//! Three tasks run for as long as the keeper is open: `lease` renews the entry's lease, `member`
-//! follows the table of live entries and takes or hands over shards, and `flush` commits the
-//! changes of all shards together. Requests touch memory only, under the lock of one shard.
+//! Three tasks run while the keeper is open: `lease` renews the entry's lease, `membership` follows the
+//! table of live entries and acquires or hands over shards, and `flush` commits the changes of all
+//! shards in groups. Requests access memory only, under the lock of one shard.
 
 mod acquire;
 mod close;
@@ -37,54 +37,54 @@
 use crate::shard;
 use crate::shard::Shard;
 
-/// Counter of group commits by shard, with label `outcome`.
+/// Counter of shards in group commits, with label `outcome`.
 pub const COMMITS_TOTAL: &str = "fw_keep_commits_total";
-/// Counter of shards asked for, with label `outcome`.
+/// Counter of shards whose acquisition was attempted, with label `outcome`.
 pub const ACQUIRES_TOTAL: &str = "fw_keep_acquires_total";
-/// Counter of shards given up, with label `reason`.
+/// Counter of shards that are no longer kept, with label `reason`.
 pub const LOST_TOTAL: &str = "fw_keep_lost_total";
-/// Counter of journals read back, with label `outcome`.
+/// Counter of replayed journals, with label `outcome`.
 pub const REPLAYS_TOTAL: &str = "fw_keep_replays_total";
 /// Counter of lease calls, with label `outcome`.
 pub const LEASES_TOTAL: &str = "fw_keep_leases_total";
-/// Counter of refusals, with label `kind`.
+/// Counter of refused claims, with label `kind`.
 pub const REFUSALS_TOTAL: &str = "fw_keep_refusals_total";
 
-/// How an entry keeps shards.
+/// Options of a keeper.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The entry; a restarted one takes a new id.
+    /// The entry's id; a restarted entry takes a new one.
     pub entry: id::EntryId,
-    /// Where other entries reach it.
+    /// Address at which other entries reach it.
     pub address: SmolStr,
     /// Prefix of all keys in the store.
     pub root: SmolStr,
-    /// Whether this entry takes shards. In a large fleet only some do: the store's writes for
-    /// commits are shared by those that keep shards.
+    /// Whether this entry takes shards. In a large fleet only some entries do, since the store's write
+    /// rate is shared by the commits of all entries that keep shards.
     pub keeps: bool,
-    /// Number of shards, at most [`id::SHARDS`]; the same at all entries and for good.
+    /// Number of shards, at most [`id::SHARDS`]; the same at all entries, and it must never change.
     pub shards: id::ShardId,
-    /// Time after which a silent entry's shards are free.
+    /// Lease TTL: the time after which the shards of an entry that does not renew its lease are free.
     pub ttl: Duration,
-    /// Least time from one group commit to the next, for changes to share a store call.
+    /// Minimum time from one group commit to the next, so that changes share a store call.
     pub window: Duration,
-    /// Longest such time, reached when many entries share the store.
+    /// Maximum time from one group commit to the next, reached when many entries share the store.
     pub window_max: Duration,
-    /// Longest wait of [`Keeper::wait_durable`].
+    /// Timeout of [`Keeper::wait_durable`].
     pub durable_wait: Duration,
-    /// Longest wait of [`Keeper::close`] for the last changes to reach the store.
+    /// Timeout of [`Keeper::close`] for flushing the last changes to the store.
     pub close_wait: Duration,
-    /// Time without a change of the table after which shards are taken and handed over.
+    /// Delay from a change of the table to the acquisition and handover of shards.
     pub debounce: Duration,
-    /// Time between two searches for what has outlived its retention.
+    /// Interval between two removals of expired state.
     pub sweep_interval: Duration,
-    /// How long what is finished is kept.
+    /// Retention of finished programs and claims.
     pub retention: shard::Retention,
-    /// Most changes of a shard that wait for the store before it refuses more.
+    /// Maximum number of pending changes of a shard before it refuses more.
     pub max_pending: usize,
-    /// Bounds of a journal.
+    /// Limits of a journal.
     pub journal: writer::Options,
-    /// Bounds of a transaction.
+    /// Limits of a transaction.
     pub commit: commit::Options,
 }
 
@@ -111,7 +111,7 @@
     }
 }
 
-/// Who keeps a shard. A hint: the one named checks it on use.
+/// The owner of a shard. This is a hint: the named entry checks it on use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// This entry.
@@ -120,14 +120,14 @@
     Remote {
         /// Its id.
         entry: id::EntryId,
-        /// Where to reach it.
+        /// Its address.
         address: SmolStr,
     },
-    /// Nobody for now: its keeper is gone, or it is being taken over.
+    /// No entry at present: its keeper is gone, or it is being taken over.
     Vacant,
 }
 
-/// Position of a change, to wait for with [`Keeper::wait_durable`].
+/// Position of a change, for [`Keeper::wait_durable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
     shard: id::ShardId,
@@ -135,30 +135,30 @@
     position: shard::Position,
 }
 
-/// What a change returned.
+/// Result of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Changed<T> {
-    /// What the closure returned.
+    /// The return value of the closure.
     pub value: T,
     /// The position after it.
     pub ticket: Ticket,
 }
 
-/// Why a change is not known to be durable.
+/// Reason why a change is not known to be durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// This entry does not keep the shard any more. The change may be in the store or not; the
-    /// shard's new keeper knows. A turn is to be submitted there again, which replays or runs it.
+    /// This entry no longer keeps the shard. Whether the change is in the store is known to the shard's
+    /// new keeper: a turn has to be submitted there again, which replays or runs it.
     #[snafu(display("the shard has another keeper"))]
     StaleFence,
-    /// The store did not take it within the wait; it is still on its way.
+    /// The store did not confirm the change within the timeout; it is still pending.
     #[snafu(display("the store did not take the change in time"))]
     StoreUnavailable,
 }
 
 impl Error {
-    /// The kind for counters. Not for callers whose turn ran: [`Kind::StaleFence`] and
-    /// [`Kind::StoreUnavailable`] both say that it did not.
+    /// The kind for counters. It must not be returned to callers whose turn ran: [`Kind::StaleFence`]
+    /// and [`Kind::StoreUnavailable`] both state that it did not run.
     pub fn kind(&self) -> Kind {
         match self {
             Self::StaleFence => Kind::StaleFence,
@@ -167,27 +167,27 @@
     }
 }
 
-/// What became of a claim.
+/// Outcome of a request for a claim.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimResult {
-    /// It is durable: send the call, once.
+    /// The claim is durable: the call is to be sent, once.
     Granted,
-    /// The call ran before; this was its answer.
+    /// The call ran before, with this answer.
     Replay(claim::Answer),
     /// This entry does not keep the key's shard.
     NotKeeper,
-    /// It must not be sent.
+    /// The call must not be sent.
     Refused(error::Error),
 }
 
 /// How a claimed call ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Settlement {
-    /// It did not run.
+    /// The call did not run.
     NotRun,
-    /// It was answered.
+    /// The call was answered.
     Done(claim::Answer),
-    /// It was sent, and nobody will know what became of it.
+    /// The call was sent and its outcome cannot be determined.
     Unknown,
 }
 
@@ -200,12 +200,12 @@
     pub fence: id::Fence,
 }
 
-/// What became of the shards at a graceful stop.
+/// Outcome of a graceful stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CloseReport {
-    /// Shards that another entry can take at once.
+    /// Number of shards that another entry can take at once.
     pub handed_over: usize,
-    /// Shards whose last changes the store did not take in time, or that were lost meanwhile.
+    /// Number of shards whose last changes were not flushed in time, or that were lost meanwhile.
     pub unflushed: usize,
 }
 
@@ -217,7 +217,7 @@
 }
 
 impl Keeper {
-    /// Starts to keep shards. Returns at once; shards come as the store answers.
+    /// Starts the keeper. Returns at once; shards are acquired in the background.
     ///
     /// Must be called inside a tokio runtime.
     pub fn open(store: fw_store::Client, opts: Options) -> Self {
@@ -238,12 +238,12 @@
         id::shard_of(name) % self.inner.opts.shards
     }
 
-    /// Who keeps `shard`, as far as this entry knows.
+    /// The owner of `shard` according to this entry's table.
     pub fn owner(&self, shard: id::ShardId) -> Owner {
         self.inner.owner(shard)
     }
 
-    /// A call waits for a keeper of `shard`: should this entry take it, then before others.
+    /// Records that a call waits for `shard`, so that this entry acquires or verifies it before others.
     pub fn prioritize(&self, shard: id::ShardId) {
         self.inner.prioritized.lock().insert(shard);
     }
@@ -265,37 +265,37 @@
         slot.serving().map(|kept| kept.writer.fence())
     }
 
-    /// Whether others may have taken `shard`, which is kept here: the lease lapsed, or the store is back
-    /// after it may have, and was not asked for the shard yet. In an outage that goes on nobody can take
-    /// it, and there is no doubt.
+    /// Whether another entry may have taken `shard`, which is kept here: the lease lapsed, or the store
+    /// answers again after an interval in which it may have, and the shard's ownership is not yet verified.
+    /// During an outage of the store no entry can take it, so it is not in doubt.
     pub fn is_in_doubt(&self, shard: id::ShardId) -> bool {
         self.inner.is_in_doubt(shard)
     }
 
-    /// Whether nobody else can have taken the shards that are kept here: the lease still runs, by this
+    /// Whether no other entry can have taken the shards kept here: the lease is still valid by this
     /// process's own clock, and no shard is in doubt.
     pub fn is_sole_keeper(&self) -> bool {
         self.inner.has_lease() && self.inner.shards_in_doubt().is_empty()
     }
 
-    /// Whether nobody else can have taken `shard`, if it is kept here.
+    /// Whether no other entry can have taken `shard`, if it is kept here.
     pub fn is_sole_keeper_of(&self, shard: id::ShardId) -> bool {
         self.inner.has_lease() && !self.inner.is_in_doubt(shard)
     }
 
-    /// Since when `shard` is kept here, if it is.
+    /// The time since which `shard` is kept here, if it is.
     pub fn kept_since(&self, shard: id::ShardId) -> Option<Instant> {
         let slot = self.inner.slots.get(usize::from(shard))?;
         let mut slot = slot.lock();
         slot.serving().map(|kept| kept.since)
     }
 
-    /// The other live entries and where to reach them.
+    /// The live entries, this one included, and their addresses.
     pub fn entries(&self) -> Vec<(id::EntryId, SmolStr)> {
         self.inner.table.read().entries()
     }
 
-    /// The other entries that are live, or whose lease lapsed lately.
+    /// The other entries that are live or whose lease lapsed recently, and their addresses.
     pub fn recent_entries(&self) -> Vec<(id::EntryId, SmolStr)> {
         let table = self.inner.table.read();
         let mut entries = table.entries();
@@ -304,12 +304,12 @@
         entries
     }
 
-    /// When a shard was loaded last.
+    /// When a shard was last loaded.
     pub fn last_loaded_at(&self) -> Option<Instant> {
         *self.inner.last_loaded.lock()
     }
 
-    /// The shards that were loaded after `since`, kept here still.
+    /// The shards that were loaded after `since` and are still kept here.
     pub fn loaded_since(&self, since: Option<Instant>) -> Vec<KeptShard> {
         let is_new = |at: Instant| since.is_none_or(|since| at > since);
         if !self.inner.last_loaded.lock().is_some_and(is_new) {
@@ -320,14 +320,14 @@
         shards
     }
 
-    /// Whether the shard of `ticket` has been kept here without a break since the change, as far as
-    /// is known.
+    /// Whether the shard of `ticket` has been kept here without interruption since the change, according
+    /// to this entry's current state.
     pub fn is_kept(&self, ticket: Ticket) -> bool {
         self.inner.is_kept(ticket)
     }
 
-    /// Notes that another entry holds `shard` under `fence`: if that is newer, the shard serves no more
-    /// until the store has been asked.
+    /// Records that another entry holds `shard` under `fence`. If that fencing number is newer, the shard
+    /// stops serving until its ownership is verified in the store.
     pub fn supersede(&self, shard: id::ShardId, fence: id::Fence) {
         self.inner.supersede(shard, fence);
     }
@@ -337,7 +337,7 @@
         self.inner.last_contact.lock().elapsed()
     }
 
-    /// The error for a shard that nobody keeps.
+    /// The error for a shard without a keeper.
     pub fn unavailable_error(&self) -> error::Error {
         error::Error::new(
             Kind::KeeperUnavailable,
@@ -346,7 +346,7 @@
         .with_retry_after(self.inner.opts.ttl)
     }
 
-    /// Changes the least time from one group commit to the next.
+    /// Sets the minimum time from one group commit to the next.
     pub fn set_window(&self, window: Duration) {
         *self.inner.window_min.lock() = window;
     }
@@ -355,7 +355,7 @@
     ///
     /// # Errors
     ///
-    /// Who keeps the shard instead, if it is not kept here.
+    /// The owner of the shard, if it is not kept here.
     pub fn with_program<T>(
         &self,
         program: &str,
@@ -368,7 +368,7 @@
     ///
     /// # Errors
     ///
-    /// Who keeps the shard instead, if it is not kept here.
+    /// The owner of the shard, if it is not kept here.
     pub fn with_shard<T>(
         &self,
         shard: id::ShardId,
@@ -377,18 +377,18 @@
         self.inner.with_shard(shard, f)
     }
 
-    /// Waits until the change of `ticket` is in the store.
+    /// Waits until the change of `ticket` is durable in the store.
     ///
     /// # Errors
     ///
-    /// When the shard has another keeper, or the store does not take the change in time.
+    /// If the shard has another keeper, or the store does not confirm the change in time.
     pub async fn wait_durable(&self, ticket: Ticket) -> Result<(), Error> {
         self.inner
             .wait_durable(ticket, self.inner.opts.durable_wait)
             .await
     }
 
-    /// Asks for the one run of a call, and returns when the claim is durable.
+    /// Claims the only run of a call, and returns when the claim is durable.
     pub async fn claim(&self, key: &claim::Key, fingerprint: Digest) -> ClaimResult {
         let shard = self.shard_of(&key.shard_name());
         let open = |kept: &mut Shard| kept.open_claim(key, fingerprint, now());
@@ -405,12 +405,11 @@
         }
     }
 
-    /// Notes how a claimed call ended. The returned ticket may be waited for; none is returned if
-    /// nothing was changed.
+    /// Records how a claimed call ended. Returns a ticket to wait for, or `None` if nothing changed.
     ///
     /// # Errors
     ///
-    /// Who keeps the shard instead, if it is not kept here.
+    /// The owner of the shard, if it is not kept here.
     pub fn settle(
         &self,
         key: &claim::Key,
@@ -429,7 +428,7 @@
         Ok(changed.value.map(|_| changed.ticket))
     }
 
-    /// Hands all shards over and stops. Turns under way should have ended before.
+    /// Hands all shards over and stops. Turns in progress should have ended before.
     pub async fn close(&self) -> CloseReport {
         let closed = close::run(&self.inner).await;
         let tasks = std::mem::take(&mut *self.tasks.lock());
@@ -437,13 +436,13 @@
         closed
     }
 
-    /// Stops at once, as a crash would: nothing is flushed or handed over.
+    /// Stops at once, as in a crash: nothing is flushed or handed over.
     pub fn abort(&self) {
         let tasks = std::mem::take(&mut *self.tasks.lock());
         tasks.iter().for_each(JoinHandle::abort);
     }
 
-    /// A claim that did not become durable is withdrawn: its call is refused as not run.
+    /// Grants a claim that became durable; withdraws any other, so that its call is refused as not run.
     fn finish_claim(
         &self,
         shard: id::ShardId,
@@ -458,7 +457,7 @@
                 _ => ClaimResult::NotKeeper,
             };
         };
-        // The claim may still reach the store, hence the entry that frees the key again.
+        // The claim may still reach the store, so a journal entry that frees the key is added.
         let withdraw = |kept: &mut Shard| kept.claim_not_run(key, fingerprint);
         let withdrawn = self.with_shard(shard, withdraw);
         match (err, withdrawn) {
@@ -474,7 +473,7 @@
     }
 }
 
-/// The time that the pure core is given: since the Unix epoch, so that retention outlives keepers.
+/// The current time for the I/O-free core, since the Unix epoch so that retention outlives keepers.
 pub fn now() -> Duration {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.unwrap_or_default()
@@ -485,7 +484,7 @@
     ClaimResult::Refused(err)
 }
 
-/// A random time up to `most`, so that entries that wait for the same event act one by one.
+/// A random time up to `most`, so that entries that wait for the same event do not act in step.
 fn jitter(most: Duration) -> Duration {
     most.mul_f64(rand::random::<f64>())
 }
--- a/fw-keep/src/keeper/owner_lookup.rs
+++ b/fw-keep/src/keeper/owner_lookup.rs
@@ -1,8 +1,8 @@
-//! Asks the store who keeps the shards that calls wait for.
+//! Looks up the owners of shards that calls wait for.
 //!
-//! *Failure:* an entry takes thousands of shards, and what the watch tells between two groups is behind by many
-//! messages. A shard that a call waits for is free by then, but not in the table, so that it is taken last and
-//! the call refused.
+//! *Failure:* while an entry acquires thousands of shards, the watch events read between two batches lag
+//! behind by many messages. A shard that a call waits for is free by then, but not yet in the table, so it
+//! is acquired last and the call is refused.
 
 use fw_base::id;
 use fw_store::kv;
@@ -11,7 +11,7 @@
 use crate::keeper::Inner;
 use crate::keeper::acquire;
 
-/// Notes in the table who keeps the shards that calls wait for and did not find where it says.
+/// Refreshes the owners of prioritized shards that the table assigns to other processes.
 pub(super) async fn refresh(inner: &Inner) {
     let shards = prioritized_elsewhere(inner);
     if shards.is_empty() {
@@ -41,7 +41,7 @@
     tracing::info!(entry = %inner.opts.entry, asked = shards.len(), revision, "looked up who keeps the shards that calls wait for");
 }
 
-/// The shards that calls wait for and that others keep by the table.
+/// Prioritized shards that other processes keep according to the table.
 fn prioritized_elsewhere(inner: &Inner) -> Vec<id::ShardId> {
     let table = inner.table.read();
     let prioritized = inner.prioritized.lock();
--- a/fw-keep/src/keeper/slot.rs
+++ b/fw-keep/src/keeper/slot.rs
@@ -1,4 +1,4 @@
-//! The place of one shard at this entry.
+//! State of one shard at this entry.
 
 use std::time::Instant;
 
@@ -9,7 +9,7 @@
 use crate::shard;
 use crate::shard::Shard;
 
-/// A shard that is kept or not.
+/// One shard's slot.
 #[derive(Debug)]
 pub(super) enum Slot {
     /// Not kept here.
@@ -23,22 +23,23 @@
 pub(super) struct Kept {
     pub(super) shard: Shard,
     pub(super) writer: Writer,
-    /// Tells this time of keeping the shard from any other.
+    /// Random number that distinguishes this period of keeping the shard from any other.
     pub(super) incarnation: u64,
-    /// Since when it is kept.
+    /// The time since which it is kept.
     pub(super) since: Instant,
-    /// It is being handed over and serves no more.
+    /// Whether it is being handed over and no longer serves.
     pub(super) is_leaving: bool,
-    /// Another entry was seen to have taken it since; the store is to be asked.
+    /// Whether another entry was seen to have taken it since, so that its ownership has to be verified.
     pub(super) is_superseded: bool,
-    /// Number of doubts up to which the store was asked who keeps it; `None` if it is to be asked anyway.
+    /// Ownership epoch in which the store last confirmed its ownership; `None` if it has to be verified in
+    /// any case.
     pub(super) confirmed_epoch: Option<u64>,
-    /// Position up to which changes are in the store.
+    /// Position up to which changes are durable in the store.
     pub(super) durable_position: watch::Sender<shard::Position>,
 }
 
 impl Kept {
-    /// A shard whose keeper the store told after so many doubts.
+    /// Creates a kept shard whose ownership was confirmed in `confirmed_epoch`.
     pub(super) fn new(shard: Shard, writer: Writer, confirmed_epoch: u64) -> Self {
         Self {
             shard,
@@ -52,6 +53,7 @@
         }
     }
 
+    /// The ticket of its last change.
     pub(super) fn ticket(&self) -> Ticket {
         Ticket {
             shard: self.shard.id(),
@@ -60,16 +62,17 @@
         }
     }
 
-    /// Whether the store is to be asked who keeps it, after so many `doubts`.
+    /// Whether its ownership has to be verified in ownership epoch `epoch`.
     pub(super) fn is_in_doubt(&self, epoch: u64) -> bool {
         self.is_superseded || self.confirmed_epoch != Some(epoch)
     }
 
-    /// Whether all changes are in the store.
+    /// Whether all changes are durable.
     pub(super) fn is_flushed(&self) -> bool {
         self.shard.durable_position() >= self.shard.last_position()
     }
 
+    /// Records that changes up to `position` are durable.
     pub(super) fn mark_durable(&mut self, position: shard::Position) {
         self.shard.durable(position);
         self.durable_position.send_replace(position);
@@ -77,6 +80,7 @@
 }
 
 impl Slot {
+    /// The shard, if it is kept here.
     pub(super) fn kept(&mut self) -> Option<&mut Kept> {
         match self {
             Self::Kept(kept) => Some(kept),
@@ -84,7 +88,7 @@
         }
     }
 
-    /// The shard, if it may be used by requests.
+    /// The shard, if it may serve requests.
     pub(super) fn serving(&mut self) -> Option<&mut Kept> {
         self.kept()
             .filter(|kept| !kept.is_leaving && !kept.is_superseded)
--- a/fw-keep/src/keeper/table.rs
+++ b/fw-keep/src/keeper/table.rs
@@ -1,4 +1,4 @@
-//! The table of live entries and shard keepers, as the store last showed it.
+//! Cached table of live entries and shard owners, updated from the store.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,12 +22,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct EntryValue {
     pub(super) address: SmolStr,
-    /// Whether it takes shards.
+    /// Whether the entry takes shards.
     #[serde(default = "yes")]
     pub(super) keeps: bool,
 }
 
-/// Entries of versions before the setting all take shards.
+/// Default of [`EntryValue::keeps`]: entries of versions without this field take shards.
 fn yes() -> bool {
     true
 }
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct OwnerValue {
     pub(super) entry: id::EntryId,
-    /// Of the process that wrote it.
+    /// Random number that identifies the process that wrote the key.
     pub(super) nonce: u64,
 }
 
@@ -49,7 +49,7 @@
         serde_json::from_slice(value).ok()
     }
 
-    /// The keeper that this names, under the fencing number of its key.
+    /// The holder that this value names, with the fencing number of its key.
     pub(super) fn into_holder(self, fence: id::Fence) -> owners::Holder {
         owners::Holder {
             entry: self.entry,
@@ -59,18 +59,18 @@
     }
 }
 
-/// The table.
+/// The cached table.
 #[derive(Debug)]
 pub(super) struct Table {
     entries: BTreeMap<id::EntryId, EntryValue>,
     owners: owners::Owners,
     progress: progress::Progress,
-    /// Entries whose key is gone, and since when.
+    /// Entries whose key was deleted, and when.
     gone: BTreeMap<id::EntryId, (EntryValue, Instant)>,
 }
 
-/// How long an entry is remembered whose key is gone. Its lease may have lapsed while it lives on and
-/// holds answers that its callers have and the store lacks; it goes on to offer them itself.
+/// How long an entry whose key was deleted is retained. Its lease may have lapsed although it still runs
+/// and holds answers that its callers have received but the store lacks; it continues to offer them itself.
 const GONE_RETENTION: Duration = Duration::from_secs(60);
 
 impl Table {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Takes over a whole reading of the table at `revision`.
+    /// Replaces the table by a full reading at `revision`.
     pub(super) fn reset(&mut self, root: &str, kvs: Vec<kv::Kv>, revision: id::Revision) {
         let listed: BTreeSet<String> = kvs.iter().map(|kv| kv.key.clone()).collect();
         let entries = self.entries.keys().map(|entry| keys::entry(root, entry));
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes over who keeps `shards`, as the store told at `revision`.
+    /// Updates the owners of `shards` from their keys as read at `revision`.
     pub(super) fn update_owners(
         &mut self,
         root: &str,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Takes over a change; true if it may change anybody's plan.
+    /// Applies a watch event; returns whether it may change the plan of any entry.
     pub(super) fn apply(&mut self, root: &str, event: watch::Event) -> bool {
         match event.kind {
             watch::EventKind::Put => self.put(root, event.kv),
@@ -124,6 +124,7 @@
         }
     }
 
+    /// The live entries and their addresses.
     pub(super) fn entries(&self) -> Vec<(id::EntryId, SmolStr)> {
         let entries = self.entries.iter();
         entries
@@ -131,7 +132,7 @@
             .collect()
     }
 
-    /// The entries whose key is gone for not longer than [`GONE_KEPT`].
+    /// The entries whose key was deleted within the last [`GONE_RETENTION`] and that are not listed again.
     pub(super) fn recently_gone(&self) -> Vec<(id::EntryId, SmolStr)> {
         let gone = self.gone.iter();
         let recent = gone.filter(|(id, (_, since))| {
@@ -152,7 +153,7 @@
         self.owners.has_free()
     }
 
-    /// Who keeps `shard`, asked by `me`, which does not serve it.
+    /// The owner of `shard` as seen by entry `me`, which does not serve it.
     pub(super) fn owner(&self, shard: id::ShardId, me: &id::EntryId) -> Owner {
         let holder = self.owners.holder(shard);
         let Some(holder) = holder.filter(|holder| holder.entry != *me) else {
@@ -168,14 +169,14 @@
         }
     }
 
-    /// The shards that process `nonce` keeps according to the store.
+    /// The shards that process `nonce` keeps according to the table.
     pub(super) fn kept_by(&self, nonce: u64) -> Vec<(id::ShardId, id::Fence)> {
         let held = self.owners.kept();
         let mine = held.filter(|(_, holder)| holder.nonce == nonce);
         mine.map(|(shard, holder)| (shard, holder.fence)).collect()
     }
 
-    /// The shards that other processes than `nonce` keep according to the store.
+    /// The shards that processes other than `nonce` keep according to the table.
     pub(super) fn kept_by_others(
         &self,
         nonce: u64,
@@ -185,7 +186,7 @@
         theirs.map(|(shard, holder)| (shard, holder.fence))
     }
 
-    /// Notes who kept a shard at `revision`, as an own call or the watch has told.
+    /// Records the keeper of a shard at `revision`, from an own call or the watch.
     pub(super) fn update_owner(
         &mut self,
         shard: id::ShardId,
@@ -200,7 +201,7 @@
         }
     }
 
-    /// The plan of entry `me`, which looks every `round` at least.
+    /// Computes the plan of entry `me`, and detects entries stalled for `stall_timeout`.
     pub(super) fn plan(&mut self, me: &id::EntryId, stall_timeout: Duration) -> balance::Plan {
         let assignments = balance::assignments(&self.view()).into_iter();
         let others = assignments.filter(|assignment| assignment.entry != me);
--- a/fw-keep/src/keeper/watch_health.rs
+++ b/fw-keep/src/keeper/watch_health.rs
@@ -1,4 +1,4 @@
-//! Logs when the watch of the table of live entries fails, and when it brings news again.
+//! Logs when the watch of the entry table fails and when it recovers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,16 +6,16 @@
 use fw_base::id;
 use fw_store::error::Error;
 
-/// The outcomes of the watch, over all its openings.
+/// State of the watch across its reconnections.
 pub(super) struct WatchHealth {
     entry: id::EntryId,
-    /// Failures in a row, and when the first of them was.
+    /// Number of consecutive failures, and the time of the first one.
     failures: u32,
     failing_since: Instant,
 }
 
 impl WatchHealth {
-    /// Nothing has failed yet.
+    /// Creates the state of a watch without failures.
     pub(super) fn new(entry: &id::EntryId) -> Self {
         Self {
             entry: entry.clone(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Notes that the watch has told of all changes up to `revision`.
+    /// Records that the watch has delivered all changes up to `revision`.
     pub(super) fn record_progress(&mut self, revision: id::Revision) {
         let failures = std::mem::take(&mut self.failures);
         if failures > 0 {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Notes that the watch broke or could not be opened, with a table of this `age`.
+    /// Records that the watch failed or could not be opened; `age` is the time since the table was current.
     pub(super) fn record_failure(&mut self, err: &Error, age: Duration) {
         self.failures += 1;
         if self.failures == 1 {
--- a/fw-keep/src/lib.rs
+++ b/fw-keep/src/lib.rs
@@ -1,9 +1,10 @@
 //! Program state, journal, claims and shard leases over the platform's store.
 //!
-//! The core is pure: it knows neither clock, network nor runtime. [`program`] and [`claim`] are the
-//! life cycles of one program and one idempotency key, [`shard`] holds those that hash together,
-//! [`journal`] is their form in the store, [`commit`] writes it, [`balance`] decides who keeps
-//! which shard, [`progress`] who is passed over, and [`owners`] is what is known of the keepers. [`keeper`] is the thin shell that runs them on tokio against a store.
+//! The core does no I/O: it uses neither clock, network nor async runtime. [`program`] and [`claim`]
+//! are the state machines of one program and one idempotency key, [`shard`] groups those whose names
+//! hash to the same shard, [`journal`] is their format in the store, and [`commit`] writes it.
+//! [`balance`] assigns shards to entries, [`progress`] detects entries that do not take their shards,
+//! and [`owners`] caches the current keepers. [`keeper`] runs all of them on tokio against a store.
 //!
 //! ```
 //! use fw_base::chat;
--- a/fw-keep/src/owners.rs
+++ b/fw-keep/src/owners.rs
@@ -1,13 +1,13 @@
-//! Who keeps each shard, as far as the store has told.
+//! Cached owners of all shards, versioned by store revision.
 //!
-//! *Load pattern:* thousands of keys lapse in an outage of the store. When it is back, an entry takes its
-//! shards again and hears of each from the answers to its own calls, before its watch has shown that
-//! they lapsed.
+//! *Load pattern:* thousands of keys lapse in an outage of the store. After it, an entry reacquires its
+//! shards and learns the owner of each from the answers to its own calls, before its watch has delivered
+//! the deletions.
 //!
-//! *Without it:* the late news make shards look free that are kept, and the entry looks at all of its
-//! shards in the store again, call after call, while programs wait.
+//! *Without it:* the late watch events make shards look free that are kept, and the entry verifies all
+//! of its shards in the store again, call after call, while programs wait.
 //!
-//! *Rule:* each shard has the revision up to which it is known; older news change nothing.
+//! *Rule:* each shard carries the store revision of its cached owner; an older update is ignored.
 
 use std::time::Instant;
 
@@ -18,29 +18,29 @@
 pub struct Holder {
     /// The entry.
     pub entry: id::EntryId,
-    /// Of the process that took the shard.
+    /// Random number that identifies the process that took the shard.
     pub nonce: u64,
-    /// Revision at which it took the shard.
+    /// Store revision at which it took the shard, used as fencing number.
     pub fence: id::Fence,
 }
 
 #[derive(Clone, Debug)]
 struct Ownership {
     holder: Option<Holder>,
-    /// Since when nobody is known to keep it; stands still while somebody does.
+    /// When the shard last became free; unchanged while it has a keeper.
     free_since: Instant,
-    /// Revision of the store that this is known from.
+    /// Store revision of the last update.
     revision: id::Revision,
 }
 
-/// The keepers of all shards.
+/// The cached keepers of all shards.
 #[derive(Clone, Debug)]
 pub struct Owners {
     ownerships: Vec<Ownership>,
 }
 
 impl Owners {
-    /// As many `shards`, of which nothing is known.
+    /// Creates the cache for `shards` shards without keepers.
     pub fn new(shards: usize, now: Instant) -> Self {
         let ownership = Ownership {
             holder: None,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Notes who kept `shard` at `revision` of the store; false if that changes nothing.
+    /// Records the keeper of `shard` at a store `revision`; returns whether it has changed.
     pub fn update(
         &mut self,
         shard: id::ShardId,
@@ -77,18 +77,18 @@
         true
     }
 
-    /// The keeper of `shard`, if one is known.
+    /// The cached keeper of `shard`, if any.
     pub fn holder(&self, shard: id::ShardId) -> Option<&Holder> {
         self.ownerships.get(usize::from(shard))?.holder.as_ref()
     }
 
-    /// Since when `shard` is free, if nobody keeps it now.
+    /// The time since which `shard` is free, or `None` if it has a keeper.
     pub fn free_since(&self, shard: id::ShardId) -> Option<Instant> {
         let ownership = self.ownerships.get(usize::from(shard))?;
         ownership.holder.is_none().then_some(ownership.free_since)
     }
 
-    /// Whether any shard is free.
+    /// Whether any shard has no keeper.
     pub fn has_free(&self) -> bool {
         self.ownerships
             .iter()
--- a/fw-keep/src/progress.rs
+++ b/fw-keep/src/progress.rs
@@ -1,16 +1,17 @@
-//! Which entries leave free shards to nobody although they should take them.
+//! Detects entries that do not take the free shards assigned to them.
 //!
-//! *Load pattern:* an entry hangs while its lease goes on, and shards that fall to it stay free. Or a
-//! fleet starts, or the store is back after an outage, and each entry takes thousands of shards, some
-//! with each call, for longer than a round.
+//! *Load pattern:* an entry hangs while its lease is still renewed, and the shards assigned to it stay
+//! free. Or a fleet starts, or the store recovers from an outage, and each entry takes thousands of
+//! shards, a group per call, for longer than the stall timeout.
 //!
-//! *Without it:* callers wait for as long as the entry hangs. Judged by the time for which a shard was
-//! free, entries that are busy with their shares all count as stuck with each other; they then ask for
-//! the same shards, and half of their calls are in vain.
+//! *Without it:* callers wait for as long as the entry hangs. If stalls were detected by how long a
+//! shard has been free, entries that are still taking their shares would all regard each other as
+//! stalled; they would then request the same shards, and half of their calls would fail.
 //!
-//! *Rule:* an entry is stuck if for a round it has taken nothing, although a shard that falls to it was
-//! free all the while. The round begins one round after the entry was listed, as an entry whose lease
-//! has lapsed leaves free shards alone for so long. A stuck one gets no shards for some rounds.
+//! *Rule:* an entry is stalled if it has taken no shard for the stall timeout, although a shard assigned
+//! to it was free throughout. The timeout starts to count one timeout after the entry was listed, since
+//! an entry whose lease has lapsed leaves free shards alone for that long. A stalled entry is assigned
+//! no shards for a multiple of the timeout.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,48 +20,48 @@
 
 use fw_base::id;
 
-/// Rounds for which a stuck entry gets no shards: long enough that they don't go to and fro around
-/// it, and not for good, since it may have been merely slow.
+/// Period for which a stalled entry is assigned no shards, in stall timeouts: long enough that shards do
+/// not move back and forth, but not permanent, since the entry may only have been slow.
 const PASSIVE_TIMEOUTS: u32 = 20;
 
-/// A free shard that an entry is to take.
+/// A free shard that is assigned to an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingShard {
-    /// The entry.
+    /// The entry that is to take it.
     pub entry: id::EntryId,
-    /// Since when the shard is free.
+    /// The time since which the shard is free.
     pub free_since: Instant,
 }
 
-/// What is known of the entries' taking of shards.
+/// Tracks when each entry last took a shard.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// Since when each live entry is listed.
+    /// The time since which each live entry is listed.
     listed_since: BTreeMap<id::EntryId, Instant>,
-    /// When each live entry last took a shard.
+    /// The time at which each live entry last took a shard.
     last_taken: BTreeMap<id::EntryId, Instant>,
-    /// Until when an entry gets no shards.
+    /// The time until which a stalled entry is assigned no shards.
     passive_until: BTreeMap<id::EntryId, Instant>,
 }
 
 impl Progress {
-    /// Notes that an entry is listed.
+    /// Records that an entry is listed.
     pub fn record_listed(&mut self, entry: &id::EntryId, now: Instant) {
         self.listed_since.entry(entry.clone()).or_insert(now);
     }
 
-    /// Notes that an entry is listed no more.
+    /// Records that an entry is no longer listed.
     pub fn record_unlisted(&mut self, entry: &id::EntryId) {
         self.listed_since.remove(entry);
         self.last_taken.remove(entry);
     }
 
-    /// Notes that an entry has taken a shard.
+    /// Records that an entry has taken a shard.
     pub fn record_taken(&mut self, entry: &id::EntryId, now: Instant) {
         self.last_taken.insert(entry.clone(), now);
     }
 
-    /// Judges the entries by the shards that are due; returns those that are found stuck.
+    /// Returns the entries that are stalled on `pending` shards, and makes them passive.
     pub fn detect_stalled(
         &mut self,
         pending: impl IntoIterator<Item = PendingShard>,
@@ -78,7 +79,7 @@
         stalled
     }
 
-    /// The entries that get no shards, as of the last judgement.
+    /// The entries that are assigned no shards, as of the last call of [`Self::detect_stalled`].
     pub fn passive(&self) -> impl Iterator<Item = &id::EntryId> {
         self.passive_until.keys()
     }
