--- a/fw-keep/src/keeper/flush.rs
+++ b/fw-keep/src/keeper/flush.rs
@@ -256,7 +256,7 @@
     }
     let started = Instant::now();
     let mut pending = inner.shards_in_doubt();
-    tracing::info!(entry = %inner.opts.entry, shards = pending.len(), doubts = inner.ownership_epoch(), "asks the store who keeps its shards");
+    tracing::info!(entry = %inner.opts.entry, shards = pending.len(), doubts = inner.ownership_epoch(), "verifying shard ownership in the store");
     while !pending.is_empty() {
         pacer.commit_if_due(inner).await;
         let batch = inner.take_prioritized_first(&mut pending, acquire::BATCH);
@@ -265,7 +265,7 @@
         }
     }
     let left = inner.shards_in_doubt().len();
-    tracing::info!(entry = %inner.opts.entry, left, took = ?started.elapsed(), "has asked the store who keeps its shards");
+    tracing::info!(entry = %inner.opts.entry, left, took = ?started.elapsed(), "shard ownership verification ended");
     if left > 0 {
         inner.verify_due.notify_one();
     }
--- a/fw-keep/src/keeper/mod.rs
+++ b/fw-keep/src/keeper/mod.rs
@@ -152,7 +152,7 @@
     #[snafu(display("the shard has another keeper"))]
     StaleFence,
     /// The store did not confirm the change within the timeout; it is still pending.
-    #[snafu(display("the store did not take the change in time"))]
+    #[snafu(display("the store did not confirm the change in time"))]
     StoreUnavailable,
 }
 
--- a/fw-keep/src/keeper/owner_lookup.rs
+++ b/fw-keep/src/keeper/owner_lookup.rs
@@ -28,7 +28,7 @@
     let found = match inner.store.txn(&txn).await {
         Ok(found) => found,
         Err(err) => {
-            tracing::info!(entry = %inner.opts.entry, %err, "the store does not tell who keeps the shards that calls wait for");
+            tracing::info!(entry = %inner.opts.entry, %err, "cannot read the owners of shards that calls wait for");
             return;
         }
     };
@@ -38,7 +38,7 @@
         .table
         .write()
         .update_owners(root, &shards, found.into_kvs(), revision);
-    tracing::info!(entry = %inner.opts.entry, asked = shards.len(), revision, "looked up who keeps the shards that calls wait for");
+    tracing::info!(entry = %inner.opts.entry, asked = shards.len(), revision, "read the owners of shards that calls wait for");
 }
 
 /// Prioritized shards that other processes keep according to the table.
--- a/fw-keep/src/keeper/table.rs
+++ b/fw-keep/src/keeper/table.rs
@@ -216,7 +216,7 @@
             .progress
             .detect_stalled(pending, stall_timeout, Instant::now())
         {
-            tracing::warn!(entry = %me, stuck = %stalled, "an entry takes no free shards; others take its share");
+            tracing::warn!(entry = %me, stuck = %stalled, "an entry takes no free shards; its share is assigned to others");
         }
         balance::plan(me, &self.view())
     }
@@ -248,7 +248,7 @@
                 self.progress.record_listed(&entry, Instant::now());
                 let before = self.entries.insert(entry.clone(), value);
                 if before.is_none() {
-                    tracing::info!(listed = %entry, %address, revision = kv.mod_revision, "an entry is listed");
+                    tracing::info!(listed = %entry, %address, revision = kv.mod_revision, "entry added to the table");
                 }
                 before.is_none()
             }
@@ -268,7 +268,7 @@
                 let Some(value) = self.entries.remove(entry) else {
                     return false;
                 };
-                tracing::info!(gone = entry, address = %value.address, "an entry is listed no more");
+                tracing::info!(gone = entry, address = %value.address, "entry removed from the table");
                 self.progress.record_unlisted(&entry.into());
                 self.record_gone(entry.into(), value);
                 true
--- a/fw-keep/src/keeper/watch_health.rs
+++ b/fw-keep/src/keeper/watch_health.rs
@@ -29,7 +29,7 @@
         let failures = std::mem::take(&mut self.failures);
         if failures > 0 {
             let failing_for = self.failing_since.elapsed();
-            tracing::info!(entry = %self.entry, revision, failures, ?failing_for, "the table of entries is followed again");
+            tracing::info!(entry = %self.entry, revision, failures, ?failing_for, "the watch of the entry table has recovered");
         }
     }
 
@@ -38,9 +38,9 @@
         self.failures += 1;
         if self.failures == 1 {
             self.failing_since = Instant::now();
-            tracing::warn!(entry = %self.entry, %err, ?age, "the watch of the table of entries broke");
+            tracing::warn!(entry = %self.entry, %err, ?age, "the watch of the entry table failed");
         } else {
-            tracing::debug!(entry = %self.entry, %err, ?age, "the table of entries cannot be watched");
+            tracing::debug!(entry = %self.entry, %err, ?age, "the watch of the entry table cannot be reopened");
         }
     }
 }
