--- a/fw-keep/tests/keep/fleet.rs
+++ b/fw-keep/tests/keep/fleet.rs
@@ -1,4 +1,4 @@
-//! A stand-in store and keepers on it.
+//! A fake store with keepers on it.
 
 use std::time::Duration;
 
@@ -20,11 +20,11 @@
 /// Number of shards.
 pub const SHARDS: u16 = 16;
 
-/// Pause between two looks, and the most looks; together far above any lease here.
+/// Poll interval and maximum number of polls; together far longer than any lease here.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const MAX_POLLS: usize = 6_000;
 
-/// A store with one port for each keeper.
+/// A fake store with one port for each keeper.
 pub struct Fleet {
     pub store: store::Store,
 }
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Opens a keeper that reaches the store by `port`.
+    /// Opens a keeper that connects to the store through `port`.
     pub fn keeper(&self, name: &str, port: usize) -> Keeper {
         Keeper::open(self.client(port), Self::options(name))
     }
@@ -75,8 +75,8 @@
     }
 }
 
-/// Prints what the keepers log if `RUST_LOG` says so. Their tasks run on threads of their own, whose
-/// output the test runner does not hold back: run one test at a time.
+/// Prints the keepers' log lines that `RUST_LOG` selects. The keepers' tasks run on threads whose output
+/// the test runner does not capture, so run one test at a time.
 fn init_logging() {
     let off = tracing_subscriber::filter::LevelFilter::OFF.into();
     let filter = tracing_subscriber::EnvFilter::builder().with_default_directive(off);
@@ -86,7 +86,7 @@
     let _already_set = lines.try_init();
 }
 
-/// Looks until `condition`, and fails with `what` if it never is.
+/// Polls until `condition` holds, and fails with `description` on time-out.
 pub async fn until(description: &str, mut condition: impl FnMut() -> bool) {
     for _ in 0..MAX_POLLS {
         if condition() {
@@ -137,7 +137,7 @@
     begun.unwrap().value
 }
 
-/// Runs a turn to its answer, and returns what to wait for.
+/// Runs a turn to its answer, and returns the ticket to wait for.
 pub fn turn(keeper: &Keeper, program: &str, number: u32) -> Ticket {
     let attempt = attempt_id(program, number);
     let begun = begin(
@@ -161,11 +161,11 @@
 
 /// Number of a program's committed turns, and its digest.
 pub fn committed(keeper: &Keeper, program: &str) -> Option<(u32, Digest)> {
-    let known = keeper.with_program(program, |shard| {
-        let known = shard.program(&program.into())?;
-        Some((known.turn(), known.digest()))
+    let found = keeper.with_program(program, |shard| {
+        let found = shard.program(&program.into())?;
+        Some((found.turn(), found.digest()))
     });
-    known.ok()?.value
+    found.ok()?.value
 }
 
 pub fn key(name: &str) -> claim::Key {
--- a/fw-keep/tests/keep/held_turns.rs
+++ b/fw-keep/tests/keep/held_turns.rs
@@ -1,4 +1,4 @@
-//! Turns that were answered under an earlier keeper and are in no journal.
+//! Recovery of turns that were answered under an earlier keeper but are missing in the journal.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Turn `turn` of a program whose caller says `ask n` and whose answers are `answer n`.
+/// Turn `turn` of a program whose user messages are `ask n` and whose answers are `answer n`.
 fn held(turn: id::Turn) -> program::Held {
     let before: Vec<_> = (1..turn).flat_map(|n| [ask(n), reply(n)]).collect();
     program::Held {
@@ -50,14 +50,14 @@
         let recovered = shard.recover(&program, held(turn), NOW);
         expect_that!(recovered, eq(shard::Recovered::Applied));
     }
-    let known = shard.program(&program).unwrap();
-    expect_that!(known.turn(), eq(3));
-    expect_that!(known.history().len(), eq(6));
+    let found = shard.program(&program).unwrap();
+    expect_that!(found.turn(), eq(3));
+    expect_that!(found.history().len(), eq(6));
     expect_that!(shard.pending(), eq(3));
 }
 
-// Two sides hold a turn each, and the one with the later turn is heard first. Applied at once, it
-// would stand on a history that lacks a turn; it has to wait.
+// Two sides hold one turn each, and the later turn is received first. Guards against applying it to a
+// history that lacks the turn before it.
 #[gtest]
 fn a_turn_waits_for_the_one_before_it() {
     let mut shard = shard::Shard::new(0);
@@ -88,8 +88,8 @@
     expect_that!(shard.pending(), eq(1));
 }
 
-// A side holds an answer of an attempt that was given up: the turn ran again elsewhere and went
-// into the journal with another answer. The held turn after it stands on a history that never was.
+// A side holds the answer of an abandoned attempt: the turn ran again elsewhere and is in the journal with
+// another answer. Guards against applying the held turn after it, whose history was never committed.
 #[gtest]
 fn a_turn_of_another_history_is_not_applied() {
     let mut shard = shard::Shard::new(0);
--- a/fw-keep/tests/keep/keeper_claims.rs
+++ b/fw-keep/tests/keep/keeper_claims.rs
@@ -1,4 +1,4 @@
-//! A claimed call runs at most once, whoever asks and whichever keeper is gone.
+//! A claimed call runs at most once, also across keepers.
 
 use fw_base::error;
 use fw_keep::claim;
@@ -47,9 +47,8 @@
     );
 }
 
-/// A billing call was claimed and sent; then the keeper died before its answer was recorded. The
-/// shop sends it again. The next keeper can't know whether the bill went out, and must not send
-/// a second one.
+/// Guards against a second run of a call whose keeper died after the call was claimed and sent, before
+/// its answer was recorded. The next keeper cannot know whether the call ran, and must not grant it.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_claim_without_outcome_is_never_granted_again() {
@@ -87,8 +86,8 @@
     expect_that!(b.claim(&keys[2], body).await, eq(&ClaimResult::Granted));
 }
 
-/// The store is down when a call that may not be repeated comes in. It is refused as not run, and
-/// that stays true: its claim, still on the way to the store, must not block the key for good.
+/// A call that must not be repeated arrives during a store outage and is refused as not run. Guards
+/// against its claim, which may still reach the store, blocking the key permanently.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_claim_in_an_outage_is_refused_as_not_run() {
--- a/fw-keep/tests/keep/keeper_doubt.rs
+++ b/fw-keep/tests/keep/keeper_doubt.rs
@@ -1,4 +1,4 @@
-//! What a keeper holds to be its own while it cannot be sure.
+//! Shard ownership while a keeper cannot be sure of it.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::fleet;
 use crate::fleet::Fleet;
 
-// A keeper's shard lapses while it has a change that the store lacks: a caller holds the answer. The
-// store takes the keeper's acquisition, and loses the answer to it four times in a row. The change was
-// written on under the old fencing number and met the keeper's own new key, which was taken for
-// another's: `shard lost` with reason `stale_fence`, nobody else holding it, and the change dropped.
+// Guards against a keeper fenced by its own acquisition. A shard's key lapses while a change whose answer
+// the caller has is not yet in the store. The reacquisition takes effect, but its answer is lost four times
+// in a row. The change was then written under the old fencing number and failed on the keeper's own new
+// key: `shard lost` with reason `stale_fence`, no other holder, and the change dropped.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_unanswered_acquisition_does_not_fence_its_own_keeper() {
@@ -39,9 +39,9 @@
     expect_that!(fleet::committed(&a, "p"), some((eq(1), anything())));
 }
 
-// A keeper's lease lapses, the answers to its renewals are lost, and another entry takes its shards
-// and goes on with their programs. The watch shows the first who has them now. It went on to serve
-// what was in its memory, and told callers of the newer turns, for good, that they were out of order.
+// Guards against a keeper that serves outdated state. Its lease lapses, the answers to its renewals are
+// lost, and another entry takes its shards and continues their programs, which the watch shows. The first
+// keeper continued to serve from memory and refused callers of newer turns permanently as out of order.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn shards_that_the_table_shows_elsewhere_are_not_served() {
@@ -58,9 +58,9 @@
     fleet::until("a serves nothing", || a.shards().is_empty()).await;
 }
 
-// A keeper hears nothing of the store for longer than its lease, as it is cut off or was paused.
-// Another entry may have its shards by now and their programs may have gone on: what it knows is the
-// past. It may run turns, which are fenced when they commit, but it is not sure of anything.
+// Guards against a keeper that trusts its state after its lease. It receives nothing from the store for
+// longer than the lease, because it is cut off or paused, so another entry may have its shards and have
+// continued their programs. It may run turns, which are fenced at commit, but is not the sole keeper.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn sole_ownership_ends_with_the_lease() {
@@ -75,10 +75,10 @@
     fleet::until_kept(&b, 16).await;
     expect_false!(a.is_sole_keeper());
     fleet.store.faults(0, |faults| faults.outage = None);
-    fleet::until("a is sure again", || a.is_sole_keeper()).await;
+    fleet::until("a is the sole keeper again", || a.is_sole_keeper()).await;
 }
 
-/// Opens a keeper and takes the store away for `outage` as soon as its shards are taken.
+/// Opens a keeper and starts a store outage of length `outage` as soon as its shards are acquired.
 async fn interrupted(outage: Duration) -> (Fleet, keeper::Keeper) {
     let fleet = Fleet::start(1).await;
     fleet
@@ -97,24 +97,25 @@
     (fleet, a)
 }
 
-// Guards against shards that stay in doubt for good when the first answer after a silence of the store is
-// that to the reading of their journals.
+// Guards against shards that stay in doubt permanently when the first answer after a store outage is that
+// to the read of their journals.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn shards_loaded_after_a_store_outage_are_verified() {
-    // Longer than the silence after which shards are doubted, shorter than the lease.
+    // Longer than the time without contact after which shards are in doubt, shorter than the lease.
     let outages = (0..20).map(|n| Duration::from_millis(1_200 + 30 * n));
     for opened in futures_util::future::join_all(outages.map(interrupted)).await {
         let (_fleet, a) = opened;
         fleet::until_kept(&a, 16).await;
-        fleet::until("a is sure", || a.is_sole_keeper()).await;
+        fleet::until("a is the sole keeper", || a.is_sole_keeper()).await;
     }
 }
 
-/// Shards that take many calls to ask the store for.
+/// Number of shards whose verification takes many calls.
 const SHARD_COUNT: u16 = 1_200;
 
-// Guards against programs that wait for the last of thousands of shards after a lapsed lease.
+// Guards against programs that wait until the last of thousands of shards is verified after a lapsed
+// lease.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn prioritized_shards_are_verified_first() {
@@ -134,7 +135,7 @@
         .store
         .faults(0, |faults| faults.delay = Duration::from_millis(100));
     fleet.lapse("a");
-    fleet::until("all is in doubt", || {
+    fleet::until("all shards are in doubt", || {
         count_in_doubt() == usize::from(SHARD_COUNT)
     })
     .await;
@@ -146,5 +147,5 @@
     .await;
     expect_that!(count_in_doubt(), gt(0));
     expect_false!(a.is_sole_keeper());
-    fleet::until("a is sure again", || a.is_sole_keeper()).await;
+    fleet::until("a is the sole keeper again", || a.is_sole_keeper()).await;
 }
--- a/fw-keep/tests/keep/keeper_handover.rs
+++ b/fw-keep/tests/keep/keeper_handover.rs
@@ -10,8 +10,8 @@
 use crate::fleet;
 use crate::fleet::Fleet;
 
-/// An entry is replaced. Its programs are to go on at once, with all their turns, though the last
-/// of them was still waiting for its group commit when the stop began.
+/// Guards against programs that lose turns or wait for a lease to lapse when their entry is replaced,
+/// even if the last turn is still waiting for its group commit when the stop begins.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_graceful_stop_loses_nothing_and_waits_for_no_lease() {
@@ -37,8 +37,8 @@
     expect_that!(a.shards(), is_empty());
 }
 
-/// A second entry joins while a turn is under way. The turn's shard stays where it is until the
-/// turn has ended: handed over, its answer would find no program.
+/// Guards against the handover of a shard with a turn in progress when a second entry joins: after the
+/// handover, the turn's answer would find no program.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_shard_with_a_turn_under_way_is_not_handed_over() {
--- a/fw-keep/tests/keep/keeper_outage.rs
+++ b/fw-keep/tests/keep/keeper_outage.rs
@@ -1,4 +1,4 @@
-//! While the store is away programs go on in memory, and what they did is flushed afterwards.
+//! During a store outage programs continue in memory, and their changes are flushed afterwards.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 use crate::fleet;
 use crate::fleet::Fleet;
 
-/// The store is down for longer than the leases. Conversations go on meanwhile; when it is back,
-/// every turn of that time must be in it, though every lease has lapsed and all shards are free.
+/// Runs turns during a store outage that outlasts the leases, and checks that all of them are stored
+/// after it, although every lease has lapsed and all shards are free.
 async fn flushes_turns_after_outage(outage: Outage) {
     let fleet = Fleet::start(2).await;
     let a = fleet.keeper("a", 0);
@@ -65,8 +65,8 @@
     flushes_turns_after_outage(Outage::Hang).await;
 }
 
-/// The store stays away while a program runs turn after turn. What waits for it is bounded, and
-/// beyond the bound the caller is told, truly, that the turn did not run.
+/// Guards against unbounded memory use when a program runs turn after turn during a store outage. Beyond
+/// the limit of pending changes, a turn is refused as not run.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn pending_changes_are_bounded() {
@@ -80,7 +80,7 @@
     fleet.store.set_outage(Some(Outage::Refuse));
     fleet::turn(&a, "p", 1);
     let pending = || a.with_program("p", |shard| shard.pending()).unwrap().value;
-    fleet::until("the first turn is on its way", || pending() == 0).await;
+    fleet::until("the first turn is being committed", || pending() == 0).await;
     for number in 2..=5 {
         fleet::turn(&a, "p", number);
     }
@@ -93,8 +93,8 @@
     expect_that!(refused, pat!(program::Outcome::Refused(unavailable)));
 }
 
-/// One entry alone is cut off from the store. Its neighbour takes its shards over after the lease;
-/// the one cut off learns of it and serves them no more.
+/// A single entry is cut off from the store. Another entry takes its shards after the lease, and the
+/// first one stops serving them once it is connected again.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_entry_cut_off_alone_loses_its_shards() {
@@ -114,13 +114,12 @@
     .await;
 }
 
-/// Shards of a keeper that needs many calls to take them all again.
+/// Number of shards that take many calls to reacquire.
 const SHARD_COUNT: u16 = 1_200;
 
-// The store was away for longer than the lease. Once it is back the keeper takes its hundreds of shards
-// again, sixty with each call. A publish request that came meanwhile was refused: its claim was not
-// stored before the last shard had been taken, seconds later. What showed it: a claim refused with
-// `store_unavailable` 3.5 s after `lease granted`.
+// Guards against changes that wait until all shards are reacquired. After a store outage longer than the
+// lease, a keeper reacquires hundreds of shards, sixty per call. A claim made meanwhile was not stored until
+// the last shard was acquired, and was refused with `store_unavailable` 3.5 s after `lease granted`.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn changes_are_stored_while_shards_are_reacquired() {
@@ -143,7 +142,7 @@
     };
     let all = owners();
     expect_that!(all, ge(usize::from(SHARD_COUNT)));
-    // Slow enough that a turn comes while shards are taken.
+    // Slow enough that the turn runs while shards are being acquired.
     fleet
         .store
         .faults(0, |faults| faults.delay = Duration::from_millis(40));
@@ -158,9 +157,9 @@
     expect_that!(owners(), lt(all));
 }
 
-// A keeper dies, and another takes its hundreds of shards, sixty at a time. A turn waits for one of the
-// last: it was refused, as its patience was over before that one's time came. What showed it: `no
-// keeper was found in time` 3.4 s after `lease granted`, and `turn recovered` 1.2 s later.
+// Guards against a turn that times out while its shard is among the last to be acquired. A keeper dies and
+// another acquires its hundreds of shards, sixty at a time: `no keeper was found in time` was logged 3.4 s
+// after `lease granted`, and `turn recovered` 1.2 s later.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn prioritized_shards_are_taken_first() {
@@ -189,14 +188,14 @@
     expect_that!(before.count(), eq(0));
 }
 
-/// Shards whose keeper tells of them in many messages when it hands them over.
+/// Number of shards whose handover causes many watch messages.
 const LARGE_SHARD_COUNT: u16 = 4_000;
 
-/// Groups of shards that may be taken before one that a call waits for, and shards in a group.
+/// Maximum number of groups acquired before a prioritized shard, and shards per group.
 const MAX_GROUPS: usize = 4;
 const GROUP_SIZE: usize = 60;
 
-// Guards against an entry that falls behind with the news while it takes thousands of shards.
+// Guards against an entry whose table falls behind the watch while it acquires thousands of shards.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn table_updates_are_read_while_shards_are_taken() {
--- a/fw-keep/tests/keep/keeper_roles.rs
+++ b/fw-keep/tests/keep/keeper_roles.rs
@@ -1,4 +1,4 @@
-//! Entries that take shards beside entries that do not.
+//! Entries that take shards together with entries that do not.
 
 use fw_keep::keeper;
 use googletest::prelude::*;
@@ -6,8 +6,8 @@
 use super::fleet;
 use super::fleet::Fleet;
 
-// In a large fleet only some entries keep shards, so that their commits fit the store's rate. One
-// that does not must still be known to the others, and know who keeps what.
+// In a large fleet only some entries keep shards, so that their commits fit the store's write rate.
+// Guards against an entry without shards that is missing in the others' tables, or lacks the owners.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_entry_without_shards_knows_the_keepers() {
--- a/fw-keep/tests/keep/keeper_takeover.rs
+++ b/fw-keep/tests/keep/keeper_takeover.rs
@@ -1,4 +1,4 @@
-//! What one keeper made durable, the next one finds; what it did not hold any more, it can't write.
+//! A new keeper finds all durable changes of the previous one, which is fenced from further writes.
 
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
     expect_that!(fleet::committed(&a, "p"), some((eq(1), anything())));
 }
 
-/// A shopkeeper's editor has two turns behind it when the entry that keeps the program dies. Her
-/// third turn reaches another entry. Without a replay, that one would start an empty history.
+/// A program has two turns when its keeper dies, and its third turn reaches another entry. Without a
+/// replay of the journal, that entry would start an empty history.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn programs_of_a_dead_keeper_continue_elsewhere() {
@@ -47,9 +47,9 @@
     expect_that!(replay, pat!(program::Outcome::Replay { turn: eq(&2), .. }));
 }
 
-/// An entry is paused (here: cut off) past its lease, another takes its shards and goes on. Then
-/// the first wakes, finishes the turn it had in memory and writes. If that write got through,
-/// the program would have two third turns, and the caller of the second would lose hers.
+/// An entry is paused (here: cut off) past its lease, and another takes its shards and runs a turn. Then
+/// the first resumes and writes the turn that it finished in memory. Without the fence, the program would
+/// have two answers to one turn, and the caller of the second would lose hers.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_paused_keeper_that_resumes_is_fenced() {
@@ -80,14 +80,14 @@
         .await
         .unwrap();
     expect_that!(lost, err(eq(keeper::Error::StaleFence)));
-    // Awake, it gets its share of the shards again, perhaps this one.
-    let standing = || fleet::committed(&b, "p").or_else(|| fleet::committed(&a, "p"));
-    fleet::until("the shard is kept", || standing().is_some()).await;
-    expect_that!(standing(), eq(after));
+    // After resuming it gets its share of the shards again, possibly including this one.
+    let committed = || fleet::committed(&b, "p").or_else(|| fleet::committed(&a, "p"));
+    fleet::until("the shard is kept", || committed().is_some()).await;
+    expect_that!(committed(), eq(after));
 }
 
-/// The last write before a death was one whose answer was lost. It is in the store, so the turn
-/// was made, and the caller who asks again must get that turn's answer and not a second run.
+/// Guards against a second write, or a second run, of a turn whose commit took effect but whose answer
+/// from the store was lost.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_commit_whose_answer_was_lost_is_found_by_reading_back() {
@@ -108,8 +108,8 @@
     expect_that!(segments.count(), eq(4));
 }
 
-/// A hundred editors are busy at once. A store call for each turn would use up the store's rate,
-/// which every other entry needs as well; their turns share calls, at most one in each window.
+/// Guards against one store call per turn when a hundred programs run at once, which would use up the
+/// write rate that all entries share. Turns share calls, at most one per window.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn turns_of_one_window_share_a_store_call() {
@@ -131,12 +131,12 @@
     for ticket in tickets {
         a.wait_durable(ticket).await.unwrap();
     }
-    // On a slow machine the hundred turns take several windows.
+    // On a slow machine the hundred turns span several windows.
     expect_that!(fleet.store.counts().writes - before, le(10));
 }
 
-/// Somebody cut a segment short. The programs of other shards must not notice, and those of its
-/// own get a clear error instead of a history with a hole.
+/// A journal segment is truncated. Programs of other shards must not be affected, and those of its own
+/// shard get an error instead of a history with a gap.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_truncated_segment_affects_its_own_shard_only() {
@@ -168,8 +168,8 @@
     }
 }
 
-/// A data centre comes back and twelve entries start in the same moment. If each took whatever it
-/// found free, most of their writes would fail, and some would end up with all shards.
+/// Twelve entries start at the same time, as when a data centre restarts. If each took all shards that
+/// it found free, most of their writes would fail, and some entries would end up with all shards.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn simultaneous_starts_share_shards_without_contention() {
@@ -201,8 +201,8 @@
     fleet::until("a knows", || a.owner(theirs) == owner).await;
 }
 
-/// An entry's calls take effect and none of their answers arrives, just as it takes its shards. The
-/// store names it as their keeper, so nobody else may take them; it must find out and serve them.
+/// An entry's acquisitions take effect, but none of the answers arrives. The store names it as the keeper
+/// and no other entry may take the shards, so it has to detect this from the table and serve them.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn shards_whose_acquisition_was_not_answered_are_served() {
@@ -220,8 +220,8 @@
     fleet::until_kept(&a, 16).await;
 }
 
-/// The keys of an entry's shards vanish while it holds changes that the store lacks, as when its
-/// lease is revoked by mistake. It must take the shards again with what it has in memory: read from
+/// The owner keys of an entry's shards vanish while it has changes that are not yet in the store, as when
+/// its lease is revoked by mistake. It must reacquire the shards with its state in memory: reloaded from
 /// the store, they would lack the turns whose callers wait.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -233,7 +233,7 @@
     };
     let a = keeper::Keeper::open(fleet.client(0), opts);
     fleet::until_kept(&a, 16).await;
-    // The first change goes to the store at once, the next one waits for the window.
+    // The first change is committed at once, the next one waits for the window.
     a.wait_durable(fleet::turn(&a, "p", 1)).await.unwrap();
     let ticket = fleet::turn(&a, "p", 2);
     let owners: Vec<String> = (0..16).map(|s| keys::owner(fleet::ROOT, s)).collect();
@@ -253,9 +253,9 @@
     expect_that!(done, ok(anything()));
 }
 
-/// An entry is cut off; its successor serves a turn and is then itself replaced, so that the shards
-/// are free when the first one is back. Its memory is out of date though nobody holds them: serving
-/// from it would answer the next turn on a history that lacks one.
+/// An entry is cut off; its successor serves a turn and is then stopped, so that the shards are free when
+/// the first entry is connected again. Guards against serving from its outdated memory, which would
+/// answer the next turn on a history that lacks one.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_returning_keeper_reloads_free_shards() {
@@ -276,7 +276,7 @@
     fleet::until_kept(&a, 16).await;
 }
 
-// Guards against an entry that goes on with an old table for as long as its watch cannot be opened.
+// Guards against an entry that uses a stale table for as long as its watch cannot be opened.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn shards_are_taken_over_without_a_watch() {
@@ -291,9 +291,9 @@
     fleet::until_kept(&b, 16).await;
 }
 
-/// An entry is cut off until another has its shards; when it is back its calls work, but its watch
-/// stays silent, so that its table still names it as their keeper. It must not load them again: it
-/// would refuse the program's next turn for a history that has gone on elsewhere.
+/// An entry is cut off until another has its shards. Afterwards its calls work but its watch delivers
+/// nothing, so its table still names it as the keeper. It must not load the shards again: it would refuse
+/// a program's next turn on a history that has continued elsewhere.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stale_table_gives_no_shards_back() {
@@ -320,12 +320,12 @@
     }
     fleet.store.faults(0, |faults| faults.outage = None);
     let turns = |program: &String| fleet::committed(&a, program).map(|(turns, _)| turns);
-    fleet::until("a knows that its lease lapsed", || {
+    fleet::until("a has noticed its lapsed lease", || {
         programs.iter().all(|program| turns(program) != Some(1))
     })
     .await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    // Meanwhile b may have handed some over, to an entry that does not hear of it.
+    // Meanwhile b may have handed some over to a, whose watch does not report it.
     let at_b = programs.iter().filter(|p| b.fence(b.shard_of(p)).is_some());
     let at_b: Vec<_> = at_b.collect();
     expect_that!(at_b, not(is_empty()));
--- a/fw-keep/tests/keep/shard_balance.rs
+++ b/fw-keep/tests/keep/shard_balance.rs
@@ -1,15 +1,15 @@
-//! Shards are spread evenly, with as few moves as that takes.
+//! Shards are distributed evenly with a minimal number of moves.
 
 use fw_keep::balance;
 use googletest::prelude::*;
 
-/// A fleet in which everybody acts on the same table, round by round.
+/// A simulated fleet in which all entries act on the same table, round by round.
 struct Fleet {
     entries: Vec<String>,
     owners: Vec<Option<String>>,
-    /// Shards that changed keeper after having had one.
+    /// Number of handovers of kept shards.
     moves: usize,
-    /// Attempts to take a shard that another took in the same round.
+    /// Number of attempts to take a shard that another entry took in the same round.
     conflicts: usize,
 }
 
@@ -125,8 +125,8 @@
     );
 }
 
-/// An entry that should take a dead one's shards is itself stuck, with a live lease. The callers
-/// of those programs would wait for as long as it hangs, if nobody else ever took them.
+/// An entry that should take a dead entry's shards hangs with a live lease. If no other entry took them,
+/// the callers of their programs would wait for as long as it hangs.
 #[gtest]
 fn a_passive_entry_is_passed_over_and_keeps_its_shards() {
     let mut owners: Vec<Option<&str>> = vec![None; 30];
--- a/fw-keep/tests/keep/shard_owners.rs
+++ b/fw-keep/tests/keep/shard_owners.rs
@@ -1,4 +1,4 @@
-//! What is known of the shards' keepers, by news that arrive out of order.
+//! The cached owners of shards under updates that arrive out of order.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,7 +15,7 @@
     })
 }
 
-// Guards against a shard that was taken again looking free when its former key's end is heard late.
+// Guards against a reacquired shard that looks free when the deletion of its former key arrives late.
 #[gtest]
 fn older_revisions_are_ignored() {
     let now = Instant::now();
@@ -28,7 +28,7 @@
     expect_true!(owners.has_free());
 }
 
-// Guards against a shard that another has taken looking like one's own by an older reading.
+// Guards against a shard that another entry has taken being attributed to this one by an older reading.
 #[gtest]
 fn an_older_reading_does_not_return_a_shard() {
     let now = Instant::now();
--- a/fw-keep/tests/keep/taking_progress.rs
+++ b/fw-keep/tests/keep/taking_progress.rs
@@ -1,4 +1,4 @@
-//! Entries that take their shards slowly are told from those that hang.
+//! Entries that take their shards slowly are distinguished from those that hang.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Shards that are taken with one call, and the time that it takes.
+/// Shards taken per call, and the duration of a call.
 const GROUP_SIZE: usize = 60;
 const CALL_DURATION: Duration = Duration::from_millis(250);
 
-/// Entries that take free shards side by side, each by the same table.
+/// Simulated entries that take free shards concurrently, each according to the same table.
 struct Fleet {
     entries: Vec<id::EntryId>,
     owners: Vec<Option<id::EntryId>>,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The entries that are found stuck by `me`.
+    /// The entries that `me` detects as stalled.
     fn detect_stalled(&mut self, me: &str) -> BTreeSet<id::EntryId> {
         let assignments = balance::assignments(&self.view()).into_iter();
         let others = assignments.filter(|assignment| assignment.entry != me);
@@ -67,7 +67,7 @@
             .detect_stalled(pending, STALL_TIMEOUT, self.now)
     }
 
-    /// Lets `entry` take one group; returns how many shards that are.
+    /// Lets `entry` take one group; returns the number of shards taken.
     fn take(&mut self, entry: &str) -> usize {
         let mut group = balance::plan(entry, &self.view()).acquire;
         group.truncate(GROUP_SIZE);
@@ -81,7 +81,7 @@
     }
 }
 
-// Guards against entries that take thousands of shards for longer than a round counting as stuck.
+// Guards against entries regarded as stalled while taking thousands of shards for longer than the timeout.
 #[gtest]
 fn entries_that_keep_taking_shards_are_not_stalled() {
     let mut fleet = Fleet::new(&["a", "b"], usize::from(id::SHARDS));
@@ -95,7 +95,7 @@
     expect_that!(fleet.now - fleet.start, gt(STALL_TIMEOUT * 2));
 }
 
-// Guards against callers who wait for the shards of an entry that hangs with a live lease.
+// Guards against callers that wait for the shards of an entry that hangs with a live lease.
 #[gtest]
 fn an_entry_that_takes_nothing_is_passed_over() {
     let mut fleet = Fleet::new(&["a", "b"], 100);
@@ -106,7 +106,7 @@
     expect_true!(fleet.owners.iter().all(Option::is_some));
 }
 
-// Guards against an entry that hangs after it has taken a part of its shards.
+// Guards against an entry that hangs after it has taken part of its shards.
 #[gtest]
 fn an_entry_that_stops_taking_is_passed_over() {
     let mut fleet = Fleet::new(&["a", "b"], 400);
@@ -117,7 +117,7 @@
     expect_that!(fleet.detect_stalled("a"), unordered_elements_are![eq("b")]);
 }
 
-// Guards against an entry that has just joined counting as stuck for shards that were free before.
+// Guards against a joining entry regarded as stalled on shards that were free before it joined.
 #[gtest]
 fn a_joining_entry_is_given_time() {
     let mut fleet = Fleet::new(&["a"], 400);
@@ -130,7 +130,7 @@
     expect_that!(fleet.detect_stalled("a"), unordered_elements_are![eq("b")]);
 }
 
-// Guards against an entry that was passed over never getting shards again.
+// Guards against a passive entry that is never assigned shards again.
 #[gtest]
 fn a_passive_entry_gets_its_share_again() {
     let mut fleet = Fleet::new(&["a", "b"], 400);
--- a/fw-keep/tests/keep/whole_model.rs
+++ b/fw-keep/tests/keep/whole_model.rs
@@ -1,8 +1,8 @@
-//! The real state machines of three holders over one store, driven through crashes, pauses, lost
-//! answers and delayed copies, against a plain record of what callers were reported.
+//! Model test: the real state machines of three holders over one store, with crashes, pauses, lost
+//! answers and delayed copies of calls, checked against the results reported to callers.
 //!
-//! Whatever happens, what was reported durable stays, turns stay in order, a claimed call runs at
-//! most once, and a holder whose lease lapsed writes nothing.
+//! Invariants: changes reported durable are kept, turns stay in order, a claimed call runs at most once,
+//! and a holder whose lease has lapsed writes nothing.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -39,17 +39,17 @@
 const SHARDS: u16 = 2;
 const NOW: Duration = Duration::from_secs(1);
 
-/// What becomes of a call to the store.
+/// Outcome of a call to the store.
 #[derive(Clone, Copy, Debug)]
 enum Delivery {
     Answered,
     AnswerLost,
-    /// Given up by the sender; it may arrive later.
+    /// Abandoned by the sender; the call may arrive later.
     Delayed,
     NotSent,
 }
 
-/// One thing that happens.
+/// A transition of the model.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Acquire {
@@ -95,7 +95,7 @@
     },
 }
 
-/// Nothing but the choice of events: what they lead to is for the world to say.
+/// Generates events only, without a reference state; the checks are in [`World`].
 #[derive(Clone, Debug)]
 struct EventGenerator;
 
@@ -147,11 +147,11 @@
 struct Kept {
     shard: Shard,
     writer: Writer,
-    /// Turns finished here and not yet reported durable, by position.
+    /// Turns finished here and not yet reported durable, by journal position.
     turns: BTreeMap<Position, Vec<(u32, Digest)>>,
-    /// Claims made here and not yet reported durable.
+    /// Claims made here and not yet reported durable, by journal position.
     claims: BTreeMap<Position, usize>,
-    /// The claim whose call this holder was reported to send.
+    /// The claim that was granted to this holder and whose call has not ended.
     running: Option<usize>,
 }
 
@@ -164,20 +164,20 @@
     lapsed: Vec<Job>,
 }
 
-/// What callers were reported, and did.
+/// Results reported to callers, and the calls that callers sent.
 #[derive(Default)]
 struct Reported {
-    /// Digest after each turn reported durable, by shard: one program in each. A turn whose answer was
-    /// lost and whose holder then lost the shard is durable, too, and nobody was reported.
+    /// Digest after each turn reported durable, by shard, with one program per shard. A turn whose answer
+    /// was lost before its holder lost the shard is also durable, but was not reported.
     turns: BTreeMap<u16, BTreeMap<u32, Digest>>,
-    /// How often each claimed call was sent.
+    /// Number of times each claimed call was sent.
     sent: BTreeMap<(u16, usize), u32>,
 }
 
 struct World {
     store: Memory,
     holders: Vec<Holder>,
-    /// Writes that are still on their way.
+    /// Delayed calls that may still arrive.
     copies: Vec<kv::Txn>,
     reported: Reported,
     nonce: u64,
@@ -192,7 +192,7 @@
     fleet::key(&format!("k{claim}"))
 }
 
-/// Small, so that most groups take several transactions.
+/// Small segments, so that most group commits take several transactions.
 fn options() -> writer::Options {
     writer::Options {
         max_payload: 700,
@@ -222,7 +222,7 @@
         self.nonce
     }
 
-    /// Creates the owner's key if it is absent and the head is as expected.
+    /// Creates the owner key if it is absent and the journal's head is as expected.
     fn create_owner_key(
         &mut self,
         holder: usize,
@@ -277,7 +277,7 @@
         self.holders[holder].kept.insert(shard, kept);
     }
 
-    /// The lease lapses and the holder, paused, does not know.
+    /// Revokes the holder's lease; the holder is paused and does not notice.
     fn lapse(&mut self, holder: usize) {
         self.store.revoke(self.holders[holder].lease);
         self.holders[holder].lease = self.store.grant();
@@ -337,7 +337,7 @@
     }
 
     fn claim(&mut self, holder: usize, shard: u16) {
-        // Old keys come again as well as new ones.
+        // Repeats old keys as well as new ones.
         let claim = (self.next_nonce() as usize) % (self.next_claim + 1);
         self.next_claim = self.next_claim.max(claim + 1);
         let Some(kept) = self.holders[holder].kept.get_mut(&shard) else {
@@ -351,7 +351,7 @@
         }
     }
 
-    /// The call that a holder was reported to send has ended, or could not be sent.
+    /// Ends the granted call of a holder, or marks it as not sent.
     fn settle(&mut self, holder: usize, shard: u16, ran: bool) {
         let Some(kept) = self.holders[holder].kept.get_mut(&shard) else {
             return;
@@ -435,11 +435,11 @@
             Verdict::Lost { shard } => {
                 self.holders[holder].kept.remove(&shard);
             }
-            Verdict::Foreign { shard } => panic!("nobody else writes to shard {shard}"),
+            Verdict::Foreign { shard } => panic!("shard {shard} has a segment of another writer"),
         }
     }
 
-    /// Tells callers that their changes are durable.
+    /// Reports durable changes to their callers.
     fn durable(&mut self, holder: usize, shard: u16) {
         let me = &mut self.holders[holder];
         let upto = me.upto[&shard];
@@ -476,7 +476,7 @@
         }
     }
 
-    /// As in the keeper, only once the commit has ended for all its shards.
+    /// Reacquires lapsed shards; as in the keeper, only after the commit has ended for all its shards.
     fn reacquire(&mut self, holder: usize) {
         if self.holders[holder].commit.is_some() {
             return;
@@ -501,7 +501,7 @@
         }
     }
 
-    /// What the store holds bears out what callers were reported.
+    /// Checks that the store's content agrees with the results reported to callers.
     fn check(&self) {
         for shard in 0..SHARDS {
             let read = self.read(shard);
@@ -511,8 +511,8 @@
             let Some(reported) = reported.filter(|reported| !reported.is_empty()) else {
                 continue;
             };
-            let known = stored.program(&program(shard));
-            let history = known.expect("a durable program is stored").history();
+            let found = stored.program(&program(shard));
+            let history = found.expect("a durable program is stored").history();
             for (number, expected) in reported {
                 let messages = 2 * *number as usize;
                 let turns = history.get(..messages);
