--- a/fw-entry/src/connection/heartbeat.rs
+++ b/fw-entry/src/connection/heartbeat.rs
@@ -82,7 +82,7 @@
     let kept = entry.keeper.shards().into_iter().map(|kept| kept.shard);
     let is_new = |shard: &id::ShardId| {
         let since = entry.keeper.kept_since(*shard);
-        since > state.holder.heard
+        since > state.holder.last_answered
     };
     let mut shards = state.shards.clone();
     shards.extend(kept.filter(is_new));
@@ -98,7 +98,7 @@
     if was_reachable {
         info!(entry = %entry.id, upstream = %side.instance.id, "side does not answer");
     }
-    see(entry, side, health::Seen::Failed);
+    see(entry, side, health::Observation::Failed);
 }
 
 async fn answered(
@@ -111,9 +111,9 @@
     note_load(entry, side, &reply);
     note_cache(entry, side, &reply);
     let seen = match (reply.leaving, reply.down) {
-        (true, _) => health::Seen::Leaving,
-        (_, true) => health::Seen::Down,
-        _ => health::Seen::Answered,
+        (true, _) => health::Observation::Leaving,
+        (_, true) => health::Observation::Down,
+        _ => health::Observation::Answered,
     };
     see(entry, side, seen);
     let mine = |shard: &id::ShardId| entry.keeper.fence(*shard).is_some();
@@ -160,7 +160,7 @@
     info!(entry = %entry.id, upstream = %side.instance.id, incarnation = reply.incarnation, "side started");
     let service = entry.sides.service(&side.instance.service);
     let mut service = service.lock();
-    service.view.forget_cache(&side.instance.id);
+    service.view.clear_cache(&side.instance.id);
     if before != 0 {
         service.health.restarted(entry.now(), &side.instance.id);
     }
@@ -182,7 +182,7 @@
     service
         .lock()
         .view
-        .report(&side.instance.id, load, entry.now());
+        .update_load(&side.instance.id, load, entry.now());
 }
 
 fn note_cache(entry: &entry::Entry, side: &sides::Side, reply: &side::HeartbeatReply) {
@@ -192,20 +192,20 @@
     let service = entry.sides.service(&side.instance.service);
     let mut service = service.lock();
     if reply.cache_reset {
-        service.view.forget_cache(&side.instance.id);
+        service.view.clear_cache(&side.instance.id);
     }
     for change in &reply.cache {
         service
             .view
-            .cache(&change.program, &side.instance.id, change.tokens);
+            .set_cached(&change.program, &side.instance.id, change.tokens);
     }
 }
 
-fn see(entry: &entry::Entry, side: &sides::Side, seen: health::Seen) {
+fn see(entry: &entry::Entry, side: &sides::Side, seen: health::Observation) {
     let now = entry.now();
     let service = entry.sides.service(&side.instance.service);
     let mut service = service.lock();
-    service.health.seen(now, &side.instance.id, seen);
+    service.health.observe(now, &side.instance.id, seen);
     service.refresh(now, &side.instance.id);
 }
 
--- a/fw-entry/src/process/entry.rs
+++ b/fw-entry/src/process/entry.rs
@@ -52,7 +52,7 @@
     /// Admission of turns and plain requests.
     pub admission: admission::Admission,
     /// Requests that crash upstreams.
-    pub poison: Mutex<poison::Poison>,
+    pub poison: Mutex<poison::Tracker>,
     /// Sides and what is known of their upstreams.
     pub sides: sides::Sides,
     /// What other entries say of themselves.
@@ -173,7 +173,11 @@
         };
         for side in self.sides.all() {
             let service = self.sides.service(&side.instance.service);
-            let held = service.lock().view.held(program, &side.instance.id) > 0;
+            let held = service
+                .lock()
+                .view
+                .cached_tokens(program, &side.instance.id)
+                > 0;
             if !held && !side.update(|state| state.shards.contains(&shard)) {
                 continue;
             }
--- a/fw-gate/src/process/gate.rs
+++ b/fw-gate/src/process/gate.rs
@@ -34,7 +34,7 @@
     /// Disks that may be lost together.
     pub faults: usize,
     /// Headers by which callers and upstreams say things.
-    pub names: names::Names,
+    pub names: names::HeaderNames,
     /// Where replicas may be found while the platform's store does not answer.
     pub seeds: Vec<SocketAddr>,
     /// Where this entry passes connections of others on to replicas.
@@ -64,7 +64,7 @@
     /// When it was asked, since boot.
     at: Option<Duration>,
     /// Moments of the replicas before it was.
-    moments: client::Moments,
+    moments: client::ClockReadings,
 }
 
 /// One change that the entry learns of.
@@ -94,7 +94,7 @@
     /// Turns seen lately.
     pub turns: turns::Turns,
     config: watch::Sender<Option<Arc<config::Config>>>,
-    poison: Mutex<poison::Poison>,
+    poison: Mutex<poison::Tracker>,
     retries: Mutex<HashMap<id::ServiceId, retry::Budget>>,
     started: Instant,
     stopping: AtomicBool,
@@ -105,7 +105,7 @@
     /// The read of the store that is under way.
     asked: Mutex<Asked>,
     /// Up to which moment all changes are known.
-    knowledge: watch::Sender<staleness::Knowledge>,
+    knowledge: watch::Sender<staleness::KeyFreshness>,
     /// What teams may send.
     pub quotas: Arc<quotas::Quotas>,
 }
@@ -115,14 +115,14 @@
     pub fn new(opts: Options) -> Arc<Self> {
         let place = opts.place.clone();
         let fleet = fleet::Fleet::new(place, opts.lapse.clone(), opts.confirm.clone());
-        let knowledge = staleness::Knowledge::new(opts.keys_stale_after);
+        let knowledge = staleness::KeyFreshness::new(opts.keys_stale_after);
         Arc::new(Self {
             reading: reading::Reading::new(fleet.entry()),
             fleet,
             replicas: client::Client::new(opts.faults, opts.seeds.clone()),
             turns: turns::Turns::default(),
             config: watch::Sender::default(),
-            poison: Mutex::new(poison::Poison::new(poison::Options::default())),
+            poison: Mutex::new(poison::Tracker::new(poison::Options::default())),
             retries: Mutex::default(),
             started: Instant::now(),
             stopping: AtomicBool::new(false),
@@ -179,11 +179,11 @@
                 }
                 Change::UnreadableConfig => known.found_config(false),
                 Change::Members(view) => {
-                    if self.replicas.learn(view) {
-                        self.replicas.tell();
+                    if self.replicas.update_view(view) {
+                        self.replicas.announce_members();
                     }
                 }
-                Change::Retire(replica) => self.replicas.tell_retire(replica),
+                Change::Retire(replica) => self.replicas.announce_retire(replica),
             }
         }
         list
@@ -207,7 +207,7 @@
     fn proven(&self, asked: Duration) {
         self.fleet.proof.prove(asked);
         self.knowledge
-            .send_modify(|knowledge| knowledge.proven(asked));
+            .send_modify(|knowledge| knowledge.confirm(asked));
     }
 
     /// Tells the replicas that the store was read, and what has changed. A read of what this entry cannot
@@ -221,15 +221,15 @@
         let changed = known.read(as_of, &config, &upstreams);
         self.reading.has_read();
         self.prove();
-        let post = service::Post {
-            by: self.fleet.entry(),
+        let post = service::Publish {
+            entry: self.fleet.entry(),
             as_of,
-            asked: None,
-            marks: known.marks(),
+            requested_at: None,
+            digests: known.marks(),
             changed,
         };
         let moments = self.asked.lock().moments.clone();
-        self.replicas.post(&post, &moments, known.whole(config));
+        self.replicas.publish(&post, &moments, known.whole(config));
     }
 
     /// Waits until this entry has to read the store.
@@ -238,10 +238,10 @@
             () = self.reading.turn() => false,
             () = self.fleet.proof.wanted() => true,
         };
-        self.replicas.ask_moments(MOMENTS).await;
+        self.replicas.read_clocks(MOMENTS).await;
         *self.asked.lock() = Asked {
             at: Some(clock::since_boot()),
-            moments: self.replicas.moments(),
+            moments: self.replicas.clock_readings(),
         };
         fw_follow::Due {
             known: self.known.lock().as_of(),
@@ -257,7 +257,7 @@
             let is_first = self.config().is_none();
             let mut news = None;
             if !is_first {
-                news = self.replicas.await_news(known, snapshot::AWAIT).await;
+                news = self.replicas.await_update(known, snapshot::AWAIT).await;
             }
             if let Some(news) = news {
                 if !self.hear(&news, asked) {
@@ -267,7 +267,7 @@
             }
             // The nearest does not answer, or none is known.
             let asked = clock::since_boot();
-            if let Some(news) = self.replicas.ask_news(known).await {
+            if let Some(news) = self.replicas.fetch_update(known).await {
                 self.hear(&news, asked);
             }
             let pause = match is_first {
@@ -289,20 +289,21 @@
             let teams = config.teams.as_ref();
             let due = self.quotas.due(teams.map_or(&[], |teams| teams.all()));
             let entry = self.fleet.entry();
-            let heard = |spent: &service::Spent, known: &_| self.quotas.heard(&spent.team, known);
+            let heard =
+                |spent: &service::TeamUsage, known: &_| self.quotas.heard(&spent.team, known);
             tokio::join!(
                 self.replicas
-                    .spend(entry, &due.tell, client::Reach::All, heard),
+                    .report_usage(entry, &due.tell, client::Reach::All, heard),
                 self.replicas
-                    .spend(entry, &due.ask, client::Reach::Nearest, heard),
+                    .report_usage(entry, &due.ask, client::Reach::Nearest, heard),
             );
         }
     }
 
     /// Takes what a replica tells that was asked at `asked`, since boot. Returns whether all is known
     /// now that the replica knows.
-    pub fn hear(&self, news: &service::News, asked: Duration) -> bool {
-        let last = news.last;
+    pub fn hear(&self, news: &service::Update, asked: Duration) -> bool {
+        let last = news.last_read;
         let mut known = self.known.lock();
         let Some(told) = known.hear(news) else {
             return false;
@@ -333,7 +334,7 @@
         let Some(last) = whole else { return false };
         self.reading.heard(last.by, last.ago);
         // The answer was made so long after the question, at least.
-        let told_at = asked + news.held;
+        let told_at = asked + news.held_for;
         if let Some(read) = last.asked.and_then(|ago| told_at.checked_sub(ago)) {
             self.proven(read);
         }
@@ -392,7 +393,7 @@
 
     /// Whether keys may be accepted. An entry that has just started waits until it has read the store.
     async fn keys_soon(&self) -> staleness::Outcome {
-        let is_fresh = |knowledge: &staleness::Knowledge| {
+        let is_fresh = |knowledge: &staleness::KeyFreshness| {
             knowledge.decide(clock::since_boot()) == staleness::Outcome::Fresh
         };
         let left = START.saturating_sub(self.now());
@@ -450,17 +451,17 @@
         let now = self.now();
         self.poison
             .lock()
-            .crashed(now, upstream, fingerprint, false);
+            .record_crash(now, upstream, fingerprint, false);
     }
 
     /// A request like this ran to its end.
     pub fn survived(&self, fingerprint: &digest::Digest) {
-        self.poison.lock().survived(fingerprint);
+        self.poison.lock().record_success(fingerprint);
     }
 
     /// A call to `service` is sent for the first time.
     pub fn earn_retry(&self, service: &id::ServiceId) {
-        self.with_retries(service, retry::Budget::earn);
+        self.with_retries(service, retry::Budget::deposit);
     }
 
     /// Whether a failed attempt is made again.
@@ -484,12 +485,12 @@
         let budget = retries.entry(service.clone()).or_insert_with(|| {
             retry::Budget::new(retry::Options {
                 // Most failures here are refusals that another upstream can take at once.
-                base: Duration::from_millis(4),
-                cap: Duration::from_millis(100),
-                attempts: 4,
+                base_delay: Duration::from_millis(4),
+                max_delay: Duration::from_millis(100),
+                max_attempts: 4,
                 ratio: 0.3,
                 burst: 30.0,
-                trickle: 3.0,
+                refill_per_second: 3.0,
             })
         });
         with(budget)
--- a/fw-gate/src/process/quotas.rs
+++ b/fw-gate/src/process/quotas.rs
@@ -23,9 +23,9 @@
 #[derive(Debug, Default)]
 pub struct Due {
     /// One replica is asked about these.
-    pub ask: Vec<service::Spent>,
+    pub ask: Vec<service::TeamUsage>,
     /// All replicas are told of these.
-    pub tell: Vec<service::Spent>,
+    pub tell: Vec<service::TeamUsage>,
 }
 
 /// All accounts.
@@ -82,7 +82,7 @@
     }
 
     /// What this entry has let through of `team`, for the others.
-    pub fn spent(&self, team: &id::TeamId) -> Option<service::Spent> {
+    pub fn spent(&self, team: &id::TeamId) -> Option<service::TeamUsage> {
         let mut accounts = self.shard(team);
         let account = accounts.get_mut(team)?;
         Some(self.tell(team, account))
@@ -99,27 +99,27 @@
             let Some(account) = accounts.get_mut(&team.name) else {
                 continue;
             };
-            match account.due(limit, now, &self.options) {
-                quota::Due::Nothing => {}
-                quota::Due::Ask => due.ask.push(self.tell(&team.name, account)),
-                quota::Due::Tell => due.tell.push(self.tell(&team.name, account)),
+            match account.required_sync(limit, now, &self.options) {
+                quota::SyncNeed::Nothing => {}
+                quota::SyncNeed::Query => due.ask.push(self.tell(&team.name, account)),
+                quota::SyncNeed::Report => due.tell.push(self.tell(&team.name, account)),
             }
         }
         due
     }
 
-    fn tell(&self, team: &id::TeamId, account: &mut quota::Account) -> service::Spent {
-        service::Spent {
+    fn tell(&self, team: &id::TeamId, account: &mut quota::Account) -> service::TeamUsage {
+        service::TeamUsage {
             team: team.clone(),
-            told: account.tell(self.now(), &self.options),
+            report: account.report(self.now(), &self.options),
         }
     }
 
     /// What a replica knows of `team`.
-    pub fn heard(&self, team: &id::TeamId, heard: &quota::Heard) {
+    pub fn heard(&self, team: &id::TeamId, heard: &quota::Summary) {
         let now = self.now();
         if let Some(account) = self.shard(team).get_mut(team) {
-            account.heard(heard, now, &self.options);
+            account.merge(heard, now, &self.options);
         }
     }
 
@@ -135,7 +135,7 @@
     /// A request of `team` runs once more.
     fn charge(&self, team: &id::TeamId) {
         if let Some(account) = self.shard(team).get_mut(team) {
-            account.charge(quota::Stage::GoesOn, self.now(), &self.options);
+            account.charge(quota::Stage::Continues, self.now(), &self.options);
         }
     }
 
@@ -168,7 +168,7 @@
     /// The request that was sent has not run.
     pub fn not_run(&self) {
         if self.runs.fetch_sub(1, Ordering::Relaxed) > 1 {
-            self.quotas.refund(&self.team, quota::Stage::GoesOn);
+            self.quotas.refund(&self.team, quota::Stage::Continues);
         }
     }
 }
--- a/fw-gate/src/request/call.rs
+++ b/fw-gate/src/request/call.rs
@@ -4,7 +4,7 @@
 
 use fw_base::error;
 use fw_base::id;
-use fw_replica::{record, trail};
+use fw_replica::{affinity, record};
 use hyper::HeaderMap;
 use hyper::header::{self, HeaderName, HeaderValue};
 use smol_str::SmolStr;
@@ -56,8 +56,8 @@
 
 impl Call {
     /// What its prompt begins like, if it is a turn.
-    pub fn lineage(&self) -> trail::Lineage {
-        trail::Lineage {
+    pub fn lineage(&self) -> affinity::Lineage {
+        affinity::Lineage {
             session: self.session.clone(),
             program: self.program.clone(),
         }
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// `BadRequest`, naming the header, when one cannot be read.
-    pub fn read(names: &names::Names, headers: &HeaderMap) -> Result<Self, error::Error> {
+    pub fn read(names: &names::HeaderNames, headers: &HeaderMap) -> Result<Self, error::Error> {
         let id = text(headers, &names.request_id)?;
         let Some(id) = id.filter(|id| !id.is_empty()) else {
             return Err(bad(&names.request_id, "must be given"));
@@ -109,7 +109,7 @@
 }
 
 fn tokens(
-    names: &names::Names,
+    names: &names::HeaderNames,
     headers: &HeaderMap,
 ) -> Result<(id::Tokens, id::Tokens), error::Error> {
     let Some(both) = text(headers, &names.tokens)? else {
@@ -124,7 +124,7 @@
 }
 
 /// The object named by the cookie.
-fn object(names: &names::Names, headers: &HeaderMap) -> Option<SmolStr> {
+fn object(names: &names::HeaderNames, headers: &HeaderMap) -> Option<SmolStr> {
     let cookies = headers.get_all(header::COOKIE).into_iter();
     let cookies = cookies.filter_map(|value| value.to_str().ok());
     cookies.flat_map(|value| value.split(';')).find_map(|pair| {
--- a/fw-gate/src/request/send.rs
+++ b/fw-gate/src/request/send.rs
@@ -58,7 +58,7 @@
     /// The request for `lease`, which may take until `until`.
     fn request(
         &self,
-        names: &names::Names,
+        names: &names::HeaderNames,
         lease: &fleet::Lease,
         until: Instant,
     ) -> Request<Full<Bytes>> {
@@ -86,7 +86,7 @@
 ///
 /// When there is no answer that may be passed on.
 pub async fn once(
-    names: &names::Names,
+    names: &names::HeaderNames,
     out: &Outbound,
     mut lease: fleet::Lease,
     until: Instant,
@@ -117,8 +117,8 @@
         Err(err) => {
             match err.kind {
                 error::Kind::Misdirected => lease.replaced(),
-                _ if err.ran() == error::Ran::No => lease.seen(health::Seen::Answered),
-                _ => lease.seen(health::Seen::Failed),
+                _ if err.ran() == error::Ran::No => lease.seen(health::Observation::Answered),
+                _ => lease.seen(health::Observation::Failed),
             }
             Err(Failed { err, broke: false })
         }
@@ -128,7 +128,7 @@
 /// Sends on an idle connection or a new one. A call that no byte of left on an idle connection,
 /// because the upstream had closed it, goes out on a new one.
 async fn send(
-    names: &names::Names,
+    names: &names::HeaderNames,
     out: &Outbound,
     lease: &mut fleet::Lease,
     until: Instant,
@@ -143,7 +143,7 @@
     }
     metrics::counter!("fw_gate_connects_total").increment(1);
     let mut link = link::Link::connect(lease.addr).await.map_err(|err| {
-        lease.seen(health::Seen::Down);
+        lease.seen(health::Observation::Down);
         let message = format!("cannot connect to upstream `{}`: {err}", lease.id);
         Failed {
             err: error::Error::new(error::Kind::UpstreamUnreachable, message),
@@ -177,7 +177,7 @@
 }
 
 fn broken(lease: &fleet::Lease, failed: &link::Failed) -> Failed {
-    lease.seen(health::Seen::Failed);
+    lease.seen(health::Observation::Failed);
     let message = format!(
         "the connection to upstream `{}` broke: {}",
         lease.id, failed.message
@@ -195,7 +195,7 @@
 
 /// Whether the answer is the upstream's to this call and may be passed on.
 fn judge(
-    names: &names::Names,
+    names: &names::HeaderNames,
     out: &Outbound,
     lease: &fleet::Lease,
     head: &response::Parts,
@@ -242,7 +242,7 @@
     Ok(())
 }
 
-fn load(names: &names::Names, headers: &HeaderMap) -> Option<fleet::Load> {
+fn load(names: &names::HeaderNames, headers: &HeaderMap) -> Option<fleet::Load> {
     let text = headers.get(&names.load)?.to_str().ok()?;
     let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
     Some(fleet::Load {
--- a/fw-keep/src/keeper/inner.rs
+++ b/fw-keep/src/keeper/inner.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use fw_base::id;
-use fw_plan::window;
+use fw_plan::commit_window;
 use fw_store::kv;
 use parking_lot::Mutex;
 use parking_lot::RwLock;
@@ -54,7 +54,7 @@
     /// Configured minimum interval between two group commits.
     pub(super) window_min: Mutex<Duration>,
     /// Adaptive interval between two group commits.
-    pub(super) window: Mutex<window::Window>,
+    pub(super) window: Mutex<commit_window::CommitWindow>,
     /// Whether the keeper is being closed.
     pub(super) closing: watch::Sender<bool>,
 }
@@ -78,9 +78,9 @@
             lease_valid_until: Mutex::new(Instant::now()),
             last_loaded: Mutex::new(None),
             window_min,
-            window: Mutex::new(window::Window::new(window::Options {
-                max: opts.window_max,
-                ..window::Options::default()
+            window: Mutex::new(commit_window::CommitWindow::new(commit_window::Options {
+                max_delay: opts.window_max,
+                ..commit_window::Options::default()
             })),
             closing: watch::Sender::new(false),
             opts,
--- a/fw-plan/src/admit.rs
+++ b/fw-plan/src/admit.rs
@@ -24,7 +24,7 @@
 use fw_base::error;
 use fw_base::id;
 
-use crate::toward;
+use crate::ewma;
 
 /// The sort of call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -53,7 +53,7 @@
 /// What became of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It may start; report [`Admit::started`] and later [`Admit::finished`].
+    /// It may start; report [`Controller::started`] and later [`Controller::finished`].
     Admitted,
     /// It does not run.
     Refused {
@@ -120,7 +120,7 @@
 
 /// Admission of one entry.
 #[derive(Debug)]
-pub struct Admit {
+pub struct Controller {
     options: Options,
     turns: Limit,
     plain: Limit,
@@ -138,7 +138,7 @@
     seen: Duration,
 }
 
-impl Admit {
+impl Controller {
     /// Admission with nothing in flight.
     pub fn new(options: Options) -> Self {
         Self {
@@ -368,7 +368,7 @@
         let mean = self.sum / self.count;
         self.sum = Duration::ZERO;
         self.count = 0;
-        let smoothed = toward(self.delay.as_secs_f64(), mean.as_secs_f64(), 0.5);
+        let smoothed = ewma(self.delay.as_secs_f64(), mean.as_secs_f64(), 0.5);
         self.delay = Duration::from_secs_f64(smoothed);
         self.limit = self.next(peak, options).clamp(options.min, options.max);
     }
--- a/fw-side/src/process/line.rs
+++ b/fw-side/src/process/line.rs
@@ -115,7 +115,7 @@
         let waiting = Released {
             team: start.team.clone(),
             prefill: missing,
-            long: missing >= self.opts.queue.long,
+            long: missing >= self.opts.queue.long_prompt,
             alone: start.alone,
             at: attempt.arrived,
         };
@@ -192,12 +192,12 @@
             queued: count(inner.queue.len()),
             running: count(inner.released.len()),
             prefill: jobs.map(|job| job.prefill).sum(),
-            delay: inner.queue.waited(),
+            delay: inner.queue.recent_wait(),
         }
     }
 }
 
-fn refused(refused: fw_plan::Refused) -> error::Error {
+fn refused(refused: fw_plan::Refusal) -> error::Error {
     let why = match refused.kind {
         error::Kind::QueueFull => "the queue before the engine is full; try later or elsewhere",
         error::Kind::ShareExceeded => "the team has its share of the queue already; try later",
