--- a/fw-keep/tests/keep/keeper_doubt.rs
+++ b/fw-keep/tests/keep/keeper_doubt.rs
@@ -127,7 +127,7 @@
     let a = keeper::Keeper::open(fleet.client(0), opts);
     fleet::until_kept(&a, usize::from(SHARD_COUNT)).await;
     let last = a.shards().last().unwrap().shard;
-    let count_in_doubt = || {
+    let in_doubt = || {
         let kept = a.shards();
         kept.iter().filter(|kept| a.is_in_doubt(kept.shard)).count()
     };
@@ -135,17 +135,14 @@
         .store
         .faults(0, |faults| faults.delay = Duration::from_millis(100));
     fleet.lapse("a");
-    fleet::until("all shards are in doubt", || {
-        count_in_doubt() == usize::from(SHARD_COUNT)
-    })
-    .await;
+    fleet::until("all in doubt", || in_doubt() == usize::from(SHARD_COUNT)).await;
     expect_false!(a.is_sole_keeper_of(last));
     fleet::until("the shard is out of doubt", || {
         a.prioritize(last);
         !a.is_in_doubt(last)
     })
     .await;
-    expect_that!(count_in_doubt(), gt(0));
+    expect_that!(in_doubt(), gt(0));
     expect_false!(a.is_sole_keeper());
     fleet::until("a is the sole keeper again", || a.is_sole_keeper()).await;
 }
