--- a/fw-keep/src/keeper/close.rs
+++ b/fw-keep/src/keeper/close.rs
@@ -1,4 +1,4 @@
-//! Hands shards over: their last changes go to the store, then their keeper's keys are deleted.
+//! Hands shards over: flushes their last changes to the store, then deletes their owner keys.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
 use crate::keeper::Inner;
 use crate::keeper::slot::Slot;
 
-/// Shards in one transaction; etcd allows 128 steps.
+/// Maximum number of shards per transaction; etcd allows 128 operations.
 const BATCH: usize = 120;
 
-/// Time between two looks at whether the last changes are in the store.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a shard is checked for unflushed changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Hands over everything at a graceful stop.
+/// Hands over all shards at a graceful stop.
 pub(super) async fn run(inner: &Inner) -> CloseReport {
     inner.closing.send_replace(true);
-    leave(inner).await;
+    deregister(inner).await;
     let mut kept = Vec::new();
     for shard in 0..inner.opts.shards {
         if let Some(slot) = inner.slot(shard).lock().kept() {
@@ -33,7 +33,7 @@
     let handed_over = release(inner, kept).await;
     let lease = *inner.lease.borrow();
     if lease != 0 {
-        // If this fails, the lease lapses by itself.
+        // If this fails, the lease expires.
         let _ = inner.store.revoke(lease).await;
     }
     CloseReport {
@@ -42,35 +42,35 @@
     }
 }
 
-/// Hands over shards that are marked as leaving; returns how many.
+/// Hands over shards that are marked as leaving; returns the number handed over.
 pub(super) async fn release(inner: &Inner, shards: Vec<id::ShardId>) -> usize {
     let deadline = time::Instant::now() + inner.opts.close_wait;
     let mut done = Vec::new();
     for shard in shards {
-        if flushed(inner, shard, deadline).await {
+        if wait_flushed(inner, shard, deadline).await {
             done.push(shard);
         } else if !inner.is_closing() {
-            stay(inner, shard);
+            cancel_handover(inner, shard);
         }
     }
     for chunk in done.chunks(BATCH) {
-        delete(inner, chunk).await;
+        delete_owner_keys(inner, chunk).await;
     }
     done.len()
 }
 
-/// Takes the entry off the table, so that no other waits for it to take shards.
-async fn leave(inner: &Inner) {
+/// Removes the entry from the table, so that no shards are assigned to it any more.
+async fn deregister(inner: &Inner) {
     let key = keys::entry(&inner.opts.root, &inner.opts.entry);
     let txn = kv::Txn {
         then: vec![kv::Op::delete(key)],
         ..kv::Txn::default()
     };
-    // If this fails, the key goes with the lease.
+    // If this fails, the key is deleted when the lease expires.
     let _ = inner.store.txn(&txn).await;
 }
 
-async fn flushed(inner: &Inner, shard: id::ShardId, deadline: time::Instant) -> bool {
+async fn wait_flushed(inner: &Inner, shard: id::ShardId, deadline: time::Instant) -> bool {
     loop {
         match inner.slot(shard).lock().kept() {
             None => return false,
@@ -81,17 +81,17 @@
             return false;
         }
         inner.mark_dirty(shard);
-        time::sleep(LOOK).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn stay(inner: &Inner, shard: id::ShardId) {
+fn cancel_handover(inner: &Inner, shard: id::ShardId) {
     if let Some(kept) = inner.slot(shard).lock().kept() {
         kept.is_leaving = false;
     }
 }
 
-async fn delete(inner: &Inner, shards: &[id::ShardId]) {
+async fn delete_owner_keys(inner: &Inner, shards: &[id::ShardId]) {
     let mut txn = kv::Txn::default();
     for shard in shards {
         let fence = match inner.slot(*shard).lock().kept() {
@@ -99,20 +99,21 @@
             None => continue,
         };
         let owner = keys::owner(&inner.opts.root, *shard);
-        // A key of another fencing number is its new keeper's.
+        // A key with another fencing number belongs to the shard's new keeper.
         txn.compares
             .push(kv::Compare::CreateRevision(owner.clone(), fence));
         txn.then.push(kv::Op::delete(owner));
         *inner.slot(*shard).lock() = Slot::Absent;
         metrics::counter!(keeper::LOST_TOTAL, "reason" => "handed_over").increment(1);
     }
-    // If this fails or its answer is lost, the table says so and the shards are loaded again.
+    // If this fails or its answer is lost, the table still names this process as the keeper of those
+    // shards, and they are loaded again.
     let Ok(done) = inner.store.txn(&txn).await else {
         return;
     };
     if done.succeeded {
         let mut table = inner.table.write();
         let given = shards.iter();
-        given.for_each(|shard| table.note(*shard, None, done.revision));
+        given.for_each(|shard| table.update_owner(*shard, None, done.revision));
     }
 }
--- a/fw-keep/src/keeper/lease.rs
+++ b/fw-keep/src/keeper/lease.rs
@@ -1,4 +1,4 @@
-//! Keeps the entry's lease alive, and asks for another when it has lapsed.
+//! Renews the entry's lease, and acquires a new one when it has lapsed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,28 +11,28 @@
 use crate::keeper::Inner;
 use crate::keeper::table::EntryValue;
 
-/// Renewals within one lease: two may be lost before it lapses.
-const RENEWALS: u32 = 3;
+/// Renewals per lease TTL: two may be lost before the lease lapses.
+const RENEWALS_PER_LEASE: u32 = 3;
 
-/// Shortest and longest pause before a call to a store that does not answer is made again. The
-/// pause is drawn at random below a doubling bound, so that entries don't come back together.
+/// Minimum and maximum bound of the pause before a failed call to the store is retried. The pause is
+/// drawn at random below a doubling bound, so that entries do not retry in step.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 pub(super) async fn run(inner: Arc<Inner>) {
     loop {
-        let lease = granted(&inner).await;
+        let lease = acquire_lease(&inner).await;
         inner.lease.send_replace(lease);
         tracing::info!(entry = %inner.opts.entry, lease, "lease granted");
-        until_lapsed(&inner, lease).await;
+        renew_until_lapsed(&inner, lease).await;
         count("lapsed");
         tracing::warn!(entry = %inner.opts.entry, lease, "lease lapsed");
         inner.lease.send_replace(0);
-        inner.doubt();
+        inner.invalidate_ownership();
     }
 }
 
-/// Pauses that grow with each failure.
+/// Exponential backoff with jitter.
 pub(super) struct Backoff {
     bound: Duration,
 }
@@ -48,7 +48,7 @@
     }
 }
 
-async fn granted(inner: &Inner) -> kv::LeaseId {
+async fn acquire_lease(inner: &Inner) -> kv::LeaseId {
     let mut backoff = Backoff::new();
     loop {
         if let Some(lease) = try_grant(inner).await {
@@ -63,8 +63,8 @@
 async fn try_grant(inner: &Inner) -> Option<kv::LeaseId> {
     let sent = Instant::now();
     let lease = inner.store.grant(inner.opts.ttl).await.ok()?;
-    inner.note_contact();
-    inner.sure_until(sent + lease.ttl);
+    inner.record_contact();
+    inner.extend_lease_validity(sent + lease.ttl);
     if inner.is_closing() {
         return Some(lease.id);
     }
@@ -81,25 +81,25 @@
         then: vec![put],
         ..kv::Txn::default()
     };
-    // Writing the same value again does no harm, so a lost answer needs no look.
+    // The write is idempotent, so a lost answer needs no check.
     inner.store.txn(&txn).await.ok()?;
     Some(lease.id)
 }
 
-async fn until_lapsed(inner: &Inner, lease: kv::LeaseId) {
-    let period = inner.opts.ttl / RENEWALS;
+async fn renew_until_lapsed(inner: &Inner, lease: kv::LeaseId) {
+    let period = inner.opts.ttl / RENEWALS_PER_LEASE;
     loop {
-        // Early by up to a tenth, so that entries started together drift apart.
+        // Early by up to a tenth, so that entries that start together do not renew in step.
         tokio::time::sleep(period - keeper::jitter(period / 10)).await;
         let sent = Instant::now();
         match inner.store.keep_alive(lease).await {
             Ok(renewed) => {
-                inner.note_contact();
-                inner.sure_until(sent + renewed.ttl);
+                inner.record_contact();
+                inner.extend_lease_validity(sent + renewed.ttl);
                 count("renewed");
             }
             Err(fw_store::error::Error::LeaseGone { .. }) => return,
-            // Only the store can say that it lapsed: it may live on through the store's outage.
+            // Only the store decides that a lease has lapsed: it may survive the store's outage.
             Err(_) => count("unavailable"),
         }
     }
--- a/fw-keep/src/keeper/table.rs
+++ b/fw-keep/src/keeper/table.rs
@@ -1,4 +1,4 @@
-//! The table of live entries and shard keepers, as the store last showed it.
+//! Cached table of live entries and shard owners, updated from the store.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,12 +22,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct EntryValue {
     pub(super) address: SmolStr,
-    /// Whether it takes shards.
+    /// Whether the entry takes shards.
     #[serde(default = "yes")]
     pub(super) keeps: bool,
 }
 
-/// Entries of versions before the setting all take shards.
+/// Default of [`EntryValue::keeps`]: entries of versions without this field take shards.
 fn yes() -> bool {
     true
 }
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct OwnerValue {
     pub(super) entry: id::EntryId,
-    /// Of the process that wrote it.
+    /// Random number that identifies the process that wrote the key.
     pub(super) nonce: u64,
 }
 
@@ -49,8 +49,8 @@
         serde_json::from_slice(value).ok()
     }
 
-    /// The keeper that this names, under the fencing number of its key.
-    pub(super) fn holder(self, fence: id::Fence) -> owners::Holder {
+    /// The holder that this value names, with the fencing number of its key.
+    pub(super) fn into_holder(self, fence: id::Fence) -> owners::Holder {
         owners::Holder {
             entry: self.entry,
             nonce: self.nonce,
@@ -59,19 +59,19 @@
     }
 }
 
-/// The table.
+/// The cached table.
 #[derive(Debug)]
 pub(super) struct Table {
     entries: BTreeMap<id::EntryId, EntryValue>,
     owners: owners::Owners,
     progress: progress::Progress,
-    /// Entries whose key is gone, and since when.
+    /// Entries whose key was deleted, and when.
     gone: BTreeMap<id::EntryId, (EntryValue, Instant)>,
 }
 
-/// How long an entry is remembered whose key is gone. Its lease may have lapsed while it lives on and
-/// holds answers that its callers have and the store lacks; it goes on to offer them itself.
-const GONE_KEPT: Duration = Duration::from_secs(60);
+/// How long an entry whose key was deleted is retained. Its lease may have lapsed although it still runs
+/// and holds answers that its callers have received but the store lacks; it continues to offer them itself.
+const GONE_RETENTION: Duration = Duration::from_secs(60);
 
 impl Table {
     pub(super) fn new(shards: usize) -> Self {
@@ -83,14 +83,14 @@
         }
     }
 
-    /// Takes over a whole reading of the table at `revision`.
+    /// Replaces the table by a full reading at `revision`.
     pub(super) fn reset(&mut self, root: &str, kvs: Vec<kv::Kv>, revision: id::Revision) {
         let listed: BTreeSet<String> = kvs.iter().map(|kv| kv.key.clone()).collect();
         let entries = self.entries.keys().map(|entry| keys::entry(root, entry));
         let owners = (0..).zip(self.owners.all());
         let owners = owners.map(|(shard, _)| keys::owner(root, shard));
-        let known: Vec<_> = entries.chain(owners).collect();
-        for key in known.iter().filter(|key| !listed.contains(*key)) {
+        let cached: Vec<_> = entries.chain(owners).collect();
+        for key in cached.iter().filter(|key| !listed.contains(*key)) {
             self.delete(root, key, revision);
         }
         for kv in kvs {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Takes over who keeps `shards`, as the store told at `revision`.
-    pub(super) fn learn(
+    /// Updates the owners of `shards` from their keys as read at `revision`.
+    pub(super) fn update_owners(
         &mut self,
         root: &str,
         shards: &[id::ShardId],
@@ -110,13 +110,13 @@
             let key = keys::owner(root, *shard);
             let holder = found.iter().find(|kv| kv.key == key).and_then(|kv| {
                 let value = OwnerValue::decode(&kv.value)?;
-                Some(value.holder(kv.create_revision))
+                Some(value.into_holder(kv.create_revision))
             });
-            self.note(*shard, holder, revision);
+            self.update_owner(*shard, holder, revision);
         }
     }
 
-    /// Takes over a change; true if it may change anybody's plan.
+    /// Applies a watch event; returns whether it may change the plan of any entry.
     pub(super) fn apply(&mut self, root: &str, event: watch::Event) -> bool {
         match event.kind {
             watch::EventKind::Put => self.put(root, event.kv),
@@ -124,6 +124,7 @@
         }
     }
 
+    /// The live entries and their addresses.
     pub(super) fn entries(&self) -> Vec<(id::EntryId, SmolStr)> {
         let entries = self.entries.iter();
         entries
@@ -131,28 +132,28 @@
             .collect()
     }
 
-    /// The entries whose key is gone for not longer than [`GONE_KEPT`].
-    pub(super) fn lately_gone(&self) -> Vec<(id::EntryId, SmolStr)> {
+    /// The entries whose key was deleted within the last [`GONE_RETENTION`] and that are not listed again.
+    pub(super) fn recently_gone(&self) -> Vec<(id::EntryId, SmolStr)> {
         let gone = self.gone.iter();
-        let lately = gone.filter(|(id, (_, since))| {
-            since.elapsed() < GONE_KEPT && !self.entries.contains_key(*id)
+        let recent = gone.filter(|(id, (_, since))| {
+            since.elapsed() < GONE_RETENTION && !self.entries.contains_key(*id)
         });
-        lately
+        recent
             .map(|(id, (value, _))| (id.clone(), value.address.clone()))
             .collect()
     }
 
-    fn note_gone(&mut self, entry: id::EntryId, value: EntryValue) {
+    fn record_gone(&mut self, entry: id::EntryId, value: EntryValue) {
         self.gone
-            .retain(|_, (_, since)| since.elapsed() < GONE_KEPT);
+            .retain(|_, (_, since)| since.elapsed() < GONE_RETENTION);
         self.gone.insert(entry, (value, Instant::now()));
     }
 
-    pub(super) fn has_free(&self) -> bool {
+    pub(super) fn has_free_shards(&self) -> bool {
         self.owners.has_free()
     }
 
-    /// Who keeps `shard`, asked by `me`, which does not serve it.
+    /// The owner of `shard` as seen by entry `me`, which does not serve it.
     pub(super) fn owner(&self, shard: id::ShardId, me: &id::EntryId) -> Owner {
         let holder = self.owners.holder(shard);
         let Some(holder) = holder.filter(|holder| holder.entry != *me) else {
@@ -168,14 +169,14 @@
         }
     }
 
-    /// The shards that process `nonce` keeps according to the store.
+    /// The shards that process `nonce` keeps according to the table.
     pub(super) fn kept_by(&self, nonce: u64) -> Vec<(id::ShardId, id::Fence)> {
         let held = self.owners.kept();
         let mine = held.filter(|(_, holder)| holder.nonce == nonce);
         mine.map(|(shard, holder)| (shard, holder.fence)).collect()
     }
 
-    /// The shards that other processes than `nonce` keep according to the store.
+    /// The shards that processes other than `nonce` keep according to the table.
     pub(super) fn kept_by_others(
         &self,
         nonce: u64,
@@ -185,8 +186,8 @@
         theirs.map(|(shard, holder)| (shard, holder.fence))
     }
 
-    /// Notes who kept a shard at `revision`, as an own call or the watch has told.
-    pub(super) fn note(
+    /// Records the keeper of a shard at `revision`, from an own call or the watch.
+    pub(super) fn update_owner(
         &mut self,
         shard: id::ShardId,
         holder: Option<owners::Holder>,
@@ -194,25 +195,28 @@
     ) {
         let now = Instant::now();
         let taker = holder.as_ref().map(|holder| holder.entry.clone());
-        let is_news = self.owners.update(shard, holder, revision, now);
-        if let Some(taker) = taker.filter(|_| is_news) {
+        let has_changed = self.owners.update(shard, holder, revision, now);
+        if let Some(taker) = taker.filter(|_| has_changed) {
             self.progress.record_taken(&taker, now);
         }
     }
 
-    /// The plan of entry `me`, which looks every `round` at least.
-    pub(super) fn plan(&mut self, me: &id::EntryId, round: Duration) -> balance::Plan {
+    /// Computes the plan of entry `me`, and detects entries stalled for `stall_timeout`.
+    pub(super) fn plan(&mut self, me: &id::EntryId, stall_timeout: Duration) -> balance::Plan {
         let assignments = balance::assignments(&self.view()).into_iter();
         let others = assignments.filter(|assignment| assignment.entry != me);
-        let due = others.filter_map(|assignment| {
+        let pending = others.filter_map(|assignment| {
             Some(progress::PendingShard {
                 entry: assignment.entry.into(),
                 free_since: self.owners.free_since(assignment.shard)?,
             })
         });
-        let due: Vec<_> = due.collect();
-        for stuck in self.progress.detect_stalled(due, round, Instant::now()) {
-            tracing::warn!(entry = %me, %stuck, "an entry takes no free shards; others take its share");
+        let pending: Vec<_> = pending.collect();
+        for stalled in self
+            .progress
+            .detect_stalled(pending, stall_timeout, Instant::now())
+        {
+            tracing::warn!(entry = %me, stuck = %stalled, "an entry takes no free shards; its share is assigned to others");
         }
         balance::plan(me, &self.view())
     }
@@ -244,14 +248,14 @@
                 self.progress.record_listed(&entry, Instant::now());
                 let before = self.entries.insert(entry.clone(), value);
                 if before.is_none() {
-                    tracing::info!(listed = %entry, %address, revision = kv.mod_revision, "an entry is listed");
+                    tracing::info!(listed = %entry, %address, revision = kv.mod_revision, "entry added to the table");
                 }
                 before.is_none()
             }
             Some(keys::Live::Shard(shard)) => {
                 let value = OwnerValue::decode(&kv.value);
-                let holder = value.map(|value| value.holder(kv.create_revision));
-                self.note(shard, holder, kv.mod_revision);
+                let holder = value.map(|value| value.into_holder(kv.create_revision));
+                self.update_owner(shard, holder, kv.mod_revision);
                 false
             }
             _ => false,
@@ -264,13 +268,13 @@
                 let Some(value) = self.entries.remove(entry) else {
                     return false;
                 };
-                tracing::info!(gone = entry, address = %value.address, "an entry is listed no more");
+                tracing::info!(gone = entry, address = %value.address, "entry removed from the table");
                 self.progress.record_unlisted(&entry.into());
-                self.note_gone(entry.into(), value);
+                self.record_gone(entry.into(), value);
                 true
             }
             Some(keys::Live::Shard(shard)) => {
-                self.note(shard, None, revision);
+                self.update_owner(shard, None, revision);
                 true
             }
             _ => false,
--- a/fw-keep/src/owners.rs
+++ b/fw-keep/src/owners.rs
@@ -1,13 +1,13 @@
-//! Who keeps each shard, as far as the store has told.
+//! Cached owners of all shards, versioned by store revision.
 //!
-//! *Load pattern:* thousands of keys lapse in an outage of the store. When it is back, an entry takes its
-//! shards again and hears of each from the answers to its own calls, before its watch has shown that
-//! they lapsed.
+//! *Load pattern:* thousands of keys lapse in an outage of the store. After it, an entry reacquires its
+//! shards and learns the owner of each from the answers to its own calls, before its watch has delivered
+//! the deletions.
 //!
-//! *Without it:* the late news make shards look free that are kept, and the entry looks at all of its
-//! shards in the store again, call after call, while programs wait.
+//! *Without it:* the late watch events make shards look free that are kept, and the entry verifies all
+//! of its shards in the store again, call after call, while programs wait.
 //!
-//! *Rule:* each shard has the revision up to which it is known; older news change nothing.
+//! *Rule:* each shard carries the store revision of its cached owner; an older update is ignored.
 
 use std::time::Instant;
 
@@ -18,41 +18,41 @@
 pub struct Holder {
     /// The entry.
     pub entry: id::EntryId,
-    /// Of the process that took the shard.
+    /// Random number that identifies the process that took the shard.
     pub nonce: u64,
-    /// Revision at which it took the shard.
+    /// Store revision at which it took the shard, used as fencing number.
     pub fence: id::Fence,
 }
 
 #[derive(Clone, Debug)]
-struct Place {
+struct Ownership {
     holder: Option<Holder>,
-    /// Since when nobody is known to keep it; stands still while somebody does.
+    /// When the shard last became free; unchanged while it has a keeper.
     free_since: Instant,
-    /// Revision of the store that this is known from.
-    known: id::Revision,
+    /// Store revision of the last update.
+    revision: id::Revision,
 }
 
-/// The keepers of all shards.
+/// The cached keepers of all shards.
 #[derive(Clone, Debug)]
 pub struct Owners {
-    places: Vec<Place>,
+    ownerships: Vec<Ownership>,
 }
 
 impl Owners {
-    /// As many `shards`, of which nothing is known.
+    /// Creates the cache for `shards` shards without keepers.
     pub fn new(shards: usize, now: Instant) -> Self {
-        let place = Place {
+        let ownership = Ownership {
             holder: None,
             free_since: now,
-            known: 0,
+            revision: 0,
         };
         Self {
-            places: vec![place; shards],
+            ownerships: vec![ownership; shards],
         }
     }
 
-    /// Notes who kept `shard` at `revision` of the store; false if that changes nothing.
+    /// Records the keeper of `shard` at a store `revision`; returns whether it has changed.
     pub fn update(
         &mut self,
         shard: id::ShardId,
@@ -60,42 +60,46 @@
         revision: id::Revision,
         now: Instant,
     ) -> bool {
-        let Some(place) = self.places.get_mut(usize::from(shard)) else {
+        let Some(ownership) = self.ownerships.get_mut(usize::from(shard)) else {
             return false;
         };
-        if revision < place.known {
+        if revision < ownership.revision {
             return false;
         }
-        place.known = revision;
-        if place.holder == holder {
+        ownership.revision = revision;
+        if ownership.holder == holder {
             return false;
         }
         if holder.is_none() {
-            place.free_since = now;
+            ownership.free_since = now;
         }
-        place.holder = holder;
+        ownership.holder = holder;
         true
     }
 
-    /// The keeper of `shard`, if one is known.
+    /// The cached keeper of `shard`, if any.
     pub fn holder(&self, shard: id::ShardId) -> Option<&Holder> {
-        self.places.get(usize::from(shard))?.holder.as_ref()
+        self.ownerships.get(usize::from(shard))?.holder.as_ref()
     }
 
-    /// Since when `shard` is free, if nobody keeps it now.
+    /// The time since which `shard` is free, or `None` if it has a keeper.
     pub fn free_since(&self, shard: id::ShardId) -> Option<Instant> {
-        let place = self.places.get(usize::from(shard))?;
-        place.holder.is_none().then_some(place.free_since)
+        let ownership = self.ownerships.get(usize::from(shard))?;
+        ownership.holder.is_none().then_some(ownership.free_since)
     }
 
-    /// Whether any shard is free.
+    /// Whether any shard has no keeper.
     pub fn has_free(&self) -> bool {
-        self.places.iter().any(|place| place.holder.is_none())
+        self.ownerships
+            .iter()
+            .any(|ownership| ownership.holder.is_none())
     }
 
     /// The keeper of each shard, in order.
     pub fn all(&self) -> impl Iterator<Item = Option<&Holder>> {
-        self.places.iter().map(|place| place.holder.as_ref())
+        self.ownerships
+            .iter()
+            .map(|ownership| ownership.holder.as_ref())
     }
 
     /// The shards that are kept, with their keepers.
