--- a/fw-replica/src/affinity.rs
+++ b/fw-replica/src/affinity.rs
@@ -14,7 +14,7 @@
 
 /// Sessions and programs remembered: those of a minute at a hundred new ones a second, in about a
 /// megabyte. The one not heard of for longest goes first.
-const REMEMBERED: usize = 8_192;
+const CAPACITY: usize = 8_192;
 
 /// Short hash of an upstream's id. Two of a few hundred may share one; a call then meets a cold
 /// cache, no more.
@@ -126,7 +126,7 @@
     };
     let mut map = map.lock();
     map.put(key.clone(), upstream);
-    if map.len() > REMEMBERED {
+    if map.len() > CAPACITY {
         map.pop_lru();
     }
 }
--- a/fw-replica/src/client/calls.rs
+++ b/fw-replica/src/client/calls.rs
@@ -75,10 +75,10 @@
 
     /// Tells one replica a member list; whether it refuses older ones from now on.
     pub async fn announce_members_to(&self, addr: SocketAddr, view: member::View) -> bool {
-        let told = self.links.call(addr, |client, cx| async move {
+        let accepted = self.links.call(addr, |client, cx| async move {
             client.announce_members(cx, view, Vec::new()).await
         });
-        told.await.unwrap_or(false)
+        accepted.await.unwrap_or(false)
     }
 
     /// Tells all replicas what was read from the platform's store, which was asked after `moments`.
@@ -86,25 +86,25 @@
     pub fn publish(
         self: &Arc<Self>,
         post: &service::Publish,
-        moments: &super::ClockReadings,
-        whole: impl Fn() -> service::Snapshot + Send + Sync + 'static,
+        clocks: &super::ClockReadings,
+        full_snapshot: impl Fn() -> service::Snapshot + Send + Sync + 'static,
     ) {
-        let whole = Arc::new(whole);
+        let full_snapshot = Arc::new(full_snapshot);
         let (_, members) = self.members();
         for addr in members {
-            let (client, whole) = (Arc::clone(self), Arc::clone(&whole));
+            let (client, full_snapshot) = (Arc::clone(self), Arc::clone(&full_snapshot));
             let post = service::Publish {
-                requested_at: moments.get(&addr).copied(),
+                requested_at: clocks.get(&addr).copied(),
                 ..post.clone()
             };
             tokio::spawn(async move {
                 if client.call_publish(addr, post.clone()).await == Some(false) {
-                    let again = service::Publish {
-                        changed: whole(),
+                    let retry = service::Publish {
+                        changed: full_snapshot(),
                         ..post
                     };
                     // One that does not get it gets the next.
-                    client.call_publish(addr, again).await;
+                    client.call_publish(addr, retry).await;
                 }
             });
         }
@@ -112,29 +112,30 @@
 
     /// Tells one replica; whether it has all parts then.
     async fn call_publish(&self, addr: SocketAddr, post: service::Publish) -> Option<bool> {
-        let posted = self.links.call(
-            addr,
-            |client, cx| async move { client.publish(cx, post).await },
-        );
-        let posted = posted.await?;
-        self.clock_readings.lock().insert(addr, posted.now);
-        Some(posted.is_complete)
+        let published =
+            self.links.call(
+                addr,
+                |client, cx| async move { client.publish(cx, post).await },
+            );
+        let published = published.await?;
+        self.clock_readings.lock().insert(addr, published.now);
+        Some(published.is_complete)
     }
 
     /// Learns the present moment of each replica that tells it within `wait`.
     pub async fn read_clocks(&self, wait: Duration) {
         let (_, members) = self.members();
-        let asked = members.into_iter().map(|addr| async move {
-            let moment = self.links.call(
+        let reads = members.into_iter().map(|addr| async move {
+            let reading = self.links.call(
                 addr,
                 |client, cx| async move { client.read_clock(cx).await },
             );
-            if let Some(moment) = moment.await {
-                self.clock_readings.lock().insert(addr, moment);
+            if let Some(reading) = reading.await {
+                self.clock_readings.lock().insert(addr, reading);
             }
         });
         // Of those that are late, what they told before counts.
-        let _ = tokio::time::timeout(wait, join_all(asked)).await;
+        let _ = tokio::time::timeout(wait, join_all(reads)).await;
     }
 
     /// Tells replicas what `entry` has let through of some teams; `heard` is told what each knows of all
@@ -142,26 +143,26 @@
     pub async fn report_usage(
         self: &Arc<Self>,
         entry: u32,
-        spent: &[service::TeamUsage],
+        usage: &[service::TeamUsage],
         reach: super::Reach,
-        heard: impl Fn(&service::TeamUsage, &quota::Heard),
+        on_summary: impl Fn(&service::TeamUsage, &quota::Heard),
     ) {
-        if spent.is_empty() {
+        if usage.is_empty() {
             return;
         }
         let (_, members) = self.members();
-        let asked = match reach {
+        let targets = match reach {
             super::Reach::All => members.len(),
             super::Reach::Nearest => 1,
         };
         let mut answers: FuturesUnordered<_> = members
             .into_iter()
-            .take(asked)
-            .map(|addr| self.call_report_usage(addr, entry, spent.to_vec()))
+            .take(targets)
+            .map(|addr| self.call_report_usage(addr, entry, usage.to_vec()))
             .collect();
         while let Some(answer) = answers.next().await {
-            for (spent, known) in spent.iter().zip(answer.unwrap_or_default()) {
-                heard(spent, &known);
+            for (usage, summary) in usage.iter().zip(answer.unwrap_or_default()) {
+                on_summary(usage, &summary);
             }
         }
     }
@@ -170,11 +171,11 @@
         &self,
         addr: SocketAddr,
         entry: u32,
-        spent: Vec<service::TeamUsage>,
+        usage: Vec<service::TeamUsage>,
     ) -> Option<Vec<quota::Heard>> {
         self.links
             .call(addr, |client, cx| async move {
-                client.report_usage(cx, entry, spent).await
+                client.report_usage(cx, entry, usage).await
             })
             .await
     }
@@ -193,19 +194,19 @@
     /// Asks all replicas at once for what the owner of `known` lacks: one that is down would hold the
     /// others' answers up. The first that has any tells.
     pub async fn fetch_update(&self, known: service::KnownVersion) -> Option<service::Update> {
-        let (_, mut asked) = self.members();
-        asked.extend(self.seeds.iter().copied());
-        let mut answers: FuturesUnordered<_> = asked
+        let (_, mut targets) = self.members();
+        targets.extend(self.seeds.iter().copied());
+        let mut answers: FuturesUnordered<_> = targets
             .into_iter()
             .map(|addr| self.poll_update(addr, known, Duration::ZERO))
             .collect();
         let mut any = None;
-        while let Some(news) = answers.next().await {
-            let Some(news) = news else { continue };
-            if news.newer != service::Snapshot::default() {
-                return Some(news);
+        while let Some(update) = answers.next().await {
+            let Some(update) = update else { continue };
+            if update.newer != service::Snapshot::default() {
+                return Some(update);
             }
-            any.get_or_insert(news);
+            any.get_or_insert(update);
         }
         any
     }
@@ -217,12 +218,12 @@
         known: service::KnownVersion,
         wait: Duration,
     ) -> Option<service::Update> {
-        let answer = self.links.call_that_waits(addr, |client, cx| async move {
+        let answer = self.links.long_poll(addr, |client, cx| async move {
             client.poll_update(cx, known, wait).await
         });
-        let news = answer.await?;
-        self.update_view(news.view.clone());
-        Some(news)
+        let update = answer.await?;
+        self.update_view(update.view.clone());
+        Some(update)
     }
 
     /// Whether `addr` is a replica's, so that connections may be passed on to it.
--- a/fw-replica/src/client/chain.rs
+++ b/fw-replica/src/client/chain.rs
@@ -25,7 +25,7 @@
             absent.extend(members.first());
         }
         while let Some(id) = missing.take() {
-            let Some(found) = self.search(epoch, members, &mut absent, &id).await else {
+            let Some(found) = self.find_turn(epoch, members, &mut absent, &id).await else {
                 if absent.len() >= needed {
                     return Err(Error::UnknownTurn { turn: id });
                 }
@@ -44,18 +44,18 @@
 
     /// The chain from `id` on by the first member that has that turn. `absent` collects those that
     /// are certain not to have it.
-    pub(super) async fn search(
+    pub(super) async fn find_turn(
         self: &Arc<Self>,
         epoch: member::Epoch,
         members: &[SocketAddr],
         absent: &mut Vec<SocketAddr>,
         id: &record::TurnId,
     ) -> Option<service::Chain> {
-        let asked = members
+        let targets = members
             .iter()
             .copied()
             .filter(|addr| !absent.contains(addr));
-        let mut calls: FuturesUnordered<_> = asked
+        let mut calls: FuturesUnordered<_> = targets
             .map(|addr| async move { (addr, self.call_chain(addr, epoch, id.clone()).await) })
             .collect();
         while let Some((addr, chain)) = calls.next().await {
--- a/fw-replica/src/client/mod.rs
+++ b/fw-replica/src/client/mod.rs
@@ -19,10 +19,10 @@
 mod store;
 mod vote;
 
-pub use vote::{CHAIN_LATE, Wait, wait};
+pub use vote::{CHAIN_TIMEOUT, Wait, wait};
 
 /// Pauses before a settlement is sent again to a replica that did not store it.
-const AGAIN: [Duration; 3] = [
+const RETRY_PAUSES: [Duration; 3] = [
     Duration::from_millis(100),
     Duration::from_millis(500),
     Duration::from_millis(2_000),
@@ -103,7 +103,7 @@
     view: Mutex<member::View>,
     links: links::Links,
     /// Replicas that the operator wants emptied.
-    retire: Mutex<Vec<record::ReplicaId>>,
+    retire_requests: Mutex<Vec<record::ReplicaId>>,
     /// Where replicas may be found while no member list is known.
     seeds: Vec<SocketAddr>,
     /// The last moment that each replica told.
@@ -118,7 +118,7 @@
             faults,
             view: Mutex::default(),
             links: links::Links::default(),
-            retire: Mutex::default(),
+            retire_requests: Mutex::default(),
             seeds,
             clock_readings: Mutex::default(),
         })
@@ -126,8 +126,8 @@
 
     /// Takes a member list unless a newer one is known; whether it was news.
     pub fn update_view(&self, view: member::View) -> bool {
-        let mut known = self.view.lock();
-        if view.epoch <= known.epoch {
+        let mut current = self.view.lock();
+        if view.epoch <= current.epoch {
             return false;
         }
         tracing::info!(epoch = view.epoch, members = ?view.list.members, "member list");
@@ -136,13 +136,13 @@
             .lock()
             .retain(|addr, _| members.contains(addr));
         self.links.set_members(members);
-        *known = view;
+        *current = view;
         true
     }
 
     /// The operator wants `replica` emptied; all replicas are told.
     pub fn announce_retire(self: &Arc<Self>, replica: record::ReplicaId) {
-        let mut retire = self.retire.lock();
+        let mut retire = self.retire_requests.lock();
         if retire.contains(&replica) {
             return;
         }
@@ -155,16 +155,16 @@
     /// Tells all replicas the member list and which of them are to be emptied.
     pub fn announce_members(self: &Arc<Self>) {
         let view = self.view.lock().clone();
-        let retire = self.retire.lock().clone();
+        let retire = self.retire_requests.lock().clone();
         for addr in view.list.addrs() {
             let (client, view, retire) = (Arc::clone(self), view.clone(), retire.clone());
             tokio::spawn(async move {
-                for pause in AGAIN {
+                for pause in RETRY_PAUSES {
                     let (view, retire) = (view.clone(), retire.clone());
-                    let told = client.links.call(addr, |client, cx| async move {
+                    let accepted = client.links.call(addr, |client, cx| async move {
                         client.announce_members(cx, view, retire).await
                     });
-                    if told.await == Some(true) {
+                    if accepted.await == Some(true) {
                         return;
                     }
                     tokio::time::sleep(pause).await;
--- a/fw-replica/src/client/store.rs
+++ b/fw-replica/src/client/store.rs
@@ -6,7 +6,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
-use super::{AGAIN, Client};
+use super::{Client, RETRY_PAUSES};
 use crate::{member, service};
 
 impl Client {
@@ -41,7 +41,7 @@
         }
         let client = Arc::clone(self);
         tokio::spawn(async move {
-            for pause in AGAIN {
+            for pause in RETRY_PAUSES {
                 tokio::time::sleep(pause).await;
                 if client.call_finish(addr, req.clone()).await {
                     return;
--- a/fw-replica/src/client/vote.rs
+++ b/fw-replica/src/client/vote.rs
@@ -13,7 +13,7 @@
 
 /// Longest wait for the chain from the one member asked for it, once the votes are in. It takes up
 /// to ten milliseconds; a member that has frozen would hold the turn up for its whole time-out.
-pub const CHAIN_LATE: Duration = Duration::from_millis(40);
+pub const CHAIN_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// How long answers of members are waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,11 +27,11 @@
 }
 
 /// How long to wait, when the votes have been in for `voted`, if they are.
-pub fn wait(voted: Option<Duration>, chain_due: bool) -> Wait {
-    let Some(voted) = voted else {
+pub fn wait(decided_for: Option<Duration>, chain_due: bool) -> Wait {
+    let Some(decided_for) = decided_for else {
         return Wait::Open;
     };
-    let left = CHAIN_LATE.saturating_sub(voted);
+    let left = CHAIN_TIMEOUT.saturating_sub(decided_for);
     if chain_due && !left.is_zero() {
         Wait::AtMost(left)
     } else {
@@ -45,12 +45,12 @@
     votes: tally::Tally<SocketAddr>,
     chain: Option<service::Chain>,
     /// Other entries' calls under way, as the nearest replica knows them.
-    others: Option<service::PeerState>,
+    peer_state: Option<service::PeerState>,
     /// Where turns like this one ran last, as far as any replica knows.
-    last: affinity::LastUpstreams,
+    last_upstreams: affinity::LastUpstreams,
 }
 
-fn spent(reserve: &service::Reserve, used: record::Tokens) -> Error {
+fn budget_error(reserve: &service::Reserve, used: record::Tokens) -> Error {
     Error::Spent {
         used,
         wanted: reserve.tokens,
@@ -69,31 +69,31 @@
     /// `tell` hears of the other entries, and where turns like this one ran last.
     pub async fn begin(
         self: &Arc<Self>,
-        mut ask: BeginParams,
-        tell: impl Fn(PeerReport<'_>),
+        mut params: BeginParams,
+        on_peer_report: impl Fn(PeerReport<'_>),
     ) -> Result<Vec<record::Turn>, Error> {
         let (mut epoch, mut members) = self.members();
-        let mut round = self.ask(epoch, &members, &ask).await;
-        if self.may_improve(epoch, &round, &mut ask.reserve) {
+        let mut round = self.request_votes(epoch, &members, &params).await;
+        if self.may_improve(epoch, &round, &mut params.reserve) {
             (epoch, members) = self.members();
-            round = self.ask(epoch, &members, &ask).await;
+            round = self.request_votes(epoch, &members, &params).await;
         }
-        if let Some(others) = &round.others {
-            tell(PeerReport {
-                calls: &others.calls,
-                last_upstreams: round.last,
-                usage: others.usage,
+        if let Some(peer_state) = &round.peer_state {
+            on_peer_report(PeerReport {
+                calls: &peer_state.calls,
+                last_upstreams: round.last_upstreams,
+                usage: peer_state.usage,
             });
-            self.links.learn_peers(&others.relays);
+            self.links.set_relays(&peer_state.relays);
         }
-        if let Some(reserve) = &ask.reserve {
+        if let Some(reserve) = &params.reserve {
             self.judge(members.len(), reserve, &round).await?;
         }
         let missing = |newest| service::Chain {
             missing: Some(newest),
             ..service::Chain::default()
         };
-        match round.chain.or(ask.newest.map(missing)) {
+        match round.chain.or(params.newest.map(missing)) {
             Some(chain) => self.complete(epoch, &members, chain).await,
             None => Ok(Vec::new()),
         }
@@ -111,7 +111,7 @@
             return true;
         }
         let Some(reserve) = reserve else { return false };
-        let Some(known) = round.votes.again(reserve) else {
+        let Some(known) = round.votes.retry_charges(reserve) else {
             return false;
         };
         reserve.known = known;
@@ -129,7 +129,7 @@
         match round.votes.verdict(members, quorum) {
             tally::Verdict::Run => Ok(()),
             tally::Verdict::Compare => self.compare(reserve, round).await,
-            tally::Verdict::Spent { used } => Err(spent(reserve, used)),
+            tally::Verdict::Spent { used } => Err(budget_error(reserve, used)),
             tally::Verdict::Unsure { answered, needed } => Err(Error::Unsure {
                 answered,
                 members,
@@ -141,9 +141,9 @@
     /// Reads the ledgers of all that accepted, which together decide.
     async fn compare(&self, reserve: &service::Reserve, round: &Round) -> Result<(), Error> {
         metrics::counter!("fw_replica_unions_total").increment(1);
-        let asked = round.votes.accepted();
-        let asked = asked.map(|addr| self.call_ledger(addr, reserve.program.clone()));
-        let ledgers = join_all(asked).await;
+        let reads = round.votes.accepted();
+        let reads = reads.map(|addr| self.call_ledger(addr, reserve.program.clone()));
+        let ledgers = join_all(reads).await;
         let needed = ledgers.len();
         let known: Vec<_> = ledgers.into_iter().flatten().collect();
         if known.len() < needed {
@@ -153,31 +153,31 @@
                 needed,
             });
         }
-        tally::compare(reserve, &known.concat()).map_err(|used| spent(reserve, used))
+        tally::compare(reserve, &known.concat()).map_err(|used| budget_error(reserve, used))
     }
 
     /// Asks all members at once, the quickest for the chain too, until the outcome is certain.
-    async fn ask(
+    async fn request_votes(
         self: &Arc<Self>,
         epoch: member::Epoch,
         members: &[SocketAddr],
-        ask: &BeginParams,
+        params: &BeginParams,
     ) -> Round {
         let quorum = member::Quorum::of(members.len(), self.faults);
         let BeginParams {
             reserve, newest, ..
-        } = ask;
-        let asked = if reserve.is_some() { members.len() } else { 1 };
+        } = params;
+        let targets = if reserve.is_some() { members.len() } else { 1 };
         let mut calls = FuturesUnordered::new();
-        for (rank, addr) in members.iter().copied().take(asked).enumerate() {
+        for (rank, addr) in members.iter().copied().take(targets).enumerate() {
             let req = service::Begin {
                 epoch,
                 reserve: reserve.clone(),
                 chain: newest.clone().filter(|_| rank == 0),
-                load: ask.load.clone(),
+                load: params.load.clone(),
                 wants_peer_state: rank == 0,
-                lineage: ask.lineage.clone(),
-                usage: ask.usage.clone(),
+                lineage: params.lineage.clone(),
+                usage: params.usage.clone(),
             };
             let client = Arc::clone(self);
             // On tasks of their own, so that those beyond the quorum are sent as well.
@@ -187,10 +187,10 @@
         }
         let mut round = Round::default();
         let mut chain_due = newest.is_some() && !members.is_empty();
-        let mut left = calls.len();
-        let mut voted = reserve.is_none().then(Instant::now);
+        let mut pending = calls.len();
+        let mut decided_at = reserve.is_none().then(Instant::now);
         loop {
-            let next = match wait(voted.map(|at| at.elapsed()), chain_due) {
+            let next = match wait(decided_at.map(|at| at.elapsed()), chain_due) {
                 Wait::Over => break,
                 Wait::Open => calls.next().await,
                 Wait::AtMost(time) => match tokio::time::timeout(time, calls.next()).await {
@@ -202,28 +202,34 @@
                 },
             };
             let Some(done) = next else { break };
-            left -= 1;
-            let Ok((rank, addr, begun)) = done else {
+            pending -= 1;
+            let Ok((rank, addr, reply)) = done else {
                 continue;
             };
             if rank == 0 {
                 chain_due = false;
             }
-            if let Some(begun) = begun {
-                self.count(&mut round, rank, addr, begun);
+            if let Some(reply) = reply {
+                self.count_reply(&mut round, rank, addr, reply);
             }
             let accepted = round.votes.accepted().count();
-            if accepted >= quorum.vote || accepted + left < quorum.vote {
-                voted.get_or_insert_with(Instant::now);
+            if accepted >= quorum.vote || accepted + pending < quorum.vote {
+                decided_at.get_or_insert_with(Instant::now);
             }
         }
         round
     }
 
-    fn count(&self, round: &mut Round, rank: usize, addr: SocketAddr, begun: service::BeginReply) {
-        round.others = round.others.take().or(begun.peer_state);
-        round.last = round.last.or(begun.last_upstreams);
-        match begun.vote {
+    fn count_reply(
+        &self,
+        round: &mut Round,
+        rank: usize,
+        addr: SocketAddr,
+        reply: service::BeginReply,
+    ) {
+        round.peer_state = round.peer_state.take().or(reply.peer_state);
+        round.last_upstreams = round.last_upstreams.or(reply.last_upstreams);
+        match reply.vote {
             None => {}
             Some(service::Vote::Accepted { digest }) => round.votes.accept(addr, digest),
             Some(service::Vote::Refused { ledger }) => round.votes.refuse(ledger),
@@ -235,7 +241,7 @@
             Some(service::Vote::Unsure { .. }) => {}
         }
         if rank == 0 {
-            round.chain = Some(begun.chain);
+            round.chain = Some(reply.chain);
         }
     }
 }
--- a/fw-replica/src/entry_load.rs
+++ b/fw-replica/src/entry_load.rs
@@ -14,18 +14,18 @@
 
 /// How long what an entry told counts. An entry with traffic tells several times a second; one
 /// without has no calls.
-const FRESH: Duration = Duration::from_millis(1_500);
+const LOAD_TTL: Duration = Duration::from_millis(1_500);
 /// Entries remembered; beyond that those that have not told for long are dropped.
-const ENTRIES: usize = 512;
+const MAX_ENTRIES: usize = 512;
 
 /// Entries named to each other as a way around a cut. A cut may take a third of the entries; that
 /// it takes all of eight is rare.
-const PEERS: usize = 8;
+const MAX_RELAYS: usize = 8;
 
 /// The newest word of one entry.
 #[derive(Debug)]
 struct Report {
-    at: Instant,
+    received_at: Instant,
     load: service::Load,
 }
 
@@ -36,44 +36,50 @@
 }
 
 impl Table {
-    /// Notes what an entry tells, and returns what the others told.
+    /// Notes what an entry tells, and returns what the others report.
     pub fn exchange(&self, load: service::Load) -> service::PeerState {
-        let others = self.others(load.entry);
-        self.note(load);
+        let others = self.peer_state(load.entry);
+        self.record(load);
         others
     }
 
     /// Notes what an entry tells.
-    pub fn note(&self, load: service::Load) {
+    pub fn record(&self, load: service::Load) {
         let now = Instant::now();
         let mut entries = self.entries.lock();
-        entries.insert(load.entry, Report { at: now, load });
-        if entries.len() > ENTRIES {
-            entries.retain(|_, told| now.duration_since(told.at) <= FRESH);
+        entries.insert(
+            load.entry,
+            Report {
+                received_at: now,
+                load,
+            },
+        );
+        if entries.len() > MAX_ENTRIES {
+            entries.retain(|_, report| now.duration_since(report.received_at) <= LOAD_TTL);
         }
     }
 
     /// The sum of what others than `entry` told, and where some of them are.
-    pub fn others(&self, entry: u32) -> service::PeerState {
+    pub fn peer_state(&self, entry: u32) -> service::PeerState {
         let now = Instant::now();
         let entries = self.entries.lock();
         let mut sum: HashMap<u16, u16> = HashMap::new();
-        let mut peers = Vec::new();
-        for (other, told) in entries.iter() {
-            if *other == entry || now.duration_since(told.at) > FRESH {
+        let mut relays = Vec::new();
+        for (other, report) in entries.iter() {
+            if *other == entry || now.duration_since(report.received_at) > LOAD_TTL {
                 continue;
             }
-            for (upstream, count) in &told.load.calls {
+            for (upstream, count) in &report.load.calls {
                 let total = sum.entry(*upstream).or_default();
                 *total = total.saturating_add(*count);
             }
-            if peers.len() < PEERS {
-                peers.extend(told.load.relay);
+            if relays.len() < MAX_RELAYS {
+                relays.extend(report.load.relay);
             }
         }
         service::PeerState {
             calls: sum.into_iter().collect(),
-            relays: peers,
+            relays,
             usage: None,
         }
     }
--- a/fw-replica/src/journal/files.rs
+++ b/fw-replica/src/journal/files.rs
@@ -17,11 +17,11 @@
 pub type SegmentId = u32;
 
 /// Name of a segment before its head is on disk.
-const UNNAMED: &str = "records.new";
+const TEMP_NAME: &str = "records.new";
 const PREFIX: &str = "records-";
 const SUFFIX: &str = ".log";
 /// Buffer for reading a whole segment.
-const BUFFER: usize = 64 << 10;
+const READ_BUFFER: usize = 64 << 10;
 
 /// Where a record's payload lies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,7 +66,7 @@
     }
 
     /// The oldest segment if all in it was kept long enough. Never the one that is written.
-    pub fn lapsed(&self, now: record::UnixMs) -> Option<SegmentId> {
+    pub fn oldest_expired(&self, now: record::UnixMs) -> Option<SegmentId> {
         let segments = self.segments.lock();
         let (id, oldest) = segments.iter().next()?;
         (segments.len() > 1 && oldest.until <= now).then_some(*id)
@@ -88,17 +88,17 @@
         mut each: impl FnMut(record::Record, Place),
     ) -> Result<u32, Error> {
         let file = self.get(segment).ok_or(Error::Removed { segment })?;
-        let whole = file.metadata().context(IoSnafu { what: "read" })?.len();
-        let mut reader = BufReader::with_capacity(BUFFER, Reader { file, at: 0 });
+        let file_len = file.metadata().context(IoSnafu { what: "read" })?.len();
+        let mut reader = BufReader::with_capacity(READ_BUFFER, Reader { file, at: 0 });
         let mut payload = Vec::new();
         let mut end = 0;
         loop {
-            let left = whole.saturating_sub(u64::from(end));
+            let left = file_len.saturating_sub(u64::from(end));
             let found = frame::read(&mut reader, left, &mut payload);
             if !found.context(IoSnafu { what: "read" })? {
                 return Ok(end);
             }
-            let at = end + frame::HEAD;
+            let at = end + frame::HEADER_LEN;
             let len = payload.len() as u32;
             let record = postcard::from_bytes(&payload);
             let record = record.context(UnreadableSnafu { segment, at })?;
@@ -115,17 +115,19 @@
 
     pub(super) fn get(&self, segment: SegmentId) -> Option<Arc<File>> {
         let segments = self.segments.lock();
-        segments.get(&segment).map(|known| Arc::clone(&known.file))
+        segments
+            .get(&segment)
+            .map(|segment| Arc::clone(&segment.file))
     }
 
     /// Notes that something in `segment` has to be kept until `until`.
-    pub(super) fn note(&self, segment: SegmentId, until: record::UnixMs) {
-        if let Some(known) = self.segments.lock().get_mut(&segment) {
-            known.until = known.until.max(until);
+    pub(super) fn extend_retention(&self, segment: SegmentId, until: record::UnixMs) {
+        if let Some(segment) = self.segments.lock().get_mut(&segment) {
+            segment.until = segment.until.max(until);
         }
     }
 
-    pub(super) fn forget(&self, segment: SegmentId) {
+    pub(super) fn remove(&self, segment: SegmentId) {
         self.segments.lock().remove(&segment);
     }
 }
@@ -175,7 +177,7 @@
 
 /// Makes a segment that holds `head`. It has no name until the head is on disk.
 pub(super) fn create(dir: &Path, segment: SegmentId, head: &[u8]) -> Result<File, Error> {
-    let unnamed = dir.join(UNNAMED);
+    let unnamed = dir.join(TEMP_NAME);
     let mut options = File::options();
     let options = options.read(true).write(true).create(true).truncate(true);
     let mut file = options.open(&unnamed).context(IoSnafu {
--- a/fw-replica/src/journal/frame.rs
+++ b/fw-replica/src/journal/frame.rs
@@ -8,7 +8,7 @@
 use crate::record;
 
 /// Bytes before each payload: its length and its checksum.
-pub const HEAD: u32 = 12;
+pub const HEADER_LEN: u32 = 12;
 
 /// Appends the frame of `record` to `buf`; returns the length of the payload.
 ///
@@ -32,14 +32,14 @@
 ///
 /// When the disk fails.
 pub fn read(reader: &mut impl Read, left: u64, payload: &mut Vec<u8>) -> io::Result<bool> {
-    if left < u64::from(HEAD) {
+    if left < u64::from(HEADER_LEN) {
         return Ok(false);
     }
     let (mut len, mut sum) = ([0; 4], [0; 8]);
     reader.read_exact(&mut len)?;
     reader.read_exact(&mut sum)?;
     let len = u32::from_le_bytes(len);
-    if len == 0 || u64::from(len) > left - u64::from(HEAD) {
+    if len == 0 || u64::from(len) > left - u64::from(HEADER_LEN) {
         return Ok(false);
     }
     payload.resize(len as usize, 0);
--- a/fw-replica/src/journal/mod.rs
+++ b/fw-replica/src/journal/mod.rs
@@ -59,12 +59,14 @@
     /// Bytes after which a segment is followed by a new one. With 4 MiB a disk of 390 MB holds some
     /// ninety, so that at most one in ninety of it is kept too long, and reading one again takes
     /// some milliseconds of a processor.
-    pub segment: u32,
+    pub segment_bytes: u32,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { segment: 4 << 20 }
+        Self {
+            segment_bytes: 4 << 20,
+        }
     }
 }
 
@@ -78,15 +80,15 @@
 }
 
 impl Standing {
-    fn note(&mut self, record: &record::Record) {
-        let place = match record {
+    fn update(&mut self, record: &record::Record) {
+        let slot = match record {
             record::Record::Synced(_) => &mut self.synced,
             record::Record::Members(_) => &mut self.members,
             record::Record::Config(_) => &mut self.config,
             record::Record::Upstreams(_) => &mut self.upstreams,
             record::Record::Turn(_) | record::Record::Charge(_) => return,
         };
-        *place = Some(record.clone());
+        *slot = Some(record.clone());
     }
 
     fn records(&self) -> impl Iterator<Item = &record::Record> {
@@ -148,7 +150,7 @@
     /// When the disk refuses. What was written of them is cut off again, so that the journal can
     /// be used when the disk accepts writes once more.
     pub fn append(&mut self, records: &[record::Record]) -> Result<Vec<Option<Place>>, Error> {
-        if self.end >= self.opts.segment
+        if self.end >= self.opts.segment_bytes
             && let Err(err) = self.rotate()
         {
             // A disk that refuses a new file may still take more of the present one.
@@ -157,8 +159,9 @@
         let (frames, places) = self.encode_all(records);
         self.write(&frames)?;
         for record in records {
-            self.standing.note(record);
-            self.files.note(self.current, record.until());
+            self.standing.update(record);
+            self.files
+                .extend_retention(self.current, record.retain_until());
         }
         Ok(places)
     }
@@ -172,7 +175,7 @@
         if segment == self.current {
             return Ok(());
         }
-        self.files.forget(segment);
+        self.files.remove(segment);
         let path = files::path(&self.dir, segment);
         std::fs::remove_file(path).context(IoSnafu {
             what: "remove a segment of",
@@ -195,8 +198,8 @@
         let file = file.try_clone().context(IoSnafu { what: "open" })?;
         self.files.add(segment, file);
         self.files.scan(segment, |record, place| {
-            self.standing.note(&record);
-            self.files.note(segment, record.until());
+            self.standing.update(&record);
+            self.files.extend_retention(segment, record.retain_until());
             each(record, place);
         })
     }
@@ -204,7 +207,7 @@
     fn encode_all(&self, records: &[record::Record]) -> (Vec<u8>, Vec<Option<Place>>) {
         let mut frames = Vec::new();
         let place = |record| {
-            let at = self.end + frames.len() as u32 + frame::HEAD;
+            let at = self.end + frames.len() as u32 + frame::HEADER_LEN;
             let encoded = encode(record, &mut frames);
             let len = encoded.inspect_err(|err| tracing::error!(%err, "a record is not encoded"));
             Some(Place {
--- a/fw-replica/src/ledger.rs
+++ b/fw-replica/src/ledger.rs
@@ -45,13 +45,13 @@
 pub struct Ledger {
     lines: HashMap<record::TurnId, (record::Tokens, bool)>,
     total: record::Tokens,
-    touched: record::UnixMs,
+    last_charged: record::UnixMs,
 }
 
 impl Ledger {
     /// Whether `line` says anything new: it does unless a settlement of its turn is known, or it
     /// repeats a reservation.
-    pub fn is_news(&self, line: &Line) -> bool {
+    pub fn is_new(&self, line: &Line) -> bool {
         match self.lines.get(&line.turn) {
             None => true,
             Some((_, settled)) => line.settled && !settled,
@@ -65,8 +65,8 @@
 
     /// Adds `line`; returns whether anything changed.
     pub fn merge(&mut self, line: &Line, made: record::UnixMs) -> bool {
-        self.touched = self.touched.max(made);
-        if !self.is_news(line) {
+        self.last_charged = self.last_charged.max(made);
+        if !self.is_new(line) {
             return false;
         }
         let old = self.lines.get(&line.turn).map_or(0, |known| known.0);
@@ -88,12 +88,12 @@
         tokens: record::Tokens,
         budget: record::Tokens,
     ) -> bool {
-        let more = if self.lines.contains_key(turn) {
+        let additional = if self.lines.contains_key(turn) {
             0
         } else {
             tokens
         };
-        self.total.saturating_add(more) <= budget
+        self.total.saturating_add(additional) <= budget
     }
 
     /// What all of `ledgers` know together.
@@ -120,8 +120,8 @@
     }
 
     /// When it was last charged.
-    pub fn touched(&self) -> record::UnixMs {
-        self.touched
+    pub fn last_charged(&self) -> record::UnixMs {
+        self.last_charged
     }
 
     /// All charges, in no order.
--- a/fw-replica/src/links.rs
+++ b/fw-replica/src/links.rs
@@ -16,26 +16,26 @@
 
 /// Pause between two attempts to connect to a replica again. A replica that starts refuses for some
 /// hundred milliseconds, in which turns wait for it.
-const AGAIN: Duration = Duration::from_millis(30);
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(30);
 /// How long a replica is tried after the last call to it failed.
-const TRY_FOR: Duration = Duration::from_secs(2);
+const RECONNECT_FOR: Duration = Duration::from_secs(2);
 /// How long a connection by way of another entry is used before the direct way is tried again,
 /// beside the calls.
-const DETOUR: Duration = Duration::from_secs(2);
+const DIRECT_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 /// Longest wait for one answer: several times a slow disk's sync with a queue before it.
-const ANSWER: Duration = Duration::from_millis(700);
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a replica that failed is asked last.
-const AVOID: Duration = Duration::from_secs(1);
+const FAILURE_PENALTY: Duration = Duration::from_secs(1);
 
 /// How long only the direct way is tried. A connection takes a millisecond or so; behind a cut,
 /// each moment longer is one more for all turns of the entry.
-const HEAD_START: Duration = Duration::from_millis(60);
+const DIRECT_HEAD_START: Duration = Duration::from_millis(60);
 
 /// How a replica is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Route {
     Direct,
-    Around,
+    Relayed,
 }
 
 /// A client, and the task that ends with its connection.
@@ -53,20 +53,20 @@
     generation: u64,
     /// When the last call failed for want of a connection, while one is tried again beside the
     /// calls.
-    wanted: Option<Instant>,
+    last_wanted: Option<Instant>,
     /// When the direct way was tried last, while it goes by way of another entry.
-    detour: Option<Instant>,
+    direct_retried_at: Option<Instant>,
 }
 
 impl Link {
     /// Calls go over `stream` from now on.
-    fn connect(&mut self, stream: TcpStream, way: Way) -> service::ReplicaClient {
+    fn connect(&mut self, stream: TcpStream, route: Route) -> service::ReplicaClient {
         let framed = tarpc::serde_transport::new(codec::framed(stream), codec::Postcard::default());
         let new = service::ReplicaClient::new(tarpc::client::Config::default(), framed);
         let tarpc::client::NewClient { client, dispatch } = new;
         let dispatch = tokio::spawn(dispatch).abort_handle();
-        self.wanted = None;
-        self.detour = (way == Way::Around).then(Instant::now);
+        self.last_wanted = None;
+        self.direct_retried_at = (route == Route::Relayed).then(Instant::now);
         self.generation += 1;
         self.connected = Some(Connected {
             client: client.clone(),
@@ -84,54 +84,54 @@
 
 /// What is known of a replica's speed.
 #[derive(Clone, Copy, Debug, Default)]
-struct Cost {
-    took: Duration,
-    failed: Option<Instant>,
+struct LinkStats {
+    latency: Duration,
+    failed_at: Option<Instant>,
 }
 
 /// Connections to all replicas.
 #[derive(Debug, Default)]
 pub struct Links {
     links: Mutex<HashMap<SocketAddr, Arc<tokio::sync::Mutex<Link>>>>,
-    costs: Mutex<HashMap<SocketAddr, Cost>>,
-    ways: Arc<Ways>,
+    stats: Mutex<HashMap<SocketAddr, LinkStats>>,
+    routes: Arc<Routes>,
 }
 
 /// How members can be reached.
 #[derive(Debug, Default)]
-struct Ways {
+struct Routes {
     /// Entries that pass connections on to members.
-    peers: Mutex<Vec<SocketAddr>>,
+    relays: Mutex<Vec<SocketAddr>>,
     members: Mutex<Vec<SocketAddr>>,
 }
 
-impl Ways {
+impl Routes {
     /// Connects directly, or if that takes long by way of another entry.
-    async fn dial(&self, addr: SocketAddr) -> Option<(TcpStream, Way)> {
+    async fn dial(&self, addr: SocketAddr) -> Option<(TcpStream, Route)> {
         let mut direct = pin!(relay::dial(addr));
-        match tokio::time::timeout(HEAD_START, &mut direct).await {
-            Ok(Some(stream)) => return Some((stream, Way::Direct)),
+        match tokio::time::timeout(DIRECT_HEAD_START, &mut direct).await {
+            Ok(Some(stream)) => return Some((stream, Route::Direct)),
             Ok(None) => {
-                let stream = self.dial_around(addr).await?;
-                return Some((stream, Way::Around));
+                let stream = self.dial_relayed(addr).await?;
+                return Some((stream, Route::Relayed));
             }
             Err(_) => {}
         }
         tokio::select! {
-            Some(stream) = direct => Some((stream, Way::Direct)),
-            Some(stream) = self.dial_around(addr) => Some((stream, Way::Around)),
+            Some(stream) = direct => Some((stream, Route::Direct)),
+            Some(stream) = self.dial_relayed(addr) => Some((stream, Route::Relayed)),
             else => None,
         }
     }
 
     /// Connects to a member by way of another entry, the first of those asked that reaches it.
     /// Entries pass on to no other address.
-    async fn dial_around(&self, addr: SocketAddr) -> Option<TcpStream> {
+    async fn dial_relayed(&self, addr: SocketAddr) -> Option<TcpStream> {
         if !self.members.lock().contains(&addr) {
             return None;
         }
-        let peers = self.peers.lock().clone();
-        let mut dials: FuturesUnordered<_> = peers
+        let relays = self.relays.lock().clone();
+        let mut dials: FuturesUnordered<_> = relays
             .into_iter()
             .map(|peer| async move { (peer, relay::dial_via(peer, addr).await) })
             .collect();
@@ -150,24 +150,26 @@
     /// The members are these from now on; connections to others are dropped.
     pub fn set_members(&self, members: Vec<SocketAddr>) {
         self.links.lock().retain(|addr, _| members.contains(addr));
-        self.costs.lock().retain(|addr, _| members.contains(addr));
-        *self.ways.members.lock() = members;
+        self.stats.lock().retain(|addr, _| members.contains(addr));
+        *self.routes.members.lock() = members;
     }
 
     /// Sorts replicas: the quickest first, those that failed lately last.
     pub fn sort(&self, addrs: &mut [SocketAddr]) {
-        let costs = self.costs.lock();
+        let stats = self.stats.lock();
         addrs.sort_by_key(|addr| {
-            let cost = costs.get(addr).copied().unwrap_or_default();
-            let failed = cost.failed.is_some_and(|at| at.elapsed() < AVOID);
-            (failed, cost.took)
+            let link_stats = stats.get(addr).copied().unwrap_or_default();
+            let failed = link_stats
+                .failed_at
+                .is_some_and(|at| at.elapsed() < FAILURE_PENALTY);
+            (failed, link_stats.latency)
         });
     }
 
     /// Takes entries that pass connections on, unless there are none.
-    pub fn learn_peers(&self, peers: &[SocketAddr]) {
-        if !peers.is_empty() {
-            peers.clone_into(&mut self.ways.peers.lock());
+    pub fn set_relays(&self, relays: &[SocketAddr]) {
+        if !relays.is_empty() {
+            relays.clone_into(&mut self.routes.relays.lock());
         }
     }
 
@@ -181,15 +183,15 @@
         F: Future<Output = Result<T, tarpc::client::RpcError>>,
     {
         let started = Instant::now();
-        let answer = self.call_that_waits(addr, send).await?;
-        self.answered(addr, started.elapsed());
+        let answer = self.long_poll(addr, send).await?;
+        self.record_success(addr, started.elapsed());
         Some(answer)
     }
 
     /// Makes one call that the replica may hold for a while. A connection that fails or goes silent
     /// is dropped, so that the next call makes a new one: a connection may go silent for good while
     /// new ones work.
-    pub async fn call_that_waits<T, F>(
+    pub async fn long_poll<T, F>(
         &self,
         addr: SocketAddr,
         send: impl FnOnce(service::ReplicaClient, tarpc::context::Context) -> F,
@@ -200,19 +202,19 @@
         let link = Arc::clone(self.links.lock().entry(addr).or_default());
         let connected = self.connected(&link, addr).await;
         let Some((client, generation)) = connected else {
-            self.failed(addr, "no connection");
+            self.record_failure(addr, "no connection");
             return None;
         };
         let mut cx = tarpc::context::current();
-        cx.deadline = Instant::now() + ANSWER;
-        match tokio::time::timeout(ANSWER, send(client, cx)).await {
+        cx.deadline = Instant::now() + CALL_TIMEOUT;
+        match tokio::time::timeout(CALL_TIMEOUT, send(client, cx)).await {
             Ok(Ok(answer)) => Some(answer),
             failed => {
                 let why = match failed {
                     Ok(Err(err)) => err.to_string(),
-                    _ => format!("no answer within {ANSWER:?}"),
+                    _ => format!("no answer within {CALL_TIMEOUT:?}"),
                 };
-                self.failed(addr, &why);
+                self.record_failure(addr, &why);
                 let mut link = link.lock().await;
                 if link.generation == generation {
                     link.connected = None;
@@ -229,47 +231,50 @@
     ) -> Option<(service::ReplicaClient, u64)> {
         let mut link = shared.lock().await;
         if let Some(client) = link.open_client() {
-            if link.detour.is_some_and(|tried| tried.elapsed() > DETOUR) {
-                link.detour = Some(Instant::now());
-                tokio::spawn(straighten(Arc::clone(shared), addr));
+            if link
+                .direct_retried_at
+                .is_some_and(|tried| tried.elapsed() > DIRECT_RETRY_INTERVAL)
+            {
+                link.direct_retried_at = Some(Instant::now());
+                tokio::spawn(restore_direct(Arc::clone(shared), addr));
             }
             return Some((client, link.generation));
         }
         // Callers do not wait, one after the other, for a replica that is down.
-        if let Some(wanted) = &mut link.wanted {
+        if let Some(wanted) = &mut link.last_wanted {
             *wanted = Instant::now();
             return None;
         }
-        let Some((stream, way)) = self.ways.dial(addr).await else {
-            link.wanted = Some(Instant::now());
-            let ways = Arc::clone(&self.ways);
-            tokio::spawn(reconnect(ways, Arc::clone(shared), addr));
+        let Some((stream, route)) = self.routes.dial(addr).await else {
+            link.last_wanted = Some(Instant::now());
+            let routes = Arc::clone(&self.routes);
+            tokio::spawn(reconnect(routes, Arc::clone(shared), addr));
             return None;
         };
-        let client = link.connect(stream, way);
+        let client = link.connect(stream, route);
         Some((client, link.generation))
     }
 
     /// A call was answered after `took`.
-    fn answered(&self, addr: SocketAddr, took: Duration) {
-        let mut costs = self.costs.lock();
-        let cost = costs.entry(addr).or_default();
-        cost.took = if cost.took.is_zero() {
+    fn record_success(&self, addr: SocketAddr, took: Duration) {
+        let mut stats = self.stats.lock();
+        let link_stats = stats.entry(addr).or_default();
+        link_stats.latency = if link_stats.latency.is_zero() {
             took
         } else {
-            cost.took * 7 / 8 + took / 8
+            link_stats.latency * 7 / 8 + took / 8
         };
-        if cost.failed.take().is_some() {
+        if link_stats.failed_at.take().is_some() {
             tracing::info!(%addr, ms = took.as_millis() as u64, "a replica answers again");
         }
     }
 
     /// A call was not answered. Only the first of several in a row is logged.
-    fn failed(&self, addr: SocketAddr, why: &str) {
+    fn record_failure(&self, addr: SocketAddr, why: &str) {
         metrics::counter!("fw_replica_call_failures_total").increment(1);
-        let mut costs = self.costs.lock();
-        let cost = costs.entry(addr).or_default();
-        if cost.failed.replace(Instant::now()).is_none() {
+        let mut stats = self.stats.lock();
+        let link_stats = stats.entry(addr).or_default();
+        if link_stats.failed_at.replace(Instant::now()).is_none() {
             tracing::warn!(%addr, why, "a replica does not answer");
         }
     }
@@ -280,28 +285,31 @@
 /// *Failure:* after a loss of all power, entries are back some hundred milliseconds before the
 /// replicas. With a pause of 300 ms between two attempts, turns were refused for as long after the
 /// replicas were back.
-async fn reconnect(ways: Arc<Ways>, shared: Arc<tokio::sync::Mutex<Link>>, addr: SocketAddr) {
+async fn reconnect(routes: Arc<Routes>, shared: Arc<tokio::sync::Mutex<Link>>, addr: SocketAddr) {
     loop {
-        tokio::time::sleep(AGAIN).await;
-        let connected = ways.dial(addr).await;
+        tokio::time::sleep(RECONNECT_INTERVAL).await;
+        let connected = routes.dial(addr).await;
         let mut link = shared.lock().await;
-        if let Some((stream, way)) = connected {
-            link.connect(stream, way);
+        if let Some((stream, route)) = connected {
+            link.connect(stream, route);
             return;
         }
-        if link.wanted.is_none_or(|at| at.elapsed() >= TRY_FOR) {
-            link.wanted = None;
+        if link
+            .last_wanted
+            .is_none_or(|at| at.elapsed() >= RECONNECT_FOR)
+        {
+            link.last_wanted = None;
             return;
         }
     }
 }
 
 /// Goes back to the direct way if there is one again.
-async fn straighten(link: Arc<tokio::sync::Mutex<Link>>, addr: SocketAddr) {
+async fn restore_direct(link: Arc<tokio::sync::Mutex<Link>>, addr: SocketAddr) {
     let Some(stream) = relay::dial(addr).await else {
         return;
     };
     tracing::info!(%addr, "a replica is reached directly again");
     let mut link = link.lock().await;
-    link.connect(stream, Way::Direct);
+    link.connect(stream, Route::Direct);
 }
--- a/fw-replica/src/member.rs
+++ b/fw-replica/src/member.rs
@@ -28,14 +28,14 @@
 /// How long a member must be silent before it may be removed. Well above every pause that a live
 /// one is expected to make (a power cycle takes 4 s), so that a member is not removed and added
 /// again for each restart.
-pub const SILENT_FOR: Duration = Duration::from_secs(6);
+pub const REMOVE_AFTER: Duration = Duration::from_secs(6);
 
 /// How long a member must be silent before a replica that stands by takes its place.
 pub const REPLACE_AFTER: Duration = Duration::from_millis(2_500);
 
 /// How long a replica that is to leave waits for another to take its place, if there is none that
 /// stands by: some looks of those that do.
-pub const SUCCESSOR: Duration = Duration::from_secs(4);
+pub const SUCCESSOR_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Whether a replica that has been told to leave for `told` may do so, as far as the number of those
 /// that stay in `list` goes.
@@ -43,8 +43,8 @@
 /// *Failure:* it left as soon as the others had copied everything, a moment before one that stood by
 /// took its place. Two of three members were left, the next of them went down, and no turn could begin
 /// until it was back.
-pub fn may_leave(list: &List, told: Duration, faults: usize) -> bool {
-    list.members.len() >= wanted_members(faults) || told >= SUCCESSOR
+pub fn may_leave(list: &List, retiring_for: Duration, faults: usize) -> bool {
+    list.members.len() >= target_members(faults) || retiring_for >= SUCCESSOR_TIMEOUT
 }
 
 /// Time by which each replica that stands by lets the one before it go first.
@@ -53,7 +53,7 @@
 /// too few members. Each copied all records from all members it reached, for as long as the cut lasted,
 /// and turns waited for the votes of the same members. One after the other, few have begun when a cut
 /// ends; a member that is lost is replaced by the first, which waits for nobody.
-pub const LETS_BY: Duration = Duration::from_secs(2);
+pub const STANDBY_STAGGER: Duration = Duration::from_secs(2);
 
 /// One member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -80,12 +80,12 @@
 
 /// Whether a replica in `place` should join `list` at the first start of a system that has `places`
 /// data centres: members are spread over them evenly, so that each has one nearby.
-pub fn spreads(list: &List, place: &id::PlaceId, faults: usize, places: usize) -> bool {
+pub fn improves_spread(list: &List, place: &id::PlaceId, faults: usize, places: usize) -> bool {
     let here = list
         .members
         .values()
         .filter(|member| member.place == *place);
-    here.count() < wanted_members(faults).div_ceil(places.max(1))
+    here.count() < target_members(faults).div_ceil(places.max(1))
 }
 
 /// A list and its epoch.
@@ -121,7 +121,7 @@
 }
 
 /// Members that the list should have: with as many, `faults` may fail and a majority is left.
-pub fn wanted_members(faults: usize) -> usize {
+pub fn target_members(faults: usize) -> usize {
     2 * faults + 1
 }
 
@@ -141,7 +141,7 @@
     /// The newest member list.
     pub list: &'a List,
     /// The replica's own name.
-    pub me: &'a record::ReplicaId,
+    pub own_name: &'a record::ReplicaId,
     /// The replica itself, as the list should have it.
     pub own: &'a Member,
     /// Disks that may be lost together.
@@ -153,18 +153,18 @@
     /// Whether it has copied enough since the list in force was announced.
     pub copied: bool,
     /// For how long each other member has been silent.
-    pub silent: &'a BTreeMap<record::ReplicaId, Duration>,
+    pub last_seen_ago: &'a BTreeMap<record::ReplicaId, Duration>,
     /// Other members that are to be taken away.
     pub leaving: &'a [record::ReplicaId],
     /// Replicas that stand by and go first, as members tell.
-    pub before: usize,
+    pub standbys_ahead: usize,
     /// For how long there have been too few members that are heard and stay.
     pub short_for: Duration,
 }
 
 /// What a replica should do next about the member list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// Nothing.
     Stay,
     /// Put this list in place of the one in force.
@@ -181,54 +181,58 @@
 
 impl Situation<'_> {
     /// What to do next.
-    pub fn decide(&self) -> Next {
-        let listed = self.list.members.get(self.me);
+    pub fn decide(&self) -> Action {
+        let listed = self.list.members.get(self.own_name);
         if self.retiring {
             return match listed {
-                Some(_) => Next::Leave(self.without(self.me)),
-                None => Next::Left,
+                Some(_) => Action::Leave(self.without(self.own_name)),
+                None => Action::Left,
             };
         }
         match listed {
-            Some(known) if known != self.own => Next::Change(self.with_me()),
-            Some(_) if !self.votes && self.copied => Next::Vote,
+            Some(current) if current != self.own => Action::Change(self.with_me()),
+            Some(_) if !self.votes && self.copied => Action::Vote,
             Some(_) => match self.to_remove() {
-                Some(dead) => Next::Change(self.without(dead)),
-                None => Next::Stay,
+                Some(dead) => Action::Change(self.without(dead)),
+                None => Action::Stay,
             },
-            None if self.is_short() && self.short_for >= LETS_BY * self.before as u32 => {
-                Next::Change(self.with_me())
+            None if self.is_short()
+                && self.short_for >= STANDBY_STAGGER * self.standbys_ahead as u32 =>
+            {
+                Action::Change(self.with_me())
             }
-            None => Next::StandBy,
+            None => Action::StandBy,
         }
     }
 
     /// Whether there are too few members that are heard and stay.
     pub fn is_short(&self) -> bool {
-        self.usable() < wanted_members(self.faults)
+        self.usable() < target_members(self.faults)
     }
 
     /// Members that are heard and stay.
     fn usable(&self) -> usize {
         let names = self.list.members.keys();
         names
-            .filter(|name| !self.leaving.contains(name) && self.silence(name) < REPLACE_AFTER)
+            .filter(|name| !self.leaving.contains(name) && self.last_seen_ago(name) < REPLACE_AFTER)
             .count()
     }
 
-    fn silence(&self, name: &record::ReplicaId) -> Duration {
-        self.silent.get(name).copied().unwrap_or_default()
+    fn last_seen_ago(&self, name: &record::ReplicaId) -> Duration {
+        self.last_seen_ago.get(name).copied().unwrap_or_default()
     }
 
-    /// The first member that was silent for [`SILENT_FOR`], as long as enough members remain. Only
+    /// The first member that was silent for [`REMOVE_AFTER`], as long as enough members remain. Only
     /// the first of those that are heard removes it, so that they do not all try.
     fn to_remove(&self) -> Option<&record::ReplicaId> {
-        if !self.votes || self.list.members.len() <= wanted_members(self.faults) {
+        if !self.votes || self.list.members.len() <= target_members(self.faults) {
             return None;
         }
-        let dead = |name: &&record::ReplicaId| *name != self.me && self.silence(name) >= SILENT_FOR;
-        let mut heard = self.list.members.keys().filter(|name| !dead(name));
-        if heard.next() != Some(self.me) {
+        let dead = |name: &&record::ReplicaId| {
+            *name != self.own_name && self.last_seen_ago(name) >= REMOVE_AFTER
+        };
+        let mut responsive = self.list.members.keys().filter(|name| !dead(name));
+        if responsive.next() != Some(self.own_name) {
             return None;
         }
         self.list.members.keys().find(dead)
@@ -236,7 +240,7 @@
 
     fn with_me(&self) -> List {
         let mut list = self.list.clone();
-        list.members.insert(self.me.clone(), self.own.clone());
+        list.members.insert(self.own_name.clone(), self.own.clone());
         list
     }
 
--- a/fw-replica/src/record.rs
+++ b/fw-replica/src/record.rs
@@ -21,9 +21,9 @@
 
 /// How long a charge is kept. A program that was stopped may return within the retention of its
 /// turns; twice the longest seen (60 s) leaves room for clocks that differ.
-pub const KEEP_CHARGE: Duration = Duration::from_secs(180);
+pub const CHARGE_RETENTION: Duration = Duration::from_secs(180);
 /// Time that a turn is kept beyond its retention, for clocks that differ.
-pub const KEEP_SLACK: Duration = Duration::from_secs(60);
+pub const RETENTION_SLACK: Duration = Duration::from_secs(60);
 
 /// A finished turn: what it was asked and what it answered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,8 +44,8 @@
 
 impl Turn {
     /// Until when it has to be kept.
-    pub fn until(&self) -> UnixMs {
-        add(self.ended, self.retention + KEEP_SLACK)
+    pub fn retain_until(&self) -> UnixMs {
+        add(self.ended, self.retention + RETENTION_SLACK)
     }
 }
 
@@ -66,8 +66,8 @@
 
 impl Charge {
     /// Until when it has to be kept, unless its program is charged again by then.
-    pub fn until(&self) -> UnixMs {
-        add(self.made, KEEP_CHARGE)
+    pub fn retain_until(&self) -> UnixMs {
+        add(self.made, CHARGE_RETENTION)
     }
 }
 
@@ -92,10 +92,10 @@
 impl Record {
     /// Until when it has to be kept. Zero for kinds of which only the newest counts: each segment
     /// of the journal begins with these.
-    pub fn until(&self) -> UnixMs {
+    pub fn retain_until(&self) -> UnixMs {
         match self {
-            Self::Turn(turn) => turn.until(),
-            Self::Charge(charge) => charge.until(),
+            Self::Turn(turn) => turn.retain_until(),
+            Self::Charge(charge) => charge.retain_until(),
             Self::Synced(_) | Self::Members(_) | Self::Config(_) | Self::Upstreams(_) => 0,
         }
     }
--- a/fw-replica/src/relay.rs
+++ b/fw-replica/src/relay.rs
@@ -21,13 +21,13 @@
 
 /// Longest wait for a connection. Within a region one takes a millisecond; a replica that is cut
 /// off must not hold up the quorum of the others.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// After which time without an answer another connection is tried: several times what one takes.
-const ONE_TRY: Duration = Duration::from_millis(75);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(75);
 /// Longest wait for a relay to be connected to the replica: a little longer than it tries.
-const RELAYED: Duration = Duration::from_millis(350);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(350);
 /// Longest wait for the name of the replica.
-const NAMED: Duration = Duration::from_secs(1);
+const TARGET_TIMEOUT: Duration = Duration::from_secs(1);
 /// Version of the first bytes.
 const VERSION: u8 = 1;
 
@@ -35,17 +35,17 @@
 ///
 /// *Failure:* a replica without power answers nothing, and the system sends the opening packet
 /// again only after a second. Back meanwhile, the replica would be reached that much later. So
-/// another connection is tried every [`ONE_TRY`].
+/// another connection is tried every [`ATTEMPT_TIMEOUT`].
 pub async fn dial(addr: SocketAddr) -> Option<TcpStream> {
     let tries = async {
         loop {
-            match tokio::time::timeout(ONE_TRY, TcpStream::connect(addr)).await {
+            match tokio::time::timeout(ATTEMPT_TIMEOUT, TcpStream::connect(addr)).await {
                 Ok(connected) => return connected.ok(),
                 Err(_) => continue,
             }
         }
     };
-    let stream = tokio::time::timeout(CONNECT, tries).await.ok()??;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, tries).await.ok()??;
     // Fails only on a socket that is closed, which the first call shows.
     let _ = socket::watch_silence(&socket2::SockRef::from(&stream));
     Some(stream)
@@ -58,11 +58,11 @@
         return None;
     };
     let mut stream = dial(peer).await?;
-    let mut name = [VERSION, 0, 0, 0, 0, 0, 0];
-    name[1..5].copy_from_slice(&addr.ip().octets());
-    name[5..].copy_from_slice(&addr.port().to_be_bytes());
-    stream.write_all(&name).await.ok()?;
-    let relayed = tokio::time::timeout(RELAYED, stream.read_u8()).await;
+    let mut header = [VERSION, 0, 0, 0, 0, 0, 0];
+    header[1..5].copy_from_slice(&addr.ip().octets());
+    header[5..].copy_from_slice(&addr.port().to_be_bytes());
+    stream.write_all(&header).await.ok()?;
+    let relayed = tokio::time::timeout(RELAY_TIMEOUT, stream.read_u8()).await;
     (relayed.ok()?.ok()? == VERSION).then_some(stream)
 }
 
@@ -70,23 +70,23 @@
 pub async fn serve(listener: TcpListener, client: Arc<client::Client>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(NAMED).await;
+            tokio::time::sleep(TARGET_TIMEOUT).await;
             continue;
         };
         let client = Arc::clone(&client);
         tokio::spawn(async move {
             // Whichever end fails, the other learns by its connection being closed.
-            let _ = pass_on(stream, &client).await;
+            let _ = forward(stream, &client).await;
         });
     }
 }
 
-async fn pass_on(mut from: TcpStream, client: &client::Client) -> Option<()> {
+async fn forward(mut from: TcpStream, client: &client::Client) -> Option<()> {
     let _ = socket::watch_silence(&socket2::SockRef::from(&from));
-    let mut name = [0; 7];
-    let read = tokio::time::timeout(NAMED, from.read_exact(&mut name)).await;
+    let mut header = [0; 7];
+    let read = tokio::time::timeout(TARGET_TIMEOUT, from.read_exact(&mut header)).await;
     read.ok()?.ok()?;
-    let [version, a, b, c, d, high, low] = name;
+    let [version, a, b, c, d, high, low] = header;
     let port = u16::from_be_bytes([high, low]);
     let addr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(a, b, c, d), port));
     if version != VERSION || !client.is_member(addr) {
--- a/fw-replica/src/server/mod.rs
+++ b/fw-replica/src/server/mod.rs
@@ -17,14 +17,14 @@
 };
 
 /// Most turns of a chain in one answer. Longer chains are read in several.
-const CHAIN: usize = 256;
+const MAX_CHAIN: usize = 256;
 
 /// Charges carried to the newest segment at a time, a few syncs: other records find room in the
 /// writer's queue.
-const CARRY: usize = 512;
+const CARRY_BATCH: usize = 512;
 
 /// How long a replica counts as standing by after it asked: it does so once a second.
-const STANDS_BY: Duration = Duration::from_secs(3);
+const STANDBY_TTL: Duration = Duration::from_secs(3);
 
 /// The time of day.
 pub fn unix_ms() -> record::UnixMs {
@@ -53,12 +53,12 @@
     view: watch::Sender<member::View>,
     retiring: AtomicBool,
     votes: AtomicBool,
-    retire_told: watch::Sender<Vec<record::ReplicaId>>,
-    board: entry_load::Table,
-    trail: affinity::Table,
-    spending: team_usage::Counters,
+    retire_requests: watch::Sender<Vec<record::ReplicaId>>,
+    entry_loads: entry_load::Table,
+    affinity: affinity::Table,
+    team_usage: team_usage::Counters,
     /// Reads of the platform's store that entries told of.
-    reads: snapshot::StoreReads,
+    store_reads: snapshot::StoreReads,
     /// Replicas that stand by, and when they asked last.
     standbys: Mutex<BTreeMap<record::ReplicaId, Instant>>,
     /// How far each other replica has copied from here.
@@ -100,11 +100,11 @@
             view: watch::Sender::new(view),
             retiring: AtomicBool::new(false),
             votes: AtomicBool::new(false),
-            retire_told: watch::Sender::default(),
-            board: entry_load::Table::default(),
-            trail: affinity::Table::default(),
-            spending: team_usage::Counters::default(),
-            reads: snapshot::StoreReads::new(opts.run, opts.lapse),
+            retire_requests: watch::Sender::default(),
+            entry_loads: entry_load::Table::default(),
+            affinity: affinity::Table::default(),
+            team_usage: team_usage::Counters::default(),
+            store_reads: snapshot::StoreReads::new(opts.run, opts.lapse),
             standbys: Mutex::default(),
             readers: Mutex::default(),
         }))
@@ -117,16 +117,16 @@
 
     /// Takes a member list unless a newer one is known. Returns whether older ones are refused from
     /// now on, also after a restart.
-    pub async fn learn(&self, view: member::View) -> bool {
+    pub async fn update_view(&self, view: member::View) -> bool {
         if view.epoch <= self.view.borrow().epoch {
             return true;
         }
         // In force before it is on disk: refusing older lists too early harms nobody.
-        self.view.send_if_modified(|known| {
-            let newer = view.epoch > known.epoch;
+        self.view.send_if_modified(|current| {
+            let newer = view.epoch > current.epoch;
             if newer {
                 tracing::info!(epoch = view.epoch, members = ?view.list.members, "member list");
-                *known = view.clone();
+                *current = view.clone();
             }
             newer
         });
@@ -144,7 +144,7 @@
     }
 
     /// Lets the replica vote from now on, or no longer.
-    pub fn let_vote(&self, votes: bool) {
+    pub fn set_voting(&self, votes: bool) {
         self.votes.store(votes, Ordering::Relaxed);
     }
 
@@ -154,18 +154,18 @@
     }
 
     /// Adds to the replicas that the operator wants emptied.
-    pub fn learn_retire(&self, retire: Vec<record::ReplicaId>) {
-        self.retire_told.send_if_modified(|told| {
-            let news = retire.into_iter().filter(|name| !told.contains(name));
-            let news: Vec<_> = news.collect();
-            told.extend(news.iter().cloned());
-            !news.is_empty()
+    pub fn add_retire_requests(&self, retire: Vec<record::ReplicaId>) {
+        self.retire_requests.send_if_modified(|requests| {
+            let added = retire.into_iter().filter(|name| !requests.contains(name));
+            let added: Vec<_> = added.collect();
+            requests.extend(added.iter().cloned());
+            !added.is_empty()
         });
     }
 
     /// Replicas that the operator wants emptied, as entries tell.
-    pub fn retire_told(&self) -> watch::Receiver<Vec<record::ReplicaId>> {
-        self.retire_told.subscribe()
+    pub fn retire_requests(&self) -> watch::Receiver<Vec<record::ReplicaId>> {
+        self.retire_requests.subscribe()
     }
 
     /// Takes nothing new from now on.
@@ -188,15 +188,15 @@
 
     /// Stores `record` unless it is known; whether it then is on disk.
     pub async fn store(&self, record: record::Record) -> bool {
-        let known = match &record {
+        let is_stored = match &record {
             record::Record::Turn(turn) => self.has(&turn.id),
-            record::Record::Charge(charge) => !self.is_news(charge),
+            record::Record::Charge(charge) => !self.is_new(charge),
             record::Record::Synced(_)
             | record::Record::Members(_)
             | record::Record::Config(_)
             | record::Record::Upstreams(_) => false,
         };
-        if known {
+        if is_stored {
             return true;
         }
         self.write(record).await
@@ -211,11 +211,11 @@
     }
 
     /// `asker` stands by. Returns how many that do, and asked lately, come before it by their names.
-    fn note_standby(&self, asker: record::ReplicaId) -> usize {
+    fn record_standby(&self, asker: record::ReplicaId) -> usize {
         let now = Instant::now();
         let mut standbys = self.standbys.lock();
         standbys.insert(asker.clone(), now);
-        standbys.retain(|_, at| now.duration_since(*at) < STANDS_BY);
+        standbys.retain(|_, at| now.duration_since(*at) < STANDBY_TTL);
         standbys.range(..asker).count()
     }
 
@@ -225,8 +225,8 @@
     }
 
     /// Whether `charge` says anything new.
-    pub fn is_news(&self, charge: &record::Charge) -> bool {
-        self.state.lock().is_news(charge)
+    pub fn is_new(&self, charge: &record::Charge) -> bool {
+        self.state.lock().is_new(charge)
     }
 
     /// All charges of `program` that are known here.
@@ -235,8 +235,8 @@
     }
 
     /// What entries know from the platform's store.
-    pub fn bulletins(&self) -> service::Snapshot {
-        self.state.lock().bulletins().clone()
+    pub fn snapshot(&self) -> service::Snapshot {
+        self.state.lock().snapshot().clone()
     }
 
     /// Forgets what has been kept long enough at `now`, and removes the oldest segment of the
@@ -249,7 +249,7 @@
             metrics::gauge!("fw_replica_programs").set(state.programs() as f64);
         }
         metrics::gauge!("fw_replica_segments").set(self.files.count() as f64);
-        if let Some(segment) = self.files.lapsed(now) {
+        if let Some(segment) = self.files.oldest_expired(now) {
             self.remove(segment).await;
         }
     }
@@ -273,7 +273,7 @@
     /// Writes charges once more; whether all are on disk. They are not applied, as the state has
     /// them already.
     async fn carry(&self, charges: Vec<record::Charge>) -> bool {
-        for charges in charges.chunks(CARRY) {
+        for charges in charges.chunks(CARRY_BATCH) {
             let records = charges.iter().cloned().map(record::Record::Charge);
             let stored = join_all(records.map(|record| self.writer.store(record))).await;
             if stored.iter().any(Option::is_none) {
@@ -324,10 +324,10 @@
         let mut turns = Vec::new();
         let mut wanted = Some(newest);
         while let Some(id) = wanted.take() {
-            let found = (turns.len() < CHAIN).then(|| self.read(&id)).flatten();
+            let found = (turns.len() < MAX_CHAIN).then(|| self.read(&id)).flatten();
             let Some(turn) = found else {
                 // What the index names but the disk refuses is no certain absence.
-                let certain = !self.has(&id) && self.is_voting() && !self.is_newer(epoch);
+                let certain = !self.has(&id) && self.is_voting() && !self.has_newer_view(epoch);
                 return service::Chain {
                     turns,
                     missing: Some(id),
@@ -344,27 +344,27 @@
     }
 
     /// Whether a newer member list than that of `epoch` is known here.
-    fn is_newer(&self, epoch: member::Epoch) -> bool {
+    fn has_newer_view(&self, epoch: member::Epoch) -> bool {
         epoch < self.view.borrow().epoch
     }
 
-    fn unsure(&self, epoch: member::Epoch) -> Option<service::Unsure> {
+    fn unsure_reason(&self, epoch: member::Epoch) -> Option<service::Unsure> {
         if self.is_retiring() {
             return Some(service::Unsure::Retiring);
         }
         if !self.is_voting() {
             return Some(service::Unsure::Unsynced);
         }
-        self.is_newer(epoch)
+        self.has_newer_view(epoch)
             .then(|| service::Unsure::OldList(self.view.borrow().clone()))
     }
 
     async fn vote(&self, epoch: member::Epoch, reserve: service::Reserve) -> service::Vote {
-        if let Some(why) = self.unsure(epoch) {
+        if let Some(why) = self.unsure_reason(epoch) {
             return service::Vote::Unsure { why };
         }
-        let voted = self.state.lock().vote(&reserve, unix_ms());
-        let granted = match voted {
+        let result = self.state.lock().vote(&reserve, unix_ms());
+        let granted = match result {
             Ok(granted) => granted,
             Err(ledger) => {
                 metrics::counter!("fw_replica_refused_total", "reason" => "budget").increment(1);
@@ -389,7 +389,7 @@
     async fn store_charge(&self, charge: record::Charge) -> bool {
         let stored = self.write(record::Record::Charge(charge.clone())).await;
         if !stored {
-            self.state.lock().not_stored(charge);
+            self.state.lock().mark_unstored(charge);
         }
         stored
     }
@@ -402,15 +402,15 @@
 impl service::Replica for Server {
     async fn begin(self, _: tarpc::context::Context, req: service::Begin) -> service::BeginReply {
         let entry = req.load.entry;
-        let spent = req
+        let usage = req
             .usage
-            .map(|spent| self.0.spending.exchange(entry, &spent));
-        let others = req.wants_peer_state.then(|| service::PeerState {
-            usage: spent,
-            ..self.0.board.others(req.load.entry)
+            .map(|usage| self.0.team_usage.exchange(entry, &usage));
+        let peer_state = req.wants_peer_state.then(|| service::PeerState {
+            usage: usage,
+            ..self.0.entry_loads.peer_state(req.load.entry)
         });
-        self.0.board.note(req.load);
-        let last = self.0.trail.last_upstreams(&req.lineage);
+        self.0.entry_loads.record(req.load);
+        let last_upstreams = self.0.affinity.last_upstreams(&req.lineage);
         let chain = req.chain.map(|newest| self.0.read_chain(req.epoch, newest));
         let vote = match req.reserve {
             None => None,
@@ -419,14 +419,14 @@
         service::BeginReply {
             vote,
             chain: chain.unwrap_or_default(),
-            peer_state: others,
-            last_upstreams: last,
+            peer_state: peer_state,
+            last_upstreams: last_upstreams,
         }
     }
 
     async fn finish(self, _: tarpc::context::Context, req: service::Finish) -> bool {
-        if let Some(ran) = &req.location {
-            self.0.trail.record(ran);
+        if let Some(location) = &req.location {
+            self.0.affinity.record(location);
         }
         if self.0.is_retiring() {
             return false;
@@ -483,27 +483,27 @@
         view: member::View,
         retire: Vec<record::ReplicaId>,
     ) -> bool {
-        self.0.learn_retire(retire);
-        self.0.learn(view).await
+        self.0.add_retire_requests(retire);
+        self.0.update_view(view).await
     }
 
     async fn publish(
         self,
         _: tarpc::context::Context,
-        post: service::Publish,
+        req: service::Publish,
     ) -> service::Published {
-        self.0.post(post).await
+        self.0.publish(req).await
     }
 
     async fn report_usage(
         self,
         _: tarpc::context::Context,
         entry: u32,
-        spent: Vec<service::TeamUsage>,
+        usage: Vec<service::TeamUsage>,
     ) -> Vec<quota::Heard> {
-        let spent = spent.iter();
-        let told = spent.map(|spent| self.0.spending.exchange(entry, spent));
-        told.collect()
+        let usage = usage.iter();
+        let summaries = usage.map(|usage| self.0.team_usage.exchange(entry, usage));
+        summaries.collect()
     }
 
     async fn poll_update(
@@ -512,11 +512,11 @@
         known: service::KnownVersion,
         wait: Duration,
     ) -> service::Update {
-        self.0.news(known, wait).await
+        self.0.poll_update(known, wait).await
     }
 
     async fn read_clock(self, _: tarpc::context::Context) -> service::ClockReading {
-        self.0.moment()
+        self.0.read_clock()
     }
 
     async fn ping(
@@ -525,10 +525,10 @@
         standby: Option<record::ReplicaId>,
     ) -> service::PingReply {
         service::PingReply {
-            standbys_ahead: standby.map_or(0, |asker| self.0.note_standby(asker)),
+            standbys_ahead: standby.map_or(0, |asker| self.0.record_standby(asker)),
             retiring: self.0.is_retiring(),
             view: self.0.view.borrow().clone(),
-            retire: self.0.retire_told.borrow().clone(),
+            retire: self.0.retire_requests.borrow().clone(),
         }
     }
 
--- a/fw-replica/src/service.rs
+++ b/fw-replica/src/service.rs
@@ -125,11 +125,11 @@
 impl PartDigests {
     /// Which of the parts that somebody has, these, the owner of `others` lacks: not that part, but
     /// none or another.
-    pub fn differing_from(&self, others: Self) -> Self {
-        let unlike = |own, other| if own == other { 0 } else { own };
+    pub fn differing_from(&self, other: Self) -> Self {
+        let differing = |own, other| if own == other { 0 } else { own };
         Self {
-            config: unlike(self.config, others.config),
-            upstreams: unlike(self.upstreams, others.upstreams),
+            config: differing(self.config, other.config),
+            upstreams: differing(self.upstreams, other.upstreams),
         }
     }
 
@@ -368,9 +368,9 @@
     /// once the replica refuses older lists, also after a restart.
     async fn announce_members(view: member::View, retire: Vec<record::ReplicaId>) -> bool;
     /// Keeps what an entry has read, unless newer is known.
-    async fn publish(post: Publish) -> Published;
+    async fn publish(req: Publish) -> Published;
     /// Counts what an entry has let through of some teams; returns what is known of each.
-    async fn report_usage(entry: u32, spent: Vec<TeamUsage>) -> Vec<quota::Heard>;
+    async fn report_usage(entry: u32, usage: Vec<TeamUsage>) -> Vec<quota::Heard>;
     /// What an asker lacks. Waits up to `wait` until an entry has read the store.
     async fn poll_update(known: KnownVersion, wait: Duration) -> Update;
     /// Tells the present moment.
--- a/fw-replica/src/state.rs
+++ b/fw-replica/src/state.rs
@@ -5,10 +5,10 @@
 use crate::{journal, ledger, member, record, service};
 
 /// Records in a page of the list.
-const PAGE: usize = 512;
+const PAGE_SIZE: usize = 512;
 
 #[derive(Clone, Debug)]
-struct Known {
+struct IndexEntry {
     place: journal::Place,
     until: record::UnixMs,
 }
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct State {
     run: u64,
-    turns: HashMap<record::TurnId, Known>,
+    turns: HashMap<record::TurnId, IndexEntry>,
     ledgers: HashMap<record::ProgramId, ledger::Ledger>,
     /// Records in the order in which they were stored, from number `dropped` on, and until when
     /// each is listed.
@@ -34,12 +34,12 @@
     dropped: u64,
     synced: bool,
     view: member::View,
-    bulletins: service::Snapshot,
+    snapshot: service::Snapshot,
     /// Digests of the bulletins.
-    marks: service::PartDigests,
+    digests: service::PartDigests,
     /// Turns that were charged without the charge being on disk, as the disk refused it, and their
     /// programs.
-    not_stored: HashMap<record::TurnId, record::ProgramId>,
+    unstored: HashMap<record::TurnId, record::ProgramId>,
 }
 
 impl State {
@@ -53,9 +53,9 @@
             dropped: 0,
             synced: false,
             view: member::View::default(),
-            bulletins: service::Snapshot::default(),
-            marks: service::PartDigests::default(),
-            not_stored: HashMap::new(),
+            snapshot: service::Snapshot::default(),
+            digests: service::PartDigests::default(),
+            unstored: HashMap::new(),
         }
     }
 
@@ -65,27 +65,27 @@
             record::Record::Turn(turn) => self.apply_turn(turn, place),
             record::Record::Charge(charge) => {
                 self.charge(charge);
-                self.not_stored.remove(&charge.turn);
+                self.unstored.remove(&charge.turn);
                 let listed = service::ListedRecord::Charge(charge.clone());
-                self.order.push_back((charge.until(), listed));
+                self.order.push_back((charge.retain_until(), listed));
             }
             record::Record::Synced(synced) => self.synced = *synced,
-            record::Record::Members(view) => self.learn(view),
+            record::Record::Members(view) => self.update_view(view),
             record::Record::Config(config) => {
-                self.marks.config = config.digest();
-                self.bulletins.config = Some(config.clone());
+                self.digests.config = config.digest();
+                self.snapshot.config = Some(config.clone());
             }
             record::Record::Upstreams(list) => {
-                self.marks.upstreams = list.digest();
-                self.bulletins.upstreams = Some(list.clone());
+                self.digests.upstreams = list.digest();
+                self.snapshot.upstreams = Some(list.clone());
             }
         }
     }
 
     fn apply_turn(&mut self, turn: &record::Turn, place: journal::Place) {
-        let until = turn.until();
-        let known = Known { place, until };
-        if self.turns.insert(turn.id.clone(), known).is_none() {
+        let until = turn.retain_until();
+        let entry = IndexEntry { place, until };
+        if self.turns.insert(turn.id.clone(), entry).is_none() {
             let listed = service::ListedRecord::Turn(turn.id.clone());
             self.order.push_back((until, listed));
         }
@@ -118,8 +118,8 @@
             settled: line.settled,
             made: now,
         };
-        let news = reserve.known.iter().filter(|line| ledger.merge(line, now));
-        let mut charges: Vec<_> = news.map(charge).collect();
+        let added = reserve.known.iter().filter(|line| ledger.merge(line, now));
+        let mut charges: Vec<_> = added.map(charge).collect();
         if !ledger.allows(&reserve.turn, reserve.tokens, reserve.budget) {
             return Err(ledger.lines());
         }
@@ -153,8 +153,8 @@
     }
 
     /// The disk refused `charge`, which is charged already: it has to be stored yet.
-    pub fn not_stored(&mut self, charge: record::Charge) {
-        self.not_stored.insert(charge.turn, charge.program);
+    pub fn mark_unstored(&mut self, charge: record::Charge) {
+        self.unstored.insert(charge.turn, charge.program);
     }
 
     /// Digest of what is known of the program, but for the turn of `reserve`.
@@ -171,38 +171,38 @@
 
     /// Where a turn lies.
     pub fn place(&self, turn: &record::TurnId) -> Option<journal::Place> {
-        self.turns.get(turn).map(|known| known.place)
+        self.turns.get(turn).map(|entry| entry.place)
     }
 
     /// Whether storing `charge` would say anything new.
-    pub fn is_news(&self, charge: &record::Charge) -> bool {
-        if self.not_stored.contains_key(&charge.turn) {
+    pub fn is_new(&self, charge: &record::Charge) -> bool {
+        if self.unstored.contains_key(&charge.turn) {
             return true;
         }
         let ledger = self.ledgers.get(&charge.program);
-        ledger.is_none_or(|ledger| ledger.is_news(&ledger::Line::from(charge)))
+        ledger.is_none_or(|ledger| ledger.is_new(&ledger::Line::from(charge)))
     }
 
-    fn learn(&mut self, view: &member::View) {
+    fn update_view(&mut self, view: &member::View) {
         if view.epoch > self.view.epoch {
             self.view = view.clone();
         }
     }
 
     /// What entries know from the platform's store.
-    pub fn bulletins(&self) -> &service::Snapshot {
-        &self.bulletins
+    pub fn snapshot(&self) -> &service::Snapshot {
+        &self.snapshot
     }
 
     /// Digests of the bulletins.
-    pub fn marks(&self) -> service::PartDigests {
-        self.marks
+    pub fn digests(&self) -> service::PartDigests {
+        self.digests
     }
 
     /// The bulletins that the owner of `marks` lacks.
-    pub fn bulletins_unlike(&self, marks: service::PartDigests) -> service::Snapshot {
-        let lacks = self.marks.differing_from(marks);
-        let service::Snapshot { config, upstreams } = &self.bulletins;
+    pub fn parts_missing_from(&self, marks: service::PartDigests) -> service::Snapshot {
+        let lacks = self.digests.differing_from(marks);
+        let service::Snapshot { config, upstreams } = &self.snapshot;
         service::Snapshot {
             config: config.clone().filter(|_| lacks.config != 0),
             upstreams: upstreams.clone().filter(|_| lacks.upstreams != 0),
@@ -226,7 +226,7 @@
     ) -> (service::Position, Vec<service::ListedRecord>, bool) {
         let read = if after.run == self.run { after.read } else { 0 };
         let skip = read.saturating_sub(self.dropped) as usize;
-        let page = self.order.iter().skip(skip).take(PAGE);
+        let page = self.order.iter().skip(skip).take(PAGE_SIZE);
         let records: Vec<_> = page.map(|(_, listed)| listed.clone()).collect();
         let read = read.max(self.dropped) + records.len() as u64;
         let more = read < self.list_end();
@@ -254,11 +254,11 @@
     /// newer charges would take the program for one with more budget left than it has. Charges of
     /// such a program are listed again, behind the others, when their own time is over.
     pub fn expire(&mut self, now: record::UnixMs) {
-        self.turns.retain(|_, known| known.until > now);
-        let keep = record::KEEP_CHARGE;
+        self.turns.retain(|_, entry| entry.until > now);
+        let keep = record::CHARGE_RETENTION;
         self.ledgers
-            .retain(|_, ledger| record::add(ledger.touched(), keep) > now);
-        self.not_stored
+            .retain(|_, ledger| record::add(ledger.last_charged(), keep) > now);
+        self.unstored
             .retain(|_, program| self.ledgers.contains_key(program));
         while self.order.front().is_some_and(|(until, _)| *until <= now) {
             let Some((_, listed)) = self.order.pop_front() else {
--- a/fw-replica/src/sync.rs
+++ b/fw-replica/src/sync.rs
@@ -15,26 +15,26 @@
 
 /// Pause between two looks at the lists of the others. With it a record is on all members within
 /// a second or so; half of it would double the calls for little.
-const LOOK: Duration = Duration::from_millis(1_000);
+const SYNC_INTERVAL: Duration = Duration::from_millis(1_000);
 /// The same while this replica has something to catch up with.
-const LOOK_SOON: Duration = Duration::from_millis(100);
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(100);
 /// The same after each step by which a replica joins.
 ///
 /// *Failure:* a replica takes a dead one's place. With both on the list, a majority needs it, and
 /// no turn can begin until it votes: 0.9 s with the longer pause, in which turns pile up.
-const LOOK_NOW: Duration = Duration::from_millis(5);
+const JOIN_INTERVAL: Duration = Duration::from_millis(5);
 /// Turns fetched at a time: some hundred kilobytes.
-const FETCH: usize = 64;
+const FETCH_BATCH: usize = 64;
 /// Pause after a failed change of the member list. Each replica waits for a time of its own, so
 /// that many which start together do not keep refusing each other.
-const CHANGE: Duration = Duration::from_millis(60);
+const CHANGE_BACKOFF: Duration = Duration::from_millis(60);
 /// While the whole system starts for the first time, replicas join without asking each other: there
 /// is nothing to lose yet. All start within 0.3 s of each other.
-const FOUND: Duration = Duration::from_millis(2_400);
+const FOUNDING_JOIN: Duration = Duration::from_millis(2_400);
 /// Until then only replicas join whose data centre lacks one.
-const SPREAD: Duration = Duration::from_millis(1_400);
+const FOUNDING_SPREAD: Duration = Duration::from_millis(1_400);
 /// No replica votes before the list of the first start is complete.
-const FOUNDED: Duration = Duration::from_millis(3_200);
+const FOUNDING_END: Duration = Duration::from_millis(3_200);
 
 /// What a replica is.
 #[derive(Clone, Debug)]
@@ -54,14 +54,14 @@
 /// Progress with one other member.
 #[derive(Debug)]
 struct Source {
-    at: service::Position,
+    position: service::Position,
     /// When a read to its end began that succeeded.
-    read: Option<Instant>,
+    read_began_at: Option<Instant>,
     synced: bool,
     retiring: bool,
-    heard: Instant,
+    last_seen: Instant,
     /// Replicas that stand by and come before this one, as it told last.
-    before: usize,
+    standbys_ahead: usize,
 }
 
 /// Copies and keeps the member list, until dropped.
@@ -78,18 +78,18 @@
     /// data, it has lost its disk.
     joined: bool,
     /// Epoch that the store's list had when this process read it last.
-    read: Option<member::Epoch>,
+    read_epoch: Option<member::Epoch>,
     /// The change by which the replica was to join, if the store did not answer it, and the epoch that
     /// it was to replace.
     unanswered: Option<member::View>,
     /// Epoch that a majority was told of, and when it had been.
     announced: Option<(member::Epoch, Instant)>,
     /// Whether the list has just changed or been announced, so that there is more to do at once.
-    hurries: bool,
+    immediate: bool,
     /// Since when too few members are heard and stay.
     short_since: Option<Instant>,
     /// When this replica was told to leave.
-    retired: Option<Instant>,
+    retiring_since: Option<Instant>,
 }
 
 impl Sync {
@@ -103,7 +103,7 @@
             client: client::Client::new(opts.faults, Vec::new()),
             founding: opts.first_start && shared.view().borrow().epoch == 0,
             joined: false,
-            read: None,
+            read_epoch: None,
             unanswered: None,
             opts,
             shared,
@@ -111,53 +111,53 @@
             sources: HashMap::new(),
             started: Instant::now(),
             announced: None,
-            hurries: false,
+            immediate: false,
             short_since: None,
-            retired: None,
+            retiring_since: None,
         }
     }
 
     /// Runs for ever.
     pub async fn run(mut self) {
-        let mut retire = self.shared.retire_told();
+        let mut retire = self.shared.retire_requests();
         self.reload().await;
         if self.is_listed() && self.shared.is_synced() {
             tracing::info!("the disk has all that a member has to know; the replica votes");
-            self.shared.let_vote(true);
+            self.shared.set_voting(true);
         }
         loop {
             if retire.borrow_and_update().contains(&self.opts.name) && !self.shared.is_retiring() {
                 tracing::info!("to be emptied: nothing new is taken");
-                self.retired = Some(Instant::now());
+                self.retiring_since = Some(Instant::now());
                 self.shared.retire();
             }
-            self.look().await;
-            if let Err(err) = self.act().await {
+            self.sync_members().await;
+            if let Err(err) = self.update_list().await {
                 tracing::info!(%err, "the member list is not changed");
-                tokio::time::sleep(self.own_pause()).await;
+                tokio::time::sleep(self.own_backoff()).await;
                 self.reload().await;
             }
             self.shared.expire(server::unix_ms()).await;
-            let pause = self.pause();
+            let pause = self.next_interval();
             let _ = tokio::time::timeout(pause, retire.changed()).await;
         }
     }
 
     /// Time until the next look.
-    fn pause(&mut self) -> Duration {
-        if std::mem::take(&mut self.hurries) {
-            LOOK_NOW
+    fn next_interval(&mut self) -> Duration {
+        if std::mem::take(&mut self.immediate) {
+            JOIN_INTERVAL
         } else if self.is_settled() {
-            LOOK
+            SYNC_INTERVAL
         } else {
-            LOOK_SOON
+            CATCH_UP_INTERVAL
         }
     }
 
     /// A pause that differs from the other replicas'.
-    fn own_pause(&self) -> Duration {
+    fn own_backoff(&self) -> Duration {
         let spread = self.opts.name.bytes().map(u32::from).sum::<u32>() % 7;
-        CHANGE * (spread + 1)
+        CHANGE_BACKOFF * (spread + 1)
     }
 
     fn is_listed(&self) -> bool {
@@ -171,7 +171,7 @@
     }
 
     fn is_founding(&self) -> bool {
-        self.founding && self.started.elapsed() < FOUNDED
+        self.founding && self.started.elapsed() < FOUNDING_END
     }
 
     fn others(&self) -> Vec<(record::ReplicaId, SocketAddr)> {
@@ -185,37 +185,37 @@
 
     /// Looks at all other members at once: a member copies from them, a replica that stands by
     /// only asks how they are.
-    async fn look(&mut self) {
-        self.note_short();
+    async fn sync_members(&mut self) {
+        self.update_shortage();
         let others = self.others();
         // One that is to leave copies nothing more, so that the others can reach its end.
         let needed = self.is_listed()
-            || self.situation(|situation| situation.decide()) != member::Next::StandBy;
+            || self.situation(|situation| situation.decide()) != member::Action::StandBy;
         let copies = needed && !self.shared.is_retiring();
-        let mut looks = Vec::new();
+        let mut syncs = Vec::new();
         for (name, addr) in others {
             let source = self.sources.remove(&name).unwrap_or_else(|| Source {
-                at: service::Position::default(),
-                read: None,
+                position: service::Position::default(),
+                read_began_at: None,
                 synced: false,
                 retiring: false,
-                heard: Instant::now(),
-                before: 0,
+                last_seen: Instant::now(),
+                standbys_ahead: 0,
             });
             let (client, shared) = (&self.client, &self.shared);
-            let me = &self.opts.name;
-            looks.push(async move {
+            let own_name = &self.opts.name;
+            syncs.push(async move {
                 let mut source = source;
                 if copies {
-                    copy(client, shared, me, addr, &mut source).await;
+                    copy(client, shared, own_name, addr, &mut source).await;
                 } else {
-                    ask(client, shared, me, addr, &mut source).await;
+                    ping_member(client, shared, own_name, addr, &mut source).await;
                 }
                 (name, source)
             });
         }
-        self.sources = join_all(looks).await.into_iter().collect();
-        self.note_short();
+        self.sources = join_all(syncs).await.into_iter().collect();
+        self.update_shortage();
     }
 
     /// Whether enough was copied since the list in force was announced.
@@ -228,7 +228,7 @@
         if epoch != view.epoch {
             return false;
         }
-        let fresh = |source: &&Source| source.read.is_some_and(|at| at >= since);
+        let fresh = |source: &&Source| source.read_began_at.is_some_and(|at| at >= since);
         let read = self.sources.values().filter(fresh);
         let whole = read.clone().filter(|source| source.synced).count();
         // If no disk is left that had everything, what the others have is all there is.
@@ -241,28 +241,34 @@
 
     fn situation<T>(&self, with: impl FnOnce(&member::Situation<'_>) -> T) -> T {
         let view = self.shared.view().borrow().clone();
-        let silence =
-            |(name, source): (&record::ReplicaId, &Source)| (name.clone(), source.heard.elapsed());
-        let silent: BTreeMap<_, _> = self.sources.iter().map(silence).collect();
+        let last_seen_ago = |(name, source): (&record::ReplicaId, &Source)| {
+            (name.clone(), source.last_seen.elapsed())
+        };
+        let last_seen_ago: BTreeMap<_, _> = self.sources.iter().map(last_seen_ago).collect();
         let leaving = self.sources.iter().filter(|(_, source)| source.retiring);
         let leaving: Vec<_> = leaving.map(|(name, _)| name.clone()).collect();
         with(&member::Situation {
             list: &view.list,
-            me: &self.opts.name,
+            own_name: &self.opts.name,
             own: &self.opts.own,
             faults: self.opts.faults,
             retiring: self.shared.is_retiring(),
             votes: self.shared.is_voting(),
             copied: self.has_copied(),
-            silent: &silent,
+            last_seen_ago: &last_seen_ago,
             leaving: &leaving,
-            before: self.sources.values().map(|s| s.before).max().unwrap_or(0),
+            standbys_ahead: self
+                .sources
+                .values()
+                .map(|s| s.standbys_ahead)
+                .max()
+                .unwrap_or(0),
             short_for: self.short_since.map_or(Duration::ZERO, |at| at.elapsed()),
         })
     }
 
     /// Notes since when there are too few members.
-    fn note_short(&mut self) {
+    fn update_shortage(&mut self) {
         let is_short = self.situation(|situation| situation.is_short());
         self.short_since = match self.short_since {
             Some(since) if is_short => Some(since),
@@ -271,8 +277,8 @@
     }
 
     /// Does what is due about the member list.
-    async fn act(&mut self) -> Result<(), member::Error> {
-        if self.founding && self.found().await? {
+    async fn update_list(&mut self) -> Result<(), member::Error> {
+        if self.founding && self.join_founding_list().await? {
             return Ok(());
         }
         if self.is_listed() && !self.shared.is_voting() && !self.shared.is_retiring() {
@@ -280,52 +286,53 @@
         }
         if !self.is_listed() && self.shared.is_synced() {
             // Without copying, what it has grows old.
-            self.shared.let_vote(false);
+            self.shared.set_voting(false);
             self.shared.mark_synced(false).await;
         }
         match self.situation(|situation| situation.decide()) {
-            member::Next::Stay | member::Next::StandBy => Ok(()),
-            member::Next::Vote => {
+            member::Action::Stay | member::Action::StandBy => Ok(()),
+            member::Action::Vote => {
                 if self.shared.mark_synced(true).await {
                     tracing::info!(
                         others = self.sources.len(),
                         "all records are copied; the replica votes"
                     );
-                    self.shared.let_vote(true);
+                    self.shared.set_voting(true);
                 }
                 Ok(())
             }
-            member::Next::Change(list) => {
+            member::Action::Change(list) => {
                 tracing::info!(from = ?self.shared.view().borrow().list.members, to = ?list.members, "the member list is to change");
-                self.replace(list).await
+                self.change_list(list).await
             }
-            member::Next::Leave(list) => self.leave(list).await,
-            member::Next::Left => self.registry.report_retired(self.opts.name.clone()).await,
+            member::Action::Leave(list) => self.leave(list).await,
+            member::Action::Left => self.registry.report_retired(self.opts.name.clone()).await,
         }
     }
 
     /// The first start of the whole system; whether it is still going on.
-    async fn found(&mut self) -> Result<bool, member::Error> {
-        if self.started.elapsed() >= FOUNDED {
+    async fn join_founding_list(&mut self) -> Result<bool, member::Error> {
+        if self.started.elapsed() >= FOUNDING_END {
             self.founding = false;
             self.reload().await;
             if self.is_listed() {
                 self.shared.mark_synced(true).await;
-                self.shared.let_vote(true);
+                self.shared.set_voting(true);
                 tracing::info!("the system is founded; the replica votes");
             }
             return Ok(false);
         }
         let view = self.shared.view().borrow().clone();
-        let full = view.list.members.len() >= member::wanted_members(self.opts.faults);
+        let full = view.list.members.len() >= member::target_members(self.opts.faults);
         let opts = &self.opts;
-        let spreads = member::spreads(&view.list, &opts.own.place, opts.faults, opts.places);
-        let may_join = spreads || self.started.elapsed() >= SPREAD;
-        if !self.is_listed() && !full && may_join && self.started.elapsed() < FOUND {
+        let improves_spread =
+            member::improves_spread(&view.list, &opts.own.place, opts.faults, opts.places);
+        let may_join = improves_spread || self.started.elapsed() >= FOUNDING_SPREAD;
+        if !self.is_listed() && !full && may_join && self.started.elapsed() < FOUNDING_JOIN {
             let mut list = view.list;
             list.members
                 .insert(self.opts.name.clone(), self.opts.own.clone());
-            self.put(view.epoch, list).await?;
+            self.swap_list(view.epoch, list).await?;
         }
         Ok(true)
     }
@@ -336,34 +343,45 @@
         if self.announced.is_some_and(|(epoch, _)| epoch == view.epoch) {
             return Ok(());
         }
-        let told = self.others().into_iter().map(|(_, addr)| {
+        let accepted = self.others().into_iter().map(|(_, addr)| {
             let view = view.clone();
             self.client.announce_members_to(addr, view)
         });
-        let told = join_all(told).await.into_iter().filter(|ok| *ok).count();
-        let told = told + usize::from(self.is_listed());
+        let accepted = join_all(accepted)
+            .await
+            .into_iter()
+            .filter(|ok| *ok)
+            .count();
+        let accepted = accepted + usize::from(self.is_listed());
         let members = view.list.members.len();
-        if members > 0 && told * 2 <= members {
+        if members > 0 && accepted * 2 <= members {
             return Err(member::Error::Unavailable {
-                message: format!("only {told} members know the list of epoch {}", view.epoch),
+                message: format!(
+                    "only {accepted} members know the list of epoch {}",
+                    view.epoch
+                ),
             });
         }
         self.announced = Some((view.epoch, Instant::now()));
-        self.hurries = true;
+        self.immediate = true;
         Ok(())
     }
 
-    async fn replace(&mut self, list: member::List) -> Result<(), member::Error> {
+    async fn change_list(&mut self, list: member::List) -> Result<(), member::Error> {
         self.announce().await?;
         let epoch = self.shared.view().borrow().epoch;
-        self.put(epoch, list).await
+        self.swap_list(epoch, list).await
     }
 
-    async fn put(&mut self, from: member::Epoch, list: member::List) -> Result<(), member::Error> {
+    async fn swap_list(
+        &mut self,
+        from: member::Epoch,
+        list: member::List,
+    ) -> Result<(), member::Error> {
         let joins = !self.is_listed() && list.members.contains_key(&self.opts.name);
         let replaced = self.registry.replace(from, list.clone()).await;
         // Since the store was read, only this process can have added the replica.
-        let is_ours = self.read.is_some_and(|read| read <= from);
+        let is_ours = self.read_epoch.is_some_and(|read| read <= from);
         if matches!(replaced, Err(member::Error::Unavailable { .. })) && joins && is_ours {
             let list = list.clone();
             self.unanswered = Some(member::View { epoch: from, list });
@@ -373,8 +391,8 @@
         // that address on the list it took itself for one that had joined, and voted on fewer copies
         // than hold all that its predecessor had accepted: a spent budget was granted again.
         self.joined |= joins;
-        self.shared.learn(member::View { epoch, list }).await;
-        self.hurries = true;
+        self.shared.update_view(member::View { epoch, list }).await;
+        self.immediate = true;
         Ok(())
     }
 
@@ -382,8 +400,10 @@
     async fn leave(&mut self, list: member::List) -> Result<(), member::Error> {
         let needed = (self.opts.faults + 1).min(list.members.len());
         let copied = self.shared.copied_by(&list);
-        let told = self.retired.map_or(Duration::ZERO, |at| at.elapsed());
-        let is_replaced = member::may_leave(&list, told, self.opts.faults);
+        let retiring_for = self
+            .retiring_since
+            .map_or(Duration::ZERO, |at| at.elapsed());
+        let is_replaced = member::may_leave(&list, retiring_for, self.opts.faults);
         if copied < needed || list.members.is_empty() || !is_replaced {
             tracing::info!(
                 copied,
@@ -393,18 +413,18 @@
             );
             return Ok(());
         }
-        self.replace(list).await
+        self.change_list(list).await
     }
 
     async fn reload(&mut self) {
         match self.registry.load().await {
             Ok(view) => {
-                self.read = Some(view.epoch);
-                self.shared.learn(view).await;
+                self.read_epoch = Some(view.epoch);
+                self.shared.update_view(view).await;
             }
             Err(err) => tracing::warn!(%err, "the member list cannot be read"),
         }
-        self.look_at_unanswered();
+        self.resolve_unanswered();
     }
 
     /// Finds out whether a change that the store did not answer has taken effect.
@@ -412,12 +432,15 @@
     /// *Failure:* a replica took a dead one's place and the answer was lost. Listed without having put
     /// itself on the list, as it seemed, it took itself for a member that had lost its disk, and would
     /// not vote before it had read the dead one: no reservation passed until that was off the list.
-    fn look_at_unanswered(&mut self) {
+    fn resolve_unanswered(&mut self) {
         let view = self.shared.view().borrow().clone();
-        let Some(asked) = self.unanswered.take_if(|asked| view.epoch > asked.epoch) else {
+        let Some(pending) = self
+            .unanswered
+            .take_if(|pending| view.epoch > pending.epoch)
+        else {
             return;
         };
-        let took_effect = view.list == asked.list;
+        let took_effect = view.list == pending.list;
         tracing::info!(
             epoch = view.epoch,
             took_effect,
@@ -428,45 +451,45 @@
 }
 
 /// Asks how a member is.
-async fn ask(
+async fn ping_member(
     client: &client::Client,
     shared: &server::Shared,
-    me: &record::ReplicaId,
+    own_name: &record::ReplicaId,
     addr: SocketAddr,
     source: &mut Source,
 ) {
-    let Some(pong) = client.ping(addr, Some(me.clone())).await else {
+    let Some(reply) = client.ping(addr, Some(own_name.clone())).await else {
         return;
     };
-    source.before = pong.standbys_ahead;
-    source.heard = Instant::now();
-    source.retiring = pong.retiring;
-    shared.learn_retire(pong.retire);
-    shared.learn(pong.view).await;
+    source.standbys_ahead = reply.standbys_ahead;
+    source.last_seen = Instant::now();
+    source.retiring = reply.retiring;
+    shared.add_retire_requests(reply.retire);
+    shared.update_view(reply.view).await;
 }
 
 /// Copies what a member has and this replica lacks.
 async fn copy(
     client: &client::Client,
     shared: &server::Shared,
-    me: &record::ReplicaId,
+    own_name: &record::ReplicaId,
     addr: SocketAddr,
     source: &mut Source,
 ) {
-    let begun = Instant::now();
+    let started = Instant::now();
     if !shared.is_voting()
-        && let Some(news) = client
-            .poll_update(addr, shared.known(), Duration::ZERO)
+        && let Some(update) = client
+            .poll_update(addr, shared.known_version(), Duration::ZERO)
             .await
     {
-        shared.keep(news.newer).await;
+        shared.store_snapshot(update.newer).await;
     }
-    if read_to_end(client, shared, me, addr, source)
+    if read_to_end(client, shared, own_name, addr, source)
         .await
         .is_some()
     {
-        source.read = Some(begun);
-        source.heard = Instant::now();
+        source.read_began_at = Some(started);
+        source.last_seen = Instant::now();
     }
 }
 
@@ -474,23 +497,23 @@
 async fn read_to_end(
     client: &client::Client,
     shared: &server::Shared,
-    me: &record::ReplicaId,
+    own_name: &record::ReplicaId,
     addr: SocketAddr,
     source: &mut Source,
 ) -> Option<()> {
     loop {
-        let page = client.list(addr, me.clone(), source.at).await?;
+        let page = client.list(addr, own_name.clone(), source.position).await?;
         source.synced = page.synced;
         source.retiring = page.retiring;
-        let (charges, wanted) = missing(shared, page.records);
+        let (charges, wanted) = missing_records(shared, page.records);
         store_all(shared, charges).await?;
-        for ids in wanted.chunks(FETCH) {
+        for ids in wanted.chunks(FETCH_BATCH) {
             let turns = client.fetch(addr, ids.to_vec()).await?;
             metrics::counter!("fw_replica_copied_total").increment(turns.len() as u64);
             let turns = turns.into_iter().map(record::Record::Turn);
             store_all(shared, turns.collect()).await?;
         }
-        source.at = page.next;
+        source.position = page.next;
         if !page.more {
             return Some(());
         }
@@ -498,7 +521,7 @@
 }
 
 /// The charges, and the ids of the turns, that are not here.
-fn missing(
+fn missing_records(
     shared: &server::Shared,
     listed: Vec<service::ListedRecord>,
 ) -> (Vec<record::Record>, Vec<record::TurnId>) {
@@ -507,7 +530,7 @@
     for listed in listed {
         match listed {
             service::ListedRecord::Turn(id) if !shared.has(&id) => turns.push(id),
-            service::ListedRecord::Charge(charge) if shared.is_news(&charge) => {
+            service::ListedRecord::Charge(charge) if shared.is_new(&charge) => {
                 charges.push(record::Record::Charge(charge));
             }
             service::ListedRecord::Turn(_) | service::ListedRecord::Charge(_) => {}
--- a/fw-replica/src/tally.rs
+++ b/fw-replica/src/tally.rs
@@ -69,7 +69,7 @@
 
     /// What to tell the members when they are asked again, if that may change the outcome: those that
     /// refused did not know settlements that others of them know.
-    pub fn again(&self, reserve: &service::Reserve) -> Option<Vec<ledger::Line>> {
+    pub fn retry_charges(&self, reserve: &service::Reserve) -> Option<Vec<ledger::Line>> {
         if self.refused == 0 {
             return None;
         }
@@ -77,16 +77,16 @@
         if !union.allows(&reserve.turn, reserve.tokens, reserve.budget) {
             return None;
         }
-        let mut known = union.lines();
-        known.retain(|line| line.turn != reserve.turn);
-        Some(known)
+        let mut charges = union.lines();
+        charges.retain(|line| line.turn != reserve.turn);
+        Some(charges)
     }
 
     /// What follows, with `members` asked of which `quorum` have to agree.
     pub fn verdict(&self, members: usize, quorum: member::Quorum) -> Verdict {
         let needed = quorum.vote;
         if self.accepted.len() >= needed {
-            return if self.agree() {
+            return if self.digests_agree() {
                 Verdict::Run
             } else {
                 Verdict::Compare
@@ -104,7 +104,7 @@
     }
 
     /// Whether those that accepted knew the same.
-    fn agree(&self) -> bool {
+    fn digests_agree(&self) -> bool {
         let mut digests = self.accepted.iter().map(|(_, digest)| digest);
         let first = digests.next();
         digests.all(|digest| Some(digest) == first)
--- a/fw-replica/src/writer.rs
+++ b/fw-replica/src/writer.rs
@@ -10,9 +10,9 @@
 use crate::{journal, record};
 
 /// Most records that share a sync. Bounds the buffer to some hundred kilobytes.
-const MOST_TOGETHER: usize = 128;
+const MAX_BATCH: usize = 128;
 /// Most records that wait for the disk; beyond that the caller is told that the disk fails.
-const MOST_WAITING: usize = 4_096;
+const MAX_QUEUED: usize = 4_096;
 
 enum Job {
     Store {
@@ -44,7 +44,7 @@
     ///
     /// When no thread can be started.
     pub fn start(journal: journal::Journal) -> std::io::Result<Self> {
-        let (jobs, rx) = mpsc::channel(MOST_WAITING);
+        let (jobs, rx) = mpsc::channel(MAX_QUEUED);
         thread::Builder::new()
             .name("journal".to_owned())
             .stack_size(128 << 10)
@@ -69,8 +69,8 @@
 }
 
 fn run(mut journal: journal::Journal, mut jobs: mpsc::Receiver<Job>) {
-    let mut batch = Vec::with_capacity(MOST_TOGETHER);
-    while jobs.blocking_recv_many(&mut batch, MOST_TOGETHER) > 0 {
+    let mut batch = Vec::with_capacity(MAX_BATCH);
+    while jobs.blocking_recv_many(&mut batch, MAX_BATCH) > 0 {
         let mut records = Vec::with_capacity(batch.len());
         let mut waiting = Vec::with_capacity(batch.len());
         for job in batch.drain(..) {
--- a/fw-replica/tests/replica/absent_turns.rs
+++ b/fw-replica/tests/replica/absent_turns.rs
@@ -18,9 +18,9 @@
 async fn nobody_is_certain_towards_an_older_list() {
     let dir = tempfile::tempdir().unwrap();
     let shared = server::Shared::open(dir.path(), server::Options::default()).unwrap();
-    shared.let_vote(true);
+    shared.set_voting(true);
     let list = member::List::default();
-    shared.learn(member::View { epoch: 2, list }).await;
+    shared.update_view(member::View { epoch: 2, list }).await;
     let server = server::Server(shared);
     expect_true!(asked(&server, 2).await.certain);
     expect_true!(asked(&server, 3).await.certain);
--- a/fw-replica/tests/replica/budget_ledger.rs
+++ b/fw-replica/tests/replica/budget_ledger.rs
@@ -69,7 +69,7 @@
             settled: true,
             made: 1,
         };
-        expect_true!(state.is_news(&charge));
+        expect_true!(state.is_new(&charge));
     }
 }
 
@@ -80,11 +80,11 @@
     let mut state = State::new(1);
     let charges = state.reserve(&reserve("t", Vec::new()), 1).unwrap();
     let charge = charges[0].clone();
-    expect_false!(state.is_news(&charge));
-    state.not_stored(charge.clone());
-    expect_true!(state.is_news(&charge));
+    expect_false!(state.is_new(&charge));
+    state.mark_unstored(charge.clone());
+    expect_true!(state.is_new(&charge));
     state.apply(&record::Record::Charge(charge.clone()), PLACE);
-    expect_false!(state.is_news(&charge));
+    expect_false!(state.is_new(&charge));
 }
 
 // Too few replicas answer an entry, which asks again for its turn. Meanwhile the replicas have copied
--- a/fw-replica/tests/replica/budget_model.rs
+++ b/fw-replica/tests/replica/budget_model.rs
@@ -25,7 +25,7 @@
     assert!(!more, "the model reads one page only");
     for listed in listed {
         match listed {
-            service::ListedRecord::Charge(charge) if to.is_news(&charge) => store(to, charge),
+            service::ListedRecord::Charge(charge) if to.is_new(&charge) => store(to, charge),
             _ => {}
         }
     }
--- a/fw-replica/tests/replica/budget_power.rs
+++ b/fw-replica/tests/replica/budget_power.rs
@@ -34,7 +34,7 @@
 
     /// Stores what says anything new, as a settlement or a copy does.
     fn offer(&mut self, charge: record::Charge) {
-        if self.state.is_news(&charge) {
+        if self.state.is_new(&charge) {
             self.store(charge);
         }
     }
--- a/fw-replica/tests/replica/budget_races.rs
+++ b/fw-replica/tests/replica/budget_races.rs
@@ -143,7 +143,7 @@
     }
 
     fn offer(&mut self, charge: record::Charge) {
-        if self.state.is_news(&charge) {
+        if self.state.is_new(&charge) {
             self.store(charge);
         }
     }
@@ -167,7 +167,7 @@
 
 impl Model {
     fn new(seed: u64) -> Self {
-        let members = member::wanted_members(FAULTS);
+        let members = member::target_members(FAULTS);
         let replicas = (0..MACHINES).map(|at| Replica {
             votes: at < members,
             ..Replica::start(at as u64, Vec::new())
@@ -303,7 +303,7 @@
         let asked = &mut self.turns[turn];
         // As the client does: once more at once if that can change the outcome.
         if asked.known.is_empty()
-            && let Some(known) = asked.tally.again(&reserve)
+            && let Some(known) = asked.tally.retry_charges(&reserve)
         {
             asked.known = known;
             return self.ask(turn);
@@ -530,7 +530,7 @@
         let (epoch, list) = self.newest();
         let dead = list.iter().copied().find(|at| !self.replicas[*at].alive);
         let spare = (0..MACHINES).find(|at| !list.contains(at) && self.replicas[*at].alive);
-        let wanted = member::wanted_members(FAULTS);
+        let wanted = member::target_members(FAULTS);
         let live = list.iter().filter(|at| self.replicas[**at].alive).count();
         let next = match (dead, spare) {
             (Some(dead), _) if list.len() > wanted => {
--- a/fw-replica/tests/replica/journal_machine.rs
+++ b/fw-replica/tests/replica/journal_machine.rs
@@ -88,9 +88,9 @@
             Step::Pass { seconds } => {
                 model.now += u64::from(*seconds);
                 let now = model.now;
-                let keep = (KEEP + record::KEEP_SLACK).as_secs();
+                let keep = (KEEP + record::RETENTION_SLACK).as_secs();
                 model.turns.retain(|_, (ended, _)| *ended + keep > now);
-                let keep = record::KEEP_CHARGE.as_secs();
+                let keep = record::CHARGE_RETENTION.as_secs();
                 model
                     .programs
                     .retain(|_, (_, charged)| *charged + keep > now);
@@ -127,7 +127,9 @@
 
 fn opts() -> server::Options {
     server::Options {
-        journal: journal::Options { segment: SEGMENT },
+        journal: journal::Options {
+            segment_bytes: SEGMENT,
+        },
         ..server::Options::default()
     }
 }
@@ -185,7 +187,7 @@
                     epoch: model.epoch,
                     list: member::List::default(),
                 };
-                replica.runtime.block_on(shared.learn(view))
+                replica.runtime.block_on(shared.update_view(view))
             }
             Step::Synced(synced) => replica.runtime.block_on(shared.mark_synced(synced)),
             Step::Pass { .. } => {
--- a/fw-replica/tests/replica/journal_segments.rs
+++ b/fw-replica/tests/replica/journal_segments.rs
@@ -15,7 +15,9 @@
 
 fn opts() -> server::Options {
     server::Options {
-        journal: journal::Options { segment: SEGMENT },
+        journal: journal::Options {
+            segment_bytes: SEGMENT,
+        },
         ..server::Options::default()
     }
 }
@@ -99,13 +101,13 @@
         as_of: 3,
         bytes: "b".into(),
     };
-    assert!(replica.learn(view.clone()).await);
+    assert!(replica.update_view(view.clone()).await);
     assert!(replica.mark_synced(true).await);
     let bulletins = service::Snapshot {
         config: Some(bulletin.clone()),
         upstreams: Some(bulletin),
     };
-    replica.keep(bulletins.clone()).await;
+    replica.store_snapshot(bulletins.clone()).await;
     store_turns(&replica, 0..20, START).await;
     expire(&replica, LATER).await;
     expect_that!(dir.path().join("records-00000001.log").exists(), eq(false));
@@ -113,7 +115,7 @@
     let replica = open(dir.path());
     expect_that!(*replica.view().borrow(), eq(&view));
     expect_that!(replica.is_synced(), eq(true));
-    expect_that!(replica.bulletins(), eq(&bulletins));
+    expect_that!(replica.snapshot(), eq(&bulletins));
 }
 
 #[gtest]
--- a/fw-replica/tests/replica/list_change.rs
+++ b/fw-replica/tests/replica/list_change.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use fw_replica::member::{
-    LETS_BY, List, Member, Next, SILENT_FOR, SUCCESSOR, Situation, may_leave, needed_sources,
-    spreads,
+    Action, List, Member, REMOVE_AFTER, STANDBY_STAGGER, SUCCESSOR_TIMEOUT, Situation,
+    improves_spread, may_leave, needed_sources,
 };
 use fw_replica::record::ReplicaId;
 use googletest::prelude::*;
@@ -57,18 +57,18 @@
         }
     }
 
-    fn decide(&self) -> Next {
+    fn decide(&self) -> Action {
         let situation = Situation {
             list: &self.list,
-            me: &self.me,
+            own_name: &self.me,
             own: &self.own,
             faults: 1,
             retiring: self.retiring,
             votes: self.votes,
             copied: self.copied,
-            silent: &self.silent,
+            last_seen_ago: &self.silent,
             leaving: &self.leaving,
-            before: self.before,
+            standbys_ahead: self.before,
             short_for: self.short_for,
         };
         situation.decide()
@@ -79,13 +79,13 @@
 fn stands_by_while_there_are_enough() {
     let mut case = Case::new(&["a", "b", "c"], "d");
     case.votes = false;
-    expect_that!(case.decide(), eq(&Next::StandBy));
+    expect_that!(case.decide(), eq(&Action::StandBy));
     // One is to be taken away, or has been silent: it is needed.
     case.leaving = vec!["b".into()];
-    expect_that!(case.decide(), matches_pattern!(Next::Change(_)));
+    expect_that!(case.decide(), matches_pattern!(Action::Change(_)));
     case.leaving.clear();
     case.silent.insert("c".into(), Duration::from_secs(3));
-    expect_that!(case.decide(), matches_pattern!(Next::Change(_)));
+    expect_that!(case.decide(), matches_pattern!(Action::Change(_)));
 }
 
 #[gtest]
@@ -93,9 +93,9 @@
     let mut case = Case::new(&["a", "b", "c"], "c");
     case.votes = false;
     case.copied = false;
-    expect_that!(case.decide(), eq(&Next::Stay));
+    expect_that!(case.decide(), eq(&Action::Stay));
     case.copied = true;
-    expect_that!(case.decide(), eq(&Next::Vote));
+    expect_that!(case.decide(), eq(&Action::Vote));
 }
 
 #[gtest]
@@ -103,14 +103,14 @@
     // A member is silent. With three of three it must stay listed: its absence does not make two
     // a majority of two. With a fourth that has taken its place it goes, and one removes it.
     let mut case = Case::new(&["a", "b", "c"], "a");
-    case.silent.insert("b".into(), SILENT_FOR);
-    expect_that!(case.decide(), eq(&Next::Stay));
+    case.silent.insert("b".into(), REMOVE_AFTER);
+    expect_that!(case.decide(), eq(&Action::Stay));
     let mut case = Case::new(&["a", "b", "c", "d"], "a");
-    case.silent.insert("b".into(), SILENT_FOR);
-    expect_that!(case.decide(), eq(&Next::Change(case.without("b"))));
+    case.silent.insert("b".into(), REMOVE_AFTER);
+    expect_that!(case.decide(), eq(&Action::Change(case.without("b"))));
     let mut case = Case::new(&["a", "b", "c", "d"], "c");
-    case.silent.insert("b".into(), SILENT_FOR);
-    expect_that!(case.decide(), eq(&Next::Stay));
+    case.silent.insert("b".into(), REMOVE_AFTER);
+    expect_that!(case.decide(), eq(&Action::Stay));
 }
 
 impl Case {
@@ -125,11 +125,11 @@
 fn tells_a_new_address_and_leaves_when_asked() {
     let mut case = Case::new(&["a", "b", "c"], "b");
     case.own = member(77);
-    expect_that!(case.decide(), matches_pattern!(Next::Change(_)));
+    expect_that!(case.decide(), matches_pattern!(Action::Change(_)));
     case.retiring = true;
-    expect_that!(case.decide(), eq(&Next::Leave(case.without("b"))));
+    expect_that!(case.decide(), eq(&Action::Leave(case.without("b"))));
     case.list = case.without("b");
-    expect_that!(case.decide(), eq(&Next::Left));
+    expect_that!(case.decide(), eq(&Action::Left));
 }
 
 #[gtest]
@@ -145,9 +145,9 @@
 #[gtest]
 fn spreads_over_data_centres_at_first() {
     let full = list(&["a", "b"]);
-    expect_false!(spreads(&full, &"a".into(), 1, 3));
-    expect_true!(spreads(&full, &"b".into(), 1, 3));
-    expect_true!(spreads(&full, &"a".into(), 2, 1));
+    expect_false!(improves_spread(&full, &"a".into(), 1, 3));
+    expect_true!(improves_spread(&full, &"b".into(), 1, 3));
+    expect_true!(improves_spread(&full, &"a".into(), 2, 1));
 }
 
 // A cut takes a third of the machines: of thirty replicas that stand by, nearly all hear too few members.
@@ -156,13 +156,13 @@
 #[gtest]
 fn lets_those_that_stand_by_before_it_go_first() {
     let mut case = Case::new(&["a", "b", "c"], "d");
-    case.silent = [("a".into(), SILENT_FOR)].into();
-    expect_that!(case.decide(), matches_pattern!(Next::Change(anything())));
+    case.silent = [("a".into(), REMOVE_AFTER)].into();
+    expect_that!(case.decide(), matches_pattern!(Action::Change(anything())));
     case.before = 2;
-    case.short_for = LETS_BY;
-    expect_that!(case.decide(), eq(&Next::StandBy));
-    case.short_for = LETS_BY * 2;
-    expect_that!(case.decide(), matches_pattern!(Next::Change(anything())));
+    case.short_for = STANDBY_STAGGER;
+    expect_that!(case.decide(), eq(&Action::StandBy));
+    case.short_for = STANDBY_STAGGER * 2;
+    expect_that!(case.decide(), matches_pattern!(Action::Change(anything())));
 }
 
 // One of three members is to be taken away. It left when the two others had copied everything, just
@@ -172,5 +172,5 @@
 fn leaves_only_once_another_has_its_place() {
     expect_false!(may_leave(&list(&["a", "b"]), Duration::ZERO, 1));
     expect_true!(may_leave(&list(&["a", "b", "d"]), Duration::ZERO, 1));
-    expect_true!(may_leave(&list(&["a", "b"]), SUCCESSOR, 1));
+    expect_true!(may_leave(&list(&["a", "b"]), SUCCESSOR_TIMEOUT, 1));
 }
--- a/fw-replica/tests/replica/store_news.rs
+++ b/fw-replica/tests/replica/store_news.rs
@@ -43,26 +43,30 @@
         upstreams: part(6),
         ..Snapshot::default()
     };
-    expect_false!(replica.post(post(6, marks, upstreams)).await.is_complete);
-    let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
+    expect_false!(replica.publish(post(6, marks, upstreams)).await.is_complete);
+    let news = replica
+        .poll_update(KnownVersion::default(), Duration::ZERO)
+        .await;
     expect_that!(news.last_read, none());
     expect_true!(
         replica
-            .post(post(6, marks, whole.clone()))
+            .publish(post(6, marks, whole.clone()))
             .await
             .is_complete
     );
-    let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
+    let news = replica
+        .poll_update(KnownVersion::default(), Duration::ZERO)
+        .await;
     expect_that!(news.last_read.unwrap().as_of, eq(6));
     expect_that!(news.newer, eq(&whole));
     // That nothing has changed is news too.
     let same = post(9, marks, Snapshot::default());
-    expect_true!(replica.post(same).await.is_complete);
+    expect_true!(replica.publish(same).await.is_complete);
     let known = KnownVersion {
         as_of: 6,
         digests: marks,
     };
-    let news = replica.news(known, Duration::ZERO).await;
+    let news = replica.poll_update(known, Duration::ZERO).await;
     expect_that!(news.last_read.unwrap().as_of, eq(9));
     expect_that!(news.newer, eq(&Snapshot::default()));
 }
@@ -82,11 +86,11 @@
     let begun = tokio::time::Instant::now();
     let waits = async {
         let news = replica
-            .news(KnownVersion::default(), Duration::from_secs(60))
+            .poll_update(KnownVersion::default(), Duration::from_secs(60))
             .await;
         (news, begun.elapsed())
     };
-    let ((news, waited), learned) = tokio::join!(waits, replica.learn(view.clone()));
+    let ((news, waited), learned) = tokio::join!(waits, replica.update_view(view.clone()));
     expect_that!(learned, eq(true));
     expect_that!(news.view, eq(&view));
     expect_that!(waited, lt(Duration::from_secs(60)));
@@ -109,17 +113,17 @@
     let old = upstreams(6, "x, y");
     expect_true!(
         replica
-            .post(post(6, old.digests(), old.clone()))
+            .publish(post(6, old.digests(), old.clone()))
             .await
             .is_complete
     );
     let new = upstreams(6, "y");
     // A post that says only that nothing has changed does not prove another list.
     let unchanged = post(9, new.digests(), Snapshot::default());
-    expect_false!(replica.post(unchanged).await.is_complete);
+    expect_false!(replica.publish(unchanged).await.is_complete);
     expect_true!(
         replica
-            .post(post(6, new.digests(), new.clone()))
+            .publish(post(6, new.digests(), new.clone()))
             .await
             .is_complete
     );
@@ -127,7 +131,7 @@
         as_of: 6,
         digests: old.digests(),
     };
-    let news = replica.news(known, Duration::ZERO).await;
+    let news = replica.poll_update(known, Duration::ZERO).await;
     expect_that!(news.newer, eq(&new));
     expect_that!(news.digests, eq(new.digests()));
 }
@@ -139,11 +143,13 @@
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
     let (old, new) = (upstreams(6, "x, y"), upstreams(8, "y"));
-    let first = replica.post(post(8, new.digests(), new.clone()));
-    let second = replica.post(post(6, old.digests(), old.clone()));
+    let first = replica.publish(post(8, new.digests(), new.clone()));
+    let second = replica.publish(post(6, old.digests(), old.clone()));
     tokio::join!(first, second);
-    expect_that!(replica.bulletins(), eq(&new));
-    let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
+    expect_that!(replica.snapshot(), eq(&new));
+    let news = replica
+        .poll_update(KnownVersion::default(), Duration::ZERO)
+        .await;
     expect_that!(news.last_read.unwrap().as_of, eq(8));
 }
 
@@ -154,13 +160,13 @@
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
     let (old, new) = (upstreams(6, "x, y"), upstreams(8, "y"));
-    let first = replica.post(post(6, old.digests(), old.clone()));
-    let second = replica.post(post(8, new.digests(), new.clone()));
+    let first = replica.publish(post(6, old.digests(), old.clone()));
+    let second = replica.publish(post(8, new.digests(), new.clone()));
     tokio::join!(first, second);
-    expect_that!(replica.bulletins(), eq(&new));
+    expect_that!(replica.snapshot(), eq(&new));
     drop(replica);
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
-    expect_that!(replica.bulletins(), eq(&new));
+    expect_that!(replica.snapshot(), eq(&new));
 }
 
 // Guards against an asker that is told at once, again and again, what it does not take.
@@ -170,14 +176,14 @@
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
     let old = upstreams(6, "x, y");
-    replica.post(post(6, old.digests(), old.clone())).await;
+    replica.publish(post(6, old.digests(), old.clone())).await;
     let known = KnownVersion {
         as_of: 7,
         digests: upstreams(7, "y").digests(),
     };
     let begun = std::time::Instant::now();
     let wait = Duration::from_millis(30);
-    let news = replica.news(known, wait).await;
+    let news = replica.poll_update(known, wait).await;
     expect_that!(news.newer, eq(&Snapshot::default()));
     expect_that!(begun.elapsed(), ge(wait));
 }
@@ -190,7 +196,9 @@
 }
 
 async fn asked_ago(replica: &Shared) -> Option<Duration> {
-    let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
+    let news = replica
+        .poll_update(KnownVersion::default(), Duration::ZERO)
+        .await;
     news.last_read.unwrap().asked
 }
 
@@ -201,21 +209,23 @@
 async fn a_post_is_as_old_as_the_moment_before_its_read() {
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
-    let before = replica.post(read(5, None)).await.now;
+    let before = replica.publish(read(5, None)).await.now;
     expect_that!(asked_ago(&replica).await, none());
     let late = ClockReading {
         at: before.at.saturating_sub(Duration::from_secs(9)),
         ..before
     };
-    replica.post(read(6, Some(late))).await;
+    replica.publish(read(6, Some(late))).await;
     let age = asked_ago(&replica).await.unwrap();
     expect_that!(age, ge(Duration::from_secs(9)));
-    replica.post(read(7, Some(before))).await;
+    replica.publish(read(7, Some(before))).await;
     let age = asked_ago(&replica).await.unwrap();
     expect_that!(age, lt(Duration::from_secs(9)));
     // An older one that comes after it takes nothing back.
-    replica.post(read(6, Some(late))).await;
-    let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
+    replica.publish(read(6, Some(late))).await;
+    let news = replica
+        .poll_update(KnownVersion::default(), Duration::ZERO)
+        .await;
     expect_that!(news.last_read.unwrap().as_of, eq(7));
     expect_that!(
         asked_ago(&replica).await.unwrap(),
@@ -229,9 +239,9 @@
 async fn a_moment_of_a_former_start_proves_nothing() {
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
-    let before = replica.post(read(5, None)).await.now;
+    let before = replica.publish(read(5, None)).await.now;
     let other = ClockReading { run: 2, ..before };
-    replica.post(read(6, Some(other))).await;
+    replica.publish(read(6, Some(other))).await;
     expect_that!(asked_ago(&replica).await, none());
 }
 
@@ -242,16 +252,18 @@
     let dir = tempfile::tempdir().unwrap();
     let replica = Shared::open(dir.path(), server::Options::default()).unwrap();
     let steady = async || {
-        let news = replica.news(KnownVersion::default(), Duration::ZERO).await;
+        let news = replica
+            .poll_update(KnownVersion::default(), Duration::ZERO)
+            .await;
         news.reads
     };
-    let now = replica.post(read(5, None)).await.now;
+    let now = replica.publish(read(5, None)).await.now;
     expect_that!(steady().await, none());
     let other_start = ClockReading { run: 2, ..now };
-    replica.post(read(6, Some(other_start))).await;
+    replica.publish(read(6, Some(other_start))).await;
     expect_that!(steady().await, none());
-    replica.post(read(7, Some(now))).await;
-    replica.post(read(8, Some(now))).await;
+    replica.publish(read(7, Some(now))).await;
+    replica.publish(read(8, Some(now))).await;
     let reads = steady().await.unwrap();
     expect_that!(reads.first, ge(reads.last));
 }
