--- a/fw-replica/src/client/mod.rs
+++ b/fw-replica/src/client/mod.rs
@@ -41,7 +41,7 @@
         budget: record::Tokens,
     },
     /// The turn was not stored, or its retention is over.
-    #[snafu(display("no turn `{turn}` is known"))]
+    #[snafu(display("turn `{turn}` is unknown"))]
     UnknownTurn {
         /// The missing turn.
         turn: record::TurnId,
@@ -146,7 +146,7 @@
         if retire.contains(&replica) {
             return;
         }
-        tracing::info!(%replica, "the operator wants a replica emptied");
+        tracing::info!(%replica, "the operator wants a replica retired");
         retire.push(replica);
         drop(retire);
         self.announce_members();
--- a/fw-replica/src/journal/files.rs
+++ b/fw-replica/src/journal/files.rs
@@ -181,12 +181,12 @@
     let mut options = File::options();
     let options = options.read(true).write(true).create(true).truncate(true);
     let mut file = options.open(&unnamed).context(IoSnafu {
-        what: "make a segment of",
+        what: "create a segment of",
     })?;
     file.write_all(head).context(IoSnafu { what: "write" })?;
     file.sync_all().context(IoSnafu { what: "sync" })?;
     std::fs::rename(&unnamed, path(dir, segment)).context(IoSnafu {
-        what: "name a segment of",
+        what: "rename a segment of",
     })?;
     Ok(file)
 }
--- a/fw-replica/src/journal/mod.rs
+++ b/fw-replica/src/journal/mod.rs
@@ -155,7 +155,7 @@
             && let Err(err) = self.rotate()
         {
             // A disk that refuses a new file may still accept writes to the current one.
-            tracing::warn!(%err, segment = self.current, "the segment is not followed by a new one");
+            tracing::warn!(%err, segment = self.current, "a new journal segment could not be created");
         }
         let (frames, places) = self.encode_all(records);
         self.write(&frames)?;
@@ -210,7 +210,8 @@
         let place = |record| {
             let at = self.end + frames.len() as u32 + frame::HEADER_LEN;
             let encoded = encode(record, &mut frames);
-            let len = encoded.inspect_err(|err| tracing::error!(%err, "a record is not encoded"));
+            let len =
+                encoded.inspect_err(|err| tracing::error!(%err, "a record could not be encoded"));
             Some(Place {
                 segment: self.current,
                 at,
--- a/fw-replica/src/links.rs
+++ b/fw-replica/src/links.rs
@@ -136,7 +136,7 @@
             .collect();
         while let Some((peer, stream)) = dials.next().await {
             if let Some(stream) = stream {
-                tracing::info!(%addr, %peer, "a replica is reached by way of another entry");
+                tracing::info!(%addr, %peer, "a replica is reached through a relay");
                 metrics::counter!("fw_replica_detours_total").increment(1);
                 return Some(stream);
             }
--- a/fw-replica/src/record.rs
+++ b/fw-replica/src/record.rs
@@ -19,8 +19,8 @@
 /// A count of model tokens.
 pub type Tokens = u64;
 
-/// Retention of a charge. A stopped program may return within the retention of its turns; three
-/// times the longest seen (60 s) leaves room for clock differences.
+/// Retention of a charge. A stopped program may return within the retention of its turns; twice
+/// the longest seen (60 s) leaves room for clock differences.
 pub const CHARGE_RETENTION: Duration = Duration::from_secs(180);
 /// Additional retention of turns, for clock differences.
 pub const RETENTION_SLACK: Duration = Duration::from_secs(60);
--- a/fw-replica/src/relay.rs
+++ b/fw-replica/src/relay.rs
@@ -90,7 +90,7 @@
     let port = u16::from_be_bytes([high, low]);
     let addr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(a, b, c, d), port));
     if version != VERSION || !client.is_member(addr) {
-        tracing::warn!(%addr, "asked to pass a connection on to what is no replica");
+        tracing::warn!(%addr, "refused to relay a connection to an address that is not a replica's");
         return None;
     }
     let mut to = dial(addr).await?;
--- a/fw-replica/src/server/mod.rs
+++ b/fw-replica/src/server/mod.rs
@@ -261,13 +261,13 @@
             Ok(charges) => charges,
             Err(err) => {
                 metrics::counter!("fw_replica_disk_errors_total").increment(1);
-                tracing::error!(%err, segment, "a segment cannot be read");
+                tracing::error!(%err, segment, "a journal segment cannot be read");
                 return;
             }
         };
         let carried = charges.len();
         if self.carry(charges).await && self.writer.remove(segment).await {
-            tracing::info!(segment, carried, "a segment was kept long enough");
+            tracing::info!(segment, carried, "an expired journal segment was removed");
         }
     }
 
@@ -304,7 +304,7 @@
         match self.files.read(place) {
             Ok(record::Record::Turn(turn)) => Some(turn),
             Ok(_) => {
-                tracing::error!(%turn, "the index names a record that is no turn");
+                tracing::error!(%turn, "the index refers to a record that is not a turn");
                 None
             }
             Err(err) => {
--- a/fw-replica/src/sync.rs
+++ b/fw-replica/src/sync.rs
@@ -122,18 +122,18 @@
         let mut retire = self.shared.retire_requests();
         self.reload().await;
         if self.is_listed() && self.shared.is_synced() {
-            tracing::info!("the disk has all that a member has to know; the replica votes");
+            tracing::info!("all records are on disk; the replica votes");
             self.shared.set_voting(true);
         }
         loop {
             if retire.borrow_and_update().contains(&self.opts.name) && !self.shared.is_retiring() {
-                tracing::info!("to be emptied: nothing new is taken");
+                tracing::info!("this replica is being retired; no new records are accepted");
                 self.retiring_since = Some(Instant::now());
                 self.shared.retire();
             }
             self.sync_members().await;
             if let Err(err) = self.update_list().await {
-                tracing::info!(%err, "the member list is not changed");
+                tracing::info!(%err, "the member list could not be changed");
                 tokio::time::sleep(self.own_backoff()).await;
                 self.reload().await;
             }
@@ -301,7 +301,7 @@
                 Ok(())
             }
             member::Action::Change(list) => {
-                tracing::info!(from = ?self.shared.view().borrow().list.members, to = ?list.members, "the member list is to change");
+                tracing::info!(from = ?self.shared.view().borrow().list.members, to = ?list.members, "changing the member list");
                 self.change_list(list).await
             }
             member::Action::Leave(list) => self.leave(list).await,
@@ -317,7 +317,7 @@
             if self.is_listed() {
                 self.shared.mark_synced(true).await;
                 self.shared.set_voting(true);
-                tracing::info!("the system is founded; the replica votes");
+                tracing::info!("the first start is complete; the replica votes");
             }
             return Ok(false);
         }
@@ -356,7 +356,7 @@
         if members > 0 && accepted * 2 <= members {
             return Err(member::Error::Unavailable {
                 message: format!(
-                    "only {accepted} members know the list of epoch {}",
+                    "only {accepted} members refuse lists older than epoch {}",
                     view.epoch
                 ),
             });
@@ -446,7 +446,7 @@
         tracing::info!(
             epoch = view.epoch,
             took_effect,
-            "a change of the member list was not answered"
+            "the store had not answered a change of the member list"
         );
         self.joined |= took_effect;
     }
--- a/fw-replica/src/writer.rs
+++ b/fw-replica/src/writer.rs
@@ -96,7 +96,7 @@
         Ok(()) => true,
         Err(err) => {
             count_error();
-            tracing::error!(%err, segment, "a segment is not removed");
+            tracing::error!(%err, segment, "a journal segment could not be removed");
             false
         }
     }
