--- a/fw-replica/tests/replica/absent_turns.rs
+++ b/fw-replica/tests/replica/absent_turns.rs
@@ -4,7 +4,7 @@
 use fw_replica::{member, server, service};
 use googletest::prelude::*;
 
-async fn asked(server: &server::Server, epoch: member::Epoch) -> service::Chain {
+async fn request_chain(server: &server::Server, epoch: member::Epoch) -> service::Chain {
     let cx = tarpc::context::current();
     server.clone().chain(cx, epoch, "t".into()).await
 }
@@ -15,14 +15,14 @@
 // that there was no such turn, though it was stored on as many disks as it should.
 #[gtest]
 #[tokio::test]
-async fn nobody_is_certain_towards_an_older_list() {
+async fn absence_is_not_certain_for_an_outdated_list() {
     let dir = tempfile::tempdir().unwrap();
     let shared = server::Shared::open(dir.path(), server::Options::default()).unwrap();
     shared.set_voting(true);
     let list = member::List::default();
     shared.update_view(member::View { epoch: 2, list }).await;
     let server = server::Server(shared);
-    expect_true!(asked(&server, 2).await.certain);
-    expect_true!(asked(&server, 3).await.certain);
-    expect_false!(asked(&server, 1).await.certain);
+    expect_true!(request_chain(&server, 2).await.certain);
+    expect_true!(request_chain(&server, 3).await.certain);
+    expect_false!(request_chain(&server, 1).await.certain);
 }
--- a/fw-replica/tests/replica/budget_ledger.rs
+++ b/fw-replica/tests/replica/budget_ledger.rs
@@ -76,7 +76,7 @@
 // The disk refuses a charge for a moment. The replica does not grant the reservation, but counts
 // the charge in memory, and must still copy it from those that have it on disk.
 #[gtest]
-fn a_charge_that_the_disk_refused_is_still_news() {
+fn a_charge_that_the_disk_refused_is_still_new() {
     let mut state = State::new(1);
     let charges = state.reserve(&reserve("t", Vec::new()), 1).unwrap();
     let charge = charges[0].clone();
--- a/fw-replica/tests/replica/budget_power.rs
+++ b/fw-replica/tests/replica/budget_power.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    fn ask(&mut self, turn: u64, known: &[ledger::Line]) -> Round {
+    fn request(&mut self, turn: u64, known: &[ledger::Line]) -> Round {
         let reserve = service::Reserve {
             program: "p".into(),
             turn: turn.to_string().into(),
@@ -148,12 +148,12 @@
 
     /// One turn; returns what it handed out.
     fn turn(&mut self, turn: u64) -> u64 {
-        let mut round = self.ask(turn, &[]);
+        let mut round = self.request(turn, &[]);
         if !round.refused.is_empty() {
             // The entry asks again with what those that refused know together.
             let mut known = ledger::Ledger::union(&round.refused).lines();
             known.retain(|line| line.turn.as_str() != turn.to_string());
-            round = self.ask(turn, &known);
+            round = self.request(turn, &known);
         }
         let accepted = round.accepted.iter();
         let known = accepted.flat_map(|at| self.replicas[*at].state.ledger(&"p".into()));
@@ -180,7 +180,7 @@
     }
 
     /// Two replicas look at each other's lists.
-    fn look(&mut self) {
+    fn sync(&mut self) {
         let (one, other) = (
             self.rng.random_range(0..REPLICAS),
             self.rng.random_range(0..REPLICAS),
@@ -198,7 +198,7 @@
             model.lose_power();
         }
         if model.rng.random_bool(0.5) {
-            model.look();
+            model.sync();
         }
         handed += model.turn(turn);
     }
--- a/fw-replica/tests/replica/budget_races.rs
+++ b/fw-replica/tests/replica/budget_races.rs
@@ -15,14 +15,14 @@
 const MOST: u64 = 30;
 const STEPS: usize = 800;
 /// Turns under way at once.
-const RACING: usize = 4;
+const MAX_CONCURRENT: usize = 4;
 /// Messages that may overtake the one sent first.
-const OVERTAKES: usize = 12;
+const MAX_OVERTAKES: usize = 12;
 /// Times that an entry asks for one turn while too few can say.
-const ROUNDS: u32 = 4;
+const MAX_ROUNDS: u32 = 4;
 
-type At = usize;
-type TurnNo = usize;
+type ReplicaIndex = usize;
+type TurnIndex = usize;
 
 /// A replica: what it knows, and what of it is on disk.
 struct Replica {
@@ -42,56 +42,63 @@
 struct Joining {
     announced: bool,
     lost_disk: bool,
-    read: Vec<At>,
+    read: Vec<ReplicaIndex>,
 }
 
 /// What is on its way.
 enum Event {
     /// An entry's question reaches a replica.
-    Ask {
-        turn: TurnNo,
+    Request {
+        turn: TurnIndex,
         round: u32,
-        at: At,
+        at: ReplicaIndex,
         epoch: member::Epoch,
         known: Vec<ledger::Line>,
     },
     /// The disk has what a replica accepted.
     Stored {
-        turn: TurnNo,
+        turn: TurnIndex,
         round: u32,
-        at: At,
+        at: ReplicaIndex,
         run: u64,
         granted: state::Granted,
     },
     /// A replica's answer reaches the entry.
     Accepted {
-        turn: TurnNo,
+        turn: TurnIndex,
         round: u32,
-        from: At,
+        from: ReplicaIndex,
         digest: u64,
     },
     Refused {
-        turn: TurnNo,
+        turn: TurnIndex,
         round: u32,
         known: Vec<ledger::Line>,
     },
     /// The entry waits no longer.
-    Late { turn: TurnNo, round: u32 },
+    Late { turn: TurnIndex, round: u32 },
     /// The entry's question for a ledger reaches a replica.
-    Read { turn: TurnNo, round: u32, at: At },
+    Read {
+        turn: TurnIndex,
+        round: u32,
+        at: ReplicaIndex,
+    },
     /// The turn's answer ends.
-    End { turn: TurnNo, used: u64 },
+    End { turn: TurnIndex, used: u64 },
     /// A settlement reaches a replica.
-    Settle { at: At, charge: record::Charge },
+    Settle {
+        at: ReplicaIndex,
+        charge: record::Charge,
+    },
 }
 
 /// A turn, as its entry sees it.
 struct Turn {
     round: u32,
     epoch: member::Epoch,
-    members: Vec<At>,
+    members: Vec<ReplicaIndex>,
     known: Vec<ledger::Line>,
-    tally: tally::Tally<At>,
+    tally: tally::Tally<ReplicaIndex>,
     left: usize,
     /// Ledgers to read yet, and what was read.
     reads: Option<(usize, Vec<ledger::Line>)>,
@@ -102,7 +109,7 @@
     rng: Pcg64,
     replicas: Vec<Replica>,
     /// The lists of all epochs, as the platform's store had them.
-    lists: BTreeMap<member::Epoch, Vec<At>>,
+    lists: BTreeMap<member::Epoch, Vec<ReplicaIndex>>,
     events: Vec<Event>,
     turns: Vec<Turn>,
     runs: u64,
@@ -184,12 +191,12 @@
         }
     }
 
-    fn newest(&self) -> (member::Epoch, Vec<At>) {
+    fn newest(&self) -> (member::Epoch, Vec<ReplicaIndex>) {
         let (epoch, list) = self.lists.last_key_value().unwrap();
         (*epoch, list.clone())
     }
 
-    fn any(&mut self, of: &[At]) -> Option<At> {
+    fn any(&mut self, of: &[ReplicaIndex]) -> Option<ReplicaIndex> {
         if of.is_empty() {
             return None;
         }
@@ -214,10 +221,10 @@
             reads: None,
             over: false,
         });
-        self.ask(self.turns.len() - 1);
+        self.request(self.turns.len() - 1);
     }
 
-    fn ask(&mut self, turn: TurnNo) {
+    fn request(&mut self, turn: TurnIndex) {
         let asked = &mut self.turns[turn];
         asked.round += 1;
         asked.members = self.lists[&asked.epoch].clone();
@@ -227,7 +234,7 @@
         let (round, epoch) = (asked.round, asked.epoch);
         for at in asked.members.clone() {
             let known = asked.known.clone();
-            self.events.push(Event::Ask {
+            self.events.push(Event::Request {
                 turn,
                 round,
                 at,
@@ -238,7 +245,7 @@
         self.events.push(Event::Late { turn, round });
     }
 
-    fn reserve(&self, turn: TurnNo, known: Vec<ledger::Line>) -> service::Reserve {
+    fn reserve(&self, turn: TurnIndex, known: Vec<ledger::Line>) -> service::Reserve {
         service::Reserve {
             program: "p".into(),
             turn: turn.to_string().into(),
@@ -248,11 +255,11 @@
         }
     }
 
-    fn asked(
+    fn handle_request(
         &mut self,
-        turn: TurnNo,
+        turn: TurnIndex,
         round: u32,
-        at: At,
+        at: ReplicaIndex,
         epoch: member::Epoch,
         known: Vec<ledger::Line>,
     ) {
@@ -284,7 +291,12 @@
     }
 
     /// The entry has one answer less to wait for.
-    fn answered(&mut self, turn: TurnNo, round: u32, note: impl FnOnce(&mut tally::Tally<At>)) {
+    fn count_reply(
+        &mut self,
+        turn: TurnIndex,
+        round: u32,
+        note: impl FnOnce(&mut tally::Tally<ReplicaIndex>),
+    ) {
         let asked = &mut self.turns[turn];
         if asked.over || asked.round != round || asked.reads.is_some() {
             return;
@@ -298,7 +310,7 @@
         }
     }
 
-    fn judge(&mut self, turn: TurnNo) {
+    fn judge(&mut self, turn: TurnIndex) {
         let reserve = self.reserve(turn, Vec::new());
         let asked = &mut self.turns[turn];
         // As the client does: once more at once if that can change the outcome.
@@ -306,7 +318,7 @@
             && let Some(known) = asked.tally.retry_charges(&reserve)
         {
             asked.known = known;
-            return self.ask(turn);
+            return self.request(turn);
         }
         let members = asked.members.len();
         let quorum = member::Quorum::of(members, FAULTS);
@@ -326,7 +338,7 @@
         }
     }
 
-    fn read(&mut self, turn: TurnNo, round: u32, at: At) {
+    fn read(&mut self, turn: TurnIndex, round: u32, at: ReplicaIndex) {
         let lines = self.replicas[at].state.ledger(&"p".into());
         let is_alive = self.replicas[at].alive;
         let asked = &mut self.turns[turn];
@@ -347,16 +359,16 @@
         }
     }
 
-    fn unsure(&mut self, turn: TurnNo) {
+    fn unsure(&mut self, turn: TurnIndex) {
         self.turns[turn].known.clear();
-        if self.turns[turn].round < ROUNDS {
-            self.ask(turn);
+        if self.turns[turn].round < MAX_ROUNDS {
+            self.request(turn);
         } else {
             self.settle(turn, 0);
         }
     }
 
-    fn run(&mut self, turn: TurnNo) {
+    fn run(&mut self, turn: TurnIndex) {
         self.turns[turn].over = true;
         self.owed += MOST;
         self.peak = self.peak.max(self.owed);
@@ -364,7 +376,7 @@
         self.events.push(Event::End { turn, used });
     }
 
-    fn settle(&mut self, turn: TurnNo, used: u64) {
+    fn settle(&mut self, turn: TurnIndex, used: u64) {
         self.turns[turn].over = true;
         let charge = record::Charge {
             program: "p".into(),
@@ -382,13 +394,13 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Ask {
+            Event::Request {
                 turn,
                 round,
                 at,
                 epoch,
                 known,
-            } => self.asked(turn, round, at, epoch, known),
+            } => self.handle_request(turn, round, at, epoch, known),
             Event::Stored {
                 turn,
                 round,
@@ -417,10 +429,10 @@
                 from,
                 digest,
             } => {
-                self.answered(turn, round, |tally| tally.accept(from, digest));
+                self.count_reply(turn, round, |tally| tally.accept(from, digest));
             }
             Event::Refused { turn, round, known } => {
-                self.answered(turn, round, |tally| tally.refuse(known));
+                self.count_reply(turn, round, |tally| tally.refuse(known));
             }
             Event::Late { turn, round } => {
                 if !self.turns[turn].over && self.turns[turn].round == round {
@@ -443,7 +455,7 @@
     // Replicas.
 
     /// A member, or one that joins, looks at the lists of most others.
-    fn look(&mut self) {
+    fn sync(&mut self) {
         let (_, list) = self.newest();
         let Some(to) = self.any(&list) else { return };
         for from in list {
@@ -454,7 +466,7 @@
     }
 
     /// Reads the list of `from` to its end.
-    fn copy(&mut self, to: At, from: At) {
+    fn copy(&mut self, to: ReplicaIndex, from: ReplicaIndex) {
         let (epoch, list) = self.newest();
         if !self.replicas[to].alive || !self.replicas[from].alive {
             return;
@@ -483,7 +495,7 @@
         let mut told = 0;
         for at in &list {
             if self.replicas[*at].alive && self.rng.random_bool(0.9) {
-                self.learn(*at, epoch);
+                self.update_epoch(*at, epoch);
                 told += 1;
             }
         }
@@ -491,7 +503,7 @@
     }
 
     /// Who has not copied for the list in force begins anew.
-    fn learn(&mut self, at: At, epoch: member::Epoch) {
+    fn update_epoch(&mut self, at: ReplicaIndex, epoch: member::Epoch) {
         let replica = &mut self.replicas[at];
         if epoch > replica.epoch {
             replica.epoch = epoch;
@@ -511,7 +523,7 @@
         if let Some(at) = self.any(&joining)
             && self.announce()
         {
-            self.learn(at, epoch);
+            self.update_epoch(at, epoch);
             if let Some(joins) = &mut self.replicas[at].joins {
                 joins.announced = true;
             }
@@ -602,10 +614,12 @@
             3..5 => self.lose_one(),
             5..25 => self.replace(),
             25..60 => self.announce_for_joining(),
-            60..200 => self.look(),
-            200..300 if racing < RACING => self.begin(),
+            60..200 => self.sync(),
+            200..300 if racing < MAX_CONCURRENT => self.begin(),
             _ if !self.events.is_empty() => {
-                let next = self.rng.random_range(0..self.events.len().min(OVERTAKES));
+                let next = self
+                    .rng
+                    .random_range(0..self.events.len().min(MAX_OVERTAKES));
                 let event = self.events.remove(next);
                 // Timers run at the entry, later than most answers; of messages some are lost.
                 let timer = matches!(event, Event::Late { .. } | Event::End { .. });
@@ -621,7 +635,7 @@
 }
 
 /// The most that may be handed out in the order of `seed`.
-fn most_owed(seed: u64) -> u64 {
+fn max_owed(seed: u64) -> u64 {
     let mut model = Model::new(seed);
     for _ in 0..STEPS {
         model.step();
@@ -636,6 +650,6 @@
 #[gtest]
 fn holds_while_turns_race() {
     for seed in 0..2_000 {
-        expect_that!(most_owed(seed), le(BUDGET), "seed {seed}");
+        expect_that!(max_owed(seed), le(BUDGET), "seed {seed}");
     }
 }
--- a/fw-replica/tests/replica/call_board.rs
+++ b/fw-replica/tests/replica/entry_load.rs
@@ -12,19 +12,19 @@
 }
 
 #[gtest]
-fn sums_what_the_others_told_last() {
-    let board = entry_load::Table::default();
-    expect_that!(board.exchange(load(1, &[(7, 2)])).calls, is_empty());
+fn sums_the_last_reports_of_the_others() {
+    let table = entry_load::Table::default();
+    expect_that!(table.exchange(load(1, &[(7, 2)])).calls, is_empty());
     expect_that!(
-        board.exchange(load(2, &[(7, 1), (8, 1)])).calls,
+        table.exchange(load(2, &[(7, 1), (8, 1)])).calls,
         elements_are![eq(&(7, 2))]
     );
     // The newest word of an entry replaces the one before, and its own calls are not told back.
-    expect_that!(board.exchange(load(1, &[(9, 1)])).calls.len(), eq(2));
+    expect_that!(table.exchange(load(1, &[(9, 1)])).calls.len(), eq(2));
     expect_that!(
-        board.exchange(load(3, &[])).calls,
+        table.exchange(load(3, &[])).calls,
         unordered_elements_are![eq(&(7, 1)), eq(&(8, 1)), eq(&(9, 1))]
     );
     // An entry that is cut off learns who may pass its connections on.
-    expect_that!(board.exchange(load(4, &[])).relays.len(), eq(3));
+    expect_that!(table.exchange(load(4, &[])).relays.len(), eq(3));
 }
--- a/fw-replica/tests/replica/list_change.rs
+++ b/fw-replica/tests/replica/list_change.rs
@@ -28,31 +28,31 @@
 
 struct Case {
     list: List,
-    me: ReplicaId,
+    own_name: ReplicaId,
     own: Member,
     retiring: bool,
     votes: bool,
     copied: bool,
-    silent: BTreeMap<ReplicaId, Duration>,
+    last_seen_ago: BTreeMap<ReplicaId, Duration>,
     leaving: Vec<ReplicaId>,
-    before: usize,
+    standbys_ahead: usize,
     short_for: Duration,
 }
 
 impl Case {
-    fn new(names: &[&str], me: &str) -> Self {
+    fn new(names: &[&str], own_name: &str) -> Self {
         let list = list(names);
-        let own = list.members.get(me).cloned().unwrap_or(member(99));
+        let own = list.members.get(own_name).cloned().unwrap_or(member(99));
         Self {
             list,
-            me: me.into(),
+            own_name: own_name.into(),
             own,
             retiring: false,
             votes: true,
             copied: true,
-            silent: BTreeMap::new(),
+            last_seen_ago: BTreeMap::new(),
             leaving: Vec::new(),
-            before: 0,
+            standbys_ahead: 0,
             short_for: Duration::ZERO,
         }
     }
@@ -60,15 +60,15 @@
     fn decide(&self) -> Action {
         let situation = Situation {
             list: &self.list,
-            own_name: &self.me,
+            own_name: &self.own_name,
             own: &self.own,
             faults: 1,
             retiring: self.retiring,
             votes: self.votes,
             copied: self.copied,
-            last_seen_ago: &self.silent,
+            last_seen_ago: &self.last_seen_ago,
             leaving: &self.leaving,
-            standbys_ahead: self.before,
+            standbys_ahead: self.standbys_ahead,
             short_for: self.short_for,
         };
         situation.decide()
@@ -84,7 +84,8 @@
     case.leaving = vec!["b".into()];
     expect_that!(case.decide(), matches_pattern!(Action::Change(_)));
     case.leaving.clear();
-    case.silent.insert("c".into(), Duration::from_secs(3));
+    case.last_seen_ago
+        .insert("c".into(), Duration::from_secs(3));
     expect_that!(case.decide(), matches_pattern!(Action::Change(_)));
 }
 
@@ -103,13 +104,13 @@
     // A member is silent. With three of three it must stay listed: its absence does not make two
     // a majority of two. With a fourth that has taken its place it goes, and one removes it.
     let mut case = Case::new(&["a", "b", "c"], "a");
-    case.silent.insert("b".into(), REMOVE_AFTER);
+    case.last_seen_ago.insert("b".into(), REMOVE_AFTER);
     expect_that!(case.decide(), eq(&Action::Stay));
     let mut case = Case::new(&["a", "b", "c", "d"], "a");
-    case.silent.insert("b".into(), REMOVE_AFTER);
+    case.last_seen_ago.insert("b".into(), REMOVE_AFTER);
     expect_that!(case.decide(), eq(&Action::Change(case.without("b"))));
     let mut case = Case::new(&["a", "b", "c", "d"], "c");
-    case.silent.insert("b".into(), REMOVE_AFTER);
+    case.last_seen_ago.insert("b".into(), REMOVE_AFTER);
     expect_that!(case.decide(), eq(&Action::Stay));
 }
 
@@ -122,7 +123,7 @@
 }
 
 #[gtest]
-fn tells_a_new_address_and_leaves_when_asked() {
+fn announces_a_new_address_and_leaves_on_retirement() {
     let mut case = Case::new(&["a", "b", "c"], "b");
     case.own = member(77);
     expect_that!(case.decide(), matches_pattern!(Action::Change(_)));
@@ -156,9 +157,9 @@
 #[gtest]
 fn lets_those_that_stand_by_before_it_go_first() {
     let mut case = Case::new(&["a", "b", "c"], "d");
-    case.silent = [("a".into(), REMOVE_AFTER)].into();
+    case.last_seen_ago = [("a".into(), REMOVE_AFTER)].into();
     expect_that!(case.decide(), matches_pattern!(Action::Change(anything())));
-    case.before = 2;
+    case.standbys_ahead = 2;
     case.short_for = STANDBY_STAGGER;
     expect_that!(case.decide(), eq(&Action::StandBy));
     case.short_for = STANDBY_STAGGER * 2;
