--- a/fw-replica/tests/replica/absent_turns.rs
+++ b/fw-replica/tests/replica/absent_turns.rs
@@ -1,4 +1,4 @@
-//! What a replica says of a turn that it does not have.
+//! Replies about turns that a replica does not have.
 
 use fw_replica::service::Replica;
 use fw_replica::{member, server, service};
@@ -9,10 +9,10 @@
     server.clone().chain(cx, epoch, "t".into()).await
 }
 
-// A member freezes and is replaced; a turn is stored with its successor and one of the others, which
-// then goes down. An entry that has not heard of the new list asks those of the old: the one that woke
-// and the third, neither of which has the turn. Both said that they were certain, and the caller heard
-// that there was no such turn, though it was stored on as many disks as it should.
+// Guards against a stored turn reported as unknown. A member is suspended and replaced; a turn is
+// stored on its successor and one of the others, which then goes down. An entry with the old member
+// list queries the suspended member, which runs again, and the third, neither of which has the
+// turn. Both reported certain absence, though the turn was on as many disks as required.
 #[gtest]
 #[tokio::test]
 async fn absence_is_not_certain_for_an_outdated_list() {
--- a/fw-replica/tests/replica/budget_ledger.rs
+++ b/fw-replica/tests/replica/budget_ledger.rs
@@ -1,4 +1,4 @@
-//! Charges of one program.
+//! Ledger of one program's charges.
 
 use fw_replica::ledger::{Ledger, Line};
 use fw_replica::state::State;
@@ -25,8 +25,8 @@
 
 #[gtest]
 fn merges_in_any_order() {
-    // A settlement overtakes its reservation on another connection. Were the reservation taken
-    // for a new one, the program would be charged for ever for a turn that is over.
+    // A settlement overtakes its reservation on another connection. If the reservation counted as a
+    // new one, the program would be charged for ever for a turn that is over.
     let mut ledger = Ledger::default();
     expect_true!(ledger.merge(&line("a", 10, true), 1));
     expect_false!(ledger.merge(&line("a", 30, false), 2));
@@ -35,7 +35,7 @@
     expect_true!(ledger.allows(&"a".into(), 30, 10));
 }
 
-/// Where a record would lie; nothing is read back here.
+/// Place of a record; nothing is read back here.
 const PLACE: journal::Place = journal::Place {
     segment: 1,
     at: 0,
@@ -52,10 +52,11 @@
     }
 }
 
-// A program that has spent its budget asks again. A replica that had missed its charges hears of
-// them with the question, refuses, and took them for known from then on: it never copied them from
-// the others' lists to its own disk. The others were replaced one by one, all power was lost, and
-// the program was granted its whole budget again.
+// Guards against charges that are known in memory but never copied to disk. A program that has
+// spent its budget requests tokens again. A replica that lacked its charges receives them with the
+// request, refuses, and then counted them as stored: it never copied them from the others' lists.
+// After the others had been replaced one by one and all power was lost, the program was granted its
+// whole budget again.
 #[gtest]
 fn a_refusal_leaves_charges_to_be_copied() {
     let mut state = State::new(1);
@@ -73,8 +74,8 @@
     }
 }
 
-// The disk refuses a charge for a moment. The replica does not grant the reservation, but counts
-// the charge in memory, and must still copy it from those that have it on disk.
+// The disk refuses a charge temporarily. The replica does not grant the reservation but counts the
+// charge in memory, and must still copy it from replicas that have it on disk.
 #[gtest]
 fn a_charge_that_the_disk_refused_is_still_new() {
     let mut state = State::new(1);
@@ -87,9 +88,10 @@
     expect_false!(state.is_new(&charge));
 }
 
-// Too few replicas answer an entry, which asks again for its turn. Meanwhile the replicas have copied
-// its reservation from each other, and that of a turn which was granted. Both together are more than
-// the budget: the turn was accepted everywhere all the same, as one that is known, and both ran.
+// Guards against a retried turn that is accepted unchecked. Too few replicas answer an entry, which
+// retries its turn. Meanwhile the replicas have copied its reservation from each other, and that of
+// a turn that was granted. Together they exceed the budget, yet the retried turn was accepted
+// everywhere as known, and both ran.
 #[gtest]
 fn a_turn_that_is_asked_for_again_is_judged_again() {
     let mut state = State::new(1);
@@ -109,9 +111,9 @@
     expect_that!(state.vote(&small, 1), err(len(eq(2))));
 }
 
-// Two replicas know one turn, a third knows another, and all accept a third turn where the budget
-// holds two. Before their disks have it they copy from each other. Told then, their digests agreed,
-// and nobody looked at what they know together.
+// Guards against digests taken too late. Two replicas have one turn, a third has another, and all
+// accept a third turn where the budget holds two. Before it is on their disks they copy from each
+// other. With digests taken then, all agreed, and the union of the ledgers was never checked.
 #[gtest]
 fn a_vote_tells_what_was_known_when_it_was_judged() {
     let charge = |turn: &str| record::Charge {
--- a/fw-replica/tests/replica/budget_model.rs
+++ b/fw-replica/tests/replica/budget_model.rs
@@ -1,4 +1,4 @@
-//! Reservations that race at several replicas, with lost messages and lost disks.
+//! Model of concurrent reservations at several replicas, with lost messages and lost disks.
 
 use fw_replica::{ledger, member, record, service, state};
 use googletest::prelude::*;
@@ -40,7 +40,7 @@
     state.apply(&record::Record::Charge(charge), place);
 }
 
-/// What may be handed out after the turns in `seed`'s order of events.
+/// Tokens handed out in the order of events drawn from `seed`.
 fn handed_out(seed: u64) -> u64 {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut replicas: Vec<_> = (0..REPLICAS)
@@ -49,7 +49,7 @@
     let quorum = member::Quorum::of(REPLICAS, FAULTS);
     let mut handed = 0;
     for turn in 0..40 {
-        // Now and then one disk is lost, and its replica copies from the others before it votes.
+        // Occasionally one disk is lost, and its replica copies from the others before it votes.
         if rng.random_bool(0.1) {
             let lost = rng.random_range(0..REPLICAS);
             let mut fresh = state::State::new(100 + turn);
@@ -61,20 +61,21 @@
         let mut accepted = 0;
         let mut known = Vec::new();
         for replica in &mut replicas {
-            // A message that does not arrive.
+            // A lost message.
             if rng.random_bool(0.2) {
                 continue;
             }
             if let Ok(charges) = replica.reserve(&reserve(turn), turn) {
                 accepted += 1;
-                // What it knows when it accepts, as its answer says.
+                // The charges it has when it accepts, which its reply states.
                 known.extend(replica.ledger(&"p".into()));
                 charges
                     .into_iter()
                     .for_each(|charge| store(replica, charge));
             }
         }
-        // Three turns, each known to two of three replicas, would pass at two that know two each.
+        // Three turns, each on two of three replicas, would pass at two replicas that have two
+        // each.
         let together = ledger::Ledger::union(&known).total() <= BUDGET;
         let ran = accepted >= quorum.vote && together;
         let used = if ran { rng.random_range(0..=MOST) } else { 0 };
--- a/fw-replica/tests/replica/budget_power.rs
+++ b/fw-replica/tests/replica/budget_power.rs
@@ -1,4 +1,5 @@
-//! A program's budget over the loss of all power and of as many disks as may be lost together.
+//! Model of a program's budget when all power is lost, and with it as many disks as may be lost
+//! together.
 
 use fw_replica::{journal, ledger, member, record, service, state};
 use googletest::prelude::*;
@@ -11,7 +12,7 @@
 const MOST: u64 = 30;
 const TURNS: u64 = 60;
 
-/// A replica: what it knows, and what of it is on disk.
+/// A replica: its state in memory, and the charges on its disk.
 struct Replica {
     state: state::State,
     disk: Vec<record::Charge>,
@@ -32,7 +33,7 @@
         apply(&mut self.state, charge);
     }
 
-    /// Stores what says anything new, as a settlement or a copy does.
+    /// Stores a charge unless it is stored, like a settlement or a copy.
     fn offer(&mut self, charge: record::Charge) {
         if self.state.is_new(&charge) {
             self.store(charge);
@@ -65,7 +66,7 @@
     runs: u64,
 }
 
-/// What the replicas that were reached said.
+/// Replies of the replicas that were reached.
 #[derive(Default)]
 struct Round {
     accepted: Vec<usize>,
@@ -87,8 +88,8 @@
         all.filter(|_| self.rng.random_bool(chance)).collect()
     }
 
-    /// All power is lost, and with it up to `FAULTS` disks. Those that lost theirs vote once they have
-    /// copied from so many others that each reservation is known to one of them.
+    /// All power is lost, and with it up to `FAULTS` disks. Replicas without a disk vote once they
+    /// have copied from enough others that each reservation is on one of them.
     fn lose_power(&mut self) {
         let wiped = self.some(FAULTS as f64 / REPLICAS as f64);
         let wiped: Vec<_> = wiped.into_iter().take(FAULTS).collect();
@@ -146,11 +147,11 @@
         round
     }
 
-    /// One turn; returns what it handed out.
+    /// Runs one turn; returns the tokens handed out.
     fn turn(&mut self, turn: u64) -> u64 {
         let mut round = self.request(turn, &[]);
         if !round.refused.is_empty() {
-            // The entry asks again with what those that refused know together.
+            // The entry retries with the union of the charges of those that refused.
             let mut known = ledger::Ledger::union(&round.refused).lines();
             known.retain(|line| line.turn.as_str() != turn.to_string());
             round = self.request(turn, &known);
@@ -179,7 +180,7 @@
         used
     }
 
-    /// Two replicas look at each other's lists.
+    /// One replica copies the list of another.
     fn sync(&mut self) {
         let (one, other) = (
             self.rng.random_range(0..REPLICAS),
@@ -189,7 +190,7 @@
     }
 }
 
-/// What is handed out over turns, copies and losses in the order of `seed`.
+/// Tokens handed out over turns, copies and losses in the order drawn from `seed`.
 fn handed_out(seed: u64) -> u64 {
     let mut model = Model::new(seed);
     let mut handed = 0;
@@ -205,9 +206,9 @@
     handed
 }
 
-// A program that loops without end spends its budget, is refused and asks again. Then two of five
-// replicas lose their disks as all lose power, and it comes back. Of its charges those must be left
-// that were on disk when they were told to be, on one of each three replicas that vote.
+// A program that loops endlessly spends its budget, is refused and retries. Then two of five
+// replicas lose their disks as all lose power, and the program continues. The charges reported as
+// stored must survive on one of any three replicas that vote.
 #[gtest]
 fn holds_when_power_and_disks_are_lost_together() {
     for seed in 0..200 {
--- a/fw-replica/tests/replica/budget_races.rs
+++ b/fw-replica/tests/replica/budget_races.rs
@@ -1,5 +1,5 @@
-//! A program's turns that race for its budget while members are asked again, copy from each other,
-//! are replaced, and lose power and disks: every message of its own.
+//! Model of a program's concurrent turns while requests are retried, replicas copy from each other,
+//! members are replaced, and power and disks are lost. Every message is an event of its own.
 
 use std::collections::BTreeMap;
 
@@ -9,35 +9,35 @@
 use rand_pcg::Pcg64;
 
 const FAULTS: usize = 2;
-/// Of them five are members at first; the others stand by.
+/// Five of them are members at first; the others are standbys.
 const MACHINES: usize = 7;
 const BUDGET: u64 = 100;
 const MOST: u64 = 30;
 const STEPS: usize = 800;
-/// Turns under way at once.
+/// Most turns in flight at once.
 const MAX_CONCURRENT: usize = 4;
-/// Messages that may overtake the one sent first.
+/// Number of later messages that may overtake a message.
 const MAX_OVERTAKES: usize = 12;
-/// Times that an entry asks for one turn while too few can say.
+/// Most rounds that an entry tries for one turn while too few replicas answer.
 const MAX_ROUNDS: u32 = 4;
 
 type ReplicaIndex = usize;
 type TurnIndex = usize;
 
-/// A replica: what it knows, and what of it is on disk.
+/// A replica: its state in memory, and the charges on its disk.
 struct Replica {
     state: state::State,
     disk: Vec<record::Charge>,
-    /// Differs after each start; writes of an earlier one never end.
+    /// Differs after each start; writes of an earlier start never complete.
     run: u64,
     epoch: member::Epoch,
     votes: bool,
     alive: bool,
-    /// Members to read yet before it votes, and how many of them.
+    /// Progress of joining, for a replica that does not vote yet.
     joins: Option<Joining>,
 }
 
-/// A replica that is about to vote.
+/// Members read by a joining replica.
 #[derive(Clone)]
 struct Joining {
     announced: bool,
@@ -45,9 +45,9 @@
     read: Vec<ReplicaIndex>,
 }
 
-/// What is on its way.
+/// A message, write or timer that is pending.
 enum Event {
-    /// An entry's question reaches a replica.
+    /// An entry's request reaches a replica.
     Request {
         turn: TurnIndex,
         round: u32,
@@ -55,7 +55,7 @@
         epoch: member::Epoch,
         known: Vec<ledger::Line>,
     },
-    /// The disk has what a replica accepted.
+    /// An accepted reservation is on a replica's disk.
     Stored {
         turn: TurnIndex,
         round: u32,
@@ -63,7 +63,7 @@
         run: u64,
         granted: state::Granted,
     },
-    /// A replica's answer reaches the entry.
+    /// A replica's reply reaches the entry.
     Accepted {
         turn: TurnIndex,
         round: u32,
@@ -75,15 +75,15 @@
         round: u32,
         known: Vec<ledger::Line>,
     },
-    /// The entry waits no longer.
+    /// The entry's wait times out.
     Late { turn: TurnIndex, round: u32 },
-    /// The entry's question for a ledger reaches a replica.
+    /// An entry's request for a ledger reaches a replica.
     Read {
         turn: TurnIndex,
         round: u32,
         at: ReplicaIndex,
     },
-    /// The turn's answer ends.
+    /// The turn ends.
     End { turn: TurnIndex, used: u64 },
     /// A settlement reaches a replica.
     Settle {
@@ -92,7 +92,7 @@
     },
 }
 
-/// A turn, as its entry sees it.
+/// A turn, as seen by its entry.
 struct Turn {
     round: u32,
     epoch: member::Epoch,
@@ -100,7 +100,7 @@
     known: Vec<ledger::Line>,
     tally: tally::Tally<ReplicaIndex>,
     left: usize,
-    /// Ledgers to read yet, and what was read.
+    /// Number of ledgers still to read, and the lines read so far.
     reads: Option<(usize, Vec<ledger::Line>)>,
     over: bool,
 }
@@ -108,14 +108,14 @@
 struct Model {
     rng: Pcg64,
     replicas: Vec<Replica>,
-    /// The lists of all epochs, as the platform's store had them.
+    /// The lists of all epochs, as in the platform's store.
     lists: BTreeMap<member::Epoch, Vec<ReplicaIndex>>,
     events: Vec<Event>,
     turns: Vec<Turn>,
     runs: u64,
-    /// Tokens handed out, and those that turns under way may yet hand out.
+    /// Tokens handed out, and those that turns in flight may still hand out.
     owed: u64,
-    /// The most of it so far.
+    /// Maximum of `owed` so far.
     peak: u64,
 }
 
@@ -206,7 +206,7 @@
     // Turns.
 
     fn begin(&mut self) {
-        // An entry may not have heard of the newest list.
+        // The entry's list may be outdated.
         let (newest, _) = self.newest();
         let epoch = newest
             .saturating_sub(u64::from(self.rng.random_bool(0.2)))
@@ -290,7 +290,7 @@
         self.events.push(event);
     }
 
-    /// The entry has one answer less to wait for.
+    /// A reply reaches the entry.
     fn count_reply(
         &mut self,
         turn: TurnIndex,
@@ -313,7 +313,7 @@
     fn judge(&mut self, turn: TurnIndex) {
         let reserve = self.reserve(turn, Vec::new());
         let asked = &mut self.turns[turn];
-        // As the client does: once more at once if that can change the outcome.
+        // Like the client: a second round at once if that can change the outcome.
         if asked.known.is_empty()
             && let Some(known) = asked.tally.retry_charges(&reserve)
         {
@@ -454,7 +454,7 @@
 
     // Replicas.
 
-    /// A member, or one that joins, looks at the lists of most others.
+    /// A member, possibly a joining one, copies the lists of most others.
     fn sync(&mut self) {
         let (_, list) = self.newest();
         let Some(to) = self.any(&list) else { return };
@@ -465,7 +465,7 @@
         }
     }
 
-    /// Reads the list of `from` to its end.
+    /// Copies the list of `from` to its end.
     fn copy(&mut self, to: ReplicaIndex, from: ReplicaIndex) {
         let (epoch, list) = self.newest();
         if !self.replicas[to].alive || !self.replicas[from].alive {
@@ -489,7 +489,8 @@
         }
     }
 
-    /// Tells all that live the newest list; whether a majority of it then refuses older ones.
+    /// Announces the newest list to all live members; returns whether a majority of it then refuses
+    /// older ones.
     fn announce(&mut self) -> bool {
         let (epoch, list) = self.newest();
         let mut told = 0;
@@ -502,7 +503,7 @@
         told * 2 > list.len()
     }
 
-    /// Who has not copied for the list in force begins anew.
+    /// A replica that has not finished copying for the current list starts over.
     fn update_epoch(&mut self, at: ReplicaIndex, epoch: member::Epoch) {
         let replica = &mut self.replicas[at];
         if epoch > replica.epoch {
@@ -530,14 +531,13 @@
         }
     }
 
-    /// Members that are lost, or have not copied yet.
+    /// Number of members that are lost or have not finished copying.
     fn missing(&self) -> usize {
         let (_, list) = self.newest();
         list.iter().filter(|at| !self.replicas[**at].votes).count()
     }
 
-    /// A member is gone for good; one that stands by takes its place, and the gone one leaves the
-    /// list.
+    /// Replaces a lost member: first a standby joins the list, then the lost member is removed.
     fn replace(&mut self) {
         let (epoch, list) = self.newest();
         let dead = list.iter().copied().find(|at| !self.replicas[*at].alive);
@@ -558,7 +558,7 @@
             }
             _ => return,
         };
-        // Whoever changes the list has told a majority the one in force.
+        // A list is replaced only after a majority of its members were informed of it.
         if self.announce() {
             self.lists.insert(epoch + 1, next);
         } else if let Some(spare) = spare.filter(|spare| !list.contains(spare)) {
@@ -577,7 +577,7 @@
         }
     }
 
-    /// All power is lost, and with it as many disks as may be.
+    /// All power is lost, and with it up to as many disks as may be lost together.
     fn lose_power(&mut self) {
         let (_, list) = self.newest();
         let mut may_lose = FAULTS.saturating_sub(self.missing());
@@ -621,7 +621,8 @@
                     .rng
                     .random_range(0..self.events.len().min(MAX_OVERTAKES));
                 let event = self.events.remove(next);
-                // Timers run at the entry, later than most answers; of messages some are lost.
+                // Timers run at the entry and fire later than most replies arrive; some messages
+                // are lost.
                 let timer = matches!(event, Event::Late { .. } | Event::End { .. });
                 if timer && self.rng.random_bool(0.8) {
                     self.events.push(event);
@@ -634,7 +635,7 @@
     }
 }
 
-/// The most that may be handed out in the order of `seed`.
+/// The most that may be handed out in the order of events drawn from `seed`.
 fn max_owed(seed: u64) -> u64 {
     let mut model = Model::new(seed);
     for _ in 0..STEPS {
@@ -643,10 +644,11 @@
     model.peak
 }
 
-// A program that loops without end starts sub-agents, whose turns ask for the last of its budget at
-// once. A replica joins, or answers are late, so that entries ask again; meanwhile replicas copy from
-// each other. A turn that had not been granted was then accepted wherever its reservation had been
-// copied to, beside the turns granted since, and the program got more than its budget.
+// Guards against a budget exceeded by concurrent turns. A program that loops endlessly starts
+// sub-agents, whose turns request the last of its budget at once. A replica joins, or replies are
+// late, so that entries retry; meanwhile replicas copy from each other. A turn that had not been
+// granted was then accepted wherever its reservation had been copied to, beside the turns granted
+// since, and the program got more than its budget.
 #[gtest]
 fn holds_while_turns_race() {
     for seed in 0..2_000 {
--- a/fw-replica/tests/replica/entry_load.rs
+++ b/fw-replica/tests/replica/entry_load.rs
@@ -1,4 +1,4 @@
-//! Entries' calls, told with their reservations.
+//! Entries' calls in flight, reported with their reservations.
 
 use fw_replica::{entry_load, service};
 use googletest::prelude::*;
@@ -19,12 +19,13 @@
         table.exchange(load(2, &[(7, 1), (8, 1)])).calls,
         elements_are![eq(&(7, 2))]
     );
-    // The newest word of an entry replaces the one before, and its own calls are not told back.
+    // The last report of an entry replaces the one before, and its own calls are left out of its
+    // reply.
     expect_that!(table.exchange(load(1, &[(9, 1)])).calls.len(), eq(2));
     expect_that!(
         table.exchange(load(3, &[])).calls,
         unordered_elements_are![eq(&(7, 1)), eq(&(8, 1)), eq(&(9, 1))]
     );
-    // An entry that is cut off learns who may pass its connections on.
+    // A partitioned entry receives the relays of the others.
     expect_that!(table.exchange(load(4, &[])).relays.len(), eq(3));
 }
--- a/fw-replica/tests/replica/journal_machine.rs
+++ b/fw-replica/tests/replica/journal_machine.rs
@@ -1,7 +1,8 @@
-//! A replica's disk under any series of writes, losses of power, torn writes and removals.
+//! State-machine test of a replica's disk under any series of writes, losses of power, torn writes
+//! and removals.
 //!
-//! The model holds what was acknowledged. Whatever happens, the replica has all of it that has to
-//! be kept: each turn whole, each program's charges, the member list and whether it may vote.
+//! The model holds all acknowledged records. The replica must always have those whose retention is
+//! not over: each turn in full, each program's charges, the member list and whether it may vote.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
@@ -13,38 +14,38 @@
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-/// So small that a few records fill a segment.
+/// Small enough for a few records to fill a segment.
 const SEGMENT: u32 = 600;
 const PROGRAMS: u8 = 3;
-/// How long turns of the model are kept.
+/// Retention of the model's turns.
 const KEEP: Duration = Duration::from_secs(60);
 
-/// What happens to the replica.
+/// A step of the test.
 #[derive(Clone, Debug)]
 enum Step {
     /// A turn is stored.
     Turn { size: u16 },
     /// Some tokens of a program are reserved, or settled.
     Charge { program: u8, settled: bool },
-    /// A newer member list is learned.
+    /// A newer member list is received.
     Members,
-    /// The replica may vote, or no longer.
+    /// The replica may vote, or may no longer.
     Synced(bool),
-    /// Time passes, and what was kept long enough goes.
+    /// Time passes, and expired records are dropped.
     Pass { seconds: u16 },
-    /// Power fails. Behind what was synced the disk may hold anything.
+    /// Power fails. Behind the synced part the disk may hold anything.
     Crash { torn: Vec<u8> },
 }
 
-/// What was acknowledged.
+/// The acknowledged records.
 #[derive(Clone, Debug, Default)]
 struct Model {
     /// Seconds since the first start.
     now: u64,
     steps: u64,
-    /// When each turn ended, and its length.
+    /// The end and the input length of each turn.
     turns: BTreeMap<u64, (u64, u16)>,
-    /// Charges of each program, and when it was charged last.
+    /// The charges of each program, and the time of its last charge.
     programs: BTreeMap<u8, (BTreeSet<u64>, u64)>,
     epoch: u64,
     synced: bool,
@@ -101,12 +102,12 @@
     }
 }
 
-/// The replica, and when its clock began.
+/// The replica, and the start of the model's clock.
 struct Replica {
     dir: tempfile::TempDir,
     shared: Option<Arc<server::Shared>>,
     runtime: tokio::runtime::Runtime,
-    /// Its turns end so long before the present that none lapses when it is opened.
+    /// Time 0 of the model. Turns end so late that none expires when the replica is opened.
     start: record::UnixMs,
 }
 
@@ -156,8 +157,8 @@
             runtime: tokio::runtime::Builder::new_current_thread()
                 .build()
                 .unwrap(),
-            // The process's clock stands at the first moment of the model and beyond: opening
-            // forgets nothing that the model still has.
+            // Opening expires records by the process's clock, which stays near the model's start: it
+            // drops no record that the model still has.
             start: server::unix_ms(),
         };
         replica.open();
@@ -191,7 +192,7 @@
             }
             Step::Synced(synced) => replica.runtime.block_on(shared.mark_synced(synced)),
             Step::Pass { .. } => {
-                // Each look removes one segment at most.
+                // Each call removes one segment at most.
                 for _ in 0..20 {
                     replica.runtime.block_on(shared.expire(now));
                 }
--- a/fw-replica/tests/replica/journal_segments.rs
+++ b/fw-replica/tests/replica/journal_segments.rs
@@ -1,4 +1,4 @@
-//! A journal's use of the disk.
+//! Disk usage of a journal.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,11 +6,11 @@
 use fw_replica::{journal, member, record, server, service};
 use googletest::prelude::*;
 
-/// So small that a few turns fill a segment.
+/// Small enough for a few turns to fill a segment.
 const SEGMENT: u32 = 4096;
-/// All records of these tests begin then, by a clock of their own.
+/// Start time of the tests' records, on a clock of their own.
 const START: record::UnixMs = 1_000_000;
-/// By then, whatever began at the start has been kept long enough.
+/// A time at which the retention of records from `START` is over.
 const LATER: record::UnixMs = START + 300_000;
 
 fn opts() -> server::Options {
@@ -47,7 +47,7 @@
     })
 }
 
-/// Bytes in the folder.
+/// Bytes in the directory.
 fn used(dir: &Path) -> u64 {
     let entries = std::fs::read_dir(dir).unwrap();
     entries
@@ -61,7 +61,7 @@
     }
 }
 
-/// Each look removes one segment at most.
+/// Each call removes one segment at most.
 async fn expire(replica: &server::Shared, now: record::UnixMs) {
     for _ in 0..100 {
         replica.expire(now).await;
@@ -71,8 +71,8 @@
 #[gtest]
 #[tokio::test]
 async fn does_not_grow_for_ever() {
-    // A disk of 390 MB was full after an hour of twenty turns a second, as nothing was ever
-    // removed from it; from then on no turn could be stored.
+    // Guards against a full disk. A disk of 390 MB was full after an hour of twenty turns a second,
+    // as nothing was ever removed from it; from then on no turn could be stored.
     let dir = tempfile::tempdir().unwrap();
     let replica = open(dir.path());
     store_turns(&replica, 0..100, START).await;
@@ -88,9 +88,10 @@
 #[gtest]
 #[tokio::test]
 async fn keeps_what_never_lapses() {
-    // A replica ran for long and was restarted. Had the segment with its member list and with the
-    // note that it may vote been removed, it would accept reservations from entries with older
-    // lists, or be silent until it had copied everything again.
+    // Guards against the loss of records that never expire. A long-running replica is restarted. If
+    // the segment with its member list and its permission to vote had been removed, it would accept
+    // reservations from entries with older lists, or not respond until it had copied everything
+    // again.
     let dir = tempfile::tempdir().unwrap();
     let replica = open(dir.path());
     let view = member::View {
@@ -121,8 +122,9 @@
 #[gtest]
 #[tokio::test]
 async fn keeps_all_charges_of_a_program_that_goes_on() {
-    // A program ran for longer than a charge is kept, and its replica was restarted. Its first
-    // charge went with an old segment, so that it could spend those tokens twice.
+    // Guards against an expired charge of a live program. A program ran for longer than the
+    // retention of a charge, and its replica was restarted. Its first charge was removed with an
+    // old segment, so that it could spend those tokens twice.
     let dir = tempfile::tempdir().unwrap();
     let replica = open(dir.path());
     assert!(
@@ -150,8 +152,8 @@
 #[gtest]
 #[tokio::test]
 async fn begins_a_segment_whole_or_not_at_all() {
-    // Power fails while a new segment is made. What is left of it has no name that counts, and the
-    // replica goes on in the segment before.
+    // Power fails while a new segment is created. The remnant has a temporary name, and the replica
+    // continues in the segment before.
     let dir = tempfile::tempdir().unwrap();
     let replica = open(dir.path());
     assert!(replica.mark_synced(true).await);
--- a/fw-replica/tests/replica/late_chain.rs
+++ b/fw-replica/tests/replica/late_chain.rs
@@ -1,4 +1,4 @@
-//! Waiting for a chain.
+//! Wait for the chain.
 
 use std::time::Duration;
 
@@ -7,8 +7,9 @@
 
 #[gtest]
 fn is_not_left_to_one_frozen_replica() {
-    // A turn's chain is asked of the quickest replica alone. That one froze for a second: turns
-    // whose tokens the others had granted at once began 0.7 s late, and their programs were late.
+    // A turn's chain is requested from the replica with the lowest latency only. That one was
+    // suspended for a second: turns whose tokens the others had granted at once began 0.7 s late,
+    // and their programs were late.
     let millisecond = Duration::from_millis(1);
     expect_that!(wait(None, true), eq(Wait::Open));
     expect_that!(
--- a/fw-replica/tests/replica/list_change.rs
+++ b/fw-replica/tests/replica/list_change.rs
@@ -1,4 +1,4 @@
-//! What a replica does about the member list.
+//! Decisions of a replica about the member list.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -80,7 +80,7 @@
     let mut case = Case::new(&["a", "b", "c"], "d");
     case.votes = false;
     expect_that!(case.decide(), eq(&Action::StandBy));
-    // One is to be taken away, or has been silent: it is needed.
+    // One member is retiring, or does not respond: the standby is needed.
     case.leaving = vec!["b".into()];
     expect_that!(case.decide(), matches_pattern!(Action::Change(_)));
     case.leaving.clear();
@@ -101,8 +101,8 @@
 
 #[gtest]
 fn removes_a_dead_member_only_if_enough_remain() {
-    // A member is silent. With three of three it must stay listed: its absence does not make two
-    // a majority of two. With a fourth that has taken its place it goes, and one removes it.
+    // A member does not respond. With three of three it must stay listed: its absence does not make
+    // two a majority of two. Once a fourth has taken its place it is removed, by one member only.
     let mut case = Case::new(&["a", "b", "c"], "a");
     case.last_seen_ago.insert("b".into(), REMOVE_AFTER);
     expect_that!(case.decide(), eq(&Action::Stay));
@@ -135,9 +135,9 @@
 
 #[gtest]
 fn copies_from_enough_to_meet_every_holder() {
-    // Three members, one disk lost: a record of it may lie on any single one of the others.
+    // Three members, one of which lost its disk: a record of it may be on just one of the others.
     expect_that!(needed_sources(2, true, 1), eq(2));
-    // A newcomer: each record lies on two of three, one of which may be gone.
+    // A new member: each record is on two of three, one of which may be lost.
     expect_that!(needed_sources(3, false, 1), eq(2));
     expect_that!(needed_sources(1, true, 1), eq(1));
     expect_that!(needed_sources(0, false, 1), eq(1));
@@ -151,9 +151,10 @@
     expect_true!(improves_spread(&full, &"a".into(), 2, 1));
 }
 
-// A cut takes a third of the machines: of thirty replicas that stand by, nearly all hear too few members.
-// Each copied everything from all members it reached, until the cut was over. One after the other
-// goes; the first at once, as before.
+// Guards against many standbys joining at once. A network partition takes a third of the machines:
+// nearly all of thirty standbys see too few members. Each copied everything from all members within
+// reach until the partition ended. Now they start one after the other; the first still starts at
+// once.
 #[gtest]
 fn lets_those_that_stand_by_before_it_go_first() {
     let mut case = Case::new(&["a", "b", "c"], "d");
@@ -166,9 +167,10 @@
     expect_that!(case.decide(), matches_pattern!(Action::Change(anything())));
 }
 
-// One of three members is to be taken away. It left when the two others had copied everything, just
-// before a fourth took its place; then one of the two lost its power, and no turn began for two seconds.
-// Without anyone to take its place it leaves all the same, or the machine could never be taken away.
+// Guards against a member that leaves before it is replaced. One of three members retires. It left
+// when the two others had copied everything, just before a fourth took its place; then one of the
+// two lost its power, and no turn began for two seconds. Without a standby it still leaves
+// eventually, or the machine could never be removed.
 #[gtest]
 fn leaves_only_once_another_has_its_place() {
     expect_false!(may_leave(&list(&["a", "b"]), Duration::ZERO, 1));
--- a/fw-replica/tests/replica/lost_links.rs
+++ b/fw-replica/tests/replica/lost_links.rs
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 use tokio::net::TcpListener;
 
-/// Far longer than the pause between two attempts, on a busy machine too.
+/// Much longer than the pause between two attempts, also on a loaded machine.
 const LONG: Duration = Duration::from_secs(20);
 
 async fn free_addr() -> SocketAddr {
@@ -16,9 +16,10 @@
     listener.local_addr().unwrap()
 }
 
-// All power is lost and comes back. An entry is up first; its callers' turns find no replica and
-// wait. The replicas are up some hundred milliseconds later, and the turns are refused all the same
-// unless the entry has kept trying to connect beside the calls.
+// Guards against turns refused after the replicas are back. All power is lost and returns. An entry
+// is up first; its callers' turns find no replica and wait. The replicas are up some hundred
+// milliseconds later, and the turns are still refused unless the entry keeps reconnecting between
+// calls.
 #[gtest]
 #[tokio::test]
 async fn are_tried_again_without_another_call() {
@@ -30,8 +31,9 @@
     expect_that!(connected, ok(ok(anything())));
 }
 
-// A replica is gone for good. A call that found it down once must not be followed by others that
-// each wait for a connection of their own: they fail at once while one is tried beside them.
+// Guards against calls that queue for a replica that is gone for good. After one call has found it
+// down, further calls must not each wait for a connection of their own: they fail at once while the
+// entry reconnects in the background.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn hold_no_further_call_up() {
@@ -45,9 +47,9 @@
     expect_that!(begun.elapsed(), eq(Duration::ZERO));
 }
 
-// An entry is cut off from the replicas and reaches them by way of another, which is restarted. For
-// a moment nobody passes its connections on; callers were then refused until the cut was over, as
-// only the direct way was tried again.
+// Guards against calls refused for the rest of a partition. A partitioned entry reaches the
+// replicas through another entry, which is restarted. For a short time no relay works; callers were
+// then refused until the partition ended, as only the direct route was retried.
 #[gtest]
 #[tokio::test]
 async fn are_tried_again_by_way_of_other_entries() {
@@ -65,7 +67,8 @@
     expect_that!(asked, ok(ok(anything())));
 }
 
-// Guards against the first call after a replica's restart that fails over the connection to its last start.
+// Guards against a failing first call after a replica's restart, made over the connection to its
+// previous start.
 #[gtest]
 #[tokio::test]
 async fn are_made_again_before_the_next_call() {
--- a/fw-replica/tests/replica/state_pages.rs
+++ b/fw-replica/tests/replica/state_pages.rs
@@ -1,4 +1,4 @@
-//! The list of records, as other replicas read it.
+//! Paging of the list of records that other replicas read.
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
         }
     }
     expect_that!(read, eq(1_300));
-    // A replica that has started anew is read from its beginning.
+    // The list of a restarted replica is read from its beginning.
     let other = state::State::new(2);
     expect_that!(other.list(at).0.read, eq(0));
 }
@@ -57,8 +57,8 @@
 
 #[gtest]
 fn lists_the_charges_of_a_long_program_again() {
-    // A program runs for longer than a charge is kept. A replica with an empty disk copies the
-    // list then: without the program's first charges it would grant the budget a second time.
+    // A program runs for longer than the retention of a charge. A replica with an empty disk then
+    // copies the list: without the program's first charges it would grant the budget a second time.
     let charge = |turn: &str, made| {
         record::Record::Charge(record::Charge {
             program: "p".into(),
--- a/fw-replica/tests/replica/store_news.rs
+++ b/fw-replica/tests/replica/store_news.rs
@@ -1,4 +1,4 @@
-//! What an entry has read from the platform's store, told to the others.
+//! Distribution of the platform store's contents from entries that read it to the others.
 
 use std::time::Duration;
 
@@ -26,8 +26,9 @@
     }
 }
 
-// A replica missed the post of a new configuration, and gets the next one, of a changed upstream. Told
-// that all is known up to that read, an entry that then read on from there would never hear of the
+// Guards against a part that never reaches an entry. A replica misses the publication of a new
+// configuration, and receives the next one, of a changed upstream. If it reported all parts as
+// current up to that read, an entry that then read on from there would never receive the
 // configuration.
 #[gtest]
 #[tokio::test]
@@ -64,7 +65,7 @@
         .await;
     expect_that!(update.last_read.unwrap().as_of, eq(6));
     expect_that!(update.newer, eq(&whole));
-    // That nothing has changed is update too.
+    // A read without changes is reported too.
     let same = publication(9, digests, Snapshot::default());
     expect_true!(replica.publish(same).await.is_complete);
     let known = KnownVersion { as_of: 6, digests };
@@ -73,9 +74,10 @@
     expect_that!(update.newer, eq(&Snapshot::default()));
 }
 
-// A member leaves, and its machine is taken away. Entries that waited for update at it were not told, and
-// went on to ask it for votes: turns waited for a second. What showed it: `member list` at the replicas,
-// and 0.6 s later `a replica does not answer` at all entries.
+// Guards against requests to a member that has left. A member leaves, and its machine is removed.
+// Entries that polled it for updates were not informed, and went on to request votes from it: turns
+// waited for a second. It showed as `member list` at the replicas, and 0.6 s later `a replica does
+// not answer` at all entries.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_changed_member_list_is_told_at_once() {
@@ -106,7 +108,8 @@
     }
 }
 
-// Guards against a list that its readers know differently at one revision and that never spreads.
+// Guards against a list that its readers have in different versions at one revision and that never
+// spreads.
 #[gtest]
 #[tokio::test]
 async fn a_list_that_differs_at_the_same_revision_is_served() {
@@ -120,7 +123,7 @@
             .is_complete
     );
     let new = upstreams(6, "y");
-    // A post that says only that nothing has changed does not prove another list.
+    // A publication without changes does not prove a list that the replica lacks.
     let unchanged = publication(9, new.digests(), Snapshot::default());
     expect_false!(replica.publish(unchanged).await.is_complete);
     expect_true!(
@@ -138,7 +141,7 @@
     expect_that!(update.digests, eq(new.digests()));
 }
 
-// Guards against a held-up post that puts an older list in the place of a newer one.
+// Guards against a delayed publication that replaces a newer list by an older one.
 #[gtest]
 #[tokio::test]
 async fn an_older_publication_changes_nothing() {
@@ -155,7 +158,7 @@
     expect_that!(update.last_read.unwrap().as_of, eq(8));
 }
 
-// Guards against two posts at once of which the older one reaches the disk last.
+// Guards against two concurrent publications of which the older one reaches the disk last.
 #[gtest]
 #[tokio::test]
 async fn the_newest_of_two_concurrent_publications_survives_a_restart() {
@@ -171,7 +174,7 @@
     expect_that!(replica.snapshot(), eq(&new));
 }
 
-// Guards against an asker that is told at once, again and again, what it does not take.
+// Guards against a requester that repeatedly receives, without waiting, parts that it rejects.
 #[gtest]
 #[tokio::test]
 async fn parts_older_than_the_requesters_are_not_served() {
@@ -206,8 +209,8 @@
     update.last_read.unwrap().asked
 }
 
-// A post that was held up on its way must not count as a new read when it comes: a key that was taken
-// away meanwhile would be accepted.
+// Guards against a delayed publication that counts as a new read on arrival: a key revoked in the
+// meantime would be accepted.
 #[gtest]
 #[tokio::test]
 async fn a_publication_is_as_old_as_the_clock_reading_before_its_read() {
@@ -225,7 +228,7 @@
     replica.publish(read(7, Some(before))).await;
     let age = requested_ago(&replica).await.unwrap();
     expect_that!(age, lt(Duration::from_secs(9)));
-    // An older one that comes after it takes nothing back.
+    // A delayed older publication takes nothing back.
     replica.publish(read(6, Some(late))).await;
     let update = replica
         .poll_update(KnownVersion::default(), Duration::ZERO)
@@ -237,7 +240,7 @@
     );
 }
 
-// A replica that started anew does not take a moment of its former start for one of its own.
+// A restarted replica must not accept a clock reading of its previous start as its own.
 #[gtest]
 #[tokio::test]
 async fn a_clock_reading_of_an_earlier_start_proves_nothing() {
@@ -249,7 +252,7 @@
     expect_that!(requested_ago(&replica).await, none());
 }
 
-// Guards against a post of unknown age that counts as a read of the moment in which it came.
+// Guards against a publication of unknown age that counts as read at its arrival.
 #[gtest]
 #[tokio::test]
 async fn only_reads_of_known_age_count_against_an_outage() {
--- a/fw-replica/tests/replica/team_usage.rs
+++ b/fw-replica/tests/replica/team_usage.rs
@@ -1,4 +1,4 @@
-//! Requests that entries let through, as replicas count them.
+//! Requests admitted by entries, as counted by replicas.
 
 use std::time::Duration;
 
@@ -35,8 +35,8 @@
     expect_that!(counters.exchange(1, &usage(5, 5)).recent, eq(counts(8)));
 }
 
-// A replica starts anew, and entries go on with counts of hours. What ran in the last window still
-// counts, and no more.
+// A replica restarts, and entries continue with counts of hours. Requests of the last window still
+// count, and no others.
 #[gtest]
 fn continues_after_a_restart() {
     let counters = Counters::default();
--- a/fw-replica/tests/replica/torn_journal.rs
+++ b/fw-replica/tests/replica/torn_journal.rs
@@ -21,7 +21,7 @@
     journal::Journal::open(dir, journal::Options::default(), each).unwrap()
 }
 
-/// Path of the segment that a new journal begins with.
+/// Path of the first segment of a new journal.
 fn first(dir: &std::path::Path) -> std::path::PathBuf {
     dir.join("records-00000001.log")
 }
@@ -42,8 +42,8 @@
 
 #[gtest]
 fn keeps_what_was_synced_and_goes_on_after_it() {
-    // Power fails in the middle of a write: behind what was synced lies a part of a frame. The
-    // replica must start, with all that it had acknowledged, and what it writes next must be read.
+    // Power fails in the middle of a write, which leaves a part of a frame behind the synced part.
+    // The replica must start with all that it had acknowledged, and later writes must be readable.
     let dir = tempfile::tempdir().unwrap();
     let mut journal = open(dir.path(), |_, _| {});
     journal
