--- a/fw-plan/src/lib.rs
+++ b/fw-plan/src/lib.rs
@@ -9,7 +9,7 @@
 //! use std::time::Duration;
 //! use fw_plan::admit;
 //!
-//! let mut admit = admit::Admit::new(admit::Options::default());
+//! let mut admit = admit::Controller::new(admit::Options::default());
 //! let req = admit::Request {
 //!     lane: admit::Lane::NewProgram,
 //!     team: "surat-temple-trust".into(),
@@ -27,11 +27,11 @@
 pub mod admit;
 pub mod assign;
 pub mod budget;
+pub mod cache_retention;
+pub mod commit_window;
 pub mod confirm;
 pub mod health;
 pub mod hedge;
-pub mod hold;
-pub mod keep;
 pub mod lapse;
 pub mod lookup;
 pub mod pace;
@@ -44,11 +44,11 @@
 pub mod staleness;
 pub mod subset;
 pub mod takeover;
-pub mod window;
+pub mod wait_queue;
 
 /// A refusal: why, and when the same call may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct Refusal {
     /// Why.
     pub kind: error::Kind,
     /// When to try again, from now.
@@ -56,6 +56,6 @@
 }
 
 /// `part` of the way from `old` to `new`: one step of an exponentially weighted mean.
-pub(crate) fn toward(old: f64, new: f64, part: f64) -> f64 {
+pub(crate) fn ewma(old: f64, new: f64, part: f64) -> f64 {
     old + (new - old) * part
 }
--- a/fw-replica/src/client/calls.rs
+++ b/fw-replica/src/client/calls.rs
@@ -145,7 +145,7 @@
         entry: u32,
         usage: &[service::TeamUsage],
         reach: super::Reach,
-        on_summary: impl Fn(&service::TeamUsage, &quota::Heard),
+        on_summary: impl Fn(&service::TeamUsage, &quota::Summary),
     ) {
         if usage.is_empty() {
             return;
@@ -172,7 +172,7 @@
         addr: SocketAddr,
         entry: u32,
         usage: Vec<service::TeamUsage>,
-    ) -> Option<Vec<quota::Heard>> {
+    ) -> Option<Vec<quota::Summary>> {
         self.links
             .call(addr, |client, cx| async move {
                 client.report_usage(cx, entry, usage).await
--- a/fw-replica/src/client/mod.rs
+++ b/fw-replica/src/client/mod.rs
@@ -81,7 +81,7 @@
     /// Upstreams that last ran turns of this lineage.
     pub last_upstreams: affinity::LastUpstreams,
     /// Requests of the turn's team that other entries have admitted.
-    pub usage: Option<quota::Heard>,
+    pub usage: Option<quota::Summary>,
 }
 
 /// The replicas that a request goes to.
--- a/fw-replica/src/server/mod.rs
+++ b/fw-replica/src/server/mod.rs
@@ -502,7 +502,7 @@
         _: tarpc::context::Context,
         entry: u32,
         usage: Vec<service::TeamUsage>,
-    ) -> Vec<quota::Heard> {
+    ) -> Vec<quota::Summary> {
         let usage = usage.iter();
         let summaries = usage.map(|usage| self.0.team_usage.exchange(entry, usage));
         summaries.collect()
--- a/fw-replica/src/server/snapshot.rs
+++ b/fw-replica/src/server/snapshot.rs
@@ -102,7 +102,7 @@
         if let Some(at) = requested_at {
             // A delayed publication proves nothing about the time since its read.
             let mut contiguous = self.store_reads.contiguous.lock();
-            contiguous.note_read(at, clock::since_boot());
+            contiguous.add_read(at, clock::since_boot());
         }
         if req.as_of < self.as_of() {
             // The replica has all parts of a newer read.
--- a/fw-replica/src/service.rs
+++ b/fw-replica/src/service.rs
@@ -38,7 +38,7 @@
     /// The team.
     pub team: id::TeamId,
     /// Request counts of the team.
-    pub report: quota::Told,
+    pub report: quota::Report,
 }
 
 /// One entry's calls in flight, by upstream.
@@ -64,7 +64,7 @@
     /// Relay addresses of some of them.
     pub relays: Vec<SocketAddr>,
     /// Requests of the team named in the request, if any.
-    pub usage: Option<quota::Heard>,
+    pub usage: Option<quota::Summary>,
 }
 
 /// Digest of a part's bytes; 0 if there is none.
@@ -376,7 +376,7 @@
     async fn publish(req: Publish) -> Published;
     /// Records the requests that an entry has admitted for some teams; returns the totals of each
     /// team.
-    async fn report_usage(entry: u32, usage: Vec<TeamUsage>) -> Vec<quota::Heard>;
+    async fn report_usage(entry: u32, usage: Vec<TeamUsage>) -> Vec<quota::Summary>;
     /// Long poll for the parts that the requester lacks: waits up to `wait` until a read of the
     /// store is published or the member list changes.
     async fn poll_update(known: KnownVersion, wait: Duration) -> Update;
--- a/fw-replica/src/team_usage.rs
+++ b/fw-replica/src/team_usage.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct Counters {
     started: Instant,
-    teams: Mutex<HashMap<id::TeamId, quota::Sum>>,
+    teams: Mutex<HashMap<id::TeamId, quota::Aggregate>>,
 }
 
 impl Default for Counters {
@@ -28,7 +28,7 @@
 
 impl Counters {
     /// Updates the counts of `entry`, and returns the totals of the team over all entries.
-    pub fn exchange(&self, entry: u32, spent: &service::TeamUsage) -> quota::Heard {
+    pub fn exchange(&self, entry: u32, spent: &service::TeamUsage) -> quota::Summary {
         let now = self.started.elapsed();
         let mut teams = self.teams.lock();
         let team = teams.entry(spent.team.clone()).or_default();
--- a/fw-replica/tests/replica/team_usage.rs
+++ b/fw-replica/tests/replica/team_usage.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fw_plan::quota::{Counts, Told};
+use fw_plan::quota::{Counts, Report};
 use fw_replica::service::TeamUsage;
 use fw_replica::team_usage::Counters;
 use googletest::prelude::*;
@@ -17,7 +17,7 @@
 fn usage(total: i64, recent: i64) -> TeamUsage {
     TeamUsage {
         team: "t".into(),
-        report: Told {
+        report: Report {
             total: counts(total),
             recent: counts(recent),
             window: Duration::from_secs(60),
