--- a/fw-replica/src/client/calls.rs
+++ b/fw-replica/src/client/calls.rs
@@ -85,7 +85,7 @@
     /// `clocks` were read. `full_snapshot` supplies all parts for a replica that lacks some.
     pub fn publish(
         self: &Arc<Self>,
-        post: &service::Publish,
+        publication: &service::Publish,
         clocks: &super::ClockReadings,
         full_snapshot: impl Fn() -> service::Snapshot + Send + Sync + 'static,
     ) {
@@ -93,15 +93,15 @@
         let (_, members) = self.members();
         for addr in members {
             let (client, full_snapshot) = (Arc::clone(self), Arc::clone(&full_snapshot));
-            let post = service::Publish {
+            let publication = service::Publish {
                 requested_at: clocks.get(&addr).copied(),
-                ..post.clone()
+                ..publication.clone()
             };
             tokio::spawn(async move {
-                if client.call_publish(addr, post.clone()).await == Some(false) {
+                if client.call_publish(addr, publication.clone()).await == Some(false) {
                     let retry = service::Publish {
                         changed: full_snapshot(),
-                        ..post
+                        ..publication
                     };
                     // If this fails too, the replica gets the next publication.
                     client.call_publish(addr, retry).await;
@@ -111,12 +111,10 @@
     }
 
     /// Publishes to one replica; returns whether it then has all parts.
-    async fn call_publish(&self, addr: SocketAddr, post: service::Publish) -> Option<bool> {
-        let published =
-            self.links.call(
-                addr,
-                |client, cx| async move { client.publish(cx, post).await },
-            );
+    async fn call_publish(&self, addr: SocketAddr, publication: service::Publish) -> Option<bool> {
+        let published = self.links.call(addr, |client, cx| async move {
+            client.publish(cx, publication).await
+        });
         let published = published.await?;
         self.clock_readings.lock().insert(addr, published.now);
         Some(published.is_complete)
--- a/fw-replica/src/client/mod.rs
+++ b/fw-replica/src/client/mod.rs
@@ -51,7 +51,7 @@
     Unsure {
         /// Replicas that gave an answer.
         answered: usize,
-        /// Replicas asked.
+        /// Replicas queried.
         members: usize,
         /// Replicas needed.
         needed: usize,
--- a/fw-replica/src/server/mod.rs
+++ b/fw-replica/src/server/mod.rs
@@ -408,7 +408,7 @@
             .usage
             .map(|usage| self.0.team_usage.exchange(entry, &usage));
         let peer_state = req.wants_peer_state.then(|| service::PeerState {
-            usage: usage,
+            usage,
             ..self.0.entry_loads.peer_state(req.load.entry)
         });
         self.0.entry_loads.record(req.load);
@@ -421,8 +421,8 @@
         service::BeginReply {
             vote,
             chain: chain.unwrap_or_default(),
-            peer_state: peer_state,
-            last_upstreams: last_upstreams,
+            peer_state,
+            last_upstreams,
         }
     }
 
--- a/fw-replica/src/server/snapshot.rs
+++ b/fw-replica/src/server/snapshot.rs
@@ -81,13 +81,13 @@
     /// Stores the parts of `read` that are newer than the stored ones.
     pub async fn store_snapshot(&self, read: service::Snapshot) {
         let _keeping = self.store_reads.write_lock.lock().await;
-        let known = self.snapshot();
+        let stored = self.snapshot();
         // A part that the disk refuses is missing here, and is sent again with the next
         // publication.
-        if let Some(config) = changed(known.config.as_ref(), read.config) {
+        if let Some(config) = changed(stored.config.as_ref(), read.config) {
             self.write(record::Record::Config(config)).await;
         }
-        if let Some(upstreams) = changed(known.upstreams.as_ref(), read.upstreams) {
+        if let Some(upstreams) = changed(stored.upstreams.as_ref(), read.upstreams) {
             self.write(record::Record::Upstreams(upstreams)).await;
         }
     }
@@ -126,7 +126,7 @@
 
     fn publish_reply(&self, is_complete: bool) -> service::Published {
         service::Published {
-            is_complete: is_complete,
+            is_complete,
             now: self.read_clock(),
         }
     }
@@ -195,7 +195,7 @@
         let (newer, digests) = self.parts_for(known);
         service::Update {
             newer,
-            digests: digests,
+            digests,
             reads: self.store_reads.contiguous_span(),
             view: self.view.borrow().clone(),
             held_for: started.elapsed(),
--- a/fw-replica/src/sync.rs
+++ b/fw-replica/src/sync.rs
@@ -1,7 +1,7 @@
 //! Copying of records between replicas, and changes of the member list.
 //!
 //! Each member reads the record lists of the others and copies the records it lacks, so that after
-//! the loss of a disk every record is on enough others, whichever were asked to store it. A replica
+//! the loss of a disk every record is on enough others, whichever were sent it first. A replica
 //! with an empty disk votes only after reading enough of these lists to their ends.
 
 use std::collections::{BTreeMap, HashMap};
--- a/fw-replica/tests/replica/budget_races.rs
+++ b/fw-replica/tests/replica/budget_races.rs
@@ -225,15 +225,15 @@
     }
 
     fn request(&mut self, turn: TurnIndex) {
-        let asked = &mut self.turns[turn];
-        asked.round += 1;
-        asked.members = self.lists[&asked.epoch].clone();
-        asked.tally = tally::Tally::default();
-        asked.left = asked.members.len();
-        asked.reads = None;
-        let (round, epoch) = (asked.round, asked.epoch);
-        for at in asked.members.clone() {
-            let known = asked.known.clone();
+        let current = &mut self.turns[turn];
+        current.round += 1;
+        current.members = self.lists[&current.epoch].clone();
+        current.tally = tally::Tally::default();
+        current.left = current.members.len();
+        current.reads = None;
+        let (round, epoch) = (current.round, current.epoch);
+        for at in current.members.clone() {
+            let known = current.known.clone();
             self.events.push(Event::Request {
                 turn,
                 round,
@@ -297,39 +297,39 @@
         round: u32,
         note: impl FnOnce(&mut tally::Tally<ReplicaIndex>),
     ) {
-        let asked = &mut self.turns[turn];
-        if asked.over || asked.round != round || asked.reads.is_some() {
+        let current = &mut self.turns[turn];
+        if current.over || current.round != round || current.reads.is_some() {
             return;
         }
-        note(&mut asked.tally);
-        asked.left -= 1;
-        let quorum = member::Quorum::of(asked.members.len(), FAULTS);
-        let accepted = asked.tally.accepted().count();
-        if accepted >= quorum.vote || accepted + asked.left < quorum.vote {
+        note(&mut current.tally);
+        current.left -= 1;
+        let quorum = member::Quorum::of(current.members.len(), FAULTS);
+        let accepted = current.tally.accepted().count();
+        if accepted >= quorum.vote || accepted + current.left < quorum.vote {
             self.judge(turn);
         }
     }
 
     fn judge(&mut self, turn: TurnIndex) {
         let reserve = self.reserve(turn, Vec::new());
-        let asked = &mut self.turns[turn];
+        let current = &mut self.turns[turn];
         // Like the client: a second round at once if that can change the outcome.
-        if asked.known.is_empty()
-            && let Some(known) = asked.tally.retry_charges(&reserve)
+        if current.known.is_empty()
+            && let Some(known) = current.tally.retry_charges(&reserve)
         {
-            asked.known = known;
+            current.known = known;
             return self.request(turn);
         }
-        let members = asked.members.len();
+        let members = current.members.len();
         let quorum = member::Quorum::of(members, FAULTS);
-        match asked.tally.verdict(members, quorum) {
+        match current.tally.verdict(members, quorum) {
             tally::Verdict::Run => self.run(turn),
             tally::Verdict::Spent { .. } => self.settle(turn, 0),
             tally::Verdict::Unsure { .. } => self.unsure(turn),
             tally::Verdict::Compare => {
-                let round = asked.round;
-                let accepted: Vec<_> = asked.tally.accepted().collect();
-                asked.reads = Some((accepted.len(), Vec::new()));
+                let round = current.round;
+                let accepted: Vec<_> = current.tally.accepted().collect();
+                current.reads = Some((accepted.len(), Vec::new()));
                 let reads = accepted
                     .into_iter()
                     .map(|at| Event::Read { turn, round, at });
@@ -341,9 +341,9 @@
     fn read(&mut self, turn: TurnIndex, round: u32, at: ReplicaIndex) {
         let lines = self.replicas[at].state.ledger(&"p".into());
         let is_alive = self.replicas[at].alive;
-        let asked = &mut self.turns[turn];
-        let is_current = !asked.over && asked.round == round;
-        let Some((left, read)) = asked.reads.as_mut().filter(|_| is_current && is_alive) else {
+        let current = &mut self.turns[turn];
+        let is_current = !current.over && current.round == round;
+        let Some((left, read)) = current.reads.as_mut().filter(|_| is_current && is_alive) else {
             return;
         };
         *left -= 1;
@@ -493,14 +493,14 @@
     /// older ones.
     fn announce(&mut self) -> bool {
         let (epoch, list) = self.newest();
-        let mut told = 0;
+        let mut informed = 0;
         for at in &list {
             if self.replicas[*at].alive && self.rng.random_bool(0.9) {
                 self.update_epoch(*at, epoch);
-                told += 1;
+                informed += 1;
             }
         }
-        told * 2 > list.len()
+        informed * 2 > list.len()
     }
 
     /// A replica that has not finished copying for the current list starts over.
--- a/fw-replica/tests/replica/journal_segments.rs
+++ b/fw-replica/tests/replica/journal_segments.rs
@@ -98,17 +98,17 @@
         epoch: 7,
         list: member::List::default(),
     };
-    let bulletin = service::SnapshotPart {
+    let part = service::SnapshotPart {
         as_of: 3,
         bytes: "b".into(),
     };
     assert!(replica.update_view(view.clone()).await);
     assert!(replica.mark_synced(true).await);
-    let bulletins = service::Snapshot {
-        config: Some(bulletin.clone()),
-        upstreams: Some(bulletin),
+    let snapshot = service::Snapshot {
+        config: Some(part.clone()),
+        upstreams: Some(part),
     };
-    replica.store_snapshot(bulletins.clone()).await;
+    replica.store_snapshot(snapshot.clone()).await;
     store_turns(&replica, 0..20, START).await;
     expire(&replica, LATER).await;
     expect_that!(dir.path().join("records-00000001.log").exists(), eq(false));
@@ -116,7 +116,7 @@
     let replica = open(dir.path());
     expect_that!(*replica.view().borrow(), eq(&view));
     expect_that!(replica.is_synced(), eq(true));
-    expect_that!(replica.snapshot(), eq(&bulletins));
+    expect_that!(replica.snapshot(), eq(&snapshot));
 }
 
 #[gtest]
--- a/fw-replica/tests/replica/lost_links.rs
+++ b/fw-replica/tests/replica/lost_links.rs
@@ -63,8 +63,8 @@
     expect_that!(ping.await, none());
     let relay = TcpListener::bind("127.0.0.1:0").await.unwrap();
     links.set_relays(&[relay.local_addr().unwrap()]);
-    let asked = tokio::time::timeout(LONG, relay.accept()).await;
-    expect_that!(asked, ok(ok(anything())));
+    let accepted = tokio::time::timeout(LONG, relay.accept()).await;
+    expect_that!(accepted, ok(ok(anything())));
 }
 
 // Guards against a failing first call after a replica's restart, made over the connection to its
--- a/fw-replica/tests/replica/store_news.rs
+++ b/fw-replica/tests/replica/store_news.rs
@@ -195,9 +195,9 @@
     expect_that!(started.elapsed(), ge(wait));
 }
 
-fn read(as_of: u64, asked: Option<ClockReading>) -> Publish {
+fn read(as_of: u64, requested_at: Option<ClockReading>) -> Publish {
     Publish {
-        requested_at: asked,
+        requested_at,
         ..publication(as_of, PartDigests::default(), Snapshot::default())
     }
 }
