--- a/fw-replica/src/client/chain.rs
+++ b/fw-replica/src/client/chain.rs
@@ -10,7 +10,7 @@
 use crate::{member, record, service};
 
 impl Client {
-    /// Asks `members`, those of the list of `epoch`, for what is missing of a chain.
+    /// Requests the missing rest of a chain from `members`, the members of the list of `epoch`.
     pub(super) async fn complete(
         self: &Arc<Self>,
         epoch: member::Epoch,
@@ -25,7 +25,7 @@
             absent.extend(members.first());
         }
         while let Some(id) = missing.take() {
-            let Some(found) = self.search(epoch, members, &mut absent, &id).await else {
+            let Some(found) = self.find_turn(epoch, members, &mut absent, &id).await else {
                 if absent.len() >= needed {
                     return Err(Error::UnknownTurn { turn: id });
                 }
@@ -42,20 +42,20 @@
         Ok(turns)
     }
 
-    /// The chain from `id` on by the first member that has that turn. `absent` collects those that
-    /// are certain not to have it.
-    pub(super) async fn search(
+    /// The chain from `id` on, from the first member that replies with that turn. Adds members that
+    /// report certain absence to `absent`.
+    pub(super) async fn find_turn(
         self: &Arc<Self>,
         epoch: member::Epoch,
         members: &[SocketAddr],
         absent: &mut Vec<SocketAddr>,
         id: &record::TurnId,
     ) -> Option<service::Chain> {
-        let asked = members
+        let targets = members
             .iter()
             .copied()
             .filter(|addr| !absent.contains(addr));
-        let mut calls: FuturesUnordered<_> = asked
+        let mut calls: FuturesUnordered<_> = targets
             .map(|addr| async move { (addr, self.call_chain(addr, epoch, id.clone()).await) })
             .collect();
         while let Some((addr, chain)) = calls.next().await {
--- a/fw-replica/src/client/store.rs
+++ b/fw-replica/src/client/store.rs
@@ -1,4 +1,4 @@
-//! Storing what came of a turn.
+//! Storing the outcome of a turn.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
-use super::{AGAIN, Client};
+use super::{Client, RETRY_PAUSES};
 use crate::{member, service};
 
 impl Client {
-    /// Stores what came of a turn. Returns once it is on `f + 1` disks, or cannot be: `false`.
-    /// Replicas that did not store it get it again in the background.
+    /// Stores the outcome of a turn. Returns `true` once it is on `f + 1` disks, `false` if that
+    /// fails. Replicas that did not store it are retried in the background.
     pub async fn finish(self: &Arc<Self>, req: service::Finish) -> bool {
         let (_, members) = self.members();
         let needed = member::Quorum::of(members.len(), self.faults).write;
@@ -34,14 +34,14 @@
         true
     }
 
-    /// Sends `req` to one replica; tries again on a task of its own if that fails.
+    /// Sends `req` to one replica; retries in the background if that fails.
     async fn finish_at(self: &Arc<Self>, addr: SocketAddr, req: service::Finish) -> bool {
         if self.call_finish(addr, req.clone()).await {
             return true;
         }
         let client = Arc::clone(self);
         tokio::spawn(async move {
-            for pause in AGAIN {
+            for pause in RETRY_PAUSES {
                 tokio::time::sleep(pause).await;
                 if client.call_finish(addr, req.clone()).await {
                     return;
--- a/fw-replica/src/entry_load.rs
+++ b/fw-replica/src/entry_load.rs
@@ -1,7 +1,7 @@
-//! Entries' calls under way, as they tell them.
+//! Calls in flight of all entries, as reported with their requests.
 //!
-//! *Load pattern:* twenty entries send to the same forty upstreams. Each knows its own calls, and
-//! those of others only from what an upstream tells with its answers, seconds ago.
+//! *Load pattern:* twenty entries send to the same forty upstreams. Each has its own counts; those
+//! of other entries reach it only through the upstreams' answers, seconds late.
 //!
 //! *Without it:* calls meet at one upstream and queue there while the one beside it is idle.
 
@@ -12,68 +12,74 @@
 
 use crate::service;
 
-/// How long what an entry told counts. An entry with traffic tells several times a second; one
-/// without has no calls.
-const FRESH: Duration = Duration::from_millis(1_500);
-/// Entries remembered; beyond that those that have not told for long are dropped.
-const ENTRIES: usize = 512;
+/// How long a report counts. An entry with traffic reports several times a second; one without has
+/// no calls.
+const LOAD_TTL: Duration = Duration::from_millis(1_500);
+/// Number of entries above which expired reports are dropped.
+const MAX_ENTRIES: usize = 512;
 
-/// Entries named to each other as a way around a cut. A cut may take a third of the entries; that
+/// Number of relays returned to an entry. A network partition may take a third of the entries; that
 /// it takes all of eight is rare.
-const PEERS: usize = 8;
+const MAX_RELAYS: usize = 8;
 
-/// The newest word of one entry.
+/// The last report of one entry.
 #[derive(Debug)]
 struct Report {
-    at: Instant,
+    received_at: Instant,
     load: service::Load,
 }
 
-/// The newest word of each entry.
+/// The last report of each entry.
 #[derive(Debug, Default)]
 pub struct Table {
     entries: Mutex<HashMap<u32, Report>>,
 }
 
 impl Table {
-    /// Notes what an entry tells, and returns what the others told.
+    /// Records an entry's report, and returns the state of the others.
     pub fn exchange(&self, load: service::Load) -> service::PeerState {
-        let others = self.others(load.entry);
-        self.note(load);
+        let others = self.peer_state(load.entry);
+        self.record(load);
         others
     }
 
-    /// Notes what an entry tells.
-    pub fn note(&self, load: service::Load) {
+    /// Records an entry's report.
+    pub fn record(&self, load: service::Load) {
         let now = Instant::now();
         let mut entries = self.entries.lock();
-        entries.insert(load.entry, Report { at: now, load });
-        if entries.len() > ENTRIES {
-            entries.retain(|_, told| now.duration_since(told.at) <= FRESH);
+        entries.insert(
+            load.entry,
+            Report {
+                received_at: now,
+                load,
+            },
+        );
+        if entries.len() > MAX_ENTRIES {
+            entries.retain(|_, report| now.duration_since(report.received_at) <= LOAD_TTL);
         }
     }
 
-    /// The sum of what others than `entry` told, and where some of them are.
-    pub fn others(&self, entry: u32) -> service::PeerState {
+    /// The sum of the calls of all entries but `entry`, and relay addresses of some of them.
+    pub fn peer_state(&self, entry: u32) -> service::PeerState {
         let now = Instant::now();
         let entries = self.entries.lock();
         let mut sum: HashMap<u16, u16> = HashMap::new();
-        let mut peers = Vec::new();
-        for (other, told) in entries.iter() {
-            if *other == entry || now.duration_since(told.at) > FRESH {
+        let mut relays = Vec::new();
+        for (other, report) in entries.iter() {
+            if *other == entry || now.duration_since(report.received_at) > LOAD_TTL {
                 continue;
             }
-            for (upstream, count) in &told.load.calls {
+            for (upstream, count) in &report.load.calls {
                 let total = sum.entry(*upstream).or_default();
                 *total = total.saturating_add(*count);
             }
-            if peers.len() < PEERS {
-                peers.extend(told.load.relay);
+            if relays.len() < MAX_RELAYS {
+                relays.extend(report.load.relay);
             }
         }
         service::PeerState {
             calls: sum.into_iter().collect(),
-            relays: peers,
+            relays,
             usage: None,
         }
     }
--- a/fw-replica/src/server/mod.rs
+++ b/fw-replica/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The calls that a replica answers.
+//! Server side of the replica service.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -16,35 +16,35 @@
     affinity, entry_load, journal, ledger, member, record, service, state, team_usage, writer,
 };
 
-/// Most turns of a chain in one answer. Longer chains are read in several.
-const CHAIN: usize = 256;
+/// Most turns of a chain in one reply. Longer chains take several requests.
+const MAX_CHAIN: usize = 256;
 
-/// Charges carried to the newest segment at a time, a few syncs: other records find room in the
-/// writer's queue.
-const CARRY: usize = 512;
+/// Charges rewritten to the newest segment at a time. They take a few syncs, so that other records
+/// find room in the writer's queue.
+const CARRY_BATCH: usize = 512;
 
-/// How long a replica counts as standing by after it asked: it does so once a second.
-const STANDS_BY: Duration = Duration::from_secs(3);
+/// How long a replica counts as a standby after its last ping. Standbys ping once a second.
+const STANDBY_TTL: Duration = Duration::from_secs(3);
 
-/// The time of day.
+/// Current wall-clock time.
 pub fn unix_ms() -> record::UnixMs {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    // Before 1970 no record can be older than another, which keeps all of them.
+    // A clock before 1970 yields 0, at which no record expires.
     since.unwrap_or(Duration::ZERO).as_millis() as record::UnixMs
 }
 
-/// What a replica is told at its start.
+/// Options of a replica's storage and its server.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// How its journal is kept.
+    /// Options of the journal.
     pub journal: journal::Options,
-    /// How outages of the platform's store are told.
+    /// How outages of the platform's store are detected.
     pub lapse: lapse::Options,
     /// Differs for each start of the process.
     pub run: u64,
 }
 
-/// A replica's data and the way to its disk.
+/// State of a replica, shared by its connections, and its access to the disk.
 #[derive(Debug)]
 pub struct Shared {
     state: Mutex<state::State>,
@@ -53,15 +53,15 @@
     view: watch::Sender<member::View>,
     retiring: AtomicBool,
     votes: AtomicBool,
-    retire_told: watch::Sender<Vec<record::ReplicaId>>,
-    board: entry_load::Table,
-    trail: affinity::Table,
-    spending: team_usage::Counters,
-    /// Reads of the platform's store that entries told of.
-    reads: snapshot::StoreReads,
-    /// Replicas that stand by, and when they asked last.
+    retire_requests: watch::Sender<Vec<record::ReplicaId>>,
+    entry_loads: entry_load::Table,
+    affinity: affinity::Table,
+    team_usage: team_usage::Counters,
+    /// Reads of the platform's store published by entries.
+    store_reads: snapshot::StoreReads,
+    /// Standby replicas, and the time of their last pings.
     standbys: Mutex<BTreeMap<record::ReplicaId, Instant>>,
-    /// How far each other replica has copied from here.
+    /// Number of records that each other replica has copied from this one.
     readers: Mutex<HashMap<record::ReplicaId, u64>>,
 }
 
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// When the disk fails, or holds what cannot be read.
+    /// When the disk fails, or a stored record cannot be decoded.
     pub fn open(dir: &std::path::Path, opts: Options) -> Result<Arc<Self>, journal::Error> {
         let begun = Instant::now();
         let mut records = 0_u64;
@@ -100,51 +100,51 @@
             view: watch::Sender::new(view),
             retiring: AtomicBool::new(false),
             votes: AtomicBool::new(false),
-            retire_told: watch::Sender::default(),
-            board: entry_load::Table::default(),
-            trail: affinity::Table::default(),
-            spending: team_usage::Counters::default(),
-            reads: snapshot::StoreReads::new(opts.run, opts.lapse),
+            retire_requests: watch::Sender::default(),
+            entry_loads: entry_load::Table::default(),
+            affinity: affinity::Table::default(),
+            team_usage: team_usage::Counters::default(),
+            store_reads: snapshot::StoreReads::new(opts.run, opts.lapse),
             standbys: Mutex::default(),
             readers: Mutex::default(),
         }))
     }
 
-    /// The member list as it is known here.
+    /// The replica's current member list.
     pub fn view(&self) -> &watch::Sender<member::View> {
         &self.view
     }
 
-    /// Takes a member list unless a newer one is known. Returns whether older ones are refused from
-    /// now on, also after a restart.
-    pub async fn learn(&self, view: member::View) -> bool {
+    /// Replaces the member list if `view` is newer. Returns whether the replica refuses older lists
+    /// from now on, also after a restart.
+    pub async fn update_view(&self, view: member::View) -> bool {
         if view.epoch <= self.view.borrow().epoch {
             return true;
         }
-        // In force before it is on disk: refusing older lists too early harms nobody.
-        self.view.send_if_modified(|known| {
-            let newer = view.epoch > known.epoch;
+        // Takes effect before it is on disk: refusing older lists too early does no harm.
+        self.view.send_if_modified(|current| {
+            let newer = view.epoch > current.epoch;
             if newer {
                 tracing::info!(epoch = view.epoch, members = ?view.list.members, "member list");
-                *known = view.clone();
+                *current = view.clone();
             }
             newer
         });
         self.write(record::Record::Members(view)).await
     }
 
-    /// Whether the replica has all that a member has to know.
+    /// Whether the replica has all records that a member must have.
     pub fn is_synced(&self) -> bool {
         self.state.lock().is_synced()
     }
 
-    /// Notes for good whether the replica has all that a member has to know.
+    /// Records durably whether the replica has all records that a member must have.
     pub async fn mark_synced(&self, synced: bool) -> bool {
         self.write(record::Record::Synced(synced)).await
     }
 
-    /// Lets the replica vote from now on, or no longer.
-    pub fn let_vote(&self, votes: bool) {
+    /// Sets whether the replica votes on reservations.
+    pub fn set_voting(&self, votes: bool) {
         self.votes.store(votes, Ordering::Relaxed);
     }
 
@@ -153,32 +153,32 @@
         self.votes.load(Ordering::Relaxed)
     }
 
-    /// Adds to the replicas that the operator wants emptied.
-    pub fn learn_retire(&self, retire: Vec<record::ReplicaId>) {
-        self.retire_told.send_if_modified(|told| {
-            let news = retire.into_iter().filter(|name| !told.contains(name));
-            let news: Vec<_> = news.collect();
-            told.extend(news.iter().cloned());
-            !news.is_empty()
+    /// Adds to the replicas that the operator wants retired.
+    pub fn add_retire_requests(&self, retire: Vec<record::ReplicaId>) {
+        self.retire_requests.send_if_modified(|requests| {
+            let added = retire.into_iter().filter(|name| !requests.contains(name));
+            let added: Vec<_> = added.collect();
+            requests.extend(added.iter().cloned());
+            !added.is_empty()
         });
     }
 
-    /// Replicas that the operator wants emptied, as entries tell.
-    pub fn retire_told(&self) -> watch::Receiver<Vec<record::ReplicaId>> {
-        self.retire_told.subscribe()
+    /// Replicas that the operator wants retired, as announced by entries.
+    pub fn retire_requests(&self) -> watch::Receiver<Vec<record::ReplicaId>> {
+        self.retire_requests.subscribe()
     }
 
-    /// Takes nothing new from now on.
+    /// Accepts no new records from now on.
     pub fn retire(&self) {
         self.retiring.store(true, Ordering::Relaxed);
     }
 
-    /// Whether it takes nothing new.
+    /// Whether the replica accepts no new records.
     pub fn is_retiring(&self) -> bool {
         self.retiring.load(Ordering::Relaxed)
     }
 
-    /// Replicas among `members` that have copied all that is here.
+    /// Number of replicas in `members` that have copied all records of this one.
     pub fn copied_by(&self, members: &member::List) -> usize {
         let end = self.state.lock().list_end();
         let readers = self.readers.lock();
@@ -186,17 +186,17 @@
         members.members.keys().filter(has_all).count()
     }
 
-    /// Stores `record` unless it is known; whether it then is on disk.
+    /// Stores `record` unless it is stored already. Returns whether it is on disk.
     pub async fn store(&self, record: record::Record) -> bool {
-        let known = match &record {
+        let is_stored = match &record {
             record::Record::Turn(turn) => self.has(&turn.id),
-            record::Record::Charge(charge) => !self.is_news(charge),
+            record::Record::Charge(charge) => !self.is_new(charge),
             record::Record::Synced(_)
             | record::Record::Members(_)
             | record::Record::Config(_)
             | record::Record::Upstreams(_) => false,
         };
-        if known {
+        if is_stored {
             return true;
         }
         self.write(record).await
@@ -210,37 +210,38 @@
         true
     }
 
-    /// `asker` stands by. Returns how many that do, and asked lately, come before it by their names.
-    fn note_standby(&self, asker: record::ReplicaId) -> usize {
+    /// Records a ping of the standby replica `asker`. Returns the number of current standbys whose
+    /// names sort before its own.
+    fn record_standby(&self, asker: record::ReplicaId) -> usize {
         let now = Instant::now();
         let mut standbys = self.standbys.lock();
         standbys.insert(asker.clone(), now);
-        standbys.retain(|_, at| now.duration_since(*at) < STANDS_BY);
+        standbys.retain(|_, at| now.duration_since(*at) < STANDBY_TTL);
         standbys.range(..asker).count()
     }
 
-    /// Whether the turn is here.
+    /// Whether the turn is stored here.
     pub fn has(&self, turn: &record::TurnId) -> bool {
         self.state.lock().place(turn).is_some()
     }
 
-    /// Whether `charge` says anything new.
-    pub fn is_news(&self, charge: &record::Charge) -> bool {
-        self.state.lock().is_news(charge)
+    /// Whether `charge` changes its program's ledger or is not on disk yet.
+    pub fn is_new(&self, charge: &record::Charge) -> bool {
+        self.state.lock().is_new(charge)
     }
 
-    /// All charges of `program` that are known here.
+    /// All charges of `program` stored here.
     pub fn ledger(&self, program: &record::ProgramId) -> Vec<ledger::Line> {
         self.state.lock().ledger(program)
     }
 
-    /// What entries know from the platform's store.
-    pub fn bulletins(&self) -> service::Snapshot {
-        self.state.lock().bulletins().clone()
+    /// Contents of the platform's store, as published by entries.
+    pub fn snapshot(&self) -> service::Snapshot {
+        self.state.lock().snapshot().clone()
     }
 
-    /// Forgets what has been kept long enough at `now`, and removes the oldest segment of the
-    /// journal if nothing else is in it.
+    /// Drops records whose retention is over at `now`, and removes the oldest segment of the
+    /// journal if all its records have expired.
     pub async fn expire(&self, now: record::UnixMs) {
         {
             let mut state = self.state.lock();
@@ -249,31 +250,31 @@
             metrics::gauge!("fw_replica_programs").set(state.programs() as f64);
         }
         metrics::gauge!("fw_replica_segments").set(self.files.count() as f64);
-        if let Some(segment) = self.files.lapsed(now) {
+        if let Some(segment) = self.files.oldest_expired(now) {
             self.remove(segment).await;
         }
     }
 
-    /// Removes a segment, once the charges in it that still count are in the newest one.
+    /// Removes a segment after rewriting its live charges to the newest one.
     async fn remove(&self, segment: journal::SegmentId) {
         let charges = match self.live_charges(segment) {
             Ok(charges) => charges,
             Err(err) => {
                 metrics::counter!("fw_replica_disk_errors_total").increment(1);
-                tracing::error!(%err, segment, "a segment cannot be read");
+                tracing::error!(%err, segment, "a journal segment cannot be read");
                 return;
             }
         };
         let carried = charges.len();
         if self.carry(charges).await && self.writer.remove(segment).await {
-            tracing::info!(segment, carried, "a segment was kept long enough");
+            tracing::info!(segment, carried, "an expired journal segment was removed");
         }
     }
 
-    /// Writes charges once more; whether all are on disk. They are not applied, as the state has
-    /// them already.
+    /// Writes charges again; returns whether all are on disk. They are not applied, as the state
+    /// already has them.
     async fn carry(&self, charges: Vec<record::Charge>) -> bool {
-        for charges in charges.chunks(CARRY) {
+        for charges in charges.chunks(CARRY_BATCH) {
             let records = charges.iter().cloned().map(record::Record::Charge);
             let stored = join_all(records.map(|record| self.writer.store(record))).await;
             if stored.iter().any(Option::is_none) {
@@ -303,7 +304,7 @@
         match self.files.read(place) {
             Ok(record::Record::Turn(turn)) => Some(turn),
             Ok(_) => {
-                tracing::error!(%turn, "the index names a record that is no turn");
+                tracing::error!(%turn, "the index refers to a record that is not a turn");
                 None
             }
             Err(err) => {
@@ -314,20 +315,21 @@
         }
     }
 
-    /// The chain from `newest` on, for a sender that goes by the list of `epoch`.
+    /// The chain from `newest` on, for a sender that uses the list of `epoch`.
     ///
-    /// *Failure:* an entry that has not heard of a new member asks those of the old list: one that was
-    /// replaced while it was frozen, and one whose turn lies with the new member and a third. Both were
-    /// certain, and the entry took a stored turn for unknown. So nobody is certain towards a sender
-    /// whose list is older than its own.
+    /// *Failure:* an entry with an outdated member list queried the members of that list: one that
+    /// had been replaced while it was suspended, and one that had not stored the turn, which lay on
+    /// the new member and a third. Both reported certain absence, and the entry took a stored turn
+    /// for unknown. So absence is never certain for a sender whose list is older than this
+    /// replica's.
     fn read_chain(&self, epoch: member::Epoch, newest: record::TurnId) -> service::Chain {
         let mut turns = Vec::new();
         let mut wanted = Some(newest);
         while let Some(id) = wanted.take() {
-            let found = (turns.len() < CHAIN).then(|| self.read(&id)).flatten();
+            let found = (turns.len() < MAX_CHAIN).then(|| self.read(&id)).flatten();
             let Some(turn) = found else {
-                // What the index names but the disk refuses is no certain absence.
-                let certain = !self.has(&id) && self.is_voting() && !self.is_newer(epoch);
+                // A turn that is in the index but cannot be read is not certainly absent.
+                let certain = !self.has(&id) && self.is_voting() && !self.has_newer_view(epoch);
                 return service::Chain {
                     turns,
                     missing: Some(id),
@@ -343,35 +345,35 @@
         }
     }
 
-    /// Whether a newer member list than that of `epoch` is known here.
-    fn is_newer(&self, epoch: member::Epoch) -> bool {
+    /// Whether this replica has a newer member list than that of `epoch`.
+    fn has_newer_view(&self, epoch: member::Epoch) -> bool {
         epoch < self.view.borrow().epoch
     }
 
-    fn unsure(&self, epoch: member::Epoch) -> Option<service::Unsure> {
+    fn unsure_reason(&self, epoch: member::Epoch) -> Option<service::Unsure> {
         if self.is_retiring() {
             return Some(service::Unsure::Retiring);
         }
         if !self.is_voting() {
             return Some(service::Unsure::Unsynced);
         }
-        self.is_newer(epoch)
+        self.has_newer_view(epoch)
             .then(|| service::Unsure::OldList(self.view.borrow().clone()))
     }
 
     async fn vote(&self, epoch: member::Epoch, reserve: service::Reserve) -> service::Vote {
-        if let Some(why) = self.unsure(epoch) {
+        if let Some(why) = self.unsure_reason(epoch) {
             return service::Vote::Unsure { why };
         }
-        let voted = self.state.lock().vote(&reserve, unix_ms());
-        let granted = match voted {
+        let result = self.state.lock().vote(&reserve, unix_ms());
+        let granted = match result {
             Ok(granted) => granted,
             Err(ledger) => {
                 metrics::counter!("fw_replica_refused_total", "reason" => "budget").increment(1);
                 return service::Vote::Refused { ledger };
             }
         };
-        // The ledger has them already, so that a reservation which races sees them.
+        // The ledger has them already, so that concurrent reservations see them.
         let charges = granted.charges.into_iter();
         let stored = join_all(charges.map(|charge| self.store_charge(charge))).await;
         if stored.into_iter().all(|ok| ok) {
@@ -385,32 +387,32 @@
         }
     }
 
-    /// Stores a charge that the ledger has; whether it then is on disk.
+    /// Writes a charge that is already in the ledger. Returns whether it is on disk.
     async fn store_charge(&self, charge: record::Charge) -> bool {
         let stored = self.write(record::Record::Charge(charge.clone())).await;
         if !stored {
-            self.state.lock().not_stored(charge);
+            self.state.lock().mark_unstored(charge);
         }
         stored
     }
 }
 
-/// One connection's view of the replica.
+/// Handler of one connection's requests.
 #[derive(Clone, Debug)]
 pub struct Server(pub Arc<Shared>);
 
 impl service::Replica for Server {
     async fn begin(self, _: tarpc::context::Context, req: service::Begin) -> service::BeginReply {
         let entry = req.load.entry;
-        let spent = req
+        let usage = req
             .usage
-            .map(|spent| self.0.spending.exchange(entry, &spent));
-        let others = req.wants_peer_state.then(|| service::PeerState {
-            usage: spent,
-            ..self.0.board.others(req.load.entry)
+            .map(|usage| self.0.team_usage.exchange(entry, &usage));
+        let peer_state = req.wants_peer_state.then(|| service::PeerState {
+            usage,
+            ..self.0.entry_loads.peer_state(req.load.entry)
         });
-        self.0.board.note(req.load);
-        let last = self.0.trail.last_upstreams(&req.lineage);
+        self.0.entry_loads.record(req.load);
+        let last_upstreams = self.0.affinity.last_upstreams(&req.lineage);
         let chain = req.chain.map(|newest| self.0.read_chain(req.epoch, newest));
         let vote = match req.reserve {
             None => None,
@@ -419,14 +421,14 @@
         service::BeginReply {
             vote,
             chain: chain.unwrap_or_default(),
-            peer_state: others,
-            last_upstreams: last,
+            peer_state,
+            last_upstreams,
         }
     }
 
     async fn finish(self, _: tarpc::context::Context, req: service::Finish) -> bool {
-        if let Some(ran) = &req.location {
-            self.0.trail.record(ran);
+        if let Some(location) = &req.location {
+            self.0.affinity.record(location);
         }
         if self.0.is_retiring() {
             return false;
@@ -483,27 +485,27 @@
         view: member::View,
         retire: Vec<record::ReplicaId>,
     ) -> bool {
-        self.0.learn_retire(retire);
-        self.0.learn(view).await
+        self.0.add_retire_requests(retire);
+        self.0.update_view(view).await
     }
 
     async fn publish(
         self,
         _: tarpc::context::Context,
-        post: service::Publish,
+        req: service::Publish,
     ) -> service::Published {
-        self.0.post(post).await
+        self.0.publish(req).await
     }
 
     async fn report_usage(
         self,
         _: tarpc::context::Context,
         entry: u32,
-        spent: Vec<service::TeamUsage>,
+        usage: Vec<service::TeamUsage>,
     ) -> Vec<quota::Summary> {
-        let spent = spent.iter();
-        let told = spent.map(|spent| self.0.spending.exchange(entry, spent));
-        told.collect()
+        let usage = usage.iter();
+        let summaries = usage.map(|usage| self.0.team_usage.exchange(entry, usage));
+        summaries.collect()
     }
 
     async fn poll_update(
@@ -512,11 +514,11 @@
         known: service::KnownVersion,
         wait: Duration,
     ) -> service::Update {
-        self.0.news(known, wait).await
+        self.0.poll_update(known, wait).await
     }
 
     async fn read_clock(self, _: tarpc::context::Context) -> service::ClockReading {
-        self.0.moment()
+        self.0.read_clock()
     }
 
     async fn ping(
@@ -525,10 +527,10 @@
         standby: Option<record::ReplicaId>,
     ) -> service::PingReply {
         service::PingReply {
-            standbys_ahead: standby.map_or(0, |asker| self.0.note_standby(asker)),
+            standbys_ahead: standby.map_or(0, |asker| self.0.record_standby(asker)),
             retiring: self.0.is_retiring(),
             view: self.0.view.borrow().clone(),
-            retire: self.0.retire_told.borrow().clone(),
+            retire: self.0.retire_requests.borrow().clone(),
         }
     }
 
--- a/fw-replica/src/server/snapshot.rs
+++ b/fw-replica/src/server/snapshot.rs
@@ -1,4 +1,4 @@
-//! What entries have read from the platform's store, kept and told to the others.
+//! Snapshot of the platform's store: published by entries that read it, served to all others.
 
 use std::time::{Duration, Instant};
 
@@ -10,64 +10,65 @@
 use super::Shared;
 use crate::{record, service};
 
-/// `read`, unless it is what is `known`, or that is newer.
+/// `read`, unless it is older than `current` or has the same contents.
 fn changed(
-    known: Option<&service::SnapshotPart>,
+    current: Option<&service::SnapshotPart>,
     read: Option<service::SnapshotPart>,
 ) -> Option<service::SnapshotPart> {
     let read = read?;
-    let changes =
-        |known: &service::SnapshotPart| known.as_of <= read.as_of && known.bytes != read.bytes;
-    known.is_none_or(changes).then_some(read)
+    let changes = |current: &service::SnapshotPart| {
+        current.as_of <= read.as_of && current.bytes != read.bytes
+    };
+    current.is_none_or(changes).then_some(read)
 }
 
-/// The last read of the platform's store that an entry told of.
+/// The last published read of the platform's store.
 #[derive(Clone, Copy, Debug)]
 struct LastRead {
-    /// Who read.
-    by: u32,
-    /// Up to which revision all is known here.
+    /// The entry that made it.
+    entry: u32,
+    /// Revision up to which this replica has all parts.
     as_of: u64,
-    /// When it told.
-    at: Instant,
-    /// All that the store had acknowledged at this time since boot is known here, if that is proven.
-    asked: Option<Duration>,
+    /// When it was published.
+    received_at: Instant,
+    /// Time since boot, if proven: the replica has all that the store had acknowledged by then.
+    requested_at: Option<Duration>,
 }
 
-/// StoreReads of the platform's store that entries told of.
+/// Reads of the platform's store that entries have published.
 #[derive(Debug)]
 pub(super) struct StoreReads {
-    /// Names this start of the replica.
+    /// Identifies this start of the replica.
     run: u64,
-    /// The last one of which all parts are here.
+    /// The last read of which all parts are stored here.
     last: watch::Sender<Option<LastRead>>,
-    /// Those that followed each other without a gap, by the time since boot.
-    steady: Mutex<lapse::Reads>,
-    /// Held while bulletins are compared and written, so that the newest is written last.
-    keeping: tokio::sync::Mutex<()>,
+    /// Reads without a gap between them, by the time since boot.
+    contiguous: Mutex<lapse::Reads>,
+    /// Held while parts are compared and written, so that the newest part is written last.
+    write_lock: tokio::sync::Mutex<()>,
 }
 
 impl StoreReads {
-    /// None is known yet.
+    /// No read has been published yet.
     pub(super) fn new(run: u64, opts: lapse::Options) -> Self {
         Self {
             run,
             last: watch::Sender::default(),
-            steady: Mutex::new(lapse::Reads::new(opts)),
-            keeping: tokio::sync::Mutex::default(),
+            contiguous: Mutex::new(lapse::Reads::new(opts)),
+            write_lock: tokio::sync::Mutex::default(),
         }
     }
 
-    /// When a read was asked at the earliest, by this replica's clock; `None` if its reader knew no
-    /// moment of this start.
-    fn asked_at(&self, asked: Option<service::ClockReading>) -> Option<Duration> {
-        let asked = asked.filter(|asked| asked.run == self.run);
-        asked.map(|asked| asked.at)
+    /// Earliest time at which a read was requested, by this replica's clock; `None` without a clock
+    /// reading from this start of the replica.
+    fn requested_at(&self, reading: Option<service::ClockReading>) -> Option<Duration> {
+        let reading = reading.filter(|reading| reading.run == self.run);
+        reading.map(|reading| reading.at)
     }
 
-    /// How long ago the reads without a gap were asked.
-    fn steady(&self) -> Option<service::ReadSpan> {
-        let span = self.steady.lock().span()?;
+    /// Time since the first and last of the contiguous reads were requested.
+    fn contiguous_span(&self) -> Option<service::ReadSpan> {
+        let span = self.contiguous.lock().span()?;
         let now = clock::since_boot();
         Some(service::ReadSpan {
             first: now.saturating_sub(span.first),
@@ -77,127 +78,133 @@
 }
 
 impl Shared {
-    /// Keeps `read` unless newer is known.
-    pub async fn keep(&self, read: service::Snapshot) {
-        let _keeping = self.reads.keeping.lock().await;
-        let known = self.bulletins();
-        // What the disk refuses is missing here, and comes again with the next post.
-        if let Some(config) = changed(known.config.as_ref(), read.config) {
+    /// Stores the parts of `read` that are newer than the stored ones.
+    pub async fn store_snapshot(&self, read: service::Snapshot) {
+        let _keeping = self.store_reads.write_lock.lock().await;
+        let stored = self.snapshot();
+        // A part that the disk refuses is missing here, and is sent again with the next
+        // publication.
+        if let Some(config) = changed(stored.config.as_ref(), read.config) {
             self.write(record::Record::Config(config)).await;
         }
-        if let Some(upstreams) = changed(known.upstreams.as_ref(), read.upstreams) {
+        if let Some(upstreams) = changed(stored.upstreams.as_ref(), read.upstreams) {
             self.write(record::Record::Upstreams(upstreams)).await;
         }
     }
 
-    /// Keeps what an entry has read, unless newer is known.
+    /// Stores what an entry has read, unless newer parts are stored.
     ///
-    /// A post may have been held up on its way: its read counts as asked no later than the last moment of this
-    /// replica that the reader had been told before. It proves what is kept here only if the digests agree.
-    pub async fn post(&self, post: service::Publish) -> service::Published {
-        let asked = self.reads.asked_at(post.requested_at);
-        if let Some(at) = asked {
-            // A post that was held up says nothing of the time since.
-            let mut steady = self.reads.steady.lock();
-            steady.add_read(at, clock::since_boot());
+    /// A publication may be delayed on its way. Its read therefore counts as requested no later
+    /// than the last clock reading that the reader had from this replica before the read. It proves
+    /// the stored parts current only if the digests match.
+    pub async fn publish(&self, req: service::Publish) -> service::Published {
+        let requested_at = self.store_reads.requested_at(req.requested_at);
+        if let Some(at) = requested_at {
+            // A delayed publication proves nothing about the time since its read.
+            let mut contiguous = self.store_reads.contiguous.lock();
+            contiguous.add_read(at, clock::since_boot());
         }
-        if post.as_of < self.as_of() {
-            // Nothing of it is missing here.
-            return self.posted(true);
+        if req.as_of < self.as_of() {
+            // The replica has all parts of a newer read.
+            return self.publish_reply(true);
         }
-        self.keep(post.changed).await;
-        let is_whole = self.state.lock().marks() == post.digests;
-        if is_whole {
-            self.reads.last.send_modify(|last| {
-                let (as_of, known) = last.map_or((0, None), |last| (last.as_of, last.asked));
+        self.store_snapshot(req.changed).await;
+        let is_complete = self.state.lock().digests() == req.digests;
+        if is_complete {
+            self.store_reads.last.send_modify(|last| {
+                let (as_of, known) = last.map_or((0, None), |last| (last.as_of, last.requested_at));
                 *last = Some(LastRead {
-                    by: post.entry,
-                    as_of: post.as_of.max(as_of),
-                    at: Instant::now(),
-                    asked: asked.max(known),
+                    entry: req.entry,
+                    as_of: req.as_of.max(as_of),
+                    received_at: Instant::now(),
+                    requested_at: requested_at.max(known),
                 });
             });
         }
-        self.posted(is_whole)
+        self.publish_reply(is_complete)
     }
 
-    fn posted(&self, is_whole: bool) -> service::Published {
+    fn publish_reply(&self, is_complete: bool) -> service::Published {
         service::Published {
-            is_complete: is_whole,
-            now: self.moment(),
+            is_complete,
+            now: self.read_clock(),
         }
     }
 
-    /// Newest revision of the store of which something is known here.
+    /// Newest revision of the store that any part or read reflects.
     fn as_of(&self) -> u64 {
-        let read = self.reads.last.borrow().map_or(0, |last| last.as_of);
-        read.max(self.state.lock().bulletins().as_of())
+        let read = self.store_reads.last.borrow().map_or(0, |last| last.as_of);
+        read.max(self.state.lock().snapshot().as_of())
     }
 
-    /// Newest revision, and digests, of what entries know from the platform's store.
-    pub fn known(&self) -> service::KnownVersion {
+    /// Newest revision and digests of the stored parts.
+    pub fn known_version(&self) -> service::KnownVersion {
         service::KnownVersion {
             as_of: self.as_of(),
-            digests: self.state.lock().marks(),
+            digests: self.state.lock().digests(),
         }
     }
 
-    /// Whether the owner of `known` lacks a part that is not older than what it knows.
-    fn has_news(&self, known: service::KnownVersion) -> bool {
-        let lacks = self.state.lock().marks().differing_from(known.digests);
+    /// Whether the requester at version `known` lacks a part that is not older than its own.
+    fn has_update_for(&self, known: service::KnownVersion) -> bool {
+        let lacks = self.state.lock().digests().differing_from(known.digests);
         !lacks.is_empty() && self.as_of() >= known.as_of
     }
 
-    /// The parts that the owner of `known` lacks, and digests of all.
+    /// The parts that the requester at version `known` lacks, and the digests of all.
     fn parts_for(&self, known: service::KnownVersion) -> (service::Snapshot, service::PartDigests) {
-        let has_news = self.has_news(known);
+        let has_update = self.has_update_for(known);
         let state = self.state.lock();
-        let newer = match has_news {
-            true => state.bulletins_unlike(known.digests),
+        let newer = match has_update {
+            true => state.parts_missing_from(known.digests),
             false => service::Snapshot::default(),
         };
-        (newer, state.marks())
+        (newer, state.digests())
     }
 
-    /// The present moment, for others to hand back.
-    pub(super) fn moment(&self) -> service::ClockReading {
+    /// Reads this replica's clock, for others to send back.
+    pub(super) fn read_clock(&self) -> service::ClockReading {
         service::ClockReading {
-            run: self.reads.run,
+            run: self.store_reads.run,
             at: clock::since_boot(),
         }
     }
 
-    /// What the owner of `known` lacks; waits up to `wait` until an entry has read the platform's store, or
-    /// the member list has changed.
-    pub async fn news(&self, known: service::KnownVersion, wait: Duration) -> service::Update {
-        let begun = Instant::now();
-        let mut reads = self.reads.last.subscribe();
+    /// The parts that the requester at version `known` lacks. Waits up to `wait` until a read of
+    /// the platform's store is published or the member list changes.
+    pub async fn poll_update(
+        &self,
+        known: service::KnownVersion,
+        wait: Duration,
+    ) -> service::Update {
+        let started = Instant::now();
+        let mut reads = self.store_reads.last.subscribe();
         let mut view = self.view.subscribe();
-        if !self.has_news(known) {
+        if !self.has_update_for(known) {
             let changed = async {
                 tokio::select! {
                     _ = reads.changed() => {}
                     _ = view.changed() => {}
                 }
             };
-            // Over without a read, the answer tells how old the last one is.
+            // After a time-out, the reply still states the age of the last read.
             let _ = tokio::time::timeout(wait, changed).await;
         }
-        // Taken before the parts, so that these are as new at least.
-        let last = *self.reads.last.borrow();
-        let (newer, marks) = self.parts_for(known);
+        // Loaded before the parts, which are therefore at least as new.
+        let last = *self.store_reads.last.borrow();
+        let (newer, digests) = self.parts_for(known);
         service::Update {
             newer,
-            digests: marks,
-            reads: self.reads.steady(),
+            digests,
+            reads: self.store_reads.contiguous_span(),
             view: self.view.borrow().clone(),
-            held_for: begun.elapsed(),
+            held_for: started.elapsed(),
             last_read: last.map(|last| service::LastRead {
-                by: last.by,
+                by: last.entry,
                 as_of: last.as_of,
-                ago: last.at.elapsed(),
+                ago: last.received_at.elapsed(),
                 asked: last
-                    .asked
+                    .requested_at
                     .map(|asked| clock::since_boot().saturating_sub(asked)),
             }),
         }
--- a/fw-replica/src/state.rs
+++ b/fw-replica/src/state.rs
@@ -1,49 +1,49 @@
-//! What a replica knows: an index of the journal, and the ledgers of programs.
+//! In-memory state of a replica: an index of the journal, and the ledgers of programs.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::{journal, ledger, member, record, service};
 
-/// Records in a page of the list.
-const PAGE: usize = 512;
+/// Number of records in a page of the list.
+const PAGE_SIZE: usize = 512;
 
 #[derive(Clone, Debug)]
-struct Known {
+struct IndexEntry {
     place: journal::Place,
     until: record::UnixMs,
 }
 
-/// A reservation that is within the budget as far as is known here.
+/// A reservation within the budget, by the charges on this replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Granted {
-    /// What has to be stored before the replica may say so.
+    /// Charges that must be on disk before the replica may accept.
     pub charges: Vec<record::Charge>,
-    /// Digest of the charges known when it was judged, but for its own.
+    /// Digest of the charges at the time of the vote, without that of the turn itself.
     pub digest: u64,
 }
 
-/// The index.
+/// The in-memory state.
 #[derive(Debug)]
 pub struct State {
     run: u64,
-    turns: HashMap<record::TurnId, Known>,
+    turns: HashMap<record::TurnId, IndexEntry>,
     ledgers: HashMap<record::ProgramId, ledger::Ledger>,
-    /// Records in the order in which they were stored, from number `dropped` on, and until when
-    /// each is listed.
+    /// Listed records in the order in which they were stored, starting at number `dropped`, and the
+    /// time until which each is listed.
     order: VecDeque<(record::UnixMs, service::ListedRecord)>,
     dropped: u64,
     synced: bool,
     view: member::View,
-    bulletins: service::Snapshot,
-    /// Digests of the bulletins.
-    marks: service::PartDigests,
-    /// Turns that were charged without the charge being on disk, as the disk refused it, and their
+    snapshot: service::Snapshot,
+    /// Digests of the snapshot's parts.
+    digests: service::PartDigests,
+    /// Turns whose charge is in the ledger but not on disk, as the disk refused it, and their
     /// programs.
-    not_stored: HashMap<record::TurnId, record::ProgramId>,
+    unstored: HashMap<record::TurnId, record::ProgramId>,
 }
 
 impl State {
-    /// An empty one; `run` differs for each start of the process.
+    /// An empty state; `run` differs for each start of the process.
     pub fn new(run: u64) -> Self {
         Self {
             run,
@@ -53,57 +53,57 @@
             dropped: 0,
             synced: false,
             view: member::View::default(),
-            bulletins: service::Snapshot::default(),
-            marks: service::PartDigests::default(),
-            not_stored: HashMap::new(),
+            snapshot: service::Snapshot::default(),
+            digests: service::PartDigests::default(),
+            unstored: HashMap::new(),
         }
     }
 
-    /// Adds a record that is on disk.
+    /// Applies a record that is on disk.
     pub fn apply(&mut self, record: &record::Record, place: journal::Place) {
         match record {
             record::Record::Turn(turn) => self.apply_turn(turn, place),
             record::Record::Charge(charge) => {
                 self.charge(charge);
-                self.not_stored.remove(&charge.turn);
+                self.unstored.remove(&charge.turn);
                 let listed = service::ListedRecord::Charge(charge.clone());
-                self.order.push_back((charge.until(), listed));
+                self.order.push_back((charge.retain_until(), listed));
             }
             record::Record::Synced(synced) => self.synced = *synced,
-            record::Record::Members(view) => self.learn(view),
+            record::Record::Members(view) => self.update_view(view),
             record::Record::Config(config) => {
-                self.marks.config = config.digest();
-                self.bulletins.config = Some(config.clone());
+                self.digests.config = config.digest();
+                self.snapshot.config = Some(config.clone());
             }
             record::Record::Upstreams(list) => {
-                self.marks.upstreams = list.digest();
-                self.bulletins.upstreams = Some(list.clone());
+                self.digests.upstreams = list.digest();
+                self.snapshot.upstreams = Some(list.clone());
             }
         }
     }
 
     fn apply_turn(&mut self, turn: &record::Turn, place: journal::Place) {
-        let until = turn.until();
-        let known = Known { place, until };
-        if self.turns.insert(turn.id.clone(), known).is_none() {
+        let until = turn.retain_until();
+        let entry = IndexEntry { place, until };
+        if self.turns.insert(turn.id.clone(), entry).is_none() {
             let listed = service::ListedRecord::Turn(turn.id.clone());
             self.order.push_back((until, listed));
         }
     }
 
-    /// Charges a program, before the charge is on disk, so that one which races sees it.
+    /// Adds a charge to its ledger, before it is on disk, so that concurrent reservations see it.
     pub fn charge(&mut self, charge: &record::Charge) -> bool {
         let ledger = self.ledgers.entry(charge.program.clone()).or_default();
         ledger.merge(&ledger::Line::from(charge), charge.made)
     }
 
-    /// Charges `reserve` if it stays within the budget, and returns what then has to be stored;
-    /// all charges known if it does not.
+    /// Charges `reserve` if it stays within the budget, and returns the charges to store; all
+    /// charges of the program if it does not.
     ///
-    /// *Failure:* a refusal kept the charges that it was told of in memory only. They counted as
-    /// known, so that they were never copied to this disk from others'. Once members had been
+    /// *Failure:* a refusal kept the charges sent with the request in memory only. They counted as
+    /// stored, so that they were never copied to this disk from others. Once members had been
     /// replaced and all power was lost, a program that had spent its budget was granted it again.
-    /// So a refusal leaves the ledger as it was.
+    /// So a refusal leaves the ledger unchanged.
     pub fn reserve(
         &mut self,
         reserve: &service::Reserve,
@@ -118,8 +118,8 @@
             settled: line.settled,
             made: now,
         };
-        let news = reserve.known.iter().filter(|line| ledger.merge(line, now));
-        let mut charges: Vec<_> = news.map(charge).collect();
+        let added = reserve.known.iter().filter(|line| ledger.merge(line, now));
+        let mut charges: Vec<_> = added.map(charge).collect();
         if !ledger.allows(&reserve.turn, reserve.tokens, reserve.budget) {
             return Err(ledger.lines());
         }
@@ -134,12 +134,12 @@
         Ok(charges)
     }
 
-    /// Judges `reserve`, and charges it if it stays within the budget.
+    /// Votes on `reserve`, and charges it if it stays within the budget.
     ///
-    /// *Failure:* the digest was taken after the disk had the charges. Replicas that had accepted a
-    /// turn knowing different ones could by then have copied the missing ones from each other; their
-    /// digests agreed, though all together went beyond the budget. So it tells what was known when
-    /// the turn was judged.
+    /// *Failure:* the digest was taken once the charges were on disk. Replicas that had accepted a
+    /// turn with different charges could by then have copied the missing ones from each other;
+    /// their digests agreed, though their union exceeded the budget. So the digest covers the
+    /// charges at the time of the vote.
     pub fn vote(
         &mut self,
         reserve: &service::Reserve,
@@ -152,12 +152,13 @@
         })
     }
 
-    /// The disk refused `charge`, which is charged already: it has to be stored yet.
-    pub fn not_stored(&mut self, charge: record::Charge) {
-        self.not_stored.insert(charge.turn, charge.program);
+    /// Marks `charge`, which is in the ledger, as refused by the disk, so that it still has to be
+    /// stored.
+    pub fn mark_unstored(&mut self, charge: record::Charge) {
+        self.unstored.insert(charge.turn, charge.program);
     }
 
-    /// Digest of what is known of the program, but for the turn of `reserve`.
+    /// Digest of the program's charges, without that of the turn of `reserve`.
     fn digest(&self, reserve: &service::Reserve) -> u64 {
         let ledger = self.ledgers.get(&reserve.program);
         ledger.map_or(0, |ledger| ledger.digest(&reserve.turn))
@@ -169,64 +170,65 @@
         ledger.map_or_else(Vec::new, ledger::Ledger::lines)
     }
 
-    /// Where a turn lies.
+    /// Location of a turn in the journal.
     pub fn place(&self, turn: &record::TurnId) -> Option<journal::Place> {
-        self.turns.get(turn).map(|known| known.place)
+        self.turns.get(turn).map(|entry| entry.place)
     }
 
-    /// Whether storing `charge` would say anything new.
-    pub fn is_news(&self, charge: &record::Charge) -> bool {
-        if self.not_stored.contains_key(&charge.turn) {
+    /// Whether `charge` changes its program's ledger or still has to be stored.
+    pub fn is_new(&self, charge: &record::Charge) -> bool {
+        if self.unstored.contains_key(&charge.turn) {
             return true;
         }
         let ledger = self.ledgers.get(&charge.program);
-        ledger.is_none_or(|ledger| ledger.is_news(&ledger::Line::from(charge)))
+        ledger.is_none_or(|ledger| ledger.is_new(&ledger::Line::from(charge)))
     }
 
-    fn learn(&mut self, view: &member::View) {
+    fn update_view(&mut self, view: &member::View) {
         if view.epoch > self.view.epoch {
             self.view = view.clone();
         }
     }
 
-    /// What entries know from the platform's store.
-    pub fn bulletins(&self) -> &service::Snapshot {
-        &self.bulletins
+    /// Contents of the platform's store, as published by entries.
+    pub fn snapshot(&self) -> &service::Snapshot {
+        &self.snapshot
     }
 
-    /// Digests of the bulletins.
-    pub fn marks(&self) -> service::PartDigests {
-        self.marks
+    /// Digests of the snapshot's parts.
+    pub fn digests(&self) -> service::PartDigests {
+        self.digests
     }
 
-    /// The bulletins that the owner of `marks` lacks.
-    pub fn bulletins_unlike(&self, marks: service::PartDigests) -> service::Snapshot {
-        let lacks = self.marks.differing_from(marks);
-        let service::Snapshot { config, upstreams } = &self.bulletins;
+    /// The parts of the snapshot that differ from those with these `digests`.
+    pub fn parts_missing_from(&self, digests: service::PartDigests) -> service::Snapshot {
+        let lacks = self.digests.differing_from(digests);
+        let service::Snapshot { config, upstreams } = &self.snapshot;
         service::Snapshot {
             config: config.clone().filter(|_| lacks.config != 0),
             upstreams: upstreams.clone().filter(|_| lacks.upstreams != 0),
         }
     }
 
-    /// The newest member list known.
+    /// The newest member list.
     pub fn view(&self) -> &member::View {
         &self.view
     }
 
-    /// Whether it has all that a member has to know.
+    /// Whether the replica has all records that a member must have.
     pub fn is_synced(&self) -> bool {
         self.synced
     }
 
-    /// The list of records after `after`.
+    /// A page of the list of records from `after` on, with the next position and whether there are
+    /// more.
     pub fn list(
         &self,
         after: service::Position,
     ) -> (service::Position, Vec<service::ListedRecord>, bool) {
         let read = if after.run == self.run { after.read } else { 0 };
         let skip = read.saturating_sub(self.dropped) as usize;
-        let page = self.order.iter().skip(skip).take(PAGE);
+        let page = self.order.iter().skip(skip).take(PAGE_SIZE);
         let records: Vec<_> = page.map(|(_, listed)| listed.clone()).collect();
         let read = read.max(self.dropped) + records.len() as u64;
         let more = read < self.list_end();
@@ -237,28 +239,28 @@
         (next, records, more)
     }
 
-    /// Number of records ever listed.
+    /// Number of records listed so far, including dropped ones.
     pub fn list_end(&self) -> u64 {
         self.dropped + self.order.len() as u64
     }
 
-    /// Whether `charge` is still part of its program's ledger.
+    /// Whether `charge` is the current charge of its turn.
     pub fn is_live(&self, charge: &record::Charge) -> bool {
         let ledger = self.ledgers.get(&charge.program);
         ledger.is_some_and(|ledger| ledger.holds(&ledger::Line::from(charge)))
     }
 
-    /// Forgets what has been kept long enough.
+    /// Drops records whose retention is over.
     ///
-    /// A ledger is kept whole as long as its program is charged: a replica that copies only the
-    /// newer charges would take the program for one with more budget left than it has. Charges of
-    /// such a program are listed again, behind the others, when their own time is over.
+    /// A ledger is retained as a whole while its program is charged: a replica that copied only the
+    /// newer charges would see more budget left than there is. When the retention of such a
+    /// program's charge is over, the charge is listed again, at the end.
     pub fn expire(&mut self, now: record::UnixMs) {
-        self.turns.retain(|_, known| known.until > now);
-        let keep = record::KEEP_CHARGE;
+        self.turns.retain(|_, entry| entry.until > now);
+        let keep = record::CHARGE_RETENTION;
         self.ledgers
-            .retain(|_, ledger| record::add(ledger.touched(), keep) > now);
-        self.not_stored
+            .retain(|_, ledger| record::add(ledger.last_charged(), keep) > now);
+        self.unstored
             .retain(|_, program| self.ledgers.contains_key(program));
         while self.order.front().is_some_and(|(until, _)| *until <= now) {
             let Some((_, listed)) = self.order.pop_front() else {
@@ -273,12 +275,12 @@
         }
     }
 
-    /// Turns known.
+    /// Number of turns in the index.
     pub fn turns(&self) -> usize {
         self.turns.len()
     }
 
-    /// Ledgers known.
+    /// Number of ledgers.
     pub fn programs(&self) -> usize {
         self.ledgers.len()
     }
--- a/fw-replica/tests/replica/absent_turns.rs
+++ b/fw-replica/tests/replica/absent_turns.rs
@@ -1,28 +1,28 @@
-//! What a replica says of a turn that it does not have.
+//! Replies about turns that a replica does not have.
 
 use fw_replica::service::Replica;
 use fw_replica::{member, server, service};
 use googletest::prelude::*;
 
-async fn asked(server: &server::Server, epoch: member::Epoch) -> service::Chain {
+async fn request_chain(server: &server::Server, epoch: member::Epoch) -> service::Chain {
     let cx = tarpc::context::current();
     server.clone().chain(cx, epoch, "t".into()).await
 }
 
-// A member freezes and is replaced; a turn is stored with its successor and one of the others, which
-// then goes down. An entry that has not heard of the new list asks those of the old: the one that woke
-// and the third, neither of which has the turn. Both said that they were certain, and the caller heard
-// that there was no such turn, though it was stored on as many disks as it should.
+// Guards against a stored turn reported as unknown. A member is suspended and replaced; a turn is
+// stored on its successor and one of the others, which then goes down. An entry with the old member
+// list queries the suspended member, which runs again, and the third, neither of which has the
+// turn. Both reported certain absence, though the turn was on as many disks as required.
 #[gtest]
 #[tokio::test]
-async fn nobody_is_certain_towards_an_older_list() {
+async fn absence_is_not_certain_for_an_outdated_list() {
     let dir = tempfile::tempdir().unwrap();
     let shared = server::Shared::open(dir.path(), server::Options::default()).unwrap();
-    shared.let_vote(true);
+    shared.set_voting(true);
     let list = member::List::default();
-    shared.learn(member::View { epoch: 2, list }).await;
+    shared.update_view(member::View { epoch: 2, list }).await;
     let server = server::Server(shared);
-    expect_true!(asked(&server, 2).await.certain);
-    expect_true!(asked(&server, 3).await.certain);
-    expect_false!(asked(&server, 1).await.certain);
+    expect_true!(request_chain(&server, 2).await.certain);
+    expect_true!(request_chain(&server, 3).await.certain);
+    expect_false!(request_chain(&server, 1).await.certain);
 }
--- a/fw-replica/tests/replica/budget_races.rs
+++ b/fw-replica/tests/replica/budget_races.rs
@@ -1,5 +1,5 @@
-//! A program's turns that race for its budget while members are asked again, copy from each other,
-//! are replaced, and lose power and disks: every message of its own.
+//! Model of a program's concurrent turns while requests are retried, replicas copy from each other,
+//! members are replaced, and power and disks are lost. Every message is an event of its own.
 
 use std::collections::BTreeMap;
 
@@ -9,91 +9,98 @@
 use rand_pcg::Pcg64;
 
 const FAULTS: usize = 2;
-/// Of them five are members at first; the others stand by.
+/// Five of them are members at first; the others are standbys.
 const MACHINES: usize = 7;
 const BUDGET: u64 = 100;
 const MOST: u64 = 30;
 const STEPS: usize = 800;
-/// Turns under way at once.
-const RACING: usize = 4;
-/// Messages that may overtake the one sent first.
-const OVERTAKES: usize = 12;
-/// Times that an entry asks for one turn while too few can say.
-const ROUNDS: u32 = 4;
+/// Most turns in flight at once.
+const MAX_CONCURRENT: usize = 4;
+/// Number of later messages that may overtake a message.
+const MAX_OVERTAKES: usize = 12;
+/// Most rounds that an entry tries for one turn while too few replicas answer.
+const MAX_ROUNDS: u32 = 4;
 
-type At = usize;
-type TurnNo = usize;
+type ReplicaIndex = usize;
+type TurnIndex = usize;
 
-/// A replica: what it knows, and what of it is on disk.
+/// A replica: its state in memory, and the charges on its disk.
 struct Replica {
     state: state::State,
     disk: Vec<record::Charge>,
-    /// Differs after each start; writes of an earlier one never end.
+    /// Differs after each start; writes of an earlier start never complete.
     run: u64,
     epoch: member::Epoch,
     votes: bool,
     alive: bool,
-    /// Members to read yet before it votes, and how many of them.
+    /// Progress of joining, for a replica that does not vote yet.
     joins: Option<Joining>,
 }
 
-/// A replica that is about to vote.
+/// Members read by a joining replica.
 #[derive(Clone)]
 struct Joining {
     announced: bool,
     lost_disk: bool,
-    read: Vec<At>,
+    read: Vec<ReplicaIndex>,
 }
 
-/// What is on its way.
+/// A message, write or timer that is pending.
 enum Event {
-    /// An entry's question reaches a replica.
-    Ask {
-        turn: TurnNo,
+    /// An entry's request reaches a replica.
+    Request {
+        turn: TurnIndex,
         round: u32,
-        at: At,
+        at: ReplicaIndex,
         epoch: member::Epoch,
         known: Vec<ledger::Line>,
     },
-    /// The disk has what a replica accepted.
+    /// An accepted reservation is on a replica's disk.
     Stored {
-        turn: TurnNo,
+        turn: TurnIndex,
         round: u32,
-        at: At,
+        at: ReplicaIndex,
         run: u64,
         granted: state::Granted,
     },
-    /// A replica's answer reaches the entry.
+    /// A replica's reply reaches the entry.
     Accepted {
-        turn: TurnNo,
+        turn: TurnIndex,
         round: u32,
-        from: At,
+        from: ReplicaIndex,
         digest: u64,
     },
     Refused {
-        turn: TurnNo,
+        turn: TurnIndex,
         round: u32,
         known: Vec<ledger::Line>,
     },
-    /// The entry waits no longer.
-    Late { turn: TurnNo, round: u32 },
-    /// The entry's question for a ledger reaches a replica.
-    Read { turn: TurnNo, round: u32, at: At },
-    /// The turn's answer ends.
-    End { turn: TurnNo, used: u64 },
+    /// The entry's wait times out.
+    Late { turn: TurnIndex, round: u32 },
+    /// An entry's request for a ledger reaches a replica.
+    Read {
+        turn: TurnIndex,
+        round: u32,
+        at: ReplicaIndex,
+    },
+    /// The turn ends.
+    End { turn: TurnIndex, used: u64 },
     /// A settlement reaches a replica.
-    Settle { at: At, charge: record::Charge },
+    Settle {
+        at: ReplicaIndex,
+        charge: record::Charge,
+    },
 }
 
-/// A turn, as its entry sees it.
+/// A turn, as seen by its entry.
 struct Turn {
     round: u32,
     epoch: member::Epoch,
-    members: Vec<At>,
+    members: Vec<ReplicaIndex>,
     known: Vec<ledger::Line>,
-    tally: tally::Tally<At>,
+    tally: tally::Tally<ReplicaIndex>,
     left: usize,
-    /// Ledgers to read yet, and what was read.
+    /// Number of ledgers still to read, and the lines read so far.
     reads: Option<(usize, Vec<ledger::Line>)>,
     over: bool,
 }
@@ -101,14 +108,14 @@
 struct Model {
     rng: Pcg64,
     replicas: Vec<Replica>,
-    /// The lists of all epochs, as the platform's store had them.
-    lists: BTreeMap<member::Epoch, Vec<At>>,
+    /// The lists of all epochs, as in the platform's store.
+    lists: BTreeMap<member::Epoch, Vec<ReplicaIndex>>,
     events: Vec<Event>,
     turns: Vec<Turn>,
     runs: u64,
-    /// Tokens handed out, and those that turns under way may yet hand out.
+    /// Tokens handed out, and those that turns in flight may still hand out.
     owed: u64,
-    /// The most of it so far.
+    /// Maximum of `owed` so far.
     peak: u64,
 }
 
@@ -143,7 +150,7 @@
     }
 
     fn offer(&mut self, charge: record::Charge) {
-        if self.state.is_news(&charge) {
+        if self.state.is_new(&charge) {
             self.store(charge);
         }
     }
@@ -167,7 +174,7 @@
 
 impl Model {
     fn new(seed: u64) -> Self {
-        let members = member::wanted_members(FAULTS);
+        let members = member::target_members(FAULTS);
         let replicas = (0..MACHINES).map(|at| Replica {
             votes: at < members,
             ..Replica::start(at as u64, Vec::new())
@@ -184,12 +191,12 @@
         }
     }
 
-    fn newest(&self) -> (member::Epoch, Vec<At>) {
+    fn newest(&self) -> (member::Epoch, Vec<ReplicaIndex>) {
         let (epoch, list) = self.lists.last_key_value().unwrap();
         (*epoch, list.clone())
     }
 
-    fn any(&mut self, of: &[At]) -> Option<At> {
+    fn any(&mut self, of: &[ReplicaIndex]) -> Option<ReplicaIndex> {
         if of.is_empty() {
             return None;
         }
@@ -199,7 +206,7 @@
     // Turns.
 
     fn begin(&mut self) {
-        // An entry may not have heard of the newest list.
+        // The entry's list may be outdated.
         let (newest, _) = self.newest();
         let epoch = newest
             .saturating_sub(u64::from(self.rng.random_bool(0.2)))
@@ -214,20 +221,20 @@
             reads: None,
             over: false,
         });
-        self.ask(self.turns.len() - 1);
+        self.request(self.turns.len() - 1);
     }
 
-    fn ask(&mut self, turn: TurnNo) {
-        let asked = &mut self.turns[turn];
-        asked.round += 1;
-        asked.members = self.lists[&asked.epoch].clone();
-        asked.tally = tally::Tally::default();
-        asked.left = asked.members.len();
-        asked.reads = None;
-        let (round, epoch) = (asked.round, asked.epoch);
-        for at in asked.members.clone() {
-            let known = asked.known.clone();
-            self.events.push(Event::Ask {
+    fn request(&mut self, turn: TurnIndex) {
+        let current = &mut self.turns[turn];
+        current.round += 1;
+        current.members = self.lists[&current.epoch].clone();
+        current.tally = tally::Tally::default();
+        current.left = current.members.len();
+        current.reads = None;
+        let (round, epoch) = (current.round, current.epoch);
+        for at in current.members.clone() {
+            let known = current.known.clone();
+            self.events.push(Event::Request {
                 turn,
                 round,
                 at,
@@ -238,7 +245,7 @@
         self.events.push(Event::Late { turn, round });
     }
 
-    fn reserve(&self, turn: TurnNo, known: Vec<ledger::Line>) -> service::Reserve {
+    fn reserve(&self, turn: TurnIndex, known: Vec<ledger::Line>) -> service::Reserve {
         service::Reserve {
             program: "p".into(),
             turn: turn.to_string().into(),
@@ -248,11 +255,11 @@
         }
     }
 
-    fn asked(
+    fn handle_request(
         &mut self,
-        turn: TurnNo,
+        turn: TurnIndex,
         round: u32,
-        at: At,
+        at: ReplicaIndex,
         epoch: member::Epoch,
         known: Vec<ledger::Line>,
     ) {
@@ -283,41 +290,46 @@
         self.events.push(event);
     }
 
-    /// The entry has one answer less to wait for.
-    fn answered(&mut self, turn: TurnNo, round: u32, note: impl FnOnce(&mut tally::Tally<At>)) {
-        let asked = &mut self.turns[turn];
-        if asked.over || asked.round != round || asked.reads.is_some() {
+    /// A reply reaches the entry.
+    fn count_reply(
+        &mut self,
+        turn: TurnIndex,
+        round: u32,
+        note: impl FnOnce(&mut tally::Tally<ReplicaIndex>),
+    ) {
+        let current = &mut self.turns[turn];
+        if current.over || current.round != round || current.reads.is_some() {
             return;
         }
-        note(&mut asked.tally);
-        asked.left -= 1;
-        let quorum = member::Quorum::of(asked.members.len(), FAULTS);
-        let accepted = asked.tally.accepted().count();
-        if accepted >= quorum.vote || accepted + asked.left < quorum.vote {
+        note(&mut current.tally);
+        current.left -= 1;
+        let quorum = member::Quorum::of(current.members.len(), FAULTS);
+        let accepted = current.tally.accepted().count();
+        if accepted >= quorum.vote || accepted + current.left < quorum.vote {
             self.judge(turn);
         }
     }
 
-    fn judge(&mut self, turn: TurnNo) {
+    fn judge(&mut self, turn: TurnIndex) {
         let reserve = self.reserve(turn, Vec::new());
-        let asked = &mut self.turns[turn];
-        // As the client does: once more at once if that can change the outcome.
-        if asked.known.is_empty()
-            && let Some(known) = asked.tally.again(&reserve)
+        let current = &mut self.turns[turn];
+        // Like the client: a second round at once if that can change the outcome.
+        if current.known.is_empty()
+            && let Some(known) = current.tally.retry_charges(&reserve)
         {
-            asked.known = known;
-            return self.ask(turn);
+            current.known = known;
+            return self.request(turn);
         }
-        let members = asked.members.len();
+        let members = current.members.len();
         let quorum = member::Quorum::of(members, FAULTS);
-        match asked.tally.verdict(members, quorum) {
+        match current.tally.verdict(members, quorum) {
             tally::Verdict::Run => self.run(turn),
             tally::Verdict::Spent { .. } => self.settle(turn, 0),
             tally::Verdict::Unsure { .. } => self.unsure(turn),
             tally::Verdict::Compare => {
-                let round = asked.round;
-                let accepted: Vec<_> = asked.tally.accepted().collect();
-                asked.reads = Some((accepted.len(), Vec::new()));
+                let round = current.round;
+                let accepted: Vec<_> = current.tally.accepted().collect();
+                current.reads = Some((accepted.len(), Vec::new()));
                 let reads = accepted
                     .into_iter()
                     .map(|at| Event::Read { turn, round, at });
@@ -326,12 +338,12 @@
         }
     }
 
-    fn read(&mut self, turn: TurnNo, round: u32, at: At) {
+    fn read(&mut self, turn: TurnIndex, round: u32, at: ReplicaIndex) {
         let lines = self.replicas[at].state.ledger(&"p".into());
         let is_alive = self.replicas[at].alive;
-        let asked = &mut self.turns[turn];
-        let is_current = !asked.over && asked.round == round;
-        let Some((left, read)) = asked.reads.as_mut().filter(|_| is_current && is_alive) else {
+        let current = &mut self.turns[turn];
+        let is_current = !current.over && current.round == round;
+        let Some((left, read)) = current.reads.as_mut().filter(|_| is_current && is_alive) else {
             return;
         };
         *left -= 1;
@@ -347,16 +359,16 @@
         }
     }
 
-    fn unsure(&mut self, turn: TurnNo) {
+    fn unsure(&mut self, turn: TurnIndex) {
         self.turns[turn].known.clear();
-        if self.turns[turn].round < ROUNDS {
-            self.ask(turn);
+        if self.turns[turn].round < MAX_ROUNDS {
+            self.request(turn);
         } else {
             self.settle(turn, 0);
         }
     }
 
-    fn run(&mut self, turn: TurnNo) {
+    fn run(&mut self, turn: TurnIndex) {
         self.turns[turn].over = true;
         self.owed += MOST;
         self.peak = self.peak.max(self.owed);
@@ -364,7 +376,7 @@
         self.events.push(Event::End { turn, used });
     }
 
-    fn settle(&mut self, turn: TurnNo, used: u64) {
+    fn settle(&mut self, turn: TurnIndex, used: u64) {
         self.turns[turn].over = true;
         let charge = record::Charge {
             program: "p".into(),
@@ -382,13 +394,13 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Ask {
+            Event::Request {
                 turn,
                 round,
                 at,
                 epoch,
                 known,
-            } => self.asked(turn, round, at, epoch, known),
+            } => self.handle_request(turn, round, at, epoch, known),
             Event::Stored {
                 turn,
                 round,
@@ -417,10 +429,10 @@
                 from,
                 digest,
             } => {
-                self.answered(turn, round, |tally| tally.accept(from, digest));
+                self.count_reply(turn, round, |tally| tally.accept(from, digest));
             }
             Event::Refused { turn, round, known } => {
-                self.answered(turn, round, |tally| tally.refuse(known));
+                self.count_reply(turn, round, |tally| tally.refuse(known));
             }
             Event::Late { turn, round } => {
                 if !self.turns[turn].over && self.turns[turn].round == round {
@@ -442,8 +454,8 @@
 
     // Replicas.
 
-    /// A member, or one that joins, looks at the lists of most others.
-    fn look(&mut self) {
+    /// A member, possibly a joining one, copies the lists of most others.
+    fn sync(&mut self) {
         let (_, list) = self.newest();
         let Some(to) = self.any(&list) else { return };
         for from in list {
@@ -453,8 +465,8 @@
         }
     }
 
-    /// Reads the list of `from` to its end.
-    fn copy(&mut self, to: At, from: At) {
+    /// Copies the list of `from` to its end.
+    fn copy(&mut self, to: ReplicaIndex, from: ReplicaIndex) {
         let (epoch, list) = self.newest();
         if !self.replicas[to].alive || !self.replicas[from].alive {
             return;
@@ -477,21 +489,22 @@
         }
     }
 
-    /// Tells all that live the newest list; whether a majority of it then refuses older ones.
+    /// Announces the newest list to all live members; returns whether a majority of it then refuses
+    /// older ones.
     fn announce(&mut self) -> bool {
         let (epoch, list) = self.newest();
-        let mut told = 0;
+        let mut informed = 0;
         for at in &list {
             if self.replicas[*at].alive && self.rng.random_bool(0.9) {
-                self.learn(*at, epoch);
-                told += 1;
+                self.update_epoch(*at, epoch);
+                informed += 1;
             }
         }
-        told * 2 > list.len()
+        informed * 2 > list.len()
     }
 
-    /// Who has not copied for the list in force begins anew.
-    fn learn(&mut self, at: At, epoch: member::Epoch) {
+    /// A replica that has not finished copying for the current list starts over.
+    fn update_epoch(&mut self, at: ReplicaIndex, epoch: member::Epoch) {
         let replica = &mut self.replicas[at];
         if epoch > replica.epoch {
             replica.epoch = epoch;
@@ -511,26 +524,25 @@
         if let Some(at) = self.any(&joining)
             && self.announce()
         {
-            self.learn(at, epoch);
+            self.update_epoch(at, epoch);
             if let Some(joins) = &mut self.replicas[at].joins {
                 joins.announced = true;
             }
         }
     }
 
-    /// Members that are lost, or have not copied yet.
+    /// Number of members that are lost or have not finished copying.
     fn missing(&self) -> usize {
         let (_, list) = self.newest();
         list.iter().filter(|at| !self.replicas[**at].votes).count()
     }
 
-    /// A member is gone for good; one that stands by takes its place, and the gone one leaves the
-    /// list.
+    /// Replaces a lost member: first a standby joins the list, then the lost member is removed.
     fn replace(&mut self) {
         let (epoch, list) = self.newest();
         let dead = list.iter().copied().find(|at| !self.replicas[*at].alive);
         let spare = (0..MACHINES).find(|at| !list.contains(at) && self.replicas[*at].alive);
-        let wanted = member::wanted_members(FAULTS);
+        let wanted = member::target_members(FAULTS);
         let live = list.iter().filter(|at| self.replicas[**at].alive).count();
         let next = match (dead, spare) {
             (Some(dead), _) if list.len() > wanted => {
@@ -546,7 +558,7 @@
             }
             _ => return,
         };
-        // Whoever changes the list has told a majority the one in force.
+        // A list is replaced only after a majority of its members were informed of it.
         if self.announce() {
             self.lists.insert(epoch + 1, next);
         } else if let Some(spare) = spare.filter(|spare| !list.contains(spare)) {
@@ -565,7 +577,7 @@
         }
     }
 
-    /// All power is lost, and with it as many disks as may be.
+    /// All power is lost, and with it up to as many disks as may be lost together.
     fn lose_power(&mut self) {
         let (_, list) = self.newest();
         let mut may_lose = FAULTS.saturating_sub(self.missing());
@@ -602,12 +614,15 @@
             3..5 => self.lose_one(),
             5..25 => self.replace(),
             25..60 => self.announce_for_joining(),
-            60..200 => self.look(),
-            200..300 if racing < RACING => self.begin(),
+            60..200 => self.sync(),
+            200..300 if racing < MAX_CONCURRENT => self.begin(),
             _ if !self.events.is_empty() => {
-                let next = self.rng.random_range(0..self.events.len().min(OVERTAKES));
+                let next = self
+                    .rng
+                    .random_range(0..self.events.len().min(MAX_OVERTAKES));
                 let event = self.events.remove(next);
-                // Timers run at the entry, later than most answers; of messages some are lost.
+                // Timers run at the entry and fire later than most replies arrive; some messages
+                // are lost.
                 let timer = matches!(event, Event::Late { .. } | Event::End { .. });
                 if timer && self.rng.random_bool(0.8) {
                     self.events.push(event);
@@ -620,8 +635,8 @@
     }
 }
 
-/// The most that may be handed out in the order of `seed`.
-fn most_owed(seed: u64) -> u64 {
+/// The most that may be handed out in the order of events drawn from `seed`.
+fn max_owed(seed: u64) -> u64 {
     let mut model = Model::new(seed);
     for _ in 0..STEPS {
         model.step();
@@ -629,13 +644,14 @@
     model.peak
 }
 
-// A program that loops without end starts sub-agents, whose turns ask for the last of its budget at
-// once. A replica joins, or answers are late, so that entries ask again; meanwhile replicas copy from
-// each other. A turn that had not been granted was then accepted wherever its reservation had been
-// copied to, beside the turns granted since, and the program got more than its budget.
+// Guards against a budget exceeded by concurrent turns. A program that loops endlessly starts
+// sub-agents, whose turns request the last of its budget at once. A replica joins, or replies are
+// late, so that entries retry; meanwhile replicas copy from each other. A turn that had not been
+// granted was then accepted wherever its reservation had been copied to, beside the turns granted
+// since, and the program got more than its budget.
 #[gtest]
 fn holds_while_turns_race() {
     for seed in 0..2_000 {
-        expect_that!(most_owed(seed), le(BUDGET), "seed {seed}");
+        expect_that!(max_owed(seed), le(BUDGET), "seed {seed}");
     }
 }
--- a/fw-replica/tests/replica/list_change.rs
+++ b/fw-replica/tests/replica/list_change.rs
@@ -1,11 +1,11 @@
-//! What a replica does about the member list.
+//! Decisions of a replica about the member list.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use fw_replica::member::{
-    LETS_BY, List, Member, Next, SILENT_FOR, SUCCESSOR, Situation, may_leave, needed_sources,
-    spreads,
+    Action, List, Member, REMOVE_AFTER, STANDBY_STAGGER, SUCCESSOR_TIMEOUT, Situation,
+    improves_spread, may_leave, needed_sources,
 };
 use fw_replica::record::ReplicaId;
 use googletest::prelude::*;
@@ -28,47 +28,47 @@
 
 struct Case {
     list: List,
-    me: ReplicaId,
+    own_name: ReplicaId,
     own: Member,
     retiring: bool,
     votes: bool,
     copied: bool,
-    silent: BTreeMap<ReplicaId, Duration>,
+    last_seen_ago: BTreeMap<ReplicaId, Duration>,
     leaving: Vec<ReplicaId>,
-    before: usize,
+    standbys_ahead: usize,
     short_for: Duration,
 }
 
 impl Case {
-    fn new(names: &[&str], me: &str) -> Self {
+    fn new(names: &[&str], own_name: &str) -> Self {
         let list = list(names);
-        let own = list.members.get(me).cloned().unwrap_or(member(99));
+        let own = list.members.get(own_name).cloned().unwrap_or(member(99));
         Self {
             list,
-            me: me.into(),
+            own_name: own_name.into(),
             own,
             retiring: false,
             votes: true,
             copied: true,
-            silent: BTreeMap::new(),
+            last_seen_ago: BTreeMap::new(),
             leaving: Vec::new(),
-            before: 0,
+            standbys_ahead: 0,
             short_for: Duration::ZERO,
         }
     }
 
-    fn decide(&self) -> Next {
+    fn decide(&self) -> Action {
         let situation = Situation {
             list: &self.list,
-            me: &self.me,
+            own_name: &self.own_name,
             own: &self.own,
             faults: 1,
             retiring: self.retiring,
             votes: self.votes,
             copied: self.copied,
-            silent: &self.silent,
+            last_seen_ago: &self.last_seen_ago,
             leaving: &self.leaving,
-            before: self.before,
+            standbys_ahead: self.standbys_ahead,
             short_for: self.short_for,
         };
         situation.decide()
@@ -79,13 +79,14 @@
 fn stands_by_while_there_are_enough() {
     let mut case = Case::new(&["a", "b", "c"], "d");
     case.votes = false;
-    expect_that!(case.decide(), eq(&Next::StandBy));
-    // One is to be taken away, or has been silent: it is needed.
+    expect_that!(case.decide(), eq(&Action::StandBy));
+    // One member is retiring, or does not respond: the standby is needed.
     case.leaving = vec!["b".into()];
-    expect_that!(case.decide(), matches_pattern!(Next::Change(_)));
+    expect_that!(case.decide(), matches_pattern!(Action::Change(_)));
     case.leaving.clear();
-    case.silent.insert("c".into(), Duration::from_secs(3));
-    expect_that!(case.decide(), matches_pattern!(Next::Change(_)));
+    case.last_seen_ago
+        .insert("c".into(), Duration::from_secs(3));
+    expect_that!(case.decide(), matches_pattern!(Action::Change(_)));
 }
 
 #[gtest]
@@ -93,24 +94,24 @@
     let mut case = Case::new(&["a", "b", "c"], "c");
     case.votes = false;
     case.copied = false;
-    expect_that!(case.decide(), eq(&Next::Stay));
+    expect_that!(case.decide(), eq(&Action::Stay));
     case.copied = true;
-    expect_that!(case.decide(), eq(&Next::Vote));
+    expect_that!(case.decide(), eq(&Action::Vote));
 }
 
 #[gtest]
 fn removes_a_dead_member_only_if_enough_remain() {
-    // A member is silent. With three of three it must stay listed: its absence does not make two
-    // a majority of two. With a fourth that has taken its place it goes, and one removes it.
+    // A member does not respond. With three of three it must stay listed: its absence does not make
+    // two a majority of two. Once a fourth has taken its place it is removed, by one member only.
     let mut case = Case::new(&["a", "b", "c"], "a");
-    case.silent.insert("b".into(), SILENT_FOR);
-    expect_that!(case.decide(), eq(&Next::Stay));
+    case.last_seen_ago.insert("b".into(), REMOVE_AFTER);
+    expect_that!(case.decide(), eq(&Action::Stay));
     let mut case = Case::new(&["a", "b", "c", "d"], "a");
-    case.silent.insert("b".into(), SILENT_FOR);
-    expect_that!(case.decide(), eq(&Next::Change(case.without("b"))));
+    case.last_seen_ago.insert("b".into(), REMOVE_AFTER);
+    expect_that!(case.decide(), eq(&Action::Change(case.without("b"))));
     let mut case = Case::new(&["a", "b", "c", "d"], "c");
-    case.silent.insert("b".into(), SILENT_FOR);
-    expect_that!(case.decide(), eq(&Next::Stay));
+    case.last_seen_ago.insert("b".into(), REMOVE_AFTER);
+    expect_that!(case.decide(), eq(&Action::Stay));
 }
 
 impl Case {
@@ -122,21 +123,21 @@
 }
 
 #[gtest]
-fn tells_a_new_address_and_leaves_when_asked() {
+fn announces_a_new_address_and_leaves_on_retirement() {
     let mut case = Case::new(&["a", "b", "c"], "b");
     case.own = member(77);
-    expect_that!(case.decide(), matches_pattern!(Next::Change(_)));
+    expect_that!(case.decide(), matches_pattern!(Action::Change(_)));
     case.retiring = true;
-    expect_that!(case.decide(), eq(&Next::Leave(case.without("b"))));
+    expect_that!(case.decide(), eq(&Action::Leave(case.without("b"))));
     case.list = case.without("b");
-    expect_that!(case.decide(), eq(&Next::Left));
+    expect_that!(case.decide(), eq(&Action::Left));
 }
 
 #[gtest]
 fn copies_from_enough_to_meet_every_holder() {
-    // Three members, one disk lost: a record of it may lie on any single one of the others.
+    // Three members, one of which lost its disk: a record of it may be on just one of the others.
     expect_that!(needed_sources(2, true, 1), eq(2));
-    // A newcomer: each record lies on two of three, one of which may be gone.
+    // A new member: each record is on two of three, one of which may be lost.
     expect_that!(needed_sources(3, false, 1), eq(2));
     expect_that!(needed_sources(1, true, 1), eq(1));
     expect_that!(needed_sources(0, false, 1), eq(1));
@@ -145,32 +146,34 @@
 #[gtest]
 fn spreads_over_data_centres_at_first() {
     let full = list(&["a", "b"]);
-    expect_false!(spreads(&full, &"a".into(), 1, 3));
-    expect_true!(spreads(&full, &"b".into(), 1, 3));
-    expect_true!(spreads(&full, &"a".into(), 2, 1));
+    expect_false!(improves_spread(&full, &"a".into(), 1, 3));
+    expect_true!(improves_spread(&full, &"b".into(), 1, 3));
+    expect_true!(improves_spread(&full, &"a".into(), 2, 1));
 }
 
-// A cut takes a third of the machines: of thirty replicas that stand by, nearly all hear too few members.
-// Each copied everything from all members it reached, until the cut was over. One after the other
-// goes; the first at once, as before.
+// Guards against many standbys joining at once. A network partition takes a third of the machines:
+// nearly all of thirty standbys see too few members. Each copied everything from all members within
+// reach until the partition ended. Now they start one after the other; the first still starts at
+// once.
 #[gtest]
 fn lets_those_that_stand_by_before_it_go_first() {
     let mut case = Case::new(&["a", "b", "c"], "d");
-    case.silent = [("a".into(), SILENT_FOR)].into();
-    expect_that!(case.decide(), matches_pattern!(Next::Change(anything())));
-    case.before = 2;
-    case.short_for = LETS_BY;
-    expect_that!(case.decide(), eq(&Next::StandBy));
-    case.short_for = LETS_BY * 2;
-    expect_that!(case.decide(), matches_pattern!(Next::Change(anything())));
+    case.last_seen_ago = [("a".into(), REMOVE_AFTER)].into();
+    expect_that!(case.decide(), matches_pattern!(Action::Change(anything())));
+    case.standbys_ahead = 2;
+    case.short_for = STANDBY_STAGGER;
+    expect_that!(case.decide(), eq(&Action::StandBy));
+    case.short_for = STANDBY_STAGGER * 2;
+    expect_that!(case.decide(), matches_pattern!(Action::Change(anything())));
 }
 
-// One of three members is to be taken away. It left when the two others had copied everything, just
-// before a fourth took its place; then one of the two lost its power, and no turn began for two seconds.
-// Without anyone to take its place it leaves all the same, or the machine could never be taken away.
+// Guards against a member that leaves before it is replaced. One of three members retires. It left
+// when the two others had copied everything, just before a fourth took its place; then one of the
+// two lost its power, and no turn began for two seconds. Without a standby it still leaves
+// eventually, or the machine could never be removed.
 #[gtest]
 fn leaves_only_once_another_has_its_place() {
     expect_false!(may_leave(&list(&["a", "b"]), Duration::ZERO, 1));
     expect_true!(may_leave(&list(&["a", "b", "d"]), Duration::ZERO, 1));
-    expect_true!(may_leave(&list(&["a", "b"]), SUCCESSOR, 1));
+    expect_true!(may_leave(&list(&["a", "b"]), SUCCESSOR_TIMEOUT, 1));
 }
