--- a/fw-gate/src/connection/link.rs
+++ b/fw-gate/src/connection/link.rs
@@ -16,13 +16,13 @@
 
 /// Longest wait for a connection. In a region one takes a millisecond; a dark upstream never
 /// answers, and the call can go elsewhere, as nothing was sent.
-pub const CONNECT: Duration = Duration::from_millis(250);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a connection stays usable without a call where the upstream does not say: it names
 /// whole seconds only, so it may be less than one.
-const KEEP_UNSAID: Duration = Duration::from_millis(500);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(500);
 /// Part of the upstream's own timeout after which a connection is not used any more: a call sent
 /// as the upstream closes it would break, and may not be sent twice.
-const KEEP_PART: f64 = 0.6;
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
 /// Ends the connection's task, and with it the connection.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     _task: Task,
     used: bool,
     idle_since: Instant,
-    keep: Duration,
+    keep_alive: Duration,
 }
 
 async fn dial(addr: SocketAddr) -> io::Result<TcpStream> {
@@ -50,7 +50,7 @@
     } else {
         TcpSocket::new_v6()?
     };
-    let stream = tokio::time::timeout(CONNECT, fresh.connect(addr)).await??;
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, fresh.connect(addr)).await??;
     socket::watch_silence(&socket2::SockRef::from(&stream))?;
     Ok(stream)
 }
@@ -77,13 +77,15 @@
             _task: Task(task),
             used: false,
             idle_since: Instant::now(),
-            keep: KEEP_UNSAID,
+            keep_alive: DEFAULT_KEEP_ALIVE,
         })
     }
 
     /// Whether a call may be sent: the connection is open and was not idle for too long.
     pub fn is_usable(&self) -> bool {
-        !self.sender.is_closed() && self.sender.is_ready() && self.idle_since.elapsed() < self.keep
+        !self.sender.is_closed()
+            && self.sender.is_ready()
+            && self.idle_since.elapsed() < self.keep_alive
     }
 
     /// Whether a call was sent on it before.
@@ -96,27 +98,30 @@
     /// # Errors
     ///
     /// When the connection fails; [`Failed::unsent`] tells whether any byte may have left.
-    pub async fn send(&mut self, req: Request<Full<Bytes>>) -> Result<Response<Incoming>, Failed> {
+    pub async fn send(
+        &mut self,
+        req: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, SendError> {
         let first = !std::mem::replace(&mut self.used, true);
         let answer = self.sender.try_send_request(req).await;
-        let res = answer.map_err(|mut err| Failed {
+        let res = answer.map_err(|mut err| SendError {
             unsent: err.take_message().is_some(),
             reused: !first,
             message: err.error().to_string(),
         })?;
-        self.keep = keep_for(&res);
+        self.keep_alive = keep_alive(&res);
         Ok(res)
     }
 
     /// The call is over and its answer read to the end: the connection waits for the next.
-    pub fn rest(&mut self) {
+    pub fn mark_idle(&mut self) {
         self.idle_since = Instant::now();
     }
 }
 
 /// A call whose connection failed before the head of an answer came.
 #[derive(Clone, Debug)]
-pub struct Failed {
+pub struct SendError {
     /// Whether no byte of the call left.
     pub unsent: bool,
     /// Whether the connection had served a call before.
@@ -125,16 +130,16 @@
     pub message: String,
 }
 
-fn keep_for<T>(res: &Response<T>) -> Duration {
-    let said = res
+fn keep_alive<T>(res: &Response<T>) -> Duration {
+    let header = res
         .headers()
         .get(header::HeaderName::from_static("keep-alive"));
-    let said = said.and_then(|value| value.to_str().ok());
-    let seconds = said.and_then(|text| {
+    let header = header.and_then(|value| value.to_str().ok());
+    let seconds = header.and_then(|text| {
         let mut parts = text.split(',');
         parts.find_map(|part| part.trim().strip_prefix("timeout=")?.parse::<u32>().ok())
     });
-    seconds.map_or(KEEP_UNSAID, |seconds| {
-        Duration::from_secs(seconds.into()).mul_f64(KEEP_PART)
+    seconds.map_or(DEFAULT_KEEP_ALIVE, |seconds| {
+        Duration::from_secs(seconds.into()).mul_f64(KEEP_ALIVE_FRACTION)
     })
 }
--- a/fw-gate/src/connection/listen.rs
+++ b/fw-gate/src/connection/listen.rs
@@ -27,7 +27,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// Most bytes of a caller's connection that are buffered: a head of the longest length allowed and
 /// a piece of the body.
-const BUFFER: usize = 32 << 10;
+const READ_BUFFER_BYTES: usize = 32 << 10;
 
 /// Listens on `addr`.
 ///
@@ -56,7 +56,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                connections.spawn(answer(stream, &gate, &graceful));
+                connections.spawn(serve_connection(stream, &gate, &graceful));
                 while connections.try_join_next().is_some() {}
             }
             Err(err) => {
@@ -70,7 +70,7 @@
 }
 
 /// Answers the requests of one connection.
-fn answer(
+fn serve_connection(
     stream: TcpStream,
     gate: &Arc<gate::Gate>,
     graceful: &GracefulShutdown,
@@ -87,7 +87,7 @@
         .timer(TokioTimer::new())
         // It runs between requests too, so it must not be shorter than a connection may be idle.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
-        .max_buf_size(BUFFER.max(limits.header_bytes))
+        .max_buf_size(READ_BUFFER_BYTES.max(limits.header_bytes))
         .serve_connection(TokioIo::new(stream), handler);
     let connection = graceful.watch(connection);
     async move {
--- a/fw-gate/src/process/fleet/choose.rs
+++ b/fw-gate/src/process/fleet/choose.rs
@@ -10,20 +10,20 @@
 use smol_str::SmolStr;
 use xxhash_rust::xxh3;
 
-use super::lease::{Lease, Reach, Ticket};
-use super::{Fleet, Service, Upstream, Want, Warmth};
+use super::lease::{Eligibility, Lease, Ticket};
+use super::{Affinity, Criteria, Fleet, Service, Upstream};
 
 /// Prompt tokens that an engine reads in a millisecond, for the order of magnitude of what a lost
 /// cache costs; engines of today read some hundred.
-const READ_PER_MS: u64 = 100;
+const PREFILL_TOKENS_PER_MS: u64 = 100;
 /// Part of a call's usual time that an upstream saves which handled the object lately; services
 /// of today save a half.
-const WARM_GAIN: f64 = 0.5;
+const AFFINITY_GAIN: f64 = 0.5;
 
 /// An upstream that a call may get, as far as it decides whether there is room.
 #[derive(Clone, Copy, Debug)]
-struct Open {
-    short: trail::Upstream,
+struct Capacity {
+    hash: trail::Upstream,
     slots: u32,
     load: f64,
 }
@@ -37,10 +37,10 @@
     pub fn choose(
         self: &Arc<Self>,
         service_id: &id::ServiceId,
-        want: &Want<'_>,
+        criteria: &Criteria<'_>,
     ) -> Result<Lease, error::Error> {
-        let service = self.served(service_id)?;
-        let picked = self.pick(service_id, &service, want, |_| true)?;
+        let service = self.find_service(service_id)?;
+        let picked = self.pick(service_id, &service, criteria, |_| true)?;
         picked.ok_or_else(|| no_upstream(service_id))
     }
 
@@ -54,38 +54,42 @@
     pub async fn acquire(
         self: &Arc<Self>,
         service_id: &id::ServiceId,
-        want: &Want<'_>,
+        criteria: &Criteria<'_>,
     ) -> Result<Lease, error::Error> {
-        let service = self.served(service_id)?;
-        let warm = match &want.warmth {
-            Warmth::Prompt { lineage, .. } => self.trail.last(lineage).warmest(),
-            Warmth::Object(_) | Warmth::None => None,
+        let service = self.find_service(service_id)?;
+        let preferred = match &criteria.affinity {
+            Affinity::Prompt { lineage, .. } => self.affinity.last(lineage).warmest(),
+            Affinity::Object(_) | Affinity::None => None,
         };
-        let ticket = Ticket::draw(&service, warm, |number| {
-            self.hold.rank(&want.hold, self.now(), number)
+        let ticket = Ticket::enqueue(&service, preferred, |number| {
+            self.hold.rank(&criteria.hold, self.now(), number)
         });
-        let begun = tokio::time::Instant::now();
-        while begun.elapsed() < self.hold.most {
-            let reach = ticket.may_go(&self.hold);
-            let fits = |open: &Open| {
-                let warm = Some(open.short) == warm;
-                let waited = begun.elapsed();
-                let reached = reach == Reach::All || warm;
-                reached && self.hold.has_room(open.slots, open.load, warm, waited)
+        let started_at = tokio::time::Instant::now();
+        while started_at.elapsed() < self.hold.most {
+            let eligibility = ticket.eligibility(&self.hold);
+            let fits = |capacity: &Capacity| {
+                let is_preferred = Some(capacity.hash) == preferred;
+                let waited = started_at.elapsed();
+                let is_eligible = eligibility == Eligibility::All || is_preferred;
+                is_eligible
+                    && self
+                        .hold
+                        .has_room(capacity.slots, capacity.load, is_preferred, waited)
             };
-            if reach != Reach::None
-                && let Some(lease) = self.pick(service_id, &service, want, fits)?
+            if eligibility != Eligibility::None
+                && let Some(lease) = self.pick(service_id, &service, criteria, fits)?
             {
-                metrics::histogram!("fw_gate_held_seconds").record(begun.elapsed().as_secs_f64());
+                metrics::histogram!("fw_gate_held_seconds")
+                    .record(started_at.elapsed().as_secs_f64());
                 return Ok(lease);
             }
             // Heard of or not: what is known of the load fades.
-            let _ = tokio::time::timeout(self.hold.look, ticket.turn.notified()).await;
+            let _ = tokio::time::timeout(self.hold.look, ticket.wakeup.notified()).await;
         }
         drop(ticket);
         metrics::counter!("fw_gate_held_too_long_total").increment(1);
-        match self.hold.over(&want.hold, rand::random()) {
-            hold::Over::Send => self.choose(service_id, want),
+        match self.hold.over(&criteria.hold, rand::random()) {
+            hold::Over::Send => self.choose(service_id, criteria),
             hold::Over::Refuse(after) => {
                 let message = "programs under way need all slots";
                 let err = error::Error::new(error::Kind::Overloaded, message);
@@ -104,7 +108,11 @@
     /// # Errors
     ///
     /// `Overloaded`, with a time to return.
-    pub fn admit(&self, service: &id::ServiceId, priority: u32) -> Result<(), error::Error> {
+    pub fn admit_program(
+        &self,
+        service: &id::ServiceId,
+        priority: u32,
+    ) -> Result<(), error::Error> {
         let Some(known) = self.service(service) else {
             return Ok(());
         };
@@ -121,8 +129,8 @@
     /// Slots of all upstreams of a service that take calls, and calls that are there or wait here.
     fn occupancy(&self, service: &Service) -> (f64, f64) {
         let usable = self.usable(service, &[]);
-        let options = self.weights(service);
-        let candidates = self.candidates(service, &usable, &Warmth::None);
+        let options = self.cost_options(service);
+        let candidates = self.candidates(service, &usable, &Affinity::None);
         let at = candidates.map(|(_, c)| (f64::from(c.slots), c.load(&options)));
         let waiting = service.waiting.len() as f64;
         at.fold((0.0, waiting), |(slots, load), (more_slots, more)| {
@@ -135,7 +143,7 @@
     /// # Errors
     ///
     /// `NoUpstream` when no upstream was ever listed for it.
-    fn served(&self, id: &id::ServiceId) -> Result<Arc<Mutex<Service>>, error::Error> {
+    fn find_service(&self, id: &id::ServiceId) -> Result<Arc<Mutex<Service>>, error::Error> {
         self.service(id).ok_or_else(|| no_upstream(id))
     }
 
@@ -148,20 +156,20 @@
         self: &Arc<Self>,
         service_id: &id::ServiceId,
         service: &Arc<Mutex<Service>>,
-        want: &Want<'_>,
-        fits: impl Fn(&Open) -> bool,
+        criteria: &Criteria<'_>,
+        fits: impl Fn(&Capacity) -> bool,
     ) -> Result<Option<Lease>, error::Error> {
         let mut locked = service.lock();
-        let usable = self.usable(&locked, want.avoid);
+        let usable = self.usable(&locked, criteria.avoid);
         if usable.is_empty() {
             return Err(no_upstream(service_id));
         }
-        let options = self.weights(&locked);
+        let options = self.cost_options(&locked);
         let (indices, candidates): (Vec<_>, Vec<_>) = self
-            .candidates(&locked, &usable, &want.warmth)
+            .candidates(&locked, &usable, &criteria.affinity)
             .filter(|(at, c)| {
-                fits(&Open {
-                    short: locked.upstreams[*at].short,
+                fits(&Capacity {
+                    hash: locked.upstreams[*at].hash,
                     slots: c.slots,
                     load: c.load(&options),
                 })
@@ -172,11 +180,11 @@
         };
         let upstream = &mut locked.upstreams[indices[chosen]];
         let lease = Lease::take(self, service, upstream, candidates[chosen]);
-        let upstream = upstream.short;
+        let upstream = upstream.hash;
         drop(locked);
-        if let Warmth::Prompt { lineage, .. } = &want.warmth {
+        if let Affinity::Prompt { lineage, .. } = &criteria.affinity {
             let lineage = lineage.clone();
-            self.trail.note(&trail::Ran { lineage, upstream });
+            self.affinity.note(&trail::Ran { lineage, upstream });
         }
         Ok(Some(lease))
     }
@@ -186,28 +194,28 @@
         let now = self.now();
         let takes_work = |at: &usize| {
             let upstream = &service.upstreams[*at];
-            let replaced = upstream.replaced_until;
-            upstream.listed.takes_work && replaced.is_none_or(|until| Instant::now() >= until)
+            let replaced_until = upstream.replaced_until;
+            upstream.listed.takes_work && replaced_until.is_none_or(|until| Instant::now() >= until)
         };
         let listed = (0..service.upstreams.len()).filter(takes_work);
-        let is_new = |at: &usize| !avoid.contains(&service.upstreams[*at].listed.id);
+        let is_untried = |at: &usize| !avoid.contains(&service.upstreams[*at].listed.id);
         let is_healthy = |at: &usize| {
             let id = &service.upstreams[*at].listed.id;
             service.health.decide(now, id).weight() > 0.0
         };
-        let new: Vec<_> = listed.filter(is_new).collect();
-        let usable: Vec<_> = new.iter().copied().filter(is_healthy).collect();
+        let untried: Vec<_> = listed.filter(is_untried).collect();
+        let usable: Vec<_> = untried.iter().copied().filter(is_healthy).collect();
         if usable.is_empty() {
             // All ejected: using one is better than using none, also for a call that failed elsewhere.
-            return new;
+            return untried;
         }
         usable
     }
 
     /// The weights of the costs, with the service's own time of a call.
-    fn weights(&self, service: &Service) -> assign::Options {
-        let call = if service.mean > 0.0 {
-            Duration::from_secs_f64(service.mean)
+    fn cost_options(&self, service: &Service) -> assign::Options {
+        let call = if service.mean_call_secs > 0.0 {
+            Duration::from_secs_f64(service.mean_call_secs)
         } else {
             self.options.call
         };
@@ -222,13 +230,13 @@
         &'a self,
         service: &'a Service,
         indices: &'a [usize],
-        warmth: &Warmth<'_>,
+        affinity: &Affinity<'_>,
     ) -> impl Iterator<Item = (usize, assign::Candidate)> + use<'a> {
         let among: Vec<_> = indices.iter().map(|at| &service.upstreams[*at]).collect();
-        let warm = self.warm(warmth, &among);
-        let cold = cold(warmth, service.mean);
+        let preferred = self.preferred_upstreams(affinity, &among);
+        let miss_cost = miss_cost(affinity, service.mean_call_secs);
         let candidate = move |at: &usize| {
-            let candidate = self.candidate(&service.upstreams[*at], &warm, cold);
+            let candidate = self.candidate(&service.upstreams[*at], &preferred, miss_cost);
             (*at, candidate)
         };
         indices.iter().map(candidate)
@@ -236,58 +244,58 @@
 
     /// The upstreams that are probably faster than the rest: those that served the session and its
     /// program last; for objects the one that all entries agree on, by its hash with the object.
-    fn warm(&self, warmth: &Warmth<'_>, among: &[&Upstream]) -> trail::Last {
+    fn preferred_upstreams(&self, affinity: &Affinity<'_>, among: &[&Upstream]) -> trail::Last {
         let agreed = |object: &SmolStr| {
             let seed = xxh3::xxh3_64(object.as_bytes());
             let agreed = among.iter().max_by_key(|upstream| {
                 xxh3::xxh3_64_with_seed(upstream.listed.id.as_bytes(), seed)
             });
-            agreed.map(|upstream| upstream.short)
+            agreed.map(|upstream| upstream.hash)
         };
-        match warmth {
-            Warmth::None => trail::Last::default(),
-            Warmth::Object(object) => trail::Last {
+        match affinity {
+            Affinity::None => trail::Last::default(),
+            Affinity::Object(object) => trail::Last {
                 session: agreed(object),
                 program: None,
             },
-            Warmth::Prompt { lineage, .. } => self.trail.last(lineage),
+            Affinity::Prompt { lineage, .. } => self.affinity.last(lineage),
         }
     }
 
     fn candidate(
         &self,
         upstream: &Upstream,
-        warm: &trail::Last,
-        cold: Duration,
+        preferred: &trail::Last,
+        miss_cost: Duration,
     ) -> assign::Candidate {
-        let this = Some(upstream.short);
-        let miss = if warm.session == this {
+        let this = Some(upstream.hash);
+        let miss = if preferred.session == this {
             Duration::ZERO
-        } else if warm.program == this {
-            cold / 2
+        } else if preferred.program == this {
+            miss_cost / 2
         } else {
-            cold
+            miss_cost
         };
         assign::Candidate {
             slots: upstream.listed.slots,
-            own: upstream.own,
-            others: upstream.others,
-            age: upstream.reported.elapsed(),
+            own: upstream.own_calls,
+            others: upstream.other_calls,
+            age: upstream.load_updated_at.elapsed(),
             miss,
             remote: upstream.listed.place != self.place,
             slowness: upstream.pace.slowness(&self.pace, self.now()),
-            failed: upstream.failed.map(|at| at.elapsed()),
+            failed: upstream.failed_at.map(|at| at.elapsed()),
         }
     }
 }
 
 /// How much longer a call takes at an upstream that knows nothing of it; `mean` is the usual time
 /// of a call there, in seconds.
-fn cold(warmth: &Warmth<'_>, mean: f64) -> Duration {
-    match warmth {
-        Warmth::None => Duration::ZERO,
-        Warmth::Object(_) => Duration::from_secs_f64(mean * WARM_GAIN),
-        Warmth::Prompt { tokens, .. } => Duration::from_millis(tokens / READ_PER_MS),
+fn miss_cost(affinity: &Affinity<'_>, mean_secs: f64) -> Duration {
+    match affinity {
+        Affinity::None => Duration::ZERO,
+        Affinity::Object(_) => Duration::from_secs_f64(mean_secs * AFFINITY_GAIN),
+        Affinity::Prompt { tokens, .. } => Duration::from_millis(tokens / PREFILL_TOKENS_PER_MS),
     }
 }
 
--- a/fw-gate/src/process/fleet/proof.rs
+++ b/fw-gate/src/process/fleet/confirmation.rs
@@ -8,78 +8,78 @@
 
 /// Up to which moment the list is known. Times are since boot.
 #[derive(Debug)]
-pub struct Proof {
-    known: watch::Sender<confirm::Knowledge>,
+pub struct Confirmation {
+    freshness: watch::Sender<confirm::Knowledge>,
     /// Notified when a call begins to wait.
-    waiting: Notify,
+    waiters: Notify,
 }
 
-impl Proof {
+impl Confirmation {
     /// Nothing is proven yet.
     pub fn new(opts: confirm::Options) -> Self {
         Self {
-            known: watch::Sender::new(confirm::Knowledge::new(opts)),
-            waiting: Notify::new(),
+            freshness: watch::Sender::new(confirm::Knowledge::new(opts)),
+            waiters: Notify::new(),
         }
     }
 
     /// All changes are known that the store had acknowledged at `asked`.
-    pub fn prove(&self, asked: Duration) {
+    pub fn record_read(&self, requested_at: Duration) {
         let now = clock::since_boot();
-        self.known.send_modify(|known| {
-            if known.prove(asked, now) {
+        self.freshness.send_modify(|freshness| {
+            if freshness.prove(requested_at, now) {
                 tracing::info!("the list of upstreams is confirmed again");
             }
         });
     }
 
     /// A read of the store that was asked at `asked` has failed.
-    pub fn failed(&self, asked: Duration) {
+    pub fn record_failure(&self, requested_at: Duration) {
         let now = clock::since_boot();
-        self.change(|known| known.failed(asked, now));
+        self.update(|freshness| freshness.failed(requested_at, now));
     }
 
     /// A read of the store that was asked at `asked` is not answered in time.
-    pub fn unanswered(&self, asked: Duration) {
+    pub fn record_unanswered(&self, requested_at: Duration) {
         let now = clock::since_boot();
-        self.change(|known| known.unanswered(asked, now));
+        self.update(|freshness| freshness.unanswered(requested_at, now));
     }
 
     /// Returns once a call may be sent by the list.
-    pub async fn confirm(&self) {
+    pub async fn wait(&self) {
         loop {
-            let begun = clock::since_boot();
-            let outcome = self.known.borrow().decide(begun);
+            let started_at = clock::since_boot();
+            let outcome = self.freshness.borrow().decide(started_at);
             let confirm::Outcome::Await(wait) = outcome else {
                 return;
             };
-            let is_settled = self.settled(wait).await;
+            let is_sendable = self.wait_until_sendable(wait).await;
             let now = clock::since_boot();
-            let waited = now.saturating_sub(begun);
+            let waited = now.saturating_sub(started_at);
             metrics::histogram!("fw_gate_confirm_seconds").record(waited.as_secs_f64());
-            if !is_settled {
-                self.change(|known| known.waited(waited, now));
+            if !is_sendable {
+                self.update(|freshness| freshness.waited(waited, now));
             }
         }
     }
 
     /// Waits, up to `wait`, until calls need not wait.
-    async fn settled(&self, wait: Duration) -> bool {
-        let mut rx = self.known.subscribe();
-        self.waiting.notify_one();
-        let is_settled = |known: &confirm::Knowledge| {
-            known.decide(clock::since_boot()) == confirm::Outcome::Send
+    async fn wait_until_sendable(&self, wait: Duration) -> bool {
+        let mut rx = self.freshness.subscribe();
+        self.waiters.notify_one();
+        let is_sendable = |freshness: &confirm::Knowledge| {
+            freshness.decide(clock::since_boot()) == confirm::Outcome::Send
         };
-        let settled = rx.wait_for(is_settled);
-        tokio::time::timeout(wait, settled).await.is_ok()
+        let sendable = rx.wait_for(is_sendable);
+        tokio::time::timeout(wait, sendable).await.is_ok()
     }
 
-    fn change(&self, change: impl FnOnce(&mut confirm::Knowledge)) {
-        self.known.send_modify(|known| {
-            let was_cut_off = known.is_cut_off();
-            change(known);
-            if known.is_cut_off() && !was_cut_off {
-                let age = known.age(clock::since_boot());
+    fn update(&self, apply: impl FnOnce(&mut confirm::Knowledge)) {
+        self.freshness.send_modify(|freshness| {
+            let was_cut_off = freshness.is_cut_off();
+            apply(freshness);
+            if freshness.is_cut_off() && !was_cut_off {
+                let age = freshness.age(clock::since_boot());
                 tracing::info!(
                     ?age,
                     "nobody confirms the list of upstreams; calls are sent by it as it is"
@@ -90,13 +90,13 @@
     }
 
     /// Ready while a newer proof is wanted than the one that is known.
-    pub async fn wanted(&self) {
-        let mut rx = self.known.subscribe();
+    pub async fn wait_needed(&self) {
+        let mut rx = self.freshness.subscribe();
         loop {
             let now = clock::since_boot();
             let (is_wanted, wanted_in) = {
-                let known = rx.borrow_and_update();
-                (known.is_wanted(now), known.wanted_in(now))
+                let freshness = rx.borrow_and_update();
+                (freshness.is_wanted(now), freshness.wanted_in(now))
             };
             let due = async {
                 match wanted_in.filter(|time| !time.is_zero()) {
@@ -110,7 +110,7 @@
             }
             tokio::select! {
                 _ = rx.changed() => {}
-                () = self.waiting.notified() => {}
+                () = self.waiters.notified() => {}
                 () = due => {}
             }
         }
--- a/fw-gate/src/process/fleet/lease.rs
+++ b/fw-gate/src/process/fleet/lease.rs
@@ -10,19 +10,19 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-use super::{Fleet, Service, State, Upstream};
+use super::{Fleet, ListState, Service, Upstream};
 use crate::connection::link;
 
 /// Idle connections kept to one upstream. More calls than that at once to one upstream from one
 /// entry are rare.
-const IDLE: usize = 4;
+const MAX_IDLE_LINKS: usize = 4;
 /// Weight of the newest call in a service's mean times: they reach back some fifty calls.
 const SMOOTHING: f64 = 0.02;
 /// Times below this are not compared, in seconds: they show the way, not the upstream.
-const SHORTEST: f64 = 1e-3;
+const MIN_COMPARED_SECS: f64 = 1e-3;
 /// How long an upstream whose address another one has gets no calls. About as long as an entry
 /// without heartbeats stays on the list.
-const REPLACED: Duration = Duration::from_secs(4);
+const REPLACED_COOLDOWN: Duration = Duration::from_secs(4);
 
 /// An upstream's load, as it tells with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,12 +43,12 @@
     /// Where it is called.
     pub addr: SocketAddr,
     /// What was known of it when it was chosen, for log lines.
-    pub why: assign::Candidate,
+    pub candidate: assign::Candidate,
     /// By which state of the list it was chosen.
-    pub list: State,
+    pub list_state: ListState,
     /// Time from the choice until the call was handed to its connection, for log lines.
     pub sent_after: Duration,
-    begun: Instant,
+    started_at: Instant,
 }
 
 impl Drop for Lease {
@@ -56,8 +56,8 @@
         let mut service = self.service.lock();
         let mut freed = None;
         if let Some(upstream) = service.find(&self.id) {
-            upstream.own = upstream.own.saturating_sub(1);
-            freed = Some(upstream.short);
+            upstream.own_calls = upstream.own_calls.saturating_sub(1);
+            freed = Some(upstream.hash);
         }
         service.wake(freed);
     }
@@ -69,24 +69,24 @@
         fleet: &Arc<Fleet>,
         service: &Arc<Mutex<Service>>,
         upstream: &mut Upstream,
-        why: assign::Candidate,
+        candidate: assign::Candidate,
     ) -> Self {
-        upstream.own += 1;
+        upstream.own_calls += 1;
         Self {
             fleet: Arc::clone(fleet),
             service: Arc::clone(service),
             id: upstream.listed.id.clone(),
             addr: upstream.listed.addr,
-            why,
-            list: fleet.list_state(),
+            candidate,
+            list_state: fleet.list_state(),
             sent_after: Duration::ZERO,
-            begun: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
     /// Returns once the list is known to be new, or nobody can confirm it.
     pub async fn confirm_list(&self) {
-        self.fleet.proof.confirm().await;
+        self.fleet.confirmation.wait().await;
     }
 
     /// Whether the upstream still takes calls. It may have left since it was chosen.
@@ -99,7 +99,7 @@
 
     /// The call is handed to its connection now.
     pub fn note_sent(&mut self) {
-        self.sent_after = self.begun.elapsed();
+        self.sent_after = self.started_at.elapsed();
         if let Some(age) = self.fleet.list_state().age {
             metrics::histogram!("fw_gate_list_age_seconds").record(age.as_secs_f64());
         }
@@ -109,7 +109,7 @@
     pub fn idle_link(&self) -> Option<link::Link> {
         let mut service = self.service.lock();
         let upstream = service.find(&self.id)?;
-        while let Some(link) = upstream.idle.pop() {
+        while let Some(link) = upstream.idle_links.pop() {
             if link.is_usable() {
                 return Some(link);
             }
@@ -119,7 +119,7 @@
 
     /// Keeps `link` for a later call.
     pub fn keep_link(&self, mut link: link::Link) {
-        link.rest();
+        link.mark_idle();
         if !link.is_usable() {
             return;
         }
@@ -127,19 +127,19 @@
         let Some(upstream) = service.find(&self.id) else {
             return;
         };
-        upstream.idle.retain(link::Link::is_usable);
-        if upstream.idle.len() < IDLE {
-            upstream.idle.push(link);
+        upstream.idle_links.retain(link::Link::is_usable);
+        if upstream.idle_links.len() < MAX_IDLE_LINKS {
+            upstream.idle_links.push(link);
         }
     }
 
     /// The upstream told its load.
-    pub fn told(&self, load: Load) {
+    pub fn record_load(&self, load: Load) {
         if let Some(upstream) = self.service.lock().find(&self.id) {
             // Its own word is as of some time ago, but counts what no entry tells.
-            let others = (load.running + load.waiting).saturating_sub(upstream.own);
-            upstream.others = upstream.others.max(others);
-            upstream.reported = Instant::now();
+            let others = (load.running + load.waiting).saturating_sub(upstream.own_calls);
+            upstream.other_calls = upstream.other_calls.max(others);
+            upstream.load_updated_at = Instant::now();
         }
     }
 
@@ -148,26 +148,26 @@
     /// *Failure:* an upstream starts anew under another id, and a late heartbeat of its predecessor
     /// puts the old id back on the list. It refuses at once and looks idle, so that it would draw
     /// every call first until its entry lapses.
-    pub fn replaced(&self) {
+    pub fn mark_replaced(&self) {
         let mut service = self.service.lock();
         if let Some(upstream) = service.find(&self.id) {
             tracing::warn!(upstream = %self.id, addr = %self.addr, "another upstream has its address");
-            upstream.replaced_until = Some(Instant::now() + REPLACED);
-            upstream.idle.clear();
+            upstream.replaced_until = Some(Instant::now() + REPLACED_COOLDOWN);
+            upstream.idle_links.clear();
         }
     }
 
     /// What the call showed of the upstream's health.
-    pub fn seen(&self, seen: health::Seen) {
+    pub fn record_health(&self, seen: health::Seen) {
         let now = self.fleet.now();
         let mut service = self.service.lock();
         let before = service.health.decide(now, &self.id).weight() > 0.0;
         service.health.seen(now, &self.id, seen);
         if let Some(upstream) = service.find(&self.id) {
-            upstream.failed = match seen {
+            upstream.failed_at = match seen {
                 health::Seen::Answered => None,
                 health::Seen::Failed | health::Seen::Down => Some(Instant::now()),
-                health::Seen::Leaving => upstream.failed,
+                health::Seen::Leaving => upstream.failed_at,
             };
         }
         let after = service.health.decide(now, &self.id).weight() > 0.0;
@@ -179,19 +179,19 @@
 
     /// Time since the call was sent.
     pub fn age(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
     /// The call ended well. `part` is the time of what can be compared among the calls of a
     /// service, if there was any of it: an answer of twice the length is not twice as slow.
-    pub fn done(&self, part: Option<Duration>) {
-        self.seen(health::Seen::Answered);
+    pub fn complete(&self, part: Option<Duration>) {
+        self.record_health(health::Seen::Answered);
         let now = self.fleet.now();
         let mut service = self.service.lock();
-        smooth(&mut service.mean, self.age());
+        smooth(&mut service.mean_call_secs, self.age());
         let Some(part) = part else { return };
-        smooth(&mut service.part, part);
-        let ratio = part.as_secs_f64() / service.part.max(SHORTEST);
+        smooth(&mut service.mean_part_secs, part);
+        let ratio = part.as_secs_f64() / service.mean_part_secs.max(MIN_COMPARED_SECS);
         if let Some(upstream) = service.find(&self.id) {
             upstream.pace.note(&self.fleet.pace, ratio, now);
         }
@@ -212,29 +212,29 @@
 #[derive(Debug)]
 pub(super) struct Waiter {
     /// The upstream that has its prompt in the cache.
-    warm: Option<trail::Upstream>,
-    turn: Arc<Notify>,
+    preferred: Option<trail::Upstream>,
+    wakeup: Arc<Notify>,
 }
 
 impl Waiter {
     /// Lets it look again.
     pub(super) fn wake(&self) {
-        self.turn.notify_one();
+        self.wakeup.notify_one();
     }
 
     /// Whether it waits for a place at `upstream` in the first place.
-    pub(super) fn is_warm_at(&self, upstream: trail::Upstream) -> bool {
-        self.warm == Some(upstream)
+    pub(super) fn prefers(&self, upstream: trail::Upstream) -> bool {
+        self.preferred == Some(upstream)
     }
 }
 
 /// Upstreams that a waiting call may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reach {
+pub(super) enum Eligibility {
     /// All.
     All,
     /// Only one that has its prompt in the cache.
-    Warm,
+    Preferred,
     /// None yet.
     None,
 }
@@ -244,39 +244,39 @@
     service: &'a Mutex<Service>,
     rank: hold::Rank,
     /// Notified when it may be the first.
-    pub(super) turn: Arc<Notify>,
+    pub(super) wakeup: Arc<Notify>,
 }
 
 impl<'a> Ticket<'a> {
     /// `warm` has the call's prompt in its cache.
-    pub(super) fn draw(
+    pub(super) fn enqueue(
         service: &'a Mutex<Service>,
-        warm: Option<trail::Upstream>,
+        preferred: Option<trail::Upstream>,
         rank: impl FnOnce(u64) -> hold::Rank,
     ) -> Self {
         let mut locked = service.lock();
         locked.arrivals += 1;
         let rank = rank(locked.arrivals);
-        let turn = Arc::new(Notify::new());
+        let wakeup = Arc::new(Notify::new());
         let waiter = Waiter {
-            warm,
-            turn: Arc::clone(&turn),
+            preferred,
+            wakeup: Arc::clone(&wakeup),
         };
         locked.waiting.insert(rank, waiter);
         Self {
             service,
             rank,
-            turn,
+            wakeup,
         }
     }
 
     /// Which upstreams the call may go to by its place among those that wait.
-    pub(super) fn may_go(&self, options: &hold::Options) -> Reach {
+    pub(super) fn eligibility(&self, options: &hold::Options) -> Eligibility {
         let service = self.service.lock();
         match service.waiting.first_key_value() {
-            Some((first, _)) if *first == self.rank => Reach::All,
-            Some((first, _)) if options.may_pass(*first, self.rank) => Reach::Warm,
-            _ => Reach::None,
+            Some((first, _)) if *first == self.rank => Eligibility::All,
+            Some((first, _)) if options.may_pass(*first, self.rank) => Eligibility::Preferred,
+            _ => Eligibility::None,
         }
     }
 }
--- a/fw-gate/src/process/fleet/list.rs
+++ b/fw-gate/src/process/fleet/list.rs
@@ -8,18 +8,18 @@
 use fw_plan::{lapse, pace};
 use parking_lot::Mutex;
 
-use super::{Fleet, ListedUpstream, Service, Upstream, short};
+use super::{Fleet, ListedUpstream, Service, Upstream, short_hash};
 
 /// A read of the platform's store, by this entry or another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Read {
+pub struct StoreRead {
     /// Revision that it reflects.
     pub as_of: u64,
     /// How long ago it was made.
     pub ago: Duration,
 }
 
-impl Read {
+impl StoreRead {
     /// A read of this entry's that has just ended.
     pub fn own(as_of: u64) -> Self {
         let ago = Duration::ZERO;
@@ -29,9 +29,9 @@
 
 /// What a read says of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum List {
+pub enum ListUpdate {
     /// All that is listed.
-    Whole(Vec<ListedUpstream>),
+    Full(Vec<ListedUpstream>),
     /// What has changed, oldest first.
     Changes(Vec<Change>),
 }
@@ -47,7 +47,7 @@
 
 impl Change {
     /// The upstream that is listed.
-    pub fn listed(self) -> Option<ListedUpstream> {
+    pub fn into_listed(self) -> Option<ListedUpstream> {
         match self {
             Self::Put(listed) => Some(listed),
             Self::Removed(_) => None,
@@ -57,7 +57,7 @@
 
 /// The state of the list by which an upstream was chosen, for log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct State {
+pub struct ListState {
     /// Revision of the store that it reflects.
     pub as_of: u64,
     /// Time since the read of the store by which it was last confirmed; `None` if none was heard of.
@@ -68,26 +68,26 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Missing {
     /// When a read listed it last, since boot; `None` if none did that this entry knows of.
-    listed: Option<Duration>,
+    last_listed: Option<Duration>,
     /// Whether its entry may only have lapsed.
-    may_be_back: bool,
+    may_return: bool,
 }
 
 /// The reads of the store that the list is from. Times are since boot.
 #[derive(Debug)]
-pub(super) struct Reads {
-    steady: lapse::Reads,
+pub(super) struct ReadHistory {
+    gapless: lapse::Reads,
     /// Revision of the last read.
     as_of: u64,
     /// When the last read was made.
     last: Option<Duration>,
 }
 
-impl Reads {
+impl ReadHistory {
     /// None was made yet.
     pub(super) fn new(opts: lapse::Options) -> Self {
         Self {
-            steady: lapse::Reads::new(opts),
+            gapless: lapse::Reads::new(opts),
             as_of: 0,
             last: None,
         }
@@ -96,14 +96,14 @@
 
 impl Fleet {
     /// Whether the list was ever read.
-    pub fn is_known(&self) -> bool {
-        self.known.load(Ordering::Relaxed)
+    pub fn has_list(&self) -> bool {
+        self.has_list.load(Ordering::Relaxed)
     }
 
     /// By which state of the list upstreams are chosen now.
-    pub fn list_state(&self) -> State {
+    pub fn list_state(&self) -> ListState {
         let reads = self.reads.lock();
-        State {
+        ListState {
             as_of: reads.as_of,
             age: reads.last.map(|at| clock::since_boot().saturating_sub(at)),
         }
@@ -116,46 +116,49 @@
             first: now.saturating_sub(first),
             last: now.saturating_sub(last),
         };
-        self.reads.lock().steady.note(span);
+        self.reads.lock().gapless.note(span);
     }
 
     /// Takes what `read` says of the list. Without a read, it is what somebody knew at some time.
-    pub fn apply(&self, read: Option<Read>, list: List) {
+    pub fn apply(&self, read: Option<StoreRead>, update: ListUpdate) {
         let at = read.map(|read| clock::since_boot().saturating_sub(read.ago));
         if let (Some(read), Some(at)) = (read, at) {
             let mut reads = self.reads.lock();
             reads.as_of = read.as_of;
-            reads.steady.note(lapse::Span::single(at));
+            reads.gapless.note(lapse::Span::single(at));
         }
         let before = self.count_listed();
-        let missing = match list {
-            List::Whole(list) => self.replace(list),
-            List::Changes(changes) => changes.into_iter().filter_map(|c| self.change(c)).collect(),
+        let missing = match update {
+            ListUpdate::Full(list) => self.apply_full(list),
+            ListUpdate::Changes(changes) => changes
+                .into_iter()
+                .filter_map(|c| self.apply_change(c))
+                .collect(),
         };
-        self.judge(before, missing);
+        self.keep_lapsed(before, missing);
         let mut reads = self.reads.lock();
         reads.last = reads.last.max(at);
         drop(reads);
-        self.drop_gone();
+        self.drop_removed();
     }
 
     /// Takes a change; returns the upstream that is missing now.
-    fn change(&self, change: Change) -> Option<id::UpstreamId> {
+    fn apply_change(&self, change: Change) -> Option<id::UpstreamId> {
         match change {
             Change::Put(listed) => {
                 self.put(listed);
                 None
             }
-            Change::Removed(id) => self.miss(id),
+            Change::Removed(id) => self.mark_missing(id),
         }
     }
 
     /// Takes a whole list; returns the upstreams that are missing now.
-    fn replace(&self, list: Vec<ListedUpstream>) -> Vec<id::UpstreamId> {
-        self.known.store(true, Ordering::Relaxed);
+    fn apply_full(&self, list: Vec<ListedUpstream>) -> Vec<id::UpstreamId> {
+        self.has_list.store(true, Ordering::Relaxed);
         let known = self.listing().into_iter().map(|known| known.id);
         let gone = known.filter(|known| !list.iter().any(|listed| listed.id == *known));
-        let missing = gone.filter_map(|id| self.miss(id)).collect();
+        let missing = gone.filter_map(|id| self.mark_missing(id)).collect();
         for listed in list {
             self.put(listed);
         }
@@ -176,7 +179,7 @@
         let Some(known) = service.find(&id) else {
             tracing::info!(upstream = %id, service = %listed.service, addr = %listed.addr, takes_work = listed.takes_work, "upstream listed");
             service.upstreams.push(Upstream::new(listed));
-            service.tell_health(now);
+            service.update_health(now);
             return;
         };
         let restarted =
@@ -196,19 +199,19 @@
         known.missing = None;
         known.listed = listed;
         if restarted {
-            known.forget();
+            known.reset();
             service.health.restarted(now, &id);
         }
     }
 
     /// An upstream is not on the list any more; returns it if it was before.
-    fn miss(&self, id: id::UpstreamId) -> Option<id::UpstreamId> {
+    fn mark_missing(&self, id: id::UpstreamId) -> Option<id::UpstreamId> {
         let listed = self.reads.lock().last;
         let is_new = self.with_upstream(&id, |upstream| {
             let is_new = upstream.missing.is_none();
             upstream.missing.get_or_insert(Missing {
-                listed,
-                may_be_back: false,
+                last_listed: listed,
+                may_return: false,
             });
             is_new
         });
@@ -216,13 +219,13 @@
     }
 
     /// Decides which of the upstreams that are `missing` now, where so many were listed `before`, may only have lapsed.
-    fn judge(&self, before: usize, mut missing: Vec<id::UpstreamId>) {
-        let (listed, steady) = {
+    fn keep_lapsed(&self, before: usize, mut missing: Vec<id::UpstreamId>) {
+        let (listed, gapless) = {
             let reads = self.reads.lock();
-            (reads.last, reads.steady.clone())
+            (reads.last, reads.gapless.clone())
         };
         missing.retain(|id| self.is_missing(id));
-        if steady.decide(listed) == lapse::Outcome::Gone
+        if gapless.decide(listed) == lapse::Outcome::Gone
             || !lapse::has_lapsed(before, missing.len())
         {
             return;
@@ -232,15 +235,15 @@
         for id in &missing {
             self.with_upstream(id, |upstream| {
                 let missing = Missing {
-                    listed,
-                    may_be_back: true,
+                    last_listed: listed,
+                    may_return: true,
                 };
                 upstream.missing = Some(missing);
             });
             tracing::info!(
                 upstream = %id,
                 listed_ms_ago = listed.map(ms),
-                reads_since_ms = steady.span().map(|span| ms(span.first)),
+                reads_since_ms = gapless.span().map(|span| ms(span.first)),
                 "upstream missing after a gap between reads of the store; used until lapsed ones are back"
             );
         }
@@ -265,29 +268,29 @@
     }
 
     /// Drops the missing upstreams that have left.
-    fn drop_gone(&self) {
-        let (steady, as_of) = {
+    fn drop_removed(&self) {
+        let (gapless, as_of) = {
             let reads = self.reads.lock();
-            (reads.steady.clone(), reads.as_of)
+            (reads.gapless.clone(), reads.as_of)
         };
-        let is_gone = |upstream: &Upstream| {
+        let has_left = |upstream: &Upstream| {
             let missing = upstream.missing;
             missing.is_some_and(|missing| {
-                !missing.may_be_back || steady.decide(missing.listed) == lapse::Outcome::Gone
+                !missing.may_return || gapless.decide(missing.last_listed) == lapse::Outcome::Gone
             })
         };
         for service in self.all_services() {
             let mut service = service.lock();
             let before = service.upstreams.len();
             service.upstreams.retain(|upstream| {
-                let gone = is_gone(upstream);
-                if gone {
+                let left = has_left(upstream);
+                if left {
                     tracing::info!(upstream = %upstream.listed.id, as_of, "upstream gone from the list");
                 }
-                !gone
+                !left
             });
             if service.upstreams.len() < before {
-                service.tell_health(self.now());
+                service.update_health(self.now());
             }
         }
     }
@@ -321,25 +324,25 @@
     /// One that is listed for the first time.
     fn new(listed: ListedUpstream) -> Self {
         Self {
-            short: short(&listed.id),
+            hash: short_hash(&listed.id),
             listed,
             missing: None,
             replaced_until: None,
-            own: 0,
-            others: 0,
-            reported: Instant::now(),
-            idle: Vec::new(),
+            own_calls: 0,
+            other_calls: 0,
+            load_updated_at: Instant::now(),
+            idle_links: Vec::new(),
             pace: pace::Pace::default(),
-            failed: None,
+            failed_at: None,
         }
     }
 
     /// It was restarted and holds nothing of before: connections and load are its predecessor's.
-    fn forget(&mut self) {
-        self.idle.clear();
-        self.others = 0;
+    fn reset(&mut self) {
+        self.idle_links.clear();
+        self.other_calls = 0;
         self.pace = pace::Pace::default();
         self.replaced_until = None;
-        self.failed = None;
+        self.failed_at = None;
     }
 }
--- a/fw-gate/src/process/fleet/mod.rs
+++ b/fw-gate/src/process/fleet/mod.rs
@@ -17,18 +17,18 @@
 use crate::connection::link;
 
 mod choose;
+mod confirmation;
 mod lease;
 mod list;
-mod proof;
 
+pub use confirmation::Confirmation;
 use lease::Waiter;
 pub use lease::{Lease, Load};
-pub use list::{Change, List, Read, State};
-pub use proof::Proof;
+pub use list::{Change, ListState, ListUpdate, StoreRead};
 
 /// Calls that wait and look again when news of the others' calls come: some may find the upstream
 /// free that has their prompt.
-const WOKEN: usize = 8;
+const MAX_WOKEN: usize = 8;
 
 /// Start of an upstream, in milliseconds since the Unix epoch.
 pub type StartTime = u64;
@@ -54,7 +54,7 @@
 
 /// What makes one upstream faster than another for a call.
 #[derive(Clone, Debug, Default)]
-pub enum Warmth<'a> {
+pub enum Affinity<'a> {
     /// Nothing.
     #[default]
     None,
@@ -71,9 +71,9 @@
 
 /// What a call asks of its upstream.
 #[derive(Clone, Debug, Default)]
-pub struct Want<'a> {
+pub struct Criteria<'a> {
     /// What makes an upstream faster.
-    pub warmth: Warmth<'a>,
+    pub affinity: Affinity<'a>,
     /// Upstreams that failed this call.
     pub avoid: &'a [id::UpstreamId],
     /// What decides its place if it has to wait.
@@ -88,14 +88,14 @@
     /// Until when another upstream is taken to have its address.
     replaced_until: Option<Instant>,
     /// Short hash of its id, as entries name it to each other.
-    short: trail::Upstream,
-    own: u32,
-    others: u32,
-    reported: Instant,
-    idle: Vec<link::Link>,
+    hash: trail::Upstream,
+    own_calls: u32,
+    other_calls: u32,
+    load_updated_at: Instant,
+    idle_links: Vec<link::Link>,
     pace: pace::Pace,
     /// When a call to it failed, if none has ended well since.
-    failed: Option<Instant>,
+    failed_at: Option<Instant>,
 }
 
 #[derive(Debug)]
@@ -103,9 +103,9 @@
     upstreams: Vec<Upstream>,
     health: health::Health,
     /// Smoothed time of a call, in seconds.
-    mean: f64,
+    mean_call_secs: f64,
     /// Smoothed time of a call's comparable part, in seconds.
-    part: f64,
+    mean_part_secs: f64,
     /// Calls that are held back until there is a free slot.
     waiting: BTreeMap<hold::Rank, Waiter>,
     arrivals: u64,
@@ -124,8 +124,8 @@
         Self {
             upstreams: Vec::new(),
             health: health::Health::new(options),
-            mean: 0.0,
-            part: 0.0,
+            mean_call_secs: 0.0,
+            mean_part_secs: 0.0,
             waiting: BTreeMap::new(),
             arrivals: 0,
         }
@@ -135,8 +135,8 @@
     /// upstream that has `freed` a place.
     fn wake(&self, freed: Option<trail::Upstream>) {
         let first = self.waiting.values().next();
-        let warm = freed.and_then(|freed| self.waiting.values().find(|w| w.is_warm_at(freed)));
-        for waiter in first.into_iter().chain(warm) {
+        let preferring = freed.and_then(|freed| self.waiting.values().find(|w| w.prefers(freed)));
+        for waiter in first.into_iter().chain(preferring) {
             waiter.wake();
         }
     }
@@ -146,13 +146,13 @@
         upstreams.find(|upstream| upstream.listed.id == *id)
     }
 
-    fn tell_health(&mut self, now: Duration) {
-        let lines = self.upstreams.iter().map(|upstream| health::Listed {
+    fn update_health(&mut self, now: Duration) {
+        let listed = self.upstreams.iter().map(|upstream| health::Listed {
             upstream: upstream.listed.id.clone(),
             leaving: false,
         });
-        let lines: Vec<_> = lines.collect();
-        self.health.listed(now, &lines);
+        let listed: Vec<_> = listed.collect();
+        self.health.listed(now, &listed);
     }
 }
 
@@ -166,20 +166,20 @@
     hold: hold::Options,
     services: Mutex<HashMap<id::ServiceId, Arc<Mutex<Service>>>>,
     /// Where this entry sent sessions, or heard that others did.
-    trail: trail::Trail,
+    affinity: trail::Trail,
     /// Whether the list was ever read.
-    known: AtomicBool,
+    has_list: AtomicBool,
     /// The reads of the store that the list is from.
-    reads: Mutex<list::Reads>,
+    reads: Mutex<list::ReadHistory>,
     /// How new the list is known to be.
-    pub proof: Proof,
+    pub confirmation: Confirmation,
     /// Names this entry to the others.
     entry: u32,
 }
 
 /// Short hash of an upstream's id. Two of a few hundred may share one; each then looks as busy as
 /// both.
-pub fn short(id: &id::UpstreamId) -> trail::Upstream {
+pub fn short_hash(id: &id::UpstreamId) -> trail::Upstream {
     let hash = (xxh3::xxh3_64(id.as_bytes()) & 0xffff) as u16;
     if hash == trail::NOWHERE { 1 } else { hash }
 }
@@ -195,10 +195,10 @@
             pace: pace::Options::default(),
             hold: hold::Options::default(),
             services: Mutex::default(),
-            trail: trail::Trail::default(),
-            known: AtomicBool::new(false),
-            reads: Mutex::new(list::Reads::new(lapse)),
-            proof: Proof::new(confirm),
+            affinity: trail::Trail::default(),
+            has_list: AtomicBool::new(false),
+            reads: Mutex::new(list::ReadHistory::new(lapse)),
+            confirmation: Confirmation::new(confirm),
             entry: rand::random(),
         })
     }
@@ -217,7 +217,7 @@
     }
 
     /// A further call to an upstream that was chosen before, if it may still get work.
-    pub fn again(
+    pub fn lease_again(
         self: &Arc<Self>,
         service_id: &id::ServiceId,
         id: &id::UpstreamId,
@@ -228,8 +228,8 @@
         if !upstream.listed.takes_work {
             return None;
         }
-        let why = assign::Candidate::default();
-        Some(Lease::take(self, &service, upstream, why))
+        let candidate = assign::Candidate::default();
+        Some(Lease::take(self, &service, upstream, candidate))
     }
 
     /// The entry's own calls under way.
@@ -237,8 +237,11 @@
         let mut calls = Vec::new();
         for service in self.all_services() {
             let service = service.lock();
-            let busy = service.upstreams.iter().filter(|upstream| upstream.own > 0);
-            calls.extend(busy.map(|u| (u.short, u16::try_from(u.own).unwrap_or(u16::MAX))));
+            let busy = service
+                .upstreams
+                .iter()
+                .filter(|upstream| upstream.own_calls > 0);
+            calls.extend(busy.map(|u| (u.hash, u16::try_from(u.own_calls).unwrap_or(u16::MAX))));
         }
         service::Load {
             entry: self.entry,
@@ -248,16 +251,20 @@
     }
 
     /// Other entries' calls under way, as a replica tells them.
-    pub fn told_others(&self, others: &[(u16, u16)]) {
+    pub fn set_other_calls(&self, others: &[(u16, u16)]) {
         let now = Instant::now();
         let others: HashMap<u16, u16> = others.iter().copied().collect();
         for service in self.all_services() {
             let mut service = service.lock();
             for upstream in &mut service.upstreams {
-                upstream.others = others.get(&upstream.short).copied().unwrap_or(0).into();
-                upstream.reported = now;
+                upstream.other_calls = others.get(&upstream.hash).copied().unwrap_or(0).into();
+                upstream.load_updated_at = now;
             }
-            service.waiting.values().take(WOKEN).for_each(Waiter::wake);
+            service
+                .waiting
+                .values()
+                .take(MAX_WOKEN)
+                .for_each(Waiter::wake);
         }
     }
 
@@ -266,13 +273,13 @@
     }
 
     /// Whether no turn of a program is known to have run.
-    pub fn is_new(&self, lineage: &trail::Lineage) -> bool {
-        lineage.program.is_some() && self.trail.last(lineage).program.is_none()
+    pub fn is_new_program(&self, lineage: &trail::Lineage) -> bool {
+        lineage.program.is_some() && self.affinity.last(lineage).program.is_none()
     }
 
     /// Where turns of `lineage` ran last, as a replica tells it: newer than what this entry knows
     /// if the last one came in through another.
-    pub fn told_last(&self, lineage: &trail::Lineage, last: trail::Last) {
-        self.trail.learn(lineage, last);
+    pub fn set_last_upstreams(&self, lineage: &trail::Lineage, last: trail::Last) {
+        self.affinity.learn(lineage, last);
     }
 }
--- a/fw-gate/src/process/gate.rs
+++ b/fw-gate/src/process/gate.rs
@@ -12,19 +12,19 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use super::{fleet, quotas, reading, snapshot, turns};
+use super::{fleet, quotas, read_schedule, snapshot, turn_cache};
 use crate::names;
 use crate::version::config;
 
 /// How long a request waits for an entry that has just started and knows no configuration yet: the
 /// replicas of a system that starts as a whole are back within half a second.
-const START: Duration = Duration::from_millis(600);
+const STARTUP_WAIT: Duration = Duration::from_millis(600);
 
 /// Pause between two looks at what others have not been told of quotas.
-const TELL: Duration = Duration::from_millis(50);
+const QUOTA_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Longest wait for the moments of replicas before a read of the store.
-const MOMENTS: Duration = Duration::from_millis(30);
+const CLOCK_READING_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// What an entry is told at its start.
 #[derive(Clone, Debug)]
@@ -51,20 +51,20 @@
 
 /// What is in force, and whether it is new enough to accept API keys by it.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct ActiveConfig {
     /// The configuration.
     pub config: Arc<config::Config>,
     /// Whether keys may be accepted by it.
-    pub keys: staleness::Outcome,
+    pub key_freshness: staleness::Outcome,
 }
 
 /// A read of the store that is under way.
 #[derive(Clone, Debug, Default)]
-struct Asked {
+struct PendingRead {
     /// When it was asked, since boot.
-    at: Option<Duration>,
+    requested_at: Option<Duration>,
     /// Moments of the replicas before it was.
-    moments: client::Moments,
+    clock_readings: client::Moments,
 }
 
 /// One change that the entry learns of.
@@ -92,20 +92,20 @@
     /// The replicas.
     pub replicas: Arc<client::Client>,
     /// Turns seen lately.
-    pub turns: turns::Turns,
+    pub turns: turn_cache::TurnCache,
     config: watch::Sender<Option<Arc<config::Config>>>,
     poison: Mutex<poison::Poison>,
     retries: Mutex<HashMap<id::ServiceId, retry::Budget>>,
     started: Instant,
     stopping: AtomicBool,
     /// Whether this entry reads the platform's store.
-    reading: reading::Reading,
+    read_schedule: read_schedule::ReadSchedule,
     /// What is passed on by way of the replicas.
-    known: Mutex<snapshot::Known>,
+    snapshot: Mutex<snapshot::Cache>,
     /// The read of the store that is under way.
-    asked: Mutex<Asked>,
+    pending_read: Mutex<PendingRead>,
     /// Up to which moment all changes are known.
-    knowledge: watch::Sender<staleness::Knowledge>,
+    key_freshness: watch::Sender<staleness::Knowledge>,
     /// What teams may send.
     pub quotas: Arc<quotas::Quotas>,
 }
@@ -115,20 +115,20 @@
     pub fn new(opts: Options) -> Arc<Self> {
         let place = opts.place.clone();
         let fleet = fleet::Fleet::new(place, opts.lapse.clone(), opts.confirm.clone());
-        let knowledge = staleness::Knowledge::new(opts.keys_stale_after);
+        let key_freshness = staleness::Knowledge::new(opts.keys_stale_after);
         Arc::new(Self {
-            reading: reading::Reading::new(fleet.entry()),
+            read_schedule: read_schedule::ReadSchedule::new(fleet.entry()),
             fleet,
             replicas: client::Client::new(opts.faults, opts.seeds.clone()),
-            turns: turns::Turns::default(),
+            turns: turn_cache::TurnCache::default(),
             config: watch::Sender::default(),
             poison: Mutex::new(poison::Poison::new(poison::Options::default())),
             retries: Mutex::default(),
             started: Instant::now(),
             stopping: AtomicBool::new(false),
-            known: Mutex::default(),
-            asked: Mutex::default(),
-            knowledge: watch::Sender::new(knowledge),
+            snapshot: Mutex::default(),
+            pending_read: Mutex::default(),
+            key_freshness: watch::Sender::new(key_freshness),
             quotas: quotas::Quotas::new(opts.quota),
             opts,
         })
@@ -138,46 +138,52 @@
     /// meanwhile.
     pub fn apply(&self, step: fw_follow::Step<Change>) {
         // Held to the end, so that what others read is taken before or after, not between.
-        let mut known = self.known.lock();
+        let mut cache = self.snapshot.lock();
         match step {
             fw_follow::Step::Lost => {}
             fw_follow::Step::Whole { as_of, .. } | fw_follow::Step::News { as_of, .. }
-                if as_of < known.as_of() =>
+                if as_of < cache.as_of() =>
             {
-                let known = known.as_of();
+                let known = cache.as_of();
                 tracing::info!(
                     as_of,
                     known,
                     "a read of the store is older than what is known"
                 );
-                self.reading.has_read();
-                self.prove();
+                self.read_schedule.note_own_read();
+                self.confirm_pending_read();
             }
             fw_follow::Step::Whole { changes, as_of } => {
-                let listed = self.take(changes, &mut known).into_iter();
-                let list = fleet::List::Whole(listed.filter_map(fleet::Change::listed).collect());
-                self.fleet.apply(Some(fleet::Read::own(as_of)), list);
-                self.post(as_of, &mut known);
+                let listed = self.apply_changes(changes, &mut cache).into_iter();
+                let list = fleet::ListUpdate::Full(
+                    listed.filter_map(fleet::Change::into_listed).collect(),
+                );
+                self.fleet.apply(Some(fleet::StoreRead::own(as_of)), list);
+                self.publish_read(as_of, &mut cache);
             }
             fw_follow::Step::News { changes, as_of } => {
-                let list = fleet::List::Changes(self.take(changes, &mut known));
-                self.fleet.apply(Some(fleet::Read::own(as_of)), list);
-                self.post(as_of, &mut known);
+                let list = fleet::ListUpdate::Changes(self.apply_changes(changes, &mut cache));
+                self.fleet.apply(Some(fleet::StoreRead::own(as_of)), list);
+                self.publish_read(as_of, &mut cache);
             }
         }
     }
 
     /// Takes all changes but those of the list of upstreams, which are returned.
-    fn take(&self, changes: Vec<Change>, known: &mut snapshot::Known) -> Vec<fleet::Change> {
+    fn apply_changes(
+        &self,
+        changes: Vec<Change>,
+        cache: &mut snapshot::Cache,
+    ) -> Vec<fleet::Change> {
         let mut list = Vec::new();
         for change in changes {
             match change {
                 Change::Upstream(change) => list.push(change),
                 Change::Config(config) => {
-                    known.found_config(true);
+                    cache.set_config_decodable(true);
                     self.configure(*config);
                 }
-                Change::UnreadableConfig => known.found_config(false),
+                Change::UnreadableConfig => cache.set_config_decodable(false),
                 Change::Members(view) => {
                     if self.replicas.learn(view) {
                         self.replicas.tell();
@@ -190,89 +196,90 @@
     }
 
     /// All changes are known that the store had acknowledged when it was asked last.
-    fn prove(&self) {
-        if let Some(at) = self.asked.lock().at {
-            self.proven(at);
+    fn confirm_pending_read(&self) {
+        if let Some(at) = self.pending_read.lock().requested_at {
+            self.confirm_read(at);
         }
     }
 
     /// The read under way brings no proof: calls do not wait for it.
-    fn proves_nothing(&self) {
-        if let Some(asked) = self.asked.lock().at {
-            self.fleet.proof.failed(asked);
+    fn fail_pending_read(&self) {
+        if let Some(requested_at) = self.pending_read.lock().requested_at {
+            self.fleet.confirmation.record_failure(requested_at);
         }
     }
 
     /// All changes are known that the store had acknowledged at `asked`, since boot.
-    fn proven(&self, asked: Duration) {
-        self.fleet.proof.prove(asked);
-        self.knowledge
-            .send_modify(|knowledge| knowledge.proven(asked));
+    fn confirm_read(&self, requested_at: Duration) {
+        self.fleet.confirmation.record_read(requested_at);
+        self.key_freshness
+            .send_modify(|key_freshness| key_freshness.proven(requested_at));
     }
 
     /// Tells the replicas that the store was read, and what has changed. A read of what this entry cannot
     /// decode proves nothing, and another entry may know how.
-    fn post(&self, as_of: fw_follow::Revision, known: &mut snapshot::Known) {
-        let config = self.config().filter(|_| known.knows_config());
+    fn publish_read(&self, as_of: fw_follow::Revision, cache: &mut snapshot::Cache) {
+        let config = self.config().filter(|_| cache.has_decodable_config());
         let Some(config) = config else {
-            return self.proves_nothing();
+            return self.fail_pending_read();
         };
         let upstreams = self.fleet.listing();
-        let changed = known.read(as_of, &config, &upstreams);
-        self.reading.has_read();
-        self.prove();
+        let changed = cache.record_read(as_of, &config, &upstreams);
+        self.read_schedule.note_own_read();
+        self.confirm_pending_read();
         let post = service::Post {
             by: self.fleet.entry(),
             as_of,
             asked: None,
-            marks: known.marks(),
+            marks: cache.digests(),
             changed,
         };
-        let moments = self.asked.lock().moments.clone();
-        self.replicas.post(&post, &moments, known.whole(config));
+        let clock_readings = self.pending_read.lock().clock_readings.clone();
+        self.replicas
+            .post(&post, &clock_readings, cache.full_snapshot(config));
     }
 
     /// Waits until this entry has to read the store.
-    pub async fn turn_to_read(&self) -> fw_follow::Due {
+    pub async fn wait_read_due(&self) -> fw_follow::Due {
         let is_wanted = tokio::select! {
-            () = self.reading.turn() => false,
-            () = self.fleet.proof.wanted() => true,
+            () = self.read_schedule.wait_due() => false,
+            () = self.fleet.confirmation.wait_needed() => true,
         };
-        self.replicas.ask_moments(MOMENTS).await;
-        *self.asked.lock() = Asked {
-            at: Some(clock::since_boot()),
-            moments: self.replicas.moments(),
+        self.replicas.ask_moments(CLOCK_READING_TIMEOUT).await;
+        *self.pending_read.lock() = PendingRead {
+            requested_at: Some(clock::since_boot()),
+            clock_readings: self.replicas.moments(),
         };
         fw_follow::Due {
-            known: self.known.lock().as_of(),
+            known: self.snapshot.lock().as_of(),
             is_wanted,
         }
     }
 
     /// Hears from the replicas what other entries read, for ever.
-    pub async fn hear_others(self: Arc<Self>) {
+    pub async fn poll_replicas(self: Arc<Self>) {
         loop {
-            let known = self.known.lock().known();
-            let asked = clock::since_boot();
+            let known = self.snapshot.lock().known_version();
+            let requested_at = clock::since_boot();
             let is_first = self.config().is_none();
-            let mut news = None;
+            let mut update = None;
             if !is_first {
-                news = self.replicas.await_news(known, snapshot::AWAIT).await;
+                update = self.replicas.await_news(known, snapshot::UPDATE_WAIT).await;
             }
-            if let Some(news) = news {
-                if !self.hear(&news, asked) {
-                    tokio::time::sleep(snapshot::ASK_FIRST).await;
+            if let Some(update) = update {
+                if !self.apply_update(&update, requested_at) {
+                    tokio::time::sleep(snapshot::STARTUP_POLL_INTERVAL).await;
                 }
                 continue;
             }
             // The nearest does not answer, or none is known.
-            let asked = clock::since_boot();
-            if let Some(news) = self.replicas.ask_news(known).await {
-                self.hear(&news, asked);
+            let requested_at = clock::since_boot();
+            if let Some(update) = self.replicas.ask_news(known).await {
+                self.apply_update(&update, requested_at);
             }
             let pause = match is_first {
-                true => snapshot::ASK_FIRST,
-                false => snapshot::ASK,
+                true => snapshot::STARTUP_POLL_INTERVAL,
+                false => snapshot::POLL_INTERVAL,
             };
             tokio::time::sleep(pause).await;
         }
@@ -280,62 +287,63 @@
 
     /// Tells the replicas for ever what this entry has let through of teams with a quota, where the next
     /// turn would tell it too late.
-    pub async fn tell_quotas(self: Arc<Self>) {
+    pub async fn report_quotas(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(TELL).await;
+            tokio::time::sleep(QUOTA_REPORT_INTERVAL).await;
             let Some(config) = self.config() else {
                 continue;
             };
             let teams = config.teams.as_ref();
             let due = self.quotas.due(teams.map_or(&[], |teams| teams.all()));
             let entry = self.fleet.entry();
-            let heard = |spent: &service::Spent, known: &_| self.quotas.heard(&spent.team, known);
+            let merge =
+                |spent: &service::Spent, summary: &_| self.quotas.merge(&spent.team, summary);
             tokio::join!(
                 self.replicas
-                    .spend(entry, &due.tell, client::Reach::All, heard),
+                    .spend(entry, &due.report, client::Reach::All, merge),
                 self.replicas
-                    .spend(entry, &due.ask, client::Reach::Nearest, heard),
+                    .spend(entry, &due.query, client::Reach::Nearest, merge),
             );
         }
     }
 
     /// Takes what a replica tells that was asked at `asked`, since boot. Returns whether all is known
     /// now that the replica knows.
-    pub fn hear(&self, news: &service::News, asked: Duration) -> bool {
-        let last = news.last;
-        let mut known = self.known.lock();
-        let Some(told) = known.hear(news) else {
+    pub fn apply_update(&self, update: &service::News, requested_at: Duration) -> bool {
+        let last = update.last;
+        let mut cache = self.snapshot.lock();
+        let Some(decoded) = cache.apply_update(update) else {
             return false;
         };
-        let as_of = known.known().as_of;
-        if let Some(config) = told.config {
+        let as_of = cache.known_version().as_of;
+        if let Some(config) = decoded.config {
             let version = config.version;
             tracing::info!(version, as_of, ?last, "told by a replica");
             self.configure(config);
         }
-        if let Some(reads) = news.reads {
+        if let Some(reads) = update.reads {
             self.fleet.note_reads(reads.first, reads.last);
         }
-        let whole = last.filter(|_| told.is_whole);
-        let read = whole.map(|last| fleet::Read {
+        let whole = last.filter(|_| decoded.is_complete);
+        let read = whole.map(|last| fleet::StoreRead {
             as_of: last.as_of,
             ago: last.ago,
         });
-        let list = told.upstreams.map_or_else(
-            || fleet::List::Changes(Vec::new()),
+        let list = decoded.upstreams.map_or_else(
+            || fleet::ListUpdate::Changes(Vec::new()),
             |upstreams| {
                 let listed = upstreams.len();
                 tracing::info!(listed, as_of, ?last, "told by a replica");
-                fleet::List::Whole(upstreams)
+                fleet::ListUpdate::Full(upstreams)
             },
         );
         self.fleet.apply(read, list);
         let Some(last) = whole else { return false };
-        self.reading.heard(last.by, last.ago);
+        self.read_schedule.note_reported_read(last.by, last.ago);
         // The answer was made so long after the question, at least.
-        let told_at = asked + news.held;
-        if let Some(read) = last.asked.and_then(|ago| told_at.checked_sub(ago)) {
-            self.proven(read);
+        let answered_at = requested_at + update.held;
+        if let Some(read) = last.asked.and_then(|ago| answered_at.checked_sub(ago)) {
+            self.confirm_read(read);
         }
         true
     }
@@ -369,48 +377,51 @@
     /// *Failure:* after a loss of all power, callers wait in the queue of the entry's socket. Refused
     /// in its first moment, they used up the few attempts that they make, and gave up before the
     /// entry could have served them. They are not refused before [`START`] is over.
-    pub async fn config_soon(&self) -> Option<Arc<config::Config>> {
+    pub async fn await_config(&self) -> Option<Arc<config::Config>> {
         // Nearly always: no request but an entry's first ones has to wait.
         if let Some(known) = self.config() {
             return Some(known);
         }
         let mut config = self.config.subscribe();
-        let known = tokio::time::timeout(START, config.wait_for(Option::is_some)).await;
+        let known = tokio::time::timeout(STARTUP_WAIT, config.wait_for(Option::is_some)).await;
         known.ok()?.ok()?.clone()
     }
 
     /// What is in force, also if it is about to be read, as for [`Self::config_soon`], or is known only from
     /// some time ago.
-    pub async fn in_force_soon(&self) -> Option<InForce> {
-        self.config_soon().await?;
-        self.fleet.proof.confirm().await;
-        let keys = self.keys_soon().await;
+    pub async fn await_active_config(&self) -> Option<ActiveConfig> {
+        self.await_config().await?;
+        self.fleet.confirmation.wait().await;
+        let key_freshness = self.await_key_freshness().await;
         // Read after the proof, and so at least as new.
         let config = self.config()?;
-        Some(InForce { config, keys })
+        Some(ActiveConfig {
+            config,
+            key_freshness,
+        })
     }
 
     /// Whether keys may be accepted. An entry that has just started waits until it has read the store.
-    async fn keys_soon(&self) -> staleness::Outcome {
-        let is_fresh = |knowledge: &staleness::Knowledge| {
-            knowledge.decide(clock::since_boot()) == staleness::Outcome::Fresh
+    async fn await_key_freshness(&self) -> staleness::Outcome {
+        let is_fresh = |key_freshness: &staleness::Knowledge| {
+            key_freshness.decide(clock::since_boot()) == staleness::Outcome::Fresh
         };
-        let left = START.saturating_sub(self.now());
+        let left = STARTUP_WAIT.saturating_sub(self.now());
         if !left.is_zero() {
-            let mut knowledge = self.knowledge.subscribe();
+            let mut key_freshness = self.key_freshness.subscribe();
             // Over without news, what is known decides.
-            let _ = tokio::time::timeout(left, knowledge.wait_for(is_fresh)).await;
+            let _ = tokio::time::timeout(left, key_freshness.wait_for(is_fresh)).await;
         }
-        self.knowledge.borrow().decide(clock::since_boot())
+        self.key_freshness.borrow().decide(clock::since_boot())
     }
 
     /// Whether callers may be sent here.
     pub fn is_ready(&self) -> bool {
         let config = self.config();
         let has_teams = config.as_ref().is_some_and(|config| config.teams.is_some());
-        let keys = self.knowledge.borrow().decide(clock::since_boot());
-        let is_fresh = !has_teams || keys == staleness::Outcome::Fresh;
-        let known = config.is_some() && self.fleet.is_known();
+        let freshness = self.key_freshness.borrow().decide(clock::since_boot());
+        let is_fresh = !has_teams || freshness == staleness::Outcome::Fresh;
+        let known = config.is_some() && self.fleet.has_list();
         known && is_fresh && self.replicas.epoch() > 0 && !self.is_stopping()
     }
 
@@ -446,7 +457,7 @@
     }
 
     /// `upstream` crashed while it ran a request like this.
-    pub fn crashed(&self, upstream: &id::UpstreamId, fingerprint: digest::Digest) {
+    pub fn record_crash(&self, upstream: &id::UpstreamId, fingerprint: digest::Digest) {
         let now = self.now();
         self.poison
             .lock()
@@ -454,7 +465,7 @@
     }
 
     /// A request like this ran to its end.
-    pub fn survived(&self, fingerprint: &digest::Digest) {
+    pub fn record_success(&self, fingerprint: &digest::Digest) {
         self.poison.lock().survived(fingerprint);
     }
 
@@ -502,20 +513,20 @@
 
 impl fw_follow::Schedule for Schedule {
     async fn due(&self) -> fw_follow::Due {
-        self.0.turn_to_read().await
+        self.0.wait_read_due().await
     }
 
     async fn wanted(&self) {
-        self.0.fleet.proof.wanted().await;
+        self.0.fleet.confirmation.wait_needed().await;
     }
 
     fn failed(&self) {
-        self.0.proves_nothing();
+        self.0.fail_pending_read();
     }
 
     fn unanswered(&self) {
-        if let Some(asked) = self.0.asked.lock().at {
-            self.0.fleet.proof.unanswered(asked);
+        if let Some(requested_at) = self.0.pending_read.lock().requested_at {
+            self.0.fleet.confirmation.record_unanswered(requested_at);
         }
     }
 }
--- a/fw-gate/src/process/mod.rs
+++ b/fw-gate/src/process/mod.rs
@@ -3,7 +3,7 @@
 pub mod fleet;
 pub mod gate;
 pub mod quotas;
-pub mod reading;
+pub mod read_schedule;
 pub mod serve;
 pub mod snapshot;
-pub mod turns;
+pub mod turn_cache;
--- a/fw-gate/src/process/quotas.rs
+++ b/fw-gate/src/process/quotas.rs
@@ -23,9 +23,9 @@
 #[derive(Debug, Default)]
 pub struct Due {
     /// One replica is asked about these.
-    pub ask: Vec<service::Spent>,
+    pub query: Vec<service::Spent>,
     /// All replicas are told of these.
-    pub tell: Vec<service::Spent>,
+    pub report: Vec<service::Spent>,
 }
 
 /// All accounts.
@@ -51,12 +51,12 @@
     /// # Errors
     ///
     /// `QuotaExceeded`, with the time at which a request like this one may run.
-    pub fn take(
+    pub fn acquire(
         self: &Arc<Self>,
         call: &call::Call,
         limit: Option<quota::Limit>,
         stage: quota::Stage,
-    ) -> Result<Option<Credit>, error::Error> {
+    ) -> Result<Option<Permit>, error::Error> {
         let (Some(team), Some(limit)) = (&call.team, limit) else {
             return Ok(None);
         };
@@ -64,7 +64,7 @@
         let mut accounts = self.shard(team);
         let account = accounts.entry(team.clone()).or_default();
         match account.decide(limit, stage, now, &self.options) {
-            quota::Outcome::Admitted => Ok(Some(Credit {
+            quota::Outcome::Admitted => Ok(Some(Permit {
                 quotas: Arc::clone(self),
                 team: team.clone(),
                 stage,
@@ -82,10 +82,10 @@
     }
 
     /// What this entry has let through of `team`, for the others.
-    pub fn spent(&self, team: &id::TeamId) -> Option<service::Spent> {
+    pub fn team_usage(&self, team: &id::TeamId) -> Option<service::Spent> {
         let mut accounts = self.shard(team);
         let account = accounts.get_mut(team)?;
-        Some(self.tell(team, account))
+        Some(self.usage(team, account))
     }
 
     /// What this entry has let through of those of `teams` about which the others have to be told or
@@ -101,14 +101,14 @@
             };
             match account.due(limit, now, &self.options) {
                 quota::Due::Nothing => {}
-                quota::Due::Ask => due.ask.push(self.tell(&team.name, account)),
-                quota::Due::Tell => due.tell.push(self.tell(&team.name, account)),
+                quota::Due::Ask => due.query.push(self.usage(&team.name, account)),
+                quota::Due::Tell => due.report.push(self.usage(&team.name, account)),
             }
         }
         due
     }
 
-    fn tell(&self, team: &id::TeamId, account: &mut quota::Account) -> service::Spent {
+    fn usage(&self, team: &id::TeamId, account: &mut quota::Account) -> service::Spent {
         service::Spent {
             team: team.clone(),
             told: account.tell(self.now(), &self.options),
@@ -116,10 +116,10 @@
     }
 
     /// What a replica knows of `team`.
-    pub fn heard(&self, team: &id::TeamId, heard: &quota::Heard) {
+    pub fn merge(&self, team: &id::TeamId, summary: &quota::Heard) {
         let now = self.now();
         if let Some(account) = self.shard(team).get_mut(team) {
-            account.heard(heard, now, &self.options);
+            account.heard(summary, now, &self.options);
         }
     }
 
@@ -149,7 +149,7 @@
 
 /// A request that was taken from its team's account. Given back when dropped, unless it ran.
 #[derive(Debug)]
-pub struct Credit {
+pub struct Permit {
     quotas: Arc<Quotas>,
     team: id::TeamId,
     stage: quota::Stage,
@@ -157,7 +157,7 @@
     runs: AtomicU32,
 }
 
-impl Credit {
+impl Permit {
     /// The request is sent to an upstream.
     pub fn sent(&self) {
         if self.runs.fetch_add(1, Ordering::Relaxed) > 0 {
@@ -173,7 +173,7 @@
     }
 }
 
-impl Drop for Credit {
+impl Drop for Permit {
     fn drop(&mut self) {
         if *self.runs.get_mut() == 0 {
             self.quotas.refund(&self.team, self.stage);
--- a/fw-gate/src/process/reading.rs
+++ b/fw-gate/src/process/read_schedule.rs
@@ -7,73 +7,78 @@
 
 /// Time between two reads while no replica tells of any: nobody else hears of them, and a whole fleet
 /// that starts, or has lost its replicas, reads for itself.
-const ALONE: Duration = Duration::from_millis(900);
+const FALLBACK_READ_INTERVAL: Duration = Duration::from_millis(900);
 
 /// What is known of who reads.
 #[derive(Debug)]
-pub struct Reading {
-    me: reader::Entry,
-    patience: Duration,
+pub struct ReadSchedule {
+    entry: reader::Entry,
+    takeover_timeout: Duration,
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    reads: bool,
-    last: Option<(reader::Entry, Instant)>,
+    is_reader: bool,
+    last_read: Option<(reader::Entry, Instant)>,
     /// When this entry read last.
-    own: Option<Instant>,
+    last_own_read: Option<Instant>,
     /// When a replica last told of a read.
-    told: Option<Instant>,
+    last_report: Option<Instant>,
 }
 
-impl Reading {
+impl ReadSchedule {
     /// Nothing was heard yet by entry `me`.
-    pub fn new(me: reader::Entry) -> Self {
+    pub fn new(entry: reader::Entry) -> Self {
         Self {
-            me,
-            patience: reader::Options::default().patience(rand::random()),
+            entry,
+            takeover_timeout: reader::Options::default().patience(rand::random()),
             state: Mutex::default(),
         }
     }
 
     /// This entry has read the store.
-    pub fn has_read(&self) {
+    pub fn note_own_read(&self) {
         let now = Instant::now();
         let mut state = self.state.lock();
-        state.own = Some(now);
-        state.last = Some((self.me, now));
+        state.last_own_read = Some(now);
+        state.last_read = Some((self.entry, now));
     }
 
     /// A replica tells that `by` read the store so long `ago`.
-    pub fn heard(&self, by: reader::Entry, ago: Duration) {
+    pub fn note_reported_read(&self, by: reader::Entry, ago: Duration) {
         let now = Instant::now();
         let Some(at) = now.checked_sub(ago) else {
             return;
         };
         let mut state = self.state.lock();
-        state.told = Some(now);
-        if state.last.is_none_or(|(_, known)| known < at) {
-            state.last = Some((by, at));
+        state.last_report = Some(now);
+        if state.last_read.is_none_or(|(_, newest)| newest < at) {
+            state.last_read = Some((by, at));
         }
     }
 
     /// Waits until this entry has to read.
-    pub async fn turn(&self) {
+    pub async fn wait_due(&self) {
         loop {
             match self.decide() {
-                reader::Outcome::Read => return self.alone().await,
+                reader::Outcome::Read => return self.wait_fallback_interval().await,
                 reader::Outcome::Rely(time) => tokio::time::sleep(time).await,
             }
         }
     }
 
     /// Waits for the slower pace of an entry that reads for itself alone.
-    async fn alone(&self) {
+    async fn wait_fallback_interval(&self) {
         let next = {
             let state = self.state.lock();
-            let is_alone = state.told.is_none_or(|at| at.elapsed() > ALONE);
-            state.own.filter(|_| is_alone).map(|own| own + ALONE)
+            let is_alone = state
+                .last_report
+                .is_none_or(|at| at.elapsed() > FALLBACK_READ_INTERVAL);
+            state
+                .last_own_read
+                .filter(|_| is_alone)
+                .map(|last| last + FALLBACK_READ_INTERVAL)
         };
         if let Some(next) = next {
             tokio::time::sleep_until(next.into()).await;
@@ -82,16 +87,16 @@
 
     fn decide(&self) -> reader::Outcome {
         let mut state = self.state.lock();
-        let last = state.last.map(|(by, at)| reader::Last {
+        let last = state.last_read.map(|(by, at)| reader::Last {
             by,
             ago: at.elapsed(),
         });
-        let outcome = reader::decide(self.me, state.reads, self.patience, last);
+        let outcome = reader::decide(self.entry, state.is_reader, self.takeover_timeout, last);
         let reads = outcome == reader::Outcome::Read;
-        if reads != state.reads {
-            tracing::info!(reads, ?last, patience = ?self.patience, "reading of the platform's store");
+        if reads != state.is_reader {
+            tracing::info!(reads, ?last, patience = ?self.takeover_timeout, "reading of the platform's store");
         }
-        state.reads = reads;
+        state.is_reader = reads;
         outcome
     }
 }
--- a/fw-gate/src/process/serve.rs
+++ b/fw-gate/src/process/serve.rs
@@ -16,9 +16,9 @@
 
 /// Time for whoever sends callers here to notice that the entry is not ready: it asks once a
 /// second and believes two misses.
-const NOTICE: Duration = Duration::from_millis(2_600);
+const UNREADY_PROPAGATION: Duration = Duration::from_millis(2_600);
 /// Part of the grace that is left when the entry stops waiting for requests under way.
-const SPARE: Duration = Duration::from_millis(500);
+const GRACE_RESERVE: Duration = Duration::from_millis(500);
 
 /// What an entry is told at its start.
 #[derive(Clone, Debug)]
@@ -68,7 +68,7 @@
     let gate = gate::Gate::new(opts.gate);
     tracing::info!(callers = %opts.callers, ready = %opts.ready, "entry starts");
 
-    let told = Arc::clone(&gate);
+    let applier = Arc::clone(&gate);
     // Dropped with this future, so that an entry which is killed leaves nothing running.
     let mut tasks = JoinSet::new();
     let schedule = gate::Schedule(Arc::clone(&gate));
@@ -76,16 +76,16 @@
         area,
         opts.follow,
         schedule,
-        move |step| told.apply(step),
+        move |step| applier.apply(step),
     ));
-    tasks.spawn(Arc::clone(&gate).hear_others());
-    tasks.spawn(Arc::clone(&gate).tell_quotas());
+    tasks.spawn(Arc::clone(&gate).poll_replicas());
+    tasks.spawn(Arc::clone(&gate).report_quotas());
     tasks.spawn(relay::serve(relayed, Arc::clone(&gate.replicas)));
-    let asked = Arc::clone(&gate);
+    let ready_gate = Arc::clone(&gate);
     let path = opts.ready_path;
-    tasks.spawn(listen::serve_pages(ready, move |asked_for| {
-        let known = asked_for == path;
-        match known && asked.is_ready() {
+    tasks.spawn(listen::serve_pages(ready, move |requested_path| {
+        let is_ready_path = requested_path == path;
+        match is_ready_path && ready_gate.is_ready() {
             true => (StatusCode::OK, String::from("ready\n")),
             false => (StatusCode::SERVICE_UNAVAILABLE, String::from("not ready\n")),
         }
@@ -99,11 +99,11 @@
     }
     tracing::info!(grace = ?opts.grace, "entry stops");
     gate.stop();
-    let notice = NOTICE.min(opts.grace / 3);
+    let propagation = UNREADY_PROPAGATION.min(opts.grace / 3);
     // Callers are served until whoever sends them here has noticed.
-    let _ = tokio::time::timeout(notice, &mut serving).await;
+    let _ = tokio::time::timeout(propagation, &mut serving).await;
     close.cancel();
-    let rest = opts.grace.saturating_sub(notice + SPARE);
+    let rest = opts.grace.saturating_sub(propagation + GRACE_RESERVE);
     let drained = tokio::time::timeout(rest, &mut serving).await.is_ok();
     tracing::info!(drained, "entry has stopped");
     Ok(())
--- a/fw-gate/src/process/snapshot.rs
+++ b/fw-gate/src/process/snapshot.rs
@@ -20,48 +20,48 @@
 use crate::version::config;
 
 /// How long a replica is asked to wait for news.
-pub const AWAIT: Duration = Duration::from_millis(450);
+pub const UPDATE_WAIT: Duration = Duration::from_millis(450);
 /// Pause before replicas that told nothing are asked again.
-pub const ASK: Duration = Duration::from_millis(300);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// The same while nothing is known: callers wait for it.
-pub const ASK_FIRST: Duration = Duration::from_millis(50);
+pub const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What a replica tells, as far as it was not known.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct Decoded {
     /// The configuration.
     pub config: Option<config::Config>,
     /// All upstreams.
     pub upstreams: Option<Vec<fleet::ListedUpstream>>,
     /// Whether all is known now that the replica knows.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 /// What is known, and of which revision of the store.
 #[derive(Debug, Default)]
-pub struct Known {
-    marks: service::Marks,
+pub struct Cache {
+    digests: service::Marks,
     /// Revision up to which all that the store holds is known.
     as_of: u64,
     /// Newest revision of which something is known. What a replica has on its disk says nothing of
     /// what else there was.
     newest: u64,
-    version: Option<config::Version>,
+    config_version: Option<config::Version>,
     upstreams: Bytes,
     /// Whether each part was told in a form that cannot be read, and not since in one that can.
-    is_unreadable: Unreadable,
+    undecodable: Undecodable,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Unreadable {
+struct Undecodable {
     config: bool,
     upstreams: bool,
 }
 
-impl Known {
+impl Cache {
     /// Digests of what is known.
-    pub fn marks(&self) -> service::Marks {
-        self.marks
+    pub fn digests(&self) -> service::Marks {
+        self.digests
     }
 
     /// Revision up to which all that the store holds is known.
@@ -70,30 +70,30 @@
     }
 
     /// What is known, for replicas to tell what is lacking.
-    pub fn known(&self) -> service::Known {
+    pub fn known_version(&self) -> service::Known {
         service::Known {
             as_of: self.newest,
-            marks: self.marks,
+            marks: self.digests,
         }
     }
 
     /// Whether the newest parts that were told could be read.
-    fn is_readable(&self) -> bool {
-        !self.is_unreadable.config && !self.is_unreadable.upstreams
+    fn is_decodable(&self) -> bool {
+        !self.undecodable.config && !self.undecodable.upstreams
     }
 
     /// Whether the newest configuration that was read or told could be decoded.
-    pub fn knows_config(&self) -> bool {
-        !self.is_unreadable.config
+    pub fn has_decodable_config(&self) -> bool {
+        !self.undecodable.config
     }
 
     /// The store was read, and held a configuration that could be decoded, or could not.
-    pub fn found_config(&mut self, readable: bool) {
-        self.is_unreadable.config = !readable;
+    pub fn set_config_decodable(&mut self, decodable: bool) {
+        self.undecodable.config = !decodable;
     }
 
     /// The store was read, and held this at revision `as_of`. Returns what has changed.
-    pub fn read(
+    pub fn record_read(
         &mut self,
         as_of: u64,
         config: &config::Config,
@@ -102,17 +102,17 @@
         self.as_of = self.as_of.max(as_of);
         self.newest = self.newest.max(as_of);
         let mut changed = service::Bulletins::default();
-        if self.version != Some(config.version)
-            && let Some(part) = bulletin(as_of, config)
+        if self.config_version != Some(config.version)
+            && let Some(part) = encode_part(as_of, config)
         {
-            self.version = Some(config.version);
-            self.marks.config = part.digest();
+            self.config_version = Some(config.version);
+            self.digests.config = part.digest();
             changed.config = Some(part);
         }
-        let list = bulletin(as_of, upstreams);
-        if let Some(part) = list.filter(|part| part.digest() != self.marks.upstreams) {
-            self.is_unreadable.upstreams = false;
-            self.marks.upstreams = part.digest();
+        let list = encode_part(as_of, upstreams);
+        if let Some(part) = list.filter(|part| part.digest() != self.digests.upstreams) {
+            self.undecodable.upstreams = false;
+            self.digests.upstreams = part.digest();
             self.upstreams = part.bytes.clone();
             changed.upstreams = Some(part);
         }
@@ -121,14 +121,17 @@
 
     /// Makes all parts, for a replica that lacks some. Rarely wanted, so the configuration is encoded
     /// only then.
-    pub fn whole(&self, config: Arc<config::Config>) -> impl Fn() -> service::Bulletins + use<> {
+    pub fn full_snapshot(
+        &self,
+        config: Arc<config::Config>,
+    ) -> impl Fn() -> service::Bulletins + use<> {
         let as_of = self.as_of;
         let upstreams = service::Bulletin {
             as_of,
             bytes: self.upstreams.clone(),
         };
         move || service::Bulletins {
-            config: bulletin(as_of, config.as_ref()),
+            config: encode_part(as_of, config.as_ref()),
             upstreams: Some(upstreams.clone()),
         }
     }
@@ -137,8 +140,8 @@
     ///
     /// A revision does not determine a part, so it counts as known only once the digests agree, and a part of
     /// the same revision is taken.
-    pub fn hear(&mut self, news: &service::News) -> Option<Told> {
-        let service::News { newer, last, .. } = news;
+    pub fn apply_update(&mut self, update: &service::News) -> Option<Decoded> {
+        let service::News { newer, last, .. } = update;
         let as_of = last.map_or(newer.as_of(), |last| last.as_of);
         // Without a read since, it is what lies on the replica's disk.
         let is_older = match last {
@@ -153,39 +156,39 @@
         let config = newer
             .config
             .as_ref()
-            .and_then(|part| self.hear_config(part));
+            .and_then(|part| self.apply_config(part));
         let upstreams = newer.upstreams.as_ref();
-        let upstreams = upstreams.and_then(|part| self.hear_upstreams(part));
-        let is_whole = last.is_some() && self.is_readable() && self.marks == news.marks;
-        if is_whole {
+        let upstreams = upstreams.and_then(|part| self.apply_upstreams(part));
+        let is_complete = last.is_some() && self.is_decodable() && self.digests == update.marks;
+        if is_complete {
             self.as_of = as_of;
         }
-        Some(Told {
+        Some(Decoded {
             config,
             upstreams,
-            is_whole,
+            is_complete,
         })
     }
 
-    fn hear_config(&mut self, part: &service::Bulletin) -> Option<config::Config> {
+    fn apply_config(&mut self, part: &service::Bulletin) -> Option<config::Config> {
         // One that cannot be read is not asked for again.
-        self.marks.config = part.digest();
-        let config = decode::<config::Config>(part);
-        self.is_unreadable.config = config.is_none();
-        self.version = config.as_ref().map(|config| config.version);
+        self.digests.config = part.digest();
+        let config = decode_part::<config::Config>(part);
+        self.undecodable.config = config.is_none();
+        self.config_version = config.as_ref().map(|config| config.version);
         config
     }
 
-    fn hear_upstreams(&mut self, part: &service::Bulletin) -> Option<Vec<fleet::ListedUpstream>> {
-        self.marks.upstreams = part.digest();
+    fn apply_upstreams(&mut self, part: &service::Bulletin) -> Option<Vec<fleet::ListedUpstream>> {
+        self.digests.upstreams = part.digest();
         self.upstreams = part.bytes.clone();
-        let upstreams = decode(part);
-        self.is_unreadable.upstreams = upstreams.is_none();
+        let upstreams = decode_part(part);
+        self.undecodable.upstreams = upstreams.is_none();
         upstreams
     }
 }
 
-fn bulletin<T: Serialize + ?Sized>(as_of: u64, part: &T) -> Option<service::Bulletin> {
+fn encode_part<T: Serialize + ?Sized>(as_of: u64, part: &T) -> Option<service::Bulletin> {
     match postcard::to_stdvec(part) {
         Ok(bytes) => Some(service::Bulletin {
             as_of,
@@ -198,9 +201,9 @@
     }
 }
 
-fn decode<T: DeserializeOwned>(part: &service::Bulletin) -> Option<T> {
+fn decode_part<T: DeserializeOwned>(part: &service::Bulletin) -> Option<T> {
     match postcard::from_bytes(&part.bytes) {
-        Ok(known) => Some(known),
+        Ok(decoded) => Some(decoded),
         Err(err) => {
             tracing::error!(%err, as_of = part.as_of, "what a replica tells cannot be read");
             None
--- a/fw-gate/src/process/turns.rs
+++ b/fw-gate/src/process/turn_cache.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 
 /// Bytes kept. A chain is some ten kilobytes, so this holds the last hundred or so programs.
-const MOST: usize = 1 << 20;
+const MAX_BYTES: usize = 1 << 20;
 
 #[derive(Debug, Default)]
 struct Inner {
@@ -20,7 +20,7 @@
 
 /// The cache.
 #[derive(Debug, Default)]
-pub struct Turns {
+pub struct TurnCache {
     inner: Mutex<Inner>,
 }
 
@@ -33,7 +33,7 @@
     pub missing: Option<record::TurnId>,
 }
 
-impl Turns {
+impl TurnCache {
     /// The chain that ends with `newest`.
     pub fn chain(&self, newest: Option<&record::TurnId>) -> Chain {
         let inner = self.inner.lock();
@@ -59,13 +59,13 @@
     pub fn put(&self, turn: Arc<record::Turn>) {
         let mut inner = self.inner.lock();
         let size = size(&turn);
-        if inner.turns.contains_key(&turn.id) || size > MOST / 4 {
+        if inner.turns.contains_key(&turn.id) || size > MAX_BYTES / 4 {
             return;
         }
         inner.bytes += size;
         inner.order.push_back(turn.id.clone());
         inner.turns.insert(turn.id.clone(), turn);
-        while inner.bytes > MOST {
+        while inner.bytes > MAX_BYTES {
             let oldest = inner.order.pop_front();
             let Some(dropped) = oldest.and_then(|id| inner.turns.remove(&id)) else {
                 break;
--- a/fw-gate/src/request/answer.rs
+++ b/fw-gate/src/request/answer.rs
@@ -12,13 +12,13 @@
 
 /// Earliest time at which a refused caller should come back: enough for a queue of some tens of
 /// milliseconds to drain, little against objectives of some hundred.
-const BACK_FROM: Duration = Duration::from_millis(50);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Width of the span over which refused callers are spread, so that they do not return together.
-const BACK_SPREAD: Duration = Duration::from_millis(200);
+const RETRY_AFTER_SPREAD: Duration = Duration::from_millis(200);
 
 /// When a refused caller should come back, drawn so that callers refused together spread out.
-pub fn back_after(rng: &mut impl rand::Rng) -> Duration {
-    BACK_FROM + BACK_SPREAD.mul_f64(rng.random::<f64>())
+pub fn draw_retry_after(rng: &mut impl rand::Rng) -> Duration {
+    MIN_RETRY_AFTER + RETRY_AFTER_SPREAD.mul_f64(rng.random::<f64>())
 }
 
 /// The answer that tells of `err`.
@@ -37,7 +37,7 @@
     if row.retry && row.ran == error::Ran::No {
         let after = err
             .retry_after
-            .unwrap_or_else(|| back_after(&mut rand::rng()));
+            .unwrap_or_else(|| draw_retry_after(&mut rand::rng()));
         let seconds = format!("{:.3}", after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             headers.insert(header::RETRY_AFTER, value);
--- a/fw-gate/src/request/attempt.rs
+++ b/fw-gate/src/request/attempt.rs
@@ -7,7 +7,7 @@
 use fw_plan::{hold, retry};
 use tokio::time::Instant;
 
-use super::ingress::ms;
+use super::ingress::log_ms;
 use super::{call, send};
 use crate::process::{fleet, gate, quotas};
 use crate::version::config;
@@ -32,16 +32,16 @@
     /// Its rank; 0 goes first.
     pub priority: u32,
     /// What it took of its team's quota, if the team has one.
-    pub credit: Option<&'a quotas::Credit>,
+    pub permit: Option<&'a quotas::Permit>,
 }
 
 /// Attempts made so far.
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct Attempts {
     /// Attempts that failed.
     pub failed: u32,
     /// Attempts that may have run.
-    pub ran: u32,
+    pub may_have_run: u32,
     /// Upstreams that failed.
     pub avoid: Vec<id::UpstreamId>,
     /// An earlier failure after which the call may have run.
@@ -49,11 +49,11 @@
 }
 
 /// Upstreams that a call may miss before its further attempts spend the retry budget.
-const MOST_UNREACHED: u32 = 4;
+const MAX_UNREACHED: u32 = 4;
 
 /// Whether a failure shows that the call reached no upstream of its service. Sending it on adds no
 /// load to one, so that it needs no retry budget.
-fn reached_none(kind: error::Kind) -> bool {
+fn reached_no_upstream(kind: error::Kind) -> bool {
     matches!(
         kind,
         error::Kind::Misdirected | error::Kind::UpstreamLeaving | error::Kind::UpstreamUnreachable
@@ -67,38 +67,42 @@
     /// # Errors
     ///
     /// What to tell the caller when there is to be no further attempt.
-    pub async fn run<T, F>(&self, finish: impl Fn(send::Begun) -> F) -> Result<T, error::Error>
+    pub async fn run<T, F>(
+        &self,
+        finish: impl Fn(send::OpenResponse) -> F,
+    ) -> Result<T, error::Error>
     where
-        F: Future<Output = Result<T, send::Failed>>,
+        F: Future<Output = Result<T, send::Failure>>,
     {
         self.gate.earn_retry(self.service);
-        let mut tries = Tries::default();
+        let mut attempts = Attempts::default();
         loop {
-            let lease = match self.choose(&tries).await {
+            let lease = match self.choose(&attempts).await {
                 Ok(lease) => lease,
-                Err(err) => return Err(err.after(tries.earlier.take())),
+                Err(err) => return Err(err.after(attempts.earlier.take())),
             };
-            let (upstream, addr, list) = (lease.id.clone(), lease.addr, lease.list);
+            let (upstream, addr, list_state) = (lease.id.clone(), lease.addr, lease.list_state);
             let finished = match self.send(lease).await {
-                Ok(begun) => finish(begun).await,
+                Ok(response) => finish(response).await,
                 Err(failed) => Err(failed),
             };
             let failed = match finished {
                 Ok(done) => return Ok(done),
                 Err(failed) => failed,
             };
-            if failed.broke {
-                self.suspect(&upstream, addr).await;
+            if failed.connection_broke {
+                self.check_crash(&upstream, addr).await;
             }
-            tries.avoid.push(upstream);
-            self.next(&mut tries, failed, list).await?;
+            attempts.avoid.push(upstream);
+            self.prepare_retry(&mut attempts, failed, list_state)
+                .await?;
         }
     }
 
     /// Whether a program begins with the request.
-    pub fn begins(&self) -> bool {
+    pub fn begins_program(&self) -> bool {
         let is_first = self.route.kind == config::Kind::Stream && self.call.previous.is_none();
-        is_first && self.gate.fleet.is_new(&self.call.lineage())
+        is_first && self.gate.fleet.is_new_program(&self.call.lineage())
     }
 
     /// Sends the request to the upstream of `lease`; an attempt that may have run is paid for.
@@ -106,16 +110,16 @@
     /// # Errors
     ///
     /// When there is no answer that may be passed on.
-    pub async fn send(&self, lease: fleet::Lease) -> Result<send::Begun, send::Failed> {
-        if let Some(credit) = self.credit {
-            credit.sent();
+    pub async fn send(&self, lease: fleet::Lease) -> Result<send::OpenResponse, send::Failure> {
+        if let Some(permit) = self.permit {
+            permit.sent();
         }
-        let sent = send::once(&self.gate.opts.names, self.out, lease, self.until).await;
-        let has_not_run = |failed: &send::Failed| failed.err.ran() == error::Ran::No;
-        if let Some(credit) = self.credit
+        let sent = send::call_upstream(&self.gate.opts.names, self.out, lease, self.until).await;
+        let has_not_run = |failed: &send::Failure| failed.err.ran() == error::Ran::No;
+        if let Some(permit) = self.permit
             && sent.as_ref().is_err_and(has_not_run)
         {
-            credit.not_run();
+            permit.not_run();
         }
         sent
     }
@@ -125,23 +129,23 @@
     /// # Errors
     ///
     /// `NoUpstream` when there is none.
-    pub async fn choose(&self, tries: &Tries) -> Result<fleet::Lease, error::Error> {
+    pub async fn choose(&self, attempts: &Attempts) -> Result<fleet::Lease, error::Error> {
         self.gate.check_poison(&self.fingerprint)?;
         let is_stream = self.route.kind == config::Kind::Stream;
         let lineage = self.call.lineage();
-        let begins = self.begins();
+        let begins = self.begins_program();
         let object = self.call.object.as_ref().filter(|_| self.route.sticky);
-        let warmth = match object {
-            _ if is_stream => fleet::Warmth::Prompt {
+        let affinity = match object {
+            _ if is_stream => fleet::Affinity::Prompt {
                 lineage,
                 tokens: self.call.prompt_tokens,
             },
-            Some(object) => fleet::Warmth::Object(object),
-            None => fleet::Warmth::None,
+            Some(object) => fleet::Affinity::Object(object),
+            None => fleet::Affinity::None,
         };
-        let want = fleet::Want {
-            warmth,
-            avoid: &tries.avoid,
+        let criteria = fleet::Criteria {
+            affinity,
+            avoid: &attempts.avoid,
             hold: hold::Call {
                 priority: self.priority,
                 left: self.call.program_deadline,
@@ -150,9 +154,9 @@
         };
         let fleet = &self.gate.fleet;
         if !is_stream {
-            return fleet.choose(self.service, &want);
+            return fleet.choose(self.service, &criteria);
         }
-        let acquired = tokio::time::timeout_at(self.until, fleet.acquire(self.service, &want));
+        let acquired = tokio::time::timeout_at(self.until, fleet.acquire(self.service, &criteria));
         acquired.await.unwrap_or_else(|_| {
             let message = "no slot became free before the deadline";
             Err(error::Error::new(error::Kind::DeadlineUnmeetable, message))
@@ -164,25 +168,26 @@
     /// # Errors
     ///
     /// The error to answer with, when there is to be none.
-    async fn next(
+    async fn prepare_retry(
         &self,
-        tries: &mut Tries,
-        failed: send::Failed,
-        list: fleet::State,
+        attempts: &mut Attempts,
+        failed: send::Failure,
+        list_state: fleet::ListState,
     ) -> Result<(), error::Error> {
         let err = failed.err;
-        tries.failed += 1;
+        attempts.failed += 1;
         if err.ran() != error::Ran::No {
-            tries.ran += 1;
+            attempts.may_have_run += 1;
         }
         let failure = retry::Failure {
             kind: err.kind,
-            attempt: tries.failed,
-            repeatable: self.route.is_repeatable() && tries.ran < self.route.attempts.max(2),
-            deadline: send::left(self.until),
+            attempt: attempts.failed,
+            repeatable: self.route.is_repeatable()
+                && attempts.may_have_run < self.route.attempts.max(2),
+            deadline: send::time_left(self.until),
             retry_after: None,
         };
-        let outcome = if reached_none(err.kind) && tries.failed < MOST_UNREACHED {
+        let outcome = if reached_no_upstream(err.kind) && attempts.failed < MAX_UNREACHED {
             retry::Outcome::Retry {
                 after: Duration::ZERO,
             }
@@ -193,11 +198,11 @@
             request = %self.call.id,
             program = self.call.program.as_deref(),
             route = %self.route.name,
-            upstream = tries.avoid.last().map(|upstream| upstream.as_str()),
-            list_as_of = list.as_of,
-            list_age_ms = ms(list.age),
+            upstream = attempts.avoid.last().map(|upstream| upstream.as_str()),
+            list_as_of = list_state.as_of,
+            list_age_ms = log_ms(list_state.age),
             %err,
-            attempt = tries.failed,
+            attempt = attempts.failed,
             ?outcome,
             "attempt failed"
         );
@@ -206,7 +211,7 @@
                 metrics::counter!("fw_gate_retries_total", "kind" => err.kind.row().label)
                     .increment(1);
                 if err.ran() != error::Ran::No {
-                    tries.earlier = Some(err);
+                    attempts.earlier = Some(err);
                 }
                 tokio::time::sleep(after).await;
                 Ok(())
@@ -214,16 +219,16 @@
             retry::Outcome::GiveUp { reason } => {
                 metrics::counter!("fw_gate_given_up_total", "reason" => reason.label())
                     .increment(1);
-                Err(err.after(tries.earlier.take()))
+                Err(err.after(attempts.earlier.take()))
             }
         }
     }
 
     /// Finds out whether `upstream` crashed under the call, and if so remembers the call.
-    pub async fn suspect(&self, upstream: &id::UpstreamId, addr: std::net::SocketAddr) {
+    pub async fn check_crash(&self, upstream: &id::UpstreamId, addr: std::net::SocketAddr) {
         if send::has_crashed(addr).await {
             tracing::warn!(request = %self.call.id, %upstream, "upstream crashed under the call");
-            self.gate.crashed(upstream, self.fingerprint);
+            self.gate.record_crash(upstream, self.fingerprint);
         }
     }
 }
--- a/fw-gate/src/request/body.rs
+++ b/fw-gate/src/request/body.rs
@@ -9,13 +9,13 @@
 use tokio::sync::mpsc;
 
 /// Pieces that wait for a caller who reads slowly. Beyond that the upstream is not read either.
-pub const PIECES: usize = 16;
+pub const MAX_BUFFERED_CHUNKS: usize = 16;
 
 /// The upstream broke off: the caller's connection is closed, so that the answer does not look
 /// complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the answer broke off"))]
-pub struct BrokeOff;
+pub struct Interrupted;
 
 /// Body of an answer to a caller.
 #[derive(Debug)]
@@ -23,7 +23,7 @@
     /// All of it.
     Whole(Option<Bytes>),
     /// Pieces as they come.
-    Pieces(mpsc::Receiver<Result<Bytes, BrokeOff>>),
+    Chunks(mpsc::Receiver<Result<Bytes, Interrupted>>),
 }
 
 impl From<Bytes> for Outgoing {
@@ -34,17 +34,17 @@
 
 impl Body for Outgoing {
     type Data = Bytes;
-    type Error = BrokeOff;
+    type Error = Interrupted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokeOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Interrupted>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Pieces(rx) => {
-                let piece = rx.poll_recv(cx);
-                piece.map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            Self::Chunks(rx) => {
+                let chunk = rx.poll_recv(cx);
+                chunk.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -58,7 +58,7 @@
             Self::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Chunks(_) => SizeHint::default(),
         }
     }
 }
--- a/fw-gate/src/request/call.rs
+++ b/fw-gate/src/request/call.rs
@@ -12,7 +12,7 @@
 use crate::names;
 
 /// Headers that concern one connection only.
-const HOP: [HeaderName; 8] = [
+const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -45,7 +45,7 @@
     /// Tokens of the prompt.
     pub prompt_tokens: id::Tokens,
     /// Tokens generated at most.
-    pub most_tokens: id::Tokens,
+    pub max_tokens: id::Tokens,
     /// Tokens that the whole program may generate.
     pub budget: Option<id::Tokens>,
     /// The turn continued.
@@ -65,15 +65,15 @@
 
     /// The call as one of `team`: whatever its caller names is the team's own. Two teams may choose the
     /// same ids, and neither reaches what is the other's.
-    pub fn of_team(self, team: &id::TeamId) -> Self {
+    pub fn scoped_to(self, team: &id::TeamId) -> Self {
         // No header holds this character, so that ids of two teams never look alike.
-        let own = |id: SmolStr| smol_str::format_smolstr!("{team}\u{b7}{id}");
+        let scoped = |id: SmolStr| smol_str::format_smolstr!("{team}\u{b7}{id}");
         Self {
             team: Some(team.clone()),
-            turn: own(self.turn),
-            program: self.program.map(own),
-            session: self.session.map(own),
-            previous: self.previous.map(own),
+            turn: scoped(self.turn),
+            program: self.program.map(scoped),
+            session: self.session.map(scoped),
+            previous: self.previous.map(scoped),
             ..self
         }
     }
@@ -88,7 +88,7 @@
         let Some(id) = id.filter(|id| !id.is_empty()) else {
             return Err(bad(&names.request_id, "must be given"));
         };
-        let (prompt_tokens, most_tokens) = tokens(names, headers)?;
+        let (prompt_tokens, max_tokens) = tokens(names, headers)?;
         Ok(Self {
             turn: id.clone(),
             id,
@@ -100,7 +100,7 @@
             program_deadline: number(headers, &names.program_deadline_ms)?
                 .map(Duration::from_millis),
             prompt_tokens,
-            most_tokens,
+            max_tokens,
             budget: number(headers, &names.budget)?,
             previous: text(headers, &names.previous)?,
             resume_after: text(headers, &names.resume_after)?,
@@ -115,10 +115,10 @@
     let Some(both) = text(headers, &names.tokens)? else {
         return Ok((0, 0));
     };
-    let parsed = both.split_once(',').and_then(|(prompt, most)| {
+    let parsed = both.split_once(',').and_then(|(prompt, max)| {
         let prompt = prompt.trim().parse().ok()?;
-        let most = most.trim().parse().ok()?;
-        Some((prompt, most))
+        let max = max.trim().parse().ok()?;
+        Some((prompt, max))
     });
     parsed.ok_or_else(|| bad(&names.tokens, "must be two whole numbers and a comma"))
 }
@@ -158,14 +158,14 @@
 }
 
 /// Removes what concerns one connection only, also what the `Connection` header names.
-pub fn strip_hop(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named = headers.get_all(header::CONNECTION).into_iter();
     let named = named.filter_map(|value| value.to_str().ok());
     let named: Vec<HeaderName> = named
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP) {
+    for name in named.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
     headers.remove("keep-alive");
@@ -173,6 +173,6 @@
 }
 
 /// A header value of a number.
-pub fn value(number: u64) -> HeaderValue {
+pub fn number_value(number: u64) -> HeaderValue {
     HeaderValue::from(number)
 }
--- a/fw-gate/src/request/events.rs
+++ b/fw-gate/src/request/events.rs
@@ -7,7 +7,7 @@
 use smol_str::SmolStr;
 
 /// Longest event, in bytes; a longer one is no event of an agent's answer.
-const LONGEST: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One whole event.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,13 +43,13 @@
     }
 
     /// Whether a part of an event is left over.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         self.buf.has_remaining()
     }
 
     /// Whether the part left over is longer than any event.
     pub fn is_too_long(&self) -> bool {
-        self.buf.len() > LONGEST
+        self.buf.len() > MAX_EVENT_BYTES
     }
 
     /// Where the first event ends: after two line ends in a row.
--- a/fw-gate/src/request/ingress.rs
+++ b/fw-gate/src/request/ingress.rs
@@ -27,7 +27,7 @@
     let program = req.headers().get(&names.program).cloned();
     let deadline = req.headers().get(&names.deadline_ms).cloned();
     let program_left = req.headers().get(&names.program_deadline_ms).cloned();
-    let mut res = match answered(&gate, req, started).await {
+    let mut res = match serve(&gate, req, started).await {
         Ok(res) => res,
         Err(err) => {
             let text = |value: &Option<HeaderValue>| {
@@ -42,7 +42,7 @@
                 kind = err.kind.row().label,
                 why = err.message,
                 ran = ?err.ran(),
-                retry_after_ms = ms(err.retry_after),
+                retry_after_ms = log_ms(err.retry_after),
                 ms = started.elapsed().as_millis() as u64,
                 "request not served"
             );
@@ -63,34 +63,37 @@
 }
 
 /// Milliseconds for a log line; -1 if there is no such time.
-pub(super) fn ms(time: Option<Duration>) -> i64 {
+pub(super) fn log_ms(time: Option<Duration>) -> i64 {
     time.map_or(-1, |time| time.as_millis() as i64)
 }
 
-async fn answered(
+async fn serve(
     gate: &Arc<gate::Gate>,
     req: Request<Incoming>,
     started: Instant,
 ) -> Result<Response<body::Outgoing>, error::Error> {
     let (head, body) = req.into_parts();
-    let in_force = gate.in_force_soon().await;
-    let gate::InForce { config, keys } = in_force
+    let active = gate.await_active_config().await;
+    let gate::ActiveConfig {
+        config,
+        key_freshness,
+    } = active
         .ok_or_else(|| error::Error::new(error::Kind::NotReady, "no configuration is known yet"))?;
     let host = host(&head.headers, &head.uri);
     let route = config.route(host, head.uri.path()).ok_or_else(|| {
         let message = format!("no route covers `{host}` and `{}`", head.uri.path());
         error::Error::new(error::Kind::UnknownRoute, message)
     })?;
-    let team = team(&config, keys, route, &head.headers)?;
+    let team = team(&config, key_freshness, route, &head.headers)?;
     let names = &gate.opts.names;
     let mut call = call::Call::read(names, &head.headers)?;
     if let Some(team) = team {
-        call = call.of_team(&team.name);
+        call = call.scoped_to(&team.name);
     }
     let limit = team.and_then(|team| team.quota);
-    let patience = call.deadline.unwrap_or(route.timeout).min(route.timeout);
-    let until = started + patience;
-    let input = read(body, config.limits.body_bytes, until).await?;
+    let timeout = call.deadline.unwrap_or(route.timeout).min(route.timeout);
+    let until = started + timeout;
+    let input = read_body(body, config.limits.body_bytes, until).await?;
     let service = route
         .service(rand::rng().random())
         .ok_or_else(|| error::Error::new(error::Kind::NoUpstream, "the route has no service"))?;
@@ -111,11 +114,11 @@
             until,
             priority,
             limit,
-            credit: None,
+            permit: None,
         };
         return stream::run(job).await;
     }
-    let credit = gate.quotas.take(&call, limit, quota::Stage::GoesOn)?;
+    let permit = gate.quotas.acquire(&call, limit, quota::Stage::GoesOn)?;
     let job = attempt::Job {
         gate,
         route,
@@ -125,7 +128,7 @@
         fingerprint,
         until,
         priority,
-        credit: credit.as_ref(),
+        permit: permit.as_ref(),
     };
     plain::run(&job).await
 }
@@ -133,11 +136,11 @@
 /// The team of a request; `None` if it needs none.
 fn team<'a>(
     config: &'a config::Config,
-    keys: staleness::Outcome,
+    key_freshness: staleness::Outcome,
     route: &config::Route,
     headers: &HeaderMap,
 ) -> Result<Option<&'a team::Team>, error::Error> {
-    if let staleness::Outcome::Stale { age } = keys
+    if let staleness::Outcome::Stale { age } = key_freshness
         && config.teams.is_some()
         && !route.is_open
     {
@@ -159,12 +162,16 @@
 }
 
 /// Reads a request's body.
-async fn read(body: Incoming, most: usize, until: Instant) -> Result<Bytes, error::Error> {
-    let whole = Limited::new(body, most).collect();
+async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    until: Instant,
+) -> Result<Bytes, error::Error> {
+    let whole = Limited::new(body, max_bytes).collect();
     match tokio::time::timeout_at(until, whole).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(err)) if err.is::<LengthLimitError>() => {
-            let message = format!("the body is longer than {most} bytes");
+            let message = format!("the body is longer than {max_bytes} bytes");
             Err(error::Error::new(error::Kind::BodyTooLarge, message))
         }
         Ok(Err(err)) => {
@@ -192,7 +199,7 @@
     let id = HeaderValue::from_str(&call.id).map_err(|_| bad("request id"))?;
     let path = head.uri.path_and_query().ok_or_else(|| bad("path"))?;
     let mut headers = head.headers.clone();
-    call::strip_hop(&mut headers);
+    call::strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     for name in &names.reserved {
         headers.remove(name);
--- a/fw-gate/src/request/plain.rs
+++ b/fw-gate/src/request/plain.rs
@@ -10,11 +10,11 @@
 use hyper::Response;
 use tokio::time::Instant;
 
-use super::ingress::ms;
+use super::ingress::log_ms;
 use super::{attempt, body, call, send};
 
 /// Longest answer that is collected; plain services send a few kilobytes.
-const LONGEST: usize = 8 << 20;
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// Runs the request and returns its answer.
 ///
@@ -22,30 +22,30 @@
 ///
 /// What to tell the caller when no upstream gave an answer.
 pub async fn run(job: &attempt::Job<'_>) -> Result<Response<body::Outgoing>, error::Error> {
-    let (head, whole) = job.run(|begun| served(job, begun)).await?;
-    job.gate.survived(&job.fingerprint);
-    Ok(passed_on(head, body::Outgoing::from(whole)))
+    let (head, whole) = job.run(|response| collect_and_log(job, response)).await?;
+    job.gate.record_success(&job.fingerprint);
+    Ok(forwarded(head, body::Outgoing::from(whole)))
 }
 
 /// Reads the rest of the answer to a request, and logs where it was served.
-async fn served(
+async fn collect_and_log(
     job: &attempt::Job<'_>,
-    begun: send::Begun,
-) -> Result<(hyper::http::response::Parts, Bytes), send::Failed> {
-    let (upstream, list) = (begun.lease.id.clone(), begun.lease.list);
-    let sent_after = begun.lease.sent_after;
-    let begun_at = Instant::now();
-    let (head, whole) = collect(begun, job.until).await?;
+    response: send::OpenResponse,
+) -> Result<(hyper::http::response::Parts, Bytes), send::Failure> {
+    let (upstream, list_state) = (response.lease.id.clone(), response.lease.list_state);
+    let sent_after = response.lease.sent_after;
+    let started_at = Instant::now();
+    let (head, whole) = collect(response, job.until).await?;
     tracing::info!(
         request = %job.call.id,
         program = job.call.program.as_deref(),
         route = %job.route.name,
         status = head.status.as_u16(),
         %upstream,
-        list_as_of = list.as_of,
-        list_age_ms = ms(list.age),
+        list_as_of = list_state.as_of,
+        list_age_ms = log_ms(list_state.age),
         sent_after_ms = sent_after.as_millis() as u64,
-        ms = begun_at.elapsed().as_millis() as u64,
+        ms = started_at.elapsed().as_millis() as u64,
         "request served"
     );
     Ok((head, whole))
@@ -57,49 +57,49 @@
 ///
 /// When it breaks off: the call has run, or may have.
 pub async fn collect(
-    begun: send::Begun,
+    response: send::OpenResponse,
     until: Instant,
-) -> Result<(hyper::http::response::Parts, Bytes), send::Failed> {
-    let send::Begun {
+) -> Result<(hyper::http::response::Parts, Bytes), send::Failure> {
+    let send::OpenResponse {
         lease,
         link,
         head,
         body,
-    } = begun;
-    let whole = Limited::new(body, LONGEST).collect();
+    } = response;
+    let whole = Limited::new(body, MAX_ANSWER_BYTES).collect();
     match tokio::time::timeout_at(until, whole).await {
         Ok(Ok(whole)) => {
-            lease.done(Some(lease.age()));
+            lease.complete(Some(lease.age()));
             lease.keep_link(link);
             Ok((head, whole.to_bytes()))
         }
         Ok(Err(err)) => {
-            lease.seen(health::Seen::Failed);
+            lease.record_health(health::Seen::Failed);
             let message = format!("the answer of upstream `{}` broke off: {err}", lease.id);
-            Err(send::Failed {
+            Err(send::Failure {
                 err: error::Error::new(error::Kind::UpstreamCrashed, message),
-                broke: true,
+                connection_broke: true,
             })
         }
         Err(_) => {
             let message = format!("upstream `{}` did not finish in time", lease.id);
-            Err(send::Failed {
+            Err(send::Failure {
                 err: error::Error::new(error::Kind::DeadlineExceeded, message),
-                broke: false,
+                connection_broke: false,
             })
         }
     }
 }
 
 /// The upstream's answer, with a body of the entry's.
-pub fn passed_on(
+pub fn forwarded(
     head: hyper::http::response::Parts,
     body: body::Outgoing,
 ) -> Response<body::Outgoing> {
     let mut res = Response::new(body);
     *res.status_mut() = head.status;
     *res.headers_mut() = head.headers;
-    call::strip_hop(res.headers_mut());
+    call::strip_hop_by_hop(res.headers_mut());
     res.headers_mut().remove(hyper::header::CONTENT_LENGTH);
     res
 }
--- a/fw-gate/src/request/send.rs
+++ b/fw-gate/src/request/send.rs
@@ -34,7 +34,7 @@
 
 /// A call whose answer has begun.
 #[derive(Debug)]
-pub struct Begun {
+pub struct OpenResponse {
     /// The upstream.
     pub lease: fleet::Lease,
     /// The connection to it.
@@ -47,11 +47,11 @@
 
 /// A call that brought no answer to pass on.
 #[derive(Clone, Debug)]
-pub struct Failed {
+pub struct Failure {
     /// What happened; its row says whether the call ran.
     pub err: error::Error,
     /// Whether the connection broke while the call was at the upstream, as in a crash.
-    pub broke: bool,
+    pub connection_broke: bool,
 }
 
 impl Outbound {
@@ -71,7 +71,7 @@
         headers.insert(names.request_id.clone(), self.id.clone());
         headers.insert(
             names.deadline_ms.clone(),
-            call::value(left.as_millis() as u64),
+            call::number_value(left.as_millis() as u64),
         );
         if let Ok(id) = HeaderValue::from_str(&lease.id) {
             headers.insert(names.expect_upstream.clone(), id);
@@ -85,30 +85,30 @@
 /// # Errors
 ///
 /// When there is no answer that may be passed on.
-pub async fn once(
+pub async fn call_upstream(
     names: &names::HeaderNames,
     out: &Outbound,
     mut lease: fleet::Lease,
     until: Instant,
-) -> Result<Begun, Failed> {
-    let sending = send(names, out, &mut lease, until);
+) -> Result<OpenResponse, Failure> {
+    let sending = send_on_link(names, out, &mut lease, until);
     let (link, res) = match tokio::time::timeout_at(until, sending).await {
         Ok(sent) => sent?,
         Err(_) => {
             // Silence until the deadline is no proof of a fault.
             let message = format!("upstream `{}` did not answer in time", lease.id);
-            return Err(Failed {
+            return Err(Failure {
                 err: error::Error::new(error::Kind::DeadlineExceeded, message),
-                broke: false,
+                connection_broke: false,
             });
         }
     };
     let (head, body) = res.into_parts();
-    if let Some(load) = load(names, &head.headers) {
-        lease.told(load);
+    if let Some(load) = parse_load(names, &head.headers) {
+        lease.record_load(load);
     }
-    match judge(names, out, &lease, &head) {
-        Ok(()) => Ok(Begun {
+    match check_response(names, out, &lease, &head) {
+        Ok(()) => Ok(OpenResponse {
             lease,
             link,
             head,
@@ -116,44 +116,47 @@
         }),
         Err(err) => {
             match err.kind {
-                error::Kind::Misdirected => lease.replaced(),
-                _ if err.ran() == error::Ran::No => lease.seen(health::Seen::Answered),
-                _ => lease.seen(health::Seen::Failed),
+                error::Kind::Misdirected => lease.mark_replaced(),
+                _ if err.ran() == error::Ran::No => lease.record_health(health::Seen::Answered),
+                _ => lease.record_health(health::Seen::Failed),
             }
-            Err(Failed { err, broke: false })
+            Err(Failure {
+                err,
+                connection_broke: false,
+            })
         }
     }
 }
 
 /// Sends on an idle connection or a new one. A call that no byte of left on an idle connection,
 /// because the upstream had closed it, goes out on a new one.
-async fn send(
+async fn send_on_link(
     names: &names::HeaderNames,
     out: &Outbound,
     lease: &mut fleet::Lease,
     until: Instant,
-) -> Result<(link::Link, hyper::Response<Incoming>), Failed> {
+) -> Result<(link::Link, hyper::Response<Incoming>), Failure> {
     if let Some(mut link) = lease.idle_link() {
-        confirm(lease).await?;
+        confirm_upstream(lease).await?;
         match link.send(out.request(names, lease, until)).await {
             Ok(res) => return Ok((link, res)),
-            Err(failed) if !failed.unsent => return Err(broken(lease, &failed)),
+            Err(failed) if !failed.unsent => return Err(connection_failure(lease, &failed)),
             Err(_) => {}
         }
     }
     metrics::counter!("fw_gate_connects_total").increment(1);
     let mut link = link::Link::connect(lease.addr).await.map_err(|err| {
-        lease.seen(health::Seen::Down);
+        lease.record_health(health::Seen::Down);
         let message = format!("cannot connect to upstream `{}`: {err}", lease.id);
-        Failed {
+        Failure {
             err: error::Error::new(error::Kind::UpstreamUnreachable, message),
-            broke: false,
+            connection_broke: false,
         }
     })?;
-    confirm(lease).await?;
+    confirm_upstream(lease).await?;
     match link.send(out.request(names, lease, until)).await {
         Ok(res) => Ok((link, res)),
-        Err(failed) => Err(broken(lease, &failed)),
+        Err(failed) => Err(connection_failure(lease, &failed)),
     }
 }
 
@@ -163,21 +166,21 @@
 /// # Errors
 ///
 /// `UpstreamLeaving` when the upstream gets no more calls.
-async fn confirm(lease: &mut fleet::Lease) -> Result<(), Failed> {
+async fn confirm_upstream(lease: &mut fleet::Lease) -> Result<(), Failure> {
     lease.confirm_list().await;
     if lease.is_valid() {
         lease.note_sent();
         return Ok(());
     }
     let message = format!("upstream `{}` left before the call was sent", lease.id);
-    Err(Failed {
+    Err(Failure {
         err: error::Error::new(error::Kind::UpstreamLeaving, message),
-        broke: false,
+        connection_broke: false,
     })
 }
 
-fn broken(lease: &fleet::Lease, failed: &link::Failed) -> Failed {
-    lease.seen(health::Seen::Failed);
+fn connection_failure(lease: &fleet::Lease, failed: &link::SendError) -> Failure {
+    lease.record_health(health::Seen::Failed);
     let message = format!(
         "the connection to upstream `{}` broke: {}",
         lease.id, failed.message
@@ -187,21 +190,21 @@
     } else {
         error::Kind::UpstreamCrashed
     };
-    Failed {
+    Failure {
         err: error::Error::new(kind, message),
-        broke: !failed.unsent,
+        connection_broke: !failed.unsent,
     }
 }
 
 /// Whether the answer is the upstream's to this call and may be passed on.
-fn judge(
+fn check_response(
     names: &names::HeaderNames,
     out: &Outbound,
     lease: &fleet::Lease,
     head: &response::Parts,
 ) -> Result<(), error::Error> {
-    let tell = |kind, what: &str| {
-        let message = format!("upstream `{}` {what}", lease.id);
+    let fail = |kind, reason: &str| {
+        let message = format!("upstream `{}` {reason}", lease.id);
         Err(error::Error::new(kind, message))
     };
     let headers = &head.headers;
@@ -210,39 +213,39 @@
         .is_some_and(|id| *id != out.id)
     {
         // A late or second answer to an earlier call.
-        return tell(error::Kind::SpoiledAnswer, "answered another call");
+        return fail(error::Kind::SpoiledAnswer, "answered another call");
     }
     // Before the next one: such a refusal may also say that the call has not run.
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        return tell(error::Kind::Misdirected, "is no longer at its address");
+        return fail(error::Kind::Misdirected, "is no longer at its address");
     }
     if headers.contains_key(&names.not_run) {
-        return tell(error::Kind::UpstreamFull, "has not run the call");
+        return fail(error::Kind::UpstreamFull, "has not run the call");
     }
     if head.status.is_success() {
-        let whole = headers.contains_key(&names.signature)
+        let is_valid = headers.contains_key(&names.signature)
             && headers.contains_key(&names.request_id)
             && !headers.contains_key(header::CONTENT_ENCODING);
-        if !whole {
-            return tell(
+        if !is_valid {
+            return fail(
                 error::Kind::SpoiledAnswer,
                 "sent an answer that is not its own",
             );
         }
     }
     // To a caller these promise that the call has not run, which this upstream does not say.
-    let promises = [
+    let promised_not_run = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    if promises.contains(&head.status) {
-        return tell(error::Kind::UpstreamError, "failed while it ran the call");
+    if promised_not_run.contains(&head.status) {
+        return fail(error::Kind::UpstreamError, "failed while it ran the call");
     }
     Ok(())
 }
 
-fn load(names: &names::HeaderNames, headers: &HeaderMap) -> Option<fleet::Load> {
+fn parse_load(names: &names::HeaderNames, headers: &HeaderMap) -> Option<fleet::Load> {
     let text = headers.get(&names.load)?.to_str().ok()?;
     let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
     Some(fleet::Load {
@@ -258,6 +261,6 @@
 }
 
 /// Time left until `until`.
-pub fn left(until: Instant) -> Duration {
+pub fn time_left(until: Instant) -> Duration {
     until.saturating_duration_since(Instant::now())
 }
--- a/fw-gate/src/request/stream.rs
+++ b/fw-gate/src/request/stream.rs
@@ -14,13 +14,13 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::ingress::ms;
+use super::ingress::log_ms;
 use super::{attempt, body, call, events, plain, send, turn};
 use crate::process::{gate, quotas};
 use crate::version::config;
 
 /// How often a broken stream goes on elsewhere.
-const RESUMES: u32 = 3;
+const MAX_RESUMES: u32 = 3;
 /// Pause before a broken stream goes on, so that the upstream has noticed the end of the first.
 const RESUME_PAUSE: Duration = Duration::from_millis(20);
 
@@ -50,22 +50,22 @@
     /// Its team's limit, if the team has one.
     pub limit: Option<quota::Limit>,
     /// What it took of that, once it was admitted.
-    pub credit: Option<Arc<quotas::Credit>>,
+    pub permit: Option<Arc<quotas::Permit>>,
 }
 
 impl Job {
     /// Takes the turn from its team's quota, and refuses it if a program would begin with it that could
     /// not be in time.
     fn admit(&mut self) -> Result<(), error::Error> {
-        let begins = self.attempt().begins();
+        let begins = self.attempt().begins_program();
         let stage = match begins {
             true => quota::Stage::Begins,
             false => quota::Stage::GoesOn,
         };
-        let credit = self.gate.quotas.take(&self.call, self.limit, stage)?;
-        self.credit = credit.map(Arc::new);
+        let permit = self.gate.quotas.acquire(&self.call, self.limit, stage)?;
+        self.permit = permit.map(Arc::new);
         match begins {
-            true => self.gate.fleet.admit(&self.service, self.priority),
+            true => self.gate.fleet.admit_program(&self.service, self.priority),
             false => Ok(()),
         }
     }
@@ -80,7 +80,7 @@
             fingerprint: self.fingerprint,
             until: self.until,
             priority: self.priority,
-            credit: self.credit.as_deref(),
+            permit: self.permit.as_deref(),
         }
     }
 }
@@ -97,62 +97,62 @@
     // Only now is it known whether the program has had a turn through another entry.
     job.admit()?;
     job.out.body = ready.body;
-    times.replicas = times.begun.elapsed();
-    let begun = job
+    times.prepared = times.started_at.elapsed();
+    let response = job
         .attempt()
-        .run(|begun| std::future::ready(Ok(begun)))
+        .run(|response| std::future::ready(Ok(response)))
         .await
         .inspect_err(|err| {
             if err.ran() != error::Ran::No {
-                ready.turn.broke();
+                ready.turn.mark_broken();
             }
         })?;
-    times.head = times.begun.elapsed();
-    if !begun.head.status.is_success() {
-        let whole = plain::collect(begun, job.until).await;
+    times.head = times.started_at.elapsed();
+    if !response.head.status.is_success() {
+        let whole = plain::collect(response, job.until).await;
         let (head, whole) = whole.map_err(|failed| failed.err)?;
-        return Ok(plain::passed_on(head, body::Outgoing::from(whole)));
+        return Ok(plain::forwarded(head, body::Outgoing::from(whole)));
     }
-    let (tx, rx) = mpsc::channel(body::PIECES);
-    let res = plain::passed_on(begun.head.clone(), body::Outgoing::Pieces(rx));
-    let pump = Pump {
+    let (tx, rx) = mpsc::channel(body::MAX_BUFFERED_CHUNKS);
+    let res = plain::forwarded(response.head.clone(), body::Outgoing::Chunks(rx));
+    let forwarder = Forwarder {
         tokens_per_event: job.config.tokens_per_event(&job.service),
         splitter: events::Splitter::default(),
         output: BytesMut::new(),
-        last: job.call.resume_after.clone(),
+        last_event_id: job.call.resume_after.clone(),
         events: 0,
         turn: Some(ready.turn),
         times,
         job,
         tx,
     };
-    tokio::spawn(pump.run(begun));
+    tokio::spawn(forwarder.run(response));
     Ok(res)
 }
 
 /// When what happened of a streamed request, each counted from its begin.
 #[derive(Clone, Copy, Debug)]
 struct Times {
-    begun: Instant,
+    started_at: Instant,
     /// Its tokens were reserved and its chain was there.
-    replicas: Duration,
+    prepared: Duration,
     /// The upstream had begun to answer.
     head: Duration,
     /// The first event was passed on.
-    first: Option<Duration>,
+    first_event: Option<Duration>,
     /// The upstream's answer was whole; what follows is storing the turn.
-    whole: Option<Duration>,
+    complete: Option<Duration>,
 }
 
 impl Times {
     /// Nothing but the begin has happened.
     fn start() -> Self {
         Self {
-            begun: Instant::now(),
-            replicas: Duration::ZERO,
+            started_at: Instant::now(),
+            prepared: Duration::ZERO,
             head: Duration::ZERO,
-            first: None,
-            whole: None,
+            first_event: None,
+            complete: None,
         }
     }
 }
@@ -166,69 +166,71 @@
     /// The caller has gone.
     CallerGone,
     /// The time is over.
-    Late,
+    DeadlinePassed,
 }
 
 /// Passes one answer on.
-struct Pump {
+struct Forwarder {
     job: Job,
     tokens_per_event: id::Tokens,
     splitter: events::Splitter,
     /// What later turns will be told of this one.
     output: BytesMut,
     /// Id of the last event passed on.
-    last: Option<SmolStr>,
+    last_event_id: Option<SmolStr>,
     events: u32,
     /// `None` once it is being stored.
     turn: Option<turn::Turn>,
     times: Times,
-    tx: mpsc::Sender<Result<Bytes, body::BrokeOff>>,
+    tx: mpsc::Sender<Result<Bytes, body::Interrupted>>,
 }
 
-impl Pump {
-    async fn run(mut self, begun: send::Begun) {
-        let mut begun = begun;
+impl Forwarder {
+    async fn run(mut self, response: send::OpenResponse) {
+        let mut response = response;
         let mut resumes = 0;
-        let mut last_upstream = begun.lease.id.clone();
-        let mut why;
-        let mut list;
+        let mut last_upstream = response.lease.id.clone();
+        let mut candidate;
+        let mut list_state;
         let mut sent_after;
         let outcome = loop {
-            let (upstream, addr) = (begun.lease.id.clone(), begun.lease.addr);
+            let (upstream, addr) = (response.lease.id.clone(), response.lease.addr);
             last_upstream.clone_from(&upstream);
-            why = begun.lease.why;
-            list = begun.lease.list;
-            sent_after = begun.lease.sent_after;
+            candidate = response.lease.candidate;
+            list_state = response.lease.list_state;
+            sent_after = response.lease.sent_after;
             if let Some(turn) = &mut self.turn {
-                turn.runs_at(&upstream);
+                turn.set_upstream(&upstream);
             }
-            let ended = self.pass_on(&mut begun).await;
+            let ended = self.forward(&mut response).await;
             match ended {
                 Ended::Complete => {
-                    self.times.whole = Some(self.times.begun.elapsed());
-                    begun.lease.done(self.pause().filter(|_| resumes == 0));
-                    let send::Begun { lease, link, .. } = begun;
+                    self.times.complete = Some(self.times.started_at.elapsed());
+                    response
+                        .lease
+                        .complete(self.mean_event_interval().filter(|_| resumes == 0));
+                    let send::OpenResponse { lease, link, .. } = response;
                     lease.keep_link(link);
                     break self.complete().await;
                 }
                 Ended::CallerGone => break "caller gone",
-                Ended::Late => {
-                    self.break_off().await;
+                Ended::DeadlinePassed => {
+                    self.abort().await;
                     break "deadline passed";
                 }
                 Ended::Broken => {
-                    begun.lease.seen(health::Seen::Failed);
-                    drop(begun);
-                    self.job.attempt().suspect(&upstream, addr).await;
+                    response.lease.record_health(health::Seen::Failed);
+                    drop(response);
+                    self.job.attempt().check_crash(&upstream, addr).await;
                     let next = self.resume(&upstream, &mut resumes).await;
                     let Some(next) = next else {
                         if let Some(turn) = &mut self.turn {
-                            turn.broke();
+                            turn.mark_broken();
                         }
-                        self.break_off().await;
+                        self.abort().await;
                         break "broken off";
                     };
-                    begun = next;
+                    response = next;
                 }
             }
         };
@@ -240,47 +242,50 @@
             events = self.events,
             resumes,
             outcome,
-            deadline_ms = ms(self.job.call.deadline),
-            program_left_ms = ms(self.job.call.program_deadline),
+            deadline_ms = log_ms(self.job.call.deadline),
+            program_left_ms = log_ms(self.job.call.program_deadline),
             prompt = self.job.call.prompt_tokens,
-            most = self.job.call.most_tokens,
+            most = self.job.call.max_tokens,
             team = self.job.call.team.as_deref(),
             priority = self.job.priority,
             upstream = %last_upstream,
-            own = why.own,
-            others = why.others,
-            others_age_ms = why.age.as_millis() as u64,
-            miss_ms = why.miss.as_millis() as u64,
-            slowness = why.slowness,
-            list_as_of = list.as_of,
-            list_age_ms = ms(list.age),
+            own = candidate.own,
+            others = candidate.others,
+            others_age_ms = candidate.age.as_millis() as u64,
+            miss_ms = candidate.miss.as_millis() as u64,
+            slowness = candidate.slowness,
+            list_as_of = list_state.as_of,
+            list_age_ms = log_ms(list_state.age),
             sent_after_ms = sent_after.as_millis() as u64,
-            replicas_ms = self.times.replicas.as_millis() as u64,
+            replicas_ms = self.times.prepared.as_millis() as u64,
             head_ms = self.times.head.as_millis() as u64,
-            first_ms = ms(self.times.first),
-            whole_ms = ms(self.times.whole),
-            ms = self.times.begun.elapsed().as_millis() as u64,
+            first_ms = log_ms(self.times.first_event),
+            whole_ms = log_ms(self.times.complete),
+            ms = self.times.started_at.elapsed().as_millis() as u64,
             "stream ended"
         );
     }
 
     /// Mean time between two events; `None` if there were not two.
-    fn pause(&self) -> Option<Duration> {
-        let (first, whole) = (self.times.first?, self.times.whole?);
-        let pauses = self.events.checked_sub(1).filter(|pauses| *pauses > 0)?;
-        Some((whole - first) / pauses)
+    fn mean_event_interval(&self) -> Option<Duration> {
+        let (first, complete) = (self.times.first_event?, self.times.complete?);
+        let intervals = self
+            .events
+            .checked_sub(1)
+            .filter(|intervals| *intervals > 0)?;
+        Some((complete - first) / intervals)
     }
 
     /// Reads from one upstream until its stream ends, one way or the other.
-    async fn pass_on(&mut self, begun: &mut send::Begun) -> Ended {
+    async fn forward(&mut self, response: &mut send::OpenResponse) -> Ended {
         loop {
             let frame = tokio::select! {
                 biased;
                 () = self.tx.closed() => return Ended::CallerGone,
-                frame = tokio::time::timeout_at(self.job.until, begun.body.frame()) => frame,
+                frame = tokio::time::timeout_at(self.job.until, response.body.frame()) => frame,
             };
             let Ok(frame) = frame else {
-                return Ended::Late;
+                return Ended::DeadlinePassed;
             };
             match frame {
                 Some(Ok(frame)) => {
@@ -291,21 +296,21 @@
                     if self.splitter.is_too_long() {
                         return Ended::Broken;
                     }
-                    if !self.deliver().await {
+                    if !self.forward_events().await {
                         return Ended::CallerGone;
                     }
                 }
-                None if !self.splitter.has_rest() => return Ended::Complete,
+                None if !self.splitter.has_partial() => return Ended::Complete,
                 None | Some(Err(_)) => return Ended::Broken,
             }
         }
     }
 
     /// Passes whole events on; `false` if the caller has gone.
-    async fn deliver(&mut self) -> bool {
-        let mut piece = BytesMut::new();
+    async fn forward_events(&mut self) -> bool {
+        let mut chunk = BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
-            if self.is_old(event.id.as_ref()) {
+            if self.is_duplicate(event.id.as_ref()) {
                 continue;
             }
             if let Some(data) = &event.data {
@@ -313,24 +318,24 @@
                 self.output.put_u8(b'\n');
                 self.events += 1;
                 if let Some(turn) = &mut self.turn {
-                    turn.hand_out(self.tokens_per_event);
+                    turn.add_tokens(self.tokens_per_event);
                 }
             }
             if event.id.is_some() {
-                self.last = event.id;
+                self.last_event_id = event.id;
             }
-            piece.put(event.raw);
+            chunk.put(event.raw);
         }
-        if !piece.is_empty() && self.times.first.is_none() {
-            self.times.first = Some(self.times.begun.elapsed());
+        if !chunk.is_empty() && self.times.first_event.is_none() {
+            self.times.first_event = Some(self.times.started_at.elapsed());
         }
-        piece.is_empty() || self.tx.send(Ok(piece.freeze())).await.is_ok()
+        chunk.is_empty() || self.tx.send(Ok(chunk.freeze())).await.is_ok()
     }
 
     /// Whether an event was passed on before. A stream that goes on at another upstream may begin
     /// with events that the caller has.
-    fn is_old(&self, id: Option<&SmolStr>) -> bool {
-        let (Some(id), Some(last)) = (id, &self.last) else {
+    fn is_duplicate(&self, id: Option<&SmolStr>) -> bool {
+        let (Some(id), Some(last)) = (id, &self.last_event_id) else {
             return false;
         };
         match (id.parse::<u64>(), last.parse::<u64>()) {
@@ -345,13 +350,13 @@
         &mut self,
         upstream: &id::UpstreamId,
         resumes: &mut u32,
-    ) -> Option<send::Begun> {
+    ) -> Option<send::OpenResponse> {
         if !self.job.route.resumable {
             return None;
         }
         self.splitter = events::Splitter::default();
         let names = &self.job.gate.opts.names;
-        if let Some(last) = &self.last {
+        if let Some(last) = &self.last_event_id {
             let last = HeaderValue::from_str(last).ok()?;
             self.job
                 .out
@@ -359,25 +364,25 @@
                 .insert(names.resume_after.clone(), last);
         }
         let mut avoid = Vec::new();
-        while *resumes < RESUMES && !self.tx.is_closed() {
+        while *resumes < MAX_RESUMES && !self.tx.is_closed() {
             *resumes += 1;
             tokio::time::sleep(RESUME_PAUSE).await;
-            let again = self.job.gate.fleet.again(&self.job.service, upstream);
+            let again = self.job.gate.fleet.lease_again(&self.job.service, upstream);
             let lease = match again.filter(|lease| !avoid.contains(&lease.id)) {
                 Some(lease) => lease,
                 None => {
-                    let tries = attempt::Tries {
+                    let attempts = attempt::Attempts {
                         avoid: avoid.clone(),
-                        ..attempt::Tries::default()
+                        ..attempt::Attempts::default()
                     };
-                    self.job.attempt().choose(&tries).await.ok()?
+                    self.job.attempt().choose(&attempts).await.ok()?
                 }
             };
             let id = lease.id.clone();
-            tracing::info!(request = %self.job.call.id, upstream = %id, after = ?self.last, "stream goes on");
+            tracing::info!(request = %self.job.call.id, upstream = %id, after = ?self.last_event_id, "stream goes on");
             let attempt = self.job.attempt();
             match attempt.send(lease).await {
-                Ok(begun) if begun.head.status.is_success() => return Some(begun),
+                Ok(response) if response.head.status.is_success() => return Some(response),
                 Ok(_) => avoid.push(id),
                 Err(failed) => {
                     tracing::info!(request = %self.job.call.id, err = %failed.err, "stream cannot go on here");
@@ -392,7 +397,7 @@
     /// the caller must not continue a turn that may be lost.
     async fn complete(&mut self) -> &'static str {
         let job = &self.job;
-        job.gate.survived(&job.fingerprint);
+        job.gate.record_success(&job.fingerprint);
         let record = job.route.keep_turns.map(|keep| record::Turn {
             id: job.call.turn.clone(),
             parent: job.call.previous.clone(),
@@ -408,13 +413,13 @@
         if stored {
             return "complete";
         }
-        self.break_off().await;
+        self.abort().await;
         "not stored"
     }
 
     /// Closes the caller's connection, so that the answer does not look complete.
-    async fn break_off(&mut self) {
+    async fn abort(&mut self) {
         // A caller that has gone needs no sign.
-        let _ = self.tx.send(Err(body::BrokeOff)).await;
+        let _ = self.tx.send(Err(body::Interrupted)).await;
     }
 }
--- a/fw-gate/src/request/turn.rs
+++ b/fw-gate/src/request/turn.rs
@@ -12,9 +12,9 @@
 use crate::process::{fleet, gate};
 
 /// Pause before replicas that could not say are asked again.
-const AGAIN: Duration = Duration::from_millis(60);
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// How long replicas that cannot say are asked: a restart of one of them takes about as long.
-const PATIENCE: Duration = Duration::from_millis(600);
+const UNSURE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A turn under way: the tokens reserved for it, and where it runs. Dropped before it is stored, it
 /// is settled with what was handed out so far.
@@ -24,32 +24,32 @@
     /// `None` for a program without a budget.
     charge: Option<record::Charge>,
     lineage: trail::Lineage,
-    ran: Option<trail::Ran>,
+    location: Option<trail::Ran>,
 }
 
 impl Turn {
     /// The turn runs at `upstream`.
-    pub fn runs_at(&mut self, upstream: &id::UpstreamId) {
-        self.ran = Some(trail::Ran {
+    pub fn set_upstream(&mut self, upstream: &id::UpstreamId) {
+        self.location = Some(trail::Ran {
             lineage: self.lineage.clone(),
-            upstream: fleet::short(upstream),
+            upstream: fleet::short_hash(upstream),
         });
     }
 
     /// The turn broke at the upstream that ran it. Its caller will send it again, through whichever
     /// entry, and is not to meet the same upstream for the sake of its cache.
-    pub fn broke(&mut self) {
+    pub fn mark_broken(&mut self) {
         self.gate
             .fleet
-            .told_last(&self.lineage, trail::Last::nowhere());
-        self.ran = Some(trail::Ran {
+            .set_last_upstreams(&self.lineage, trail::Last::nowhere());
+        self.location = Some(trail::Ran {
             lineage: self.lineage.clone(),
             upstream: trail::NOWHERE,
         });
     }
 
     /// The caller got `tokens` more.
-    pub fn hand_out(&mut self, tokens: id::Tokens) {
+    pub fn add_tokens(&mut self, tokens: id::Tokens) {
         if let Some(charge) = &mut self.charge {
             charge.tokens += tokens;
         }
@@ -62,11 +62,11 @@
             made: server::unix_ms(),
             ..charge
         });
-        let is_news = charge.is_some() || record.is_some();
-        is_news.then(|| service::Finish {
+        let is_needed = charge.is_some() || record.is_some();
+        is_needed.then(|| service::Finish {
             turn: record,
             charge,
-            ran: self.ran.take(),
+            ran: self.location.take(),
         })
     }
 
@@ -115,7 +115,7 @@
     until: Instant,
 ) -> Result<Ready, error::Error> {
     let previous = call.previous.as_ref().filter(|_| kept);
-    let seen = gate.turns.chain(previous);
+    let cached = gate.turns.chain(previous);
     let reserve = reserve(call);
     let charge = reserve.as_ref().map(|reserve| record::Charge {
         program: reserve.program.clone(),
@@ -129,25 +129,25 @@
         gate: Arc::clone(gate),
         charge,
         lineage: call.lineage(),
-        ran: None,
+        location: None,
     };
-    let rest = if reserve.is_none() && seen.missing.is_none() {
+    let rest = if reserve.is_none() && cached.missing.is_none() {
         Vec::new()
     } else {
-        ask(gate, call, reserve, seen.missing, until).await?
+        request_chain(gate, call, reserve, cached.missing, until).await?
     };
     let rest: Vec<_> = rest.into_iter().map(Arc::new).collect();
     for record in &rest {
         gate.turns.put(Arc::clone(record));
     }
-    let chain: Vec<_> = seen.turns.into_iter().chain(rest).collect();
+    let chain: Vec<_> = cached.turns.into_iter().chain(rest).collect();
     Ok(Ready {
-        body: join(&chain, input),
+        body: concatenate(&chain, input),
         turn,
     })
 }
 
-async fn ask(
+async fn request_chain(
     gate: &Arc<gate::Gate>,
     call: &call::Call,
     reserve: Option<service::Reserve>,
@@ -155,7 +155,7 @@
     until: Instant,
 ) -> Result<Vec<record::Turn>, error::Error> {
     let lineage = call.lineage();
-    let patience = until.min(Instant::now() + PATIENCE);
+    let deadline = until.min(Instant::now() + UNSURE_TIMEOUT);
     loop {
         let load = service::Load {
             relay: gate.opts.relay,
@@ -166,13 +166,16 @@
             newest: newest.clone(),
             load,
             lineage: lineage.clone(),
-            spent: call.team.as_ref().and_then(|team| gate.quotas.spent(team)),
+            spent: call
+                .team
+                .as_ref()
+                .and_then(|team| gate.quotas.team_usage(team)),
         };
         let tell = |told: client::Told<'_>| {
-            gate.fleet.told_others(told.calls);
-            gate.fleet.told_last(&lineage, told.last);
+            gate.fleet.set_other_calls(told.calls);
+            gate.fleet.set_last_upstreams(&lineage, told.last);
             if let (Some(team), Some(spent)) = (&call.team, &told.spent) {
-                gate.quotas.heard(team, spent);
+                gate.quotas.merge(team, spent);
             }
         };
         let err = match gate.replicas.begin(ask, tell).await {
@@ -184,10 +187,10 @@
             client::Error::UnknownTurn { .. } => error::Kind::UnknownTurn,
             client::Error::Unsure { .. } => error::Kind::ReplicasUnsure,
         };
-        if kind != error::Kind::ReplicasUnsure || Instant::now() + AGAIN >= patience {
+        if kind != error::Kind::ReplicasUnsure || Instant::now() + RETRY_PAUSE >= deadline {
             return Err(error::Error::new(kind, err.to_string()));
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -195,14 +198,14 @@
     Some(service::Reserve {
         program: call.program.clone()?,
         turn: call.turn.clone(),
-        tokens: call.most_tokens,
+        tokens: call.max_tokens,
         budget: call.budget?,
         known: Vec::new(),
     })
 }
 
 /// The inputs and outputs of `chain`, which is newest first, from the oldest on, then `input`.
-fn join(chain: &[Arc<record::Turn>], input: &Bytes) -> Bytes {
+fn concatenate(chain: &[Arc<record::Turn>], input: &Bytes) -> Bytes {
     if chain.is_empty() {
         return input.clone();
     }
--- a/fw-gate/tests/gate/api_keys.rs
+++ b/fw-gate/tests/gate/api_keys.rs
@@ -98,8 +98,8 @@
         headers.insert(name, HeaderValue::from_static("1"));
     }
     let call = Call::read(&call_headers::names(), &headers).unwrap();
-    let temple = call.clone().of_team(&"temple".into());
-    let shop = call.clone().of_team(&"shop".into());
+    let temple = call.clone().scoped_to(&"temple".into());
+    let shop = call.clone().scoped_to(&"shop".into());
     expect_that!(temple.id, eq(&shop.id));
     expect_that!(temple.turn, not(eq(&shop.turn)));
     expect_that!(temple.program, not(eq(&shop.program)));
--- a/fw-gate/tests/gate/call_headers.rs
+++ b/fw-gate/tests/gate/call_headers.rs
@@ -50,7 +50,7 @@
     )
     .unwrap();
     expect_that!(call.prompt_tokens, eq(1460));
-    expect_that!(call.most_tokens, eq(80));
+    expect_that!(call.max_tokens, eq(80));
     expect_that!(call.budget, some(eq(2288)));
     expect_that!(call.object.as_deref(), some(eq("17")));
     expect_that!(call.session.as_deref(), some(eq("s")));
@@ -78,7 +78,7 @@
         ("keep-alive", "timeout=5"),
         ("x-other", "1"),
     ]);
-    call::strip_hop(&mut all);
+    call::strip_hop_by_hop(&mut all);
     expect_that!(all.len(), eq(1));
     expect_true!(all.contains_key("x-other"));
 }
--- a/fw-gate/tests/gate/event_split.rs
+++ b/fw-gate/tests/gate/event_split.rs
@@ -22,7 +22,7 @@
             found.extend(std::iter::from_fn(|| cut.next_event()));
         }
         expect_that!(found, eq(&events), "pieces of {size}");
-        expect_false!(cut.has_rest());
+        expect_false!(cut.has_partial());
     }
 }
 
@@ -31,7 +31,7 @@
     let mut splitter = Splitter::default();
     splitter.push(b"id: 1\ndata: a\n");
     expect_that!(splitter.next_event(), none());
-    expect_true!(splitter.has_rest());
+    expect_true!(splitter.has_partial());
     splitter.push(b"\n");
     expect_that!(splitter.next_event(), some(anything()));
 }
--- a/fw-gate/tests/gate/main.rs
+++ b/fw-gate/tests/gate/main.rs
@@ -4,10 +4,10 @@
 mod api_keys;
 mod call_headers;
 mod event_split;
-mod first_moments;
-mod held_turns;
 mod route_choice;
 mod sent_calls;
-mod store_news;
+mod startup;
+mod store_updates;
 mod turn_cache;
 mod upstream_list;
+mod waiting_turns;
--- a/fw-gate/tests/gate/sent_calls.rs
+++ b/fw-gate/tests/gate/sent_calls.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use fw_base::error;
-use fw_gate::process::fleet::{Change, List, ListedUpstream, Read, Want};
+use fw_gate::process::fleet::{Change, Criteria, ListUpdate, ListedUpstream, StoreRead};
 use fw_gate::request::send;
 use googletest::prelude::*;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -41,11 +41,14 @@
     };
     for change in [Change::Removed("x".into()), Change::Put(leaving)] {
         let fleet = fleet();
-        fleet.apply(Some(Read::own(1)), List::Whole(vec![upstream.clone()]));
-        let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
-        fleet.apply(Some(Read::own(2)), List::Changes(vec![change]));
+        fleet.apply(
+            Some(StoreRead::own(1)),
+            ListUpdate::Full(vec![upstream.clone()]),
+        );
+        let lease = fleet.choose(&"s".into(), &Criteria::default()).unwrap();
+        fleet.apply(Some(StoreRead::own(2)), ListUpdate::Changes(vec![change]));
         let until = Instant::now() + Duration::from_secs(1);
-        let sent = send::once(&names(), &outbound(), lease, until).await;
+        let sent = send::call_upstream(&names(), &outbound(), lease, until).await;
         expect_that!(sent.unwrap_err().err.ran(), eq(error::Ran::No));
         // A connection may have been made; nothing came over it.
         let accepted = tokio::time::timeout(Duration::from_millis(100), listener.accept()).await;
--- a/fw-gate/tests/gate/first_moments.rs
+++ b/fw-gate/tests/gate/startup.rs
@@ -44,7 +44,7 @@
             ..Config::default()
         });
     };
-    let (config, ()) = tokio::join!(gate.config_soon(), read);
+    let (config, ()) = tokio::join!(gate.await_config(), read);
     expect_that!(config.map(|config| config.version), some(eq(7)));
 }
 
@@ -54,6 +54,6 @@
 #[tokio::test(start_paused = true)]
 async fn do_not_make_requests_wait_for_long() {
     let begun = tokio::time::Instant::now();
-    expect_that!(gate().config_soon().await, none());
+    expect_that!(gate().await_config().await, none());
     expect_that!(begun.elapsed(), le(Duration::from_secs(1)));
 }
--- a/fw-gate/tests/gate/store_news.rs
+++ b/fw-gate/tests/gate/store_updates.rs
@@ -5,15 +5,15 @@
 
 use fw_base::clock;
 use fw_follow::Step;
-use fw_gate::process::fleet::{self, Want};
+use fw_gate::process::fleet::{self, Criteria};
 use fw_gate::process::gate::{self, Change, Gate};
-use fw_gate::process::snapshot::Known;
+use fw_gate::process::snapshot::Cache;
 use fw_gate::version::config::Config;
 use fw_plan::staleness;
 use fw_replica::{member, service};
 use googletest::prelude::*;
 
-use crate::first_moments::{gate, options};
+use crate::startup::{gate, options};
 use crate::upstream_list::{is_used, listed};
 
 fn config(version: u64) -> Config {
@@ -27,7 +27,7 @@
     Step::News { changes, as_of }
 }
 
-fn news(newer: service::Bulletins, as_of: u64) -> service::News {
+fn update(newer: service::Bulletins, as_of: u64) -> service::News {
     service::News {
         marks: newer.marks(),
         newer,
@@ -54,18 +54,18 @@
         Change::Upstream(fleet::Change::Put(listed("x"))),
     ];
     gate.apply(read(3, first));
-    let mut other = Known::default();
+    let mut other = Cache::default();
     let leaving = fleet::ListedUpstream {
         takes_work: false,
         ..listed("x")
     };
-    let newer = other.read(5, &config(2), &[leaving]);
-    gate.hear(&news(newer, 5), clock::since_boot());
+    let newer = other.record_read(5, &config(2), &[leaving]);
+    gate.apply_update(&update(newer, 5), clock::since_boot());
     gate.apply(read(
         4,
         vec![Change::Upstream(fleet::Change::Put(listed("x")))],
     ));
-    let chosen = gate.fleet.choose(&"s".into(), &Want::default());
+    let chosen = gate.fleet.choose(&"s".into(), &Criteria::default());
     expect_that!(chosen.is_err(), eq(true));
     expect_that!(gate.config().unwrap().version, eq(2));
 }
@@ -74,14 +74,14 @@
 #[tokio::test]
 async fn a_later_read_counts_again() {
     let gate = gate();
-    let mut other = Known::default();
-    let newer = other.read(5, &config(2), &[listed("x")]);
-    gate.hear(&news(newer, 5), clock::since_boot());
+    let mut other = Cache::default();
+    let newer = other.record_read(5, &config(2), &[listed("x")]);
+    gate.apply_update(&update(newer, 5), clock::since_boot());
     gate.apply(read(
         6,
         vec![Change::Upstream(fleet::Change::Removed("x".into()))],
     ));
-    let chosen = gate.fleet.choose(&"s".into(), &Want::default());
+    let chosen = gate.fleet.choose(&"s".into(), &Criteria::default());
     expect_that!(chosen.is_err(), eq(true));
 }
 
@@ -89,16 +89,19 @@
 // all replicas, and from them to a hundred entries.
 #[gtest]
 fn what_was_heard_is_not_told_again() {
-    let mut reader = Known::default();
-    let newer = reader.read(5, &config(2), &[listed("x")]);
+    let mut reader = Cache::default();
+    let newer = reader.record_read(5, &config(2), &[listed("x")]);
     expect_that!(newer.config, some(anything()));
-    let mut next = Known::default();
-    expect_true!(next.hear(&news(newer, 5)).unwrap().is_whole);
+    let mut next = Cache::default();
+    expect_true!(next.apply_update(&update(newer, 5)).unwrap().is_complete);
     let nothing = service::Bulletins::default();
-    expect_that!(next.read(7, &config(2), &[listed("x")]), eq(&nothing));
+    expect_that!(
+        next.record_read(7, &config(2), &[listed("x")]),
+        eq(&nothing)
+    );
     expect_that!(next.as_of(), eq(7));
     // Of the parts, only what has changed.
-    let changed = next.read(8, &config(2), &[listed("x"), listed("y")]);
+    let changed = next.record_read(8, &config(2), &[listed("x"), listed("y")]);
     expect_that!(changed.config.is_none(), eq(true));
     expect_that!(changed.upstreams.unwrap().as_of, eq(8));
 }
@@ -108,79 +111,84 @@
 #[tokio::test]
 async fn a_list_of_the_same_revision_is_taken() {
     let gate = gate();
-    let mut reader = Known::default();
-    let first = reader.read(5, &config(2), &[listed("x")]);
-    expect_true!(gate.hear(&news(first, 5), clock::since_boot()));
+    let mut reader = Cache::default();
+    let first = reader.record_read(5, &config(2), &[listed("x")]);
+    expect_true!(gate.apply_update(&update(first, 5), clock::since_boot()));
     expect_true!(is_used(&gate.fleet));
     let second = service::News {
         marks: {
-            reader.read(5, &config(2), &[]);
-            reader.marks()
+            reader.record_read(5, &config(2), &[]);
+            reader.digests()
         },
-        ..news(reader.whole(Arc::new(config(2)))(), 5)
+        ..update(reader.full_snapshot(Arc::new(config(2)))(), 5)
     };
-    expect_true!(gate.hear(&second, clock::since_boot()));
+    expect_true!(gate.apply_update(&second, clock::since_boot()));
     expect_false!(is_used(&gate.fleet));
 }
 
 // Guards against an entry that counts a revision as known and lacks what the store held at it.
 #[gtest]
 fn a_revision_counts_only_with_its_content() {
-    let mut reader = Known::default();
-    let first = reader.read(5, &config(2), &[listed("x")]);
-    let mut hearer = Known::default();
-    hearer.hear(&news(first, 5));
-    reader.read(7, &config(2), &[]);
+    let mut reader = Cache::default();
+    let first = reader.record_read(5, &config(2), &[listed("x")]);
+    let mut follower = Cache::default();
+    follower.apply_update(&update(first, 5));
+    reader.record_read(7, &config(2), &[]);
     let without_the_list = service::News {
-        marks: reader.marks(),
-        ..news(service::Bulletins::default(), 7)
+        marks: reader.digests(),
+        ..update(service::Bulletins::default(), 7)
     };
-    expect_false!(hearer.hear(&without_the_list).unwrap().is_whole);
-    expect_that!(hearer.as_of(), eq(5));
-    let whole = news(reader.whole(Arc::new(config(2)))(), 7);
-    expect_true!(hearer.hear(&whole).unwrap().is_whole);
-    expect_that!(hearer.as_of(), eq(7));
+    expect_false!(
+        follower
+            .apply_update(&without_the_list)
+            .unwrap()
+            .is_complete
+    );
+    expect_that!(follower.as_of(), eq(5));
+    let whole = update(reader.full_snapshot(Arc::new(config(2)))(), 7);
+    expect_true!(follower.apply_update(&whole).unwrap().is_complete);
+    expect_that!(follower.as_of(), eq(7));
 }
 
 // Guards against an entry that relies on others who tell it a list that it cannot read.
 #[gtest]
 fn an_unreadable_list_does_not_count_as_known() {
-    let mut reader = Known::default();
-    let mut first = reader.read(5, &config(2), &[listed("x")]);
+    let mut reader = Cache::default();
+    let mut first = reader.record_read(5, &config(2), &[listed("x")]);
     if let Some(part) = &mut first.upstreams {
         part.bytes = "\u{ff}\u{ff}".into();
     }
-    let mut hearer = Known::default();
-    let told = hearer.hear(&news(first.clone(), 5)).unwrap();
+    let mut follower = Cache::default();
+    let told = follower.apply_update(&update(first.clone(), 5)).unwrap();
     expect_that!(told.upstreams, none());
-    expect_false!(told.is_whole);
+    expect_false!(told.is_complete);
     // Nor when nothing is told anew.
     let again = service::News {
         marks: first.marks(),
-        ..news(service::Bulletins::default(), 6)
+        ..update(service::Bulletins::default(), 6)
     };
-    expect_false!(hearer.hear(&again).unwrap().is_whole);
-    expect_that!(hearer.as_of(), eq(0));
+    expect_false!(follower.apply_update(&again).unwrap().is_complete);
+    expect_that!(follower.as_of(), eq(0));
     // Its own read makes up for it.
-    hearer.read(6, &config(2), &[listed("x")]);
-    expect_that!(hearer.as_of(), eq(6));
+    follower.record_read(6, &config(2), &[listed("x")]);
+    expect_that!(follower.as_of(), eq(6));
 }
 
 // Guards against a list on a replica's disk that takes the place of a newer one.
 #[gtest]
 fn what_lies_on_a_disk_is_taken_only_if_it_is_newer() {
-    let mut reader = Known::default();
-    let old = reader.read(5, &config(2), &[listed("x")]);
-    let new = reader.read(7, &config(3), &[]);
+    let mut reader = Cache::default();
+    let old = reader.record_read(5, &config(2), &[listed("x")]);
+    let new = reader.record_read(7, &config(3), &[]);
     let on_disk = |parts: service::Bulletins| service::News {
         last: None,
-        ..news(parts, 0)
+        ..update(parts, 0)
     };
-    let mut hearer = Known::default();
-    expect_true!(hearer.hear(&on_disk(new)).is_some());
-    expect_true!(hearer.hear(&on_disk(old)).is_none());
+    let mut follower = Cache::default();
+    expect_true!(follower.apply_update(&on_disk(new)).is_some());
+    expect_true!(follower.apply_update(&on_disk(old)).is_none());
     // Nobody has said that all is known up to then.
-    expect_that!(hearer.as_of(), eq(0));
+    expect_that!(follower.as_of(), eq(0));
 }
 
 // Guards against a reader that tells others to go on with an upstream which it keeps for itself.
@@ -188,8 +196,8 @@
 #[tokio::test]
 async fn a_reader_that_was_cut_off_brings_nothing_back() {
     let gate = gate();
-    let mut other = Known::default();
-    let newer = other.read(5, &config(2), &[listed("x")]);
+    let mut other = Cache::default();
+    let newer = other.record_read(5, &config(2), &[listed("x")]);
     let ago = Duration::from_secs(9);
     let old = service::News {
         last: Some(service::LastRead {
@@ -198,9 +206,9 @@
             ago,
             asked: None,
         }),
-        ..news(newer, 5)
+        ..update(newer, 5)
     };
-    gate.hear(&old, clock::since_boot());
+    gate.apply_update(&old, clock::since_boot());
     let nothing = Step::Whole {
         changes: vec![],
         as_of: 8,
@@ -209,16 +217,16 @@
     expect_true!(is_used(&gate.fleet));
     expect_that!(gate.fleet.listing(), is_empty());
     // Others have read the store all the while.
-    let known = Known::default();
+    let cache = Cache::default();
     let steady = service::News {
         reads: Some(service::SteadyReads {
             first: Duration::from_secs(60),
             last: Duration::from_millis(200),
         }),
-        marks: known.marks(),
-        ..news(service::Bulletins::default(), 8)
+        marks: cache.digests(),
+        ..update(service::Bulletins::default(), 8)
     };
-    gate.hear(&steady, clock::since_boot());
+    gate.apply_update(&steady, clock::since_boot());
     expect_false!(is_used(&gate.fleet));
 }
 
@@ -231,9 +239,9 @@
         ..options()
     });
     let unproven = staleness::Outcome::Stale { age: None };
-    let keys = async || gate.in_force_soon().await.unwrap().keys;
+    let keys = async || gate.await_active_config().await.unwrap().key_freshness;
     gate.configure(config(1));
-    gate.turn_to_read().await;
+    gate.wait_read_due().await;
     gate.apply(read(4, vec![Change::UnreadableConfig]));
     expect_that!(keys().await, eq(unproven));
     gate.apply(read(5, vec![]));
--- a/fw-gate/tests/gate/turn_cache.rs
+++ b/fw-gate/tests/gate/turn_cache.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fw_gate::process::turns::Turns;
+use fw_gate::process::turn_cache::TurnCache;
 use fw_replica::record::Turn;
 use googletest::prelude::*;
 
@@ -20,7 +20,7 @@
 
 #[gtest]
 fn give_a_chain_as_far_as_it_is_known() {
-    let turns = Turns::default();
+    let turns = TurnCache::default();
     turns.put(turn(1, 10));
     turns.put(turn(2, 10));
     let chain = turns.chain(Some(&"2".into()));
@@ -33,7 +33,7 @@
 
 #[gtest]
 fn are_bounded_and_forget_the_oldest() {
-    let turns = Turns::default();
+    let turns = TurnCache::default();
     (0..100).for_each(|id| turns.put(turn(id, 50_000)));
     let chain = turns.chain(Some(&"99".into()));
     expect_that!(chain.turns.len(), all!(ge(10), le(25)));
--- a/fw-gate/tests/gate/upstream_list.rs
+++ b/fw-gate/tests/gate/upstream_list.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fw_gate::process::fleet::{self, Change, Fleet, List, ListedUpstream, Load, Want, Warmth};
+use fw_gate::process::fleet::{
+    self, Affinity, Change, Criteria, Fleet, ListUpdate, ListedUpstream, Load,
+};
 use fw_plan::health::Seen;
 use fw_plan::{confirm, lapse};
 use fw_replica::trail;
@@ -30,27 +32,27 @@
 }
 
 /// A read that was made so many milliseconds ago.
-fn read(as_of: u64, ago: u64) -> Option<fleet::Read> {
+fn read(as_of: u64, ago: u64) -> Option<fleet::StoreRead> {
     let ago = Duration::from_millis(ago);
-    Some(fleet::Read { as_of, ago })
+    Some(fleet::StoreRead { as_of, ago })
 }
 
 pub(crate) fn is_used(fleet: &Arc<Fleet>) -> bool {
-    fleet.choose(&"s".into(), &Want::default()).is_ok()
+    fleet.choose(&"s".into(), &Criteria::default()).is_ok()
 }
 
 // Guards against a service left empty by entries that lapsed while the store was away.
 #[gtest]
 fn loses_a_lapsed_upstream_only_when_it_has_had_time_to_come_back() {
     let fleet = fleet();
-    fleet.apply(read(1, 10_000), List::Whole(vec![listed("x")]));
-    fleet.apply(read(2, 3_000), List::Whole(vec![]));
+    fleet.apply(read(1, 10_000), ListUpdate::Full(vec![listed("x")]));
+    fleet.apply(read(2, 3_000), ListUpdate::Full(vec![]));
     expect_true!(is_used(&fleet));
-    fleet.apply(read(2, 1_000), List::Changes(vec![]));
+    fleet.apply(read(2, 1_000), ListUpdate::Changes(vec![]));
     expect_true!(is_used(&fleet));
     // Others are not told of it as of one that is listed.
     expect_that!(fleet.listing(), is_empty());
-    fleet.apply(read(2, 700), List::Changes(vec![]));
+    fleet.apply(read(2, 700), ListUpdate::Changes(vec![]));
     expect_false!(is_used(&fleet));
 }
 
@@ -58,13 +60,13 @@
 #[gtest]
 fn keeps_a_lapsed_upstream_that_is_back() {
     let fleet = fleet();
-    fleet.apply(read(1, 10_000), List::Whole(vec![listed("x")]));
-    fleet.apply(read(2, 3_000), List::Whole(vec![]));
+    fleet.apply(read(1, 10_000), ListUpdate::Full(vec![listed("x")]));
+    fleet.apply(read(2, 3_000), ListUpdate::Full(vec![]));
     fleet.apply(
         read(3, 2_000),
-        List::Changes(vec![Change::Put(listed("x"))]),
+        ListUpdate::Changes(vec![Change::Put(listed("x"))]),
     );
-    fleet.apply(read(3, 500), List::Changes(vec![]));
+    fleet.apply(read(3, 500), ListUpdate::Changes(vec![]));
     expect_true!(is_used(&fleet));
     expect_that!(fleet.listing().len(), eq(1));
 }
@@ -73,11 +75,11 @@
 #[gtest]
 fn loses_an_upstream_at_once_that_leaves_after_an_outage() {
     let fleet = fleet();
-    fleet.apply(read(1, 10_000), List::Whole(vec![listed("x")]));
-    fleet.apply(read(2, 1_000), List::Whole(vec![listed("x")]));
+    fleet.apply(read(1, 10_000), ListUpdate::Full(vec![listed("x")]));
+    fleet.apply(read(2, 1_000), ListUpdate::Full(vec![listed("x")]));
     fleet.apply(
         read(3, 500),
-        List::Changes(vec![Change::Removed("x".into())]),
+        ListUpdate::Changes(vec![Change::Removed("x".into())]),
     );
     expect_false!(is_used(&fleet));
 }
@@ -86,11 +88,11 @@
 #[gtest]
 fn loses_an_upstream_that_left_while_only_this_entry_was_cut_off() {
     let fleet = fleet();
-    fleet.apply(read(1, 10_000), List::Whole(vec![listed("x")]));
-    fleet.apply(read(9, 100), List::Whole(vec![]));
+    fleet.apply(read(1, 10_000), ListUpdate::Full(vec![listed("x")]));
+    fleet.apply(read(9, 100), ListUpdate::Full(vec![]));
     expect_true!(is_used(&fleet));
     fleet.note_reads(Duration::from_secs(60), Duration::from_millis(300));
-    fleet.apply(None, List::Changes(vec![]));
+    fleet.apply(None, ListUpdate::Changes(vec![]));
     expect_false!(is_used(&fleet));
 }
 
@@ -122,15 +124,15 @@
         ..listed("y")
     });
     for _ in 0..20 {
-        let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
+        let lease = fleet.choose(&"s".into(), &Criteria::default()).unwrap();
         expect_that!(lease.id, eq("x"));
     }
     let avoid = ["x".into()];
-    let want = Want {
+    let criteria = Criteria {
         avoid: &avoid,
-        ..Want::default()
+        ..Criteria::default()
     };
-    expect_that!(fleet.choose(&"s".into(), &want), err(anything()));
+    expect_that!(fleet.choose(&"s".into(), &criteria), err(anything()));
 }
 
 // A call failed at the one upstream that is in use; the others are ejected, and may be back. Its caller
@@ -142,17 +144,17 @@
         fleet.put(listed(id));
     }
     for id in ["y", "z"] {
-        let lease = fleet.again(&"s".into(), &id.into()).unwrap();
-        lease.seen(Seen::Down);
+        let lease = fleet.lease_again(&"s".into(), &id.into()).unwrap();
+        lease.record_health(Seen::Down);
     }
-    let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
+    let lease = fleet.choose(&"s".into(), &Criteria::default()).unwrap();
     expect_that!(lease.id, eq("x"));
     let avoid = ["x".into()];
-    let want = Want {
+    let criteria = Criteria {
         avoid: &avoid,
-        ..Want::default()
+        ..Criteria::default()
     };
-    let lease = fleet.choose(&"s".into(), &want).unwrap();
+    let lease = fleet.choose(&"s".into(), &criteria).unwrap();
     expect_that!(lease.id, not(eq("x")));
 }
 
@@ -163,16 +165,16 @@
     let fleet = fleet();
     fleet.put(listed("x"));
     fleet.put(listed("y"));
-    let lease = fleet.again(&"s".into(), &"x".into()).unwrap();
-    lease.told(Load {
+    let lease = fleet.lease_again(&"s".into(), &"x".into()).unwrap();
+    lease.record_load(Load {
         running: 2,
         waiting: 30,
     });
     drop(lease);
     for _ in 0..10 {
-        let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
+        let lease = fleet.choose(&"s".into(), &Criteria::default()).unwrap();
         expect_that!(lease.id, eq("y"));
-        lease.seen(Seen::Answered);
+        lease.record_health(Seen::Answered);
     }
     fleet.put(ListedUpstream {
         started_at: 2,
@@ -181,7 +183,7 @@
     let ids: Vec<_> = (0..40)
         .map(|_| {
             fleet
-                .choose(&"s".into(), &Want::default())
+                .choose(&"s".into(), &Criteria::default())
                 .unwrap()
                 .id
                 .clone()
@@ -196,7 +198,7 @@
     fleet.put(listed("x"));
     fleet.put(listed("y"));
     let leases: Vec<_> = (0..8)
-        .map(|_| fleet.choose(&"s".into(), &Want::default()).unwrap())
+        .map(|_| fleet.choose(&"s".into(), &Criteria::default()).unwrap())
         .collect();
     let at_x = leases.iter().filter(|lease| lease.id == "x").count();
     expect_that!(at_x, eq(4));
@@ -213,28 +215,28 @@
         fleet.put(listed("y"));
     }
     let busy: Vec<_> = (0..4)
-        .map(|_| one.again(&"s".into(), &"x".into()).unwrap())
+        .map(|_| one.lease_again(&"s".into(), &"x".into()).unwrap())
         .collect();
-    two.told_others(&one.load().calls);
+    two.set_other_calls(&one.load().calls);
     for _ in 0..3 {
-        let lease = two.choose(&"s".into(), &Want::default()).unwrap();
+        let lease = two.choose(&"s".into(), &Criteria::default()).unwrap();
         expect_that!(lease.id, eq("y"));
     }
     drop(busy);
     expect_that!(one.load().calls, is_empty());
 }
 
-fn turn(session: Option<&str>) -> Want<'static> {
+fn turn(session: Option<&str>) -> Criteria<'static> {
     let lineage = trail::Lineage {
         session: session.map(Into::into),
         program: Some("p".into()),
     };
-    Want {
-        warmth: Warmth::Prompt {
+    Criteria {
+        affinity: Affinity::Prompt {
             lineage,
             tokens: 2_000,
         },
-        ..Want::default()
+        ..Criteria::default()
     }
 }
 
@@ -259,10 +261,10 @@
     };
     for id in ["u7", "u21"] {
         let last = trail::Last {
-            session: Some(fleet::short(&id.into())),
+            session: Some(fleet::short_hash(&id.into())),
             program: None,
         };
-        fleet.told_last(&lineage, last);
+        fleet.set_last_upstreams(&lineage, last);
         let lease = fleet.choose(&"s".into(), &turn(Some("s"))).unwrap();
         expect_that!(lease.id, eq(id));
     }
@@ -280,12 +282,12 @@
     fleet.put(tools);
     let first = fleet.choose(&"s".into(), &turn(Some("s"))).unwrap();
     let object = "17".into();
-    let call = Want {
-        warmth: Warmth::Object(&object),
-        ..Want::default()
+    let call = Criteria {
+        affinity: Affinity::Object(&object),
+        ..Criteria::default()
     };
     fleet.choose(&"tools".into(), &call).unwrap();
-    fleet.choose(&"tools".into(), &Want::default()).unwrap();
+    fleet.choose(&"tools".into(), &Criteria::default()).unwrap();
     let second = fleet.choose(&"s".into(), &turn(Some("s"))).unwrap();
     expect_that!(second.id, eq(&first.id));
 }
@@ -295,19 +297,19 @@
     // An upstream that lately handled an object is twice as fast. Entries that each choose for
     // themselves spread the object over all upstreams, and none stays warm.
     let object = "17".into();
-    let want = Want {
-        warmth: Warmth::Object(&object),
-        ..Want::default()
+    let criteria = Criteria {
+        affinity: Affinity::Object(&object),
+        ..Criteria::default()
     };
     let ids: Vec<_> = (0..5)
         .map(|_| {
             let fleet = many();
             // The usual time of a call is known, some ten milliseconds.
-            let lease = fleet.choose(&"s".into(), &want).unwrap();
+            let lease = fleet.choose(&"s".into(), &criteria).unwrap();
             std::thread::sleep(std::time::Duration::from_millis(20));
-            lease.done(None);
+            lease.complete(None);
             drop(lease);
-            fleet.choose(&"s".into(), &want).unwrap().id.clone()
+            fleet.choose(&"s".into(), &criteria).unwrap().id.clone()
         })
         .collect();
     expect_true!(ids.iter().all(|id| *id == ids[0]), "{ids:?}");
@@ -325,11 +327,11 @@
     };
     let last = trail::Last {
         session: None,
-        program: Some(fleet::short(&lease.id)),
+        program: Some(fleet::short_hash(&lease.id)),
     };
     for agent in ["a1", "a2", "a3", "a4", "a5"] {
         let other = many();
-        other.told_last(&lineage, last);
+        other.set_last_upstreams(&lineage, last);
         let theirs = other.choose(&"s".into(), &turn(Some(agent))).unwrap();
         expect_that!(theirs.id, eq(&lease.id));
     }
@@ -345,13 +347,13 @@
         session: Some("s".into()),
         program: Some("p".into()),
     };
-    let broken = fleet::short(&"u7".into());
+    let broken = fleet::short_hash(&"u7".into());
     let ran = trail::Last {
         session: Some(broken),
         program: Some(broken),
     };
-    fleet.told_last(&lineage, ran);
-    fleet.told_last(&lineage, trail::Last::nowhere());
+    fleet.set_last_upstreams(&lineage, ran);
+    fleet.set_last_upstreams(&lineage, trail::Last::nowhere());
     let ids: Vec<_> = (0..20)
         .map(|_| fleet.choose(&"s".into(), &turn(Some("s"))).unwrap())
         .collect();
--- a/fw-gate/tests/gate/held_turns.rs
+++ b/fw-gate/tests/gate/waiting_turns.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use fw_gate::process::fleet::{self, Fleet, Lease, Want, Warmth};
+use fw_gate::process::fleet::{self, Affinity, Criteria, Fleet, Lease};
 use fw_replica::trail;
 use googletest::prelude::*;
 
@@ -11,16 +11,16 @@
 /// Calls that fill an upstream of [`listed`]: its slots, and as many that queue there.
 const FULL: usize = 4;
 
-fn turn(session: &str) -> Want<'static> {
-    Want {
-        warmth: Warmth::Prompt {
+fn turn(session: &str) -> Criteria<'static> {
+    Criteria {
+        affinity: Affinity::Prompt {
             lineage: trail::Lineage {
                 session: Some(session.into()),
                 program: Some("p".into()),
             },
             tokens: 2_000,
         },
-        ..Want::default()
+        ..Criteria::default()
     }
 }
 
@@ -35,17 +35,17 @@
             program: None,
         };
         let last = trail::Last {
-            session: Some(fleet::short(&"x".into())),
+            session: Some(fleet::short_hash(&"x".into())),
             program: None,
         };
-        fleet.told_last(&lineage, last);
+        fleet.set_last_upstreams(&lineage, last);
     }
     fleet
 }
 
 fn busy(fleet: &Arc<Fleet>, id: &str, calls: usize) -> Vec<Lease> {
     (0..calls)
-        .map(|_| fleet.again(&"s".into(), &id.into()).unwrap())
+        .map(|_| fleet.lease_again(&"s".into(), &id.into()).unwrap())
         .collect()
 }
 
@@ -58,8 +58,8 @@
     let fleet = two_upstreams(&["warm"]);
     let mut at_x = busy(&fleet, "x", FULL);
     let _at_y = busy(&fleet, "y", FULL - 1);
-    let (service, want) = ("s".into(), turn("warm"));
-    let waits = fleet.acquire(&service, &want);
+    let (service, criteria) = ("s".into(), turn("warm"));
+    let waits = fleet.acquire(&service, &criteria);
     // The other has room in its queue all the while.
     let (lease, ()) = tokio::join!(waits, async { drop(at_x.pop()) });
     expect_that!(lease.map(|lease| lease.id.clone()), ok(eq("x")));
