--- a/fw-gate/src/connection/link.rs
+++ b/fw-gate/src/connection/link.rs
@@ -14,17 +14,17 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Longest wait for a connection. In a region one takes a millisecond; a dark upstream never
-/// answers, and the call can go elsewhere, as nothing was sent.
+/// Timeout for connecting. Within a region a connection takes a millisecond; an upstream that is down or
+/// unreachable never answers, and the call can be sent to another, as nothing was sent yet.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a connection stays usable without a call where the upstream does not say: it names
-/// whole seconds only, so it may be less than one.
+/// How long an idle connection stays usable if the upstream states no keep-alive timeout. It states whole
+/// seconds only, so without one its timeout may be below a second.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(500);
-/// Part of the upstream's own timeout after which a connection is not used any more: a call sent
-/// as the upstream closes it would break, and may not be sent twice.
+/// Fraction of the upstream's keep-alive timeout after which an idle connection is no longer used: a call
+/// sent while the upstream closes the connection would fail, and may not be sent again.
 const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
-/// Ends the connection's task, and with it the connection.
+/// The connection's task; dropping it aborts the task and closes the connection.
 #[derive(Debug)]
 struct Task(JoinHandle<()>);
 
@@ -34,7 +34,8 @@
     }
 }
 
-/// A connection. Dropping it closes it at once, which tells the upstream to stop working.
+/// A connection to an upstream. Dropping it closes the connection at once, at which the upstream stops
+/// working on the call.
 #[derive(Debug)]
 pub struct Link {
     sender: http1::SendRequest<Full<Bytes>>,
@@ -69,7 +70,7 @@
             .await
             .map_err(io::Error::other)?;
         let task = tokio::spawn(async move {
-            // What went wrong is told to the call that was under way.
+            // The error is also returned to the call in flight.
             let _ = connection.await;
         });
         Ok(Self {
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Whether a call may be sent: the connection is open and was not idle for too long.
+    /// Whether a call may be sent: the connection is open and has not been idle for too long.
     pub fn is_usable(&self) -> bool {
         !self.sender.is_closed()
             && self.sender.is_ready()
@@ -97,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// When the connection fails; [`Failed::unsent`] tells whether any byte may have left.
+    /// When the connection fails; [`SendError::unsent`] states whether any byte may have been sent.
     pub async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -113,7 +114,7 @@
         Ok(res)
     }
 
-    /// The call is over and its answer read to the end: the connection waits for the next.
+    /// Marks the connection as idle, after the answer of its call was read completely.
     pub fn mark_idle(&mut self) {
         self.idle_since = Instant::now();
     }
@@ -122,11 +123,11 @@
 /// A call whose connection failed before the head of an answer came.
 #[derive(Clone, Debug)]
 pub struct SendError {
-    /// Whether no byte of the call left.
+    /// Whether no byte of the call was sent.
     pub unsent: bool,
     /// Whether the connection had served a call before.
     pub reused: bool,
-    /// What the connection saw.
+    /// The connection's error.
     pub message: String,
 }
 
--- a/fw-gate/src/connection/listen.rs
+++ b/fw-gate/src/connection/listen.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: accepted, bounded, and closed without cutting a request.
+//! Callers' connections: accepted, limited, and closed without interrupting a request.
 
 use std::convert::Infallible;
 use std::io;
@@ -20,13 +20,12 @@
 use crate::process::gate;
 use crate::request::ingress;
 
-/// Connections that wait to be accepted. A longer queue costs nothing; one that overflows costs
-/// callers seconds.
+/// Backlog of connections that wait to be accepted. A longer backlog costs nothing; when it overflows,
+/// callers lose seconds.
 const BACKLOG: u32 = 1_024;
-/// Pause after a failed accept, such as for want of file descriptors.
+/// Pause after a failed accept, for example when no file descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Most bytes of a caller's connection that are buffered: a head of the longest length allowed and
-/// a piece of the body.
+/// Size of the read buffer of a caller's connection: a head of the maximum length and a part of the body.
 const READ_BUFFER_BYTES: usize = 32 << 10;
 
 /// Listens on `addr`.
@@ -45,7 +44,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves callers on `listener` until `stop`, and then until all requests under way are answered.
+/// Serves callers on `listener` until `stop`, and then until all requests in flight are answered.
 pub async fn serve(listener: TcpListener, gate: Arc<gate::Gate>, stop: CancellationToken) {
     let graceful = GracefulShutdown::new();
     let mut connections = JoinSet::new();
@@ -69,13 +68,13 @@
     graceful.shutdown().await;
 }
 
-/// Answers the requests of one connection.
+/// Serves the requests of one connection.
 fn serve_connection(
     stream: TcpStream,
     gate: &Arc<gate::Gate>,
     graceful: &GracefulShutdown,
 ) -> impl Future<Output = ()> + use<> {
-    // Fails only on a socket that is closed already, which the first read shows.
+    // Fails only on a socket that is already closed, which the first read detects.
     let _ = stream.set_nodelay(true);
     let shared = Arc::clone(gate);
     let handler = service::service_fn(move |req: Request<Incoming>| {
@@ -85,20 +84,20 @@
     let limits = ingress::limits(gate);
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // It runs between requests too, so it must not be shorter than a connection may be idle.
+        // This timeout also runs between requests, so it must not be shorter than the idle timeout.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
         .max_buf_size(READ_BUFFER_BYTES.max(limits.header_bytes))
         .serve_connection(TokioIo::new(stream), handler);
     let connection = graceful.watch(connection);
     async move {
-        // What was under way for a caller that breaks its connection has ended with it.
+        // If the caller broke the connection, its request in flight was cancelled with it.
         if let Err(err) = connection.await {
             tracing::debug!(%err, "a caller's connection ended");
         }
     }
 }
 
-/// Answers small questions, such as whether the process is ready, on `listener` for ever.
+/// Serves small text pages, such as the readiness check, on `listener`; never returns.
 pub async fn serve_pages<F>(listener: TcpListener, page: F)
 where
     F: Fn(&str) -> (StatusCode, String) + Clone + Send + Sync + 'static,
@@ -120,7 +119,7 @@
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .serve_connection(TokioIo::new(stream), handler);
-            // Whoever asks may leave without waiting for the answer.
+            // The client may disconnect without waiting for the answer.
             let _ = connection.await;
         });
         while connections.try_join_next().is_some() {}
--- a/fw-gate/src/connection/mod.rs
+++ b/fw-gate/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a connection.
+//! Connections from callers and to upstreams.
 
 pub mod link;
 pub mod listen;
--- a/fw-gate/src/lib.rs
+++ b/fw-gate/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry: takes callers' requests, routes them to upstreams, and keeps their turns and budgets
-//! with the replicas.
+//! The entry: accepts callers' requests, routes them to upstreams, and stores their turns and token
+//! budgets on the replicas.
 //!
-//! It knows calls, turns, routes and upstreams, but neither a platform's names nor the form of a
-//! prompt: an adapter says under which headers things stand ([`names::HeaderNames`]) and tells it of
+//! It works on calls, turns, routes and upstreams, and depends neither on a platform's names nor on the
+//! format of a prompt: an adapter supplies the names of headers ([`names::HeaderNames`]) and passes in
 //! configurations, upstreams and replicas ([`process::gate::Gate`]).
 //!
 //! ```
--- a/fw-gate/src/names.rs
+++ b/fw-gate/src/names.rs
@@ -1,6 +1,6 @@
-//! Under which headers callers and upstreams say what the entry has to know.
+//! The headers that the entry reads and sets on requests and answers.
 //!
-//! The names belong to the platform, so its adapter gives them; here are their meanings.
+//! The platform defines their names, so its adapter supplies them; the fields here give their meanings.
 
 use hyper::header::HeaderName;
 
@@ -9,34 +9,34 @@
 pub struct HeaderNames {
     /// Id of the caller's attempt; upstreams echo it.
     pub request_id: HeaderName,
-    /// Milliseconds that the receiver may take.
+    /// Milliseconds within which the receiver has to answer.
     pub deadline_ms: HeaderName,
-    /// Name of the cookie that names the object a request concerns.
+    /// Cookie with the id of the object that a request concerns.
     pub object_cookie: &'static str,
-    /// Proof that an answer is the upstream's.
+    /// Signature by which an upstream marks an answer as its own.
     pub signature: HeaderName,
-    /// The upstream that the entry means; any other refuses.
+    /// Id of the upstream that the request is meant for; any other refuses it.
     pub expect_upstream: HeaderName,
-    /// Requests running, waiting, and slots at the upstream, separated by commas.
+    /// Running requests, waiting requests and slots of the upstream, separated by commas.
     pub load: HeaderName,
-    /// Present if the upstream has not run the request.
+    /// Set on an answer if the upstream has not run the request.
     pub not_run: HeaderName,
-    /// Prompt tokens, and tokens generated at most, separated by a comma.
+    /// Number of prompt tokens and maximum number of generated tokens, separated by a comma.
     pub tokens: HeaderName,
     /// The program that a call belongs to.
     pub program: HeaderName,
-    /// The line of turns that a call belongs to.
+    /// The session that a call belongs to: a sequence of turns, each continuing the one before.
     pub session: HeaderName,
-    /// Milliseconds until the program should be finished.
+    /// Milliseconds until the program's deadline.
     pub program_deadline_ms: HeaderName,
-    /// Tokens that all turns of the program may generate.
+    /// Maximum number of tokens that all turns of the program may generate together.
     pub budget: HeaderName,
     /// The turn that this one continues.
     pub previous: HeaderName,
-    /// The team that a request belongs to, towards upstreams.
+    /// The team that a request belongs to, as sent to upstreams.
     pub team: HeaderName,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller received.
     pub resume_after: HeaderName,
-    /// Headers that only the entry may set towards an upstream: from a caller they are dropped.
+    /// Headers that only the entry may set on a request to an upstream; a caller's are removed.
     pub reserved: Vec<HeaderName>,
 }
--- a/fw-gate/src/process/fleet/choose.rs
+++ b/fw-gate/src/process/fleet/choose.rs
@@ -1,4 +1,4 @@
-//! Choosing the upstream of a call: who may get it, what is known of each, and the wait for a place.
+//! Choice of the upstream for a call: the usable upstreams, the cost of each, and the wait for a free slot.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,14 +13,14 @@
 use super::lease::{Eligibility, Lease, Ticket};
 use super::{Affinity, Criteria, Fleet, Service, Upstream};
 
-/// Prompt tokens that an engine reads in a millisecond, for the order of magnitude of what a lost
-/// cache costs; engines of today read some hundred.
+/// Prompt tokens that an engine prefills per millisecond, which gives the order of magnitude of the cost of
+/// a cache miss; present engines prefill some hundred.
 const PREFILL_TOKENS_PER_MS: u64 = 100;
-/// Part of a call's usual time that an upstream saves which handled the object lately; services
-/// of today save a half.
+/// Fraction of a call's mean duration that is saved at an upstream which recently handled the object;
+/// present services save a half.
 const AFFINITY_GAIN: f64 = 0.5;
 
-/// An upstream that a call may get, as far as it decides whether there is room.
+/// Slots and load of a candidate upstream, by which it is decided whether it has room for a call.
 #[derive(Clone, Copy, Debug)]
 struct Capacity {
     hash: trail::Upstream,
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// `NoUpstream` when none may get new work.
+    /// `NoUpstream` when none takes work.
     pub fn choose(
         self: &Arc<Self>,
         service_id: &id::ServiceId,
@@ -44,13 +44,13 @@
         picked.ok_or_else(|| no_upstream(service_id))
     }
 
-    /// Waits, for some time at most, until an upstream of `service` has room and the call is the first
-    /// of those that wait, or one of the first and the upstream has its prompt; chooses one.
+    /// Chooses an upstream of `service` that has room; waits for a limited time until there is one and the
+    /// call is the first in the queue, or one of the first and the upstream has its prompt in the cache.
     ///
     /// # Errors
     ///
-    /// `NoUpstream` when none may get new work; `Overloaded` when a program would begin with the
-    /// call and those under way need all slots.
+    /// `NoUpstream` when none takes work; `Overloaded` when the call would begin a program and programs in
+    /// progress need all slots.
     pub async fn acquire(
         self: &Arc<Self>,
         service_id: &id::ServiceId,
@@ -83,7 +83,7 @@
                     .record(started_at.elapsed().as_secs_f64());
                 return Ok(lease);
             }
-            // Heard of or not: what is known of the load fades.
+            // Tried again also without a wake-up: the weight of reported load decreases with its age.
             let _ = tokio::time::timeout(self.hold.look, ticket.wakeup.notified()).await;
         }
         drop(ticket);
@@ -98,16 +98,16 @@
         }
     }
 
-    /// Refuses a program of a route of `priority` that would begin while those under way need the upstreams
-    /// of `service`.
+    /// Refuses to begin a program on a route of `priority` while programs in progress need the upstreams of
+    /// `service`.
     ///
-    /// *Failure:* a burst brought more programs than the engines could finish, and all began. Each then
-    /// took longer, so that more were under way at once than the engines' caches hold; prompts were read
-    /// again and again, and nearly none was in time until long after the burst.
+    /// *Failure:* a burst brings more programs than the engines can finish, and all of them begin. Each then
+    /// takes longer, so that more are in progress at once than fit into the engines' KV caches; prompts are
+    /// prefilled again and again, and hardly any program is in time until long after the burst.
     ///
     /// # Errors
     ///
-    /// `Overloaded`, with a time to return.
+    /// `Overloaded`, with the time after which to retry.
     pub fn admit_program(
         &self,
         service: &id::ServiceId,
@@ -126,7 +126,7 @@
         Err(err.with_retry_after(self.hold.back_after(rand::random())))
     }
 
-    /// Slots of all upstreams of a service that take calls, and calls that are there or wait here.
+    /// The slots of all usable upstreams of a service, and the calls that are in flight there or wait here.
     fn occupancy(&self, service: &Service) -> (f64, f64) {
         let usable = self.usable(service, &[]);
         let options = self.cost_options(service);
@@ -138,20 +138,20 @@
         })
     }
 
-    /// The service of that name.
+    /// Finds a service.
     ///
     /// # Errors
     ///
-    /// `NoUpstream` when no upstream was ever listed for it.
+    /// `NoUpstream` when no upstream of it has ever been listed.
     fn find_service(&self, id: &id::ServiceId) -> Result<Arc<Mutex<Service>>, error::Error> {
         self.service(id).ok_or_else(|| no_upstream(id))
     }
 
-    /// The best upstream that `fits`, if any does.
+    /// Leases the best upstream that `fits`, if any does.
     ///
     /// # Errors
     ///
-    /// `NoUpstream` when none may get new work.
+    /// `NoUpstream` when none takes work.
     fn pick(
         self: &Arc<Self>,
         service_id: &id::ServiceId,
@@ -189,7 +189,7 @@
         Ok(Some(lease))
     }
 
-    /// Where the upstreams are that may get a call which failed at `avoid`.
+    /// Indices of the upstreams that may get a call which has failed at those in `avoid`.
     fn usable(&self, service: &Service, avoid: &[id::UpstreamId]) -> Vec<usize> {
         let now = self.now();
         let takes_work = |at: &usize| {
@@ -206,13 +206,14 @@
         let untried: Vec<_> = listed.filter(is_untried).collect();
         let usable: Vec<_> = untried.iter().copied().filter(is_healthy).collect();
         if usable.is_empty() {
-            // All ejected: using one is better than using none, also for a call that failed elsewhere.
+            // All are ejected: sending the call to one of them is better than refusing it, also after it has
+            // failed elsewhere.
             return untried;
         }
         usable
     }
 
-    /// The weights of the costs, with the service's own time of a call.
+    /// The options of the cost function, with the mean duration of the service's calls.
     fn cost_options(&self, service: &Service) -> assign::Options {
         let call = if service.mean_call_secs > 0.0 {
             Duration::from_secs_f64(service.mean_call_secs)
@@ -225,7 +226,7 @@
         }
     }
 
-    /// What is known of the upstreams at `indices`.
+    /// The cost inputs of the upstreams at `indices`.
     fn candidates<'a>(
         &'a self,
         service: &'a Service,
@@ -242,8 +243,9 @@
         indices.iter().map(candidate)
     }
 
-    /// The upstreams that are probably faster than the rest: those that served the session and its
-    /// program last; for objects the one that all entries agree on, by its hash with the object.
+    /// The upstreams that are probably faster than the others: those that served the session and its program
+    /// last; for an object the one with the highest hash of its id and the object (rendezvous hashing), so
+    /// that all entries choose the same.
     fn preferred_upstreams(&self, affinity: &Affinity<'_>, among: &[&Upstream]) -> trail::Last {
         let agreed = |object: &SmolStr| {
             let seed = xxh3::xxh3_64(object.as_bytes());
@@ -289,8 +291,8 @@
     }
 }
 
-/// How much longer a call takes at an upstream that knows nothing of it; `mean` is the usual time
-/// of a call there, in seconds.
+/// The additional duration of a call at an upstream that has nothing of it cached; `mean_secs` is the mean
+/// duration of the service's calls, in seconds.
 fn miss_cost(affinity: &Affinity<'_>, mean_secs: f64) -> Duration {
     match affinity {
         Affinity::None => Duration::ZERO,
--- a/fw-gate/src/process/fleet/confirmation.rs
+++ b/fw-gate/src/process/fleet/confirmation.rs
@@ -1,4 +1,4 @@
-//! How new the list of upstreams is known to be, and the calls that wait for a newer proof.
+//! Confirmation that the list of upstreams is current, and the calls that wait for it.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 use fw_plan::confirm;
 use tokio::sync::{Notify, watch};
 
-/// Up to which moment the list is known. Times are since boot.
+/// Tracks the time up to which the list is confirmed to be complete. Times are since boot.
 #[derive(Debug)]
 pub struct Confirmation {
     freshness: watch::Sender<confirm::Knowledge>,
-    /// Notified when a call begins to wait.
+    /// Notified when a call begins to wait for a confirmation.
     waiters: Notify,
 }
 
 impl Confirmation {
-    /// Nothing is proven yet.
+    /// Creates the state in which nothing is confirmed yet.
     pub fn new(opts: confirm::Options) -> Self {
         Self {
             freshness: watch::Sender::new(confirm::Knowledge::new(opts)),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// All changes are known that the store had acknowledged at `asked`.
+    /// Records that the list has all changes that the store had acknowledged at `requested_at`.
     pub fn record_read(&self, requested_at: Duration) {
         let now = clock::since_boot();
         self.freshness.send_modify(|freshness| {
@@ -33,19 +33,19 @@
         });
     }
 
-    /// A read of the store that was asked at `asked` has failed.
+    /// Records that a read of the store requested at `requested_at` has failed.
     pub fn record_failure(&self, requested_at: Duration) {
         let now = clock::since_boot();
         self.update(|freshness| freshness.failed(requested_at, now));
     }
 
-    /// A read of the store that was asked at `asked` is not answered in time.
+    /// Records that a read of the store requested at `requested_at` was not answered in time.
     pub fn record_unanswered(&self, requested_at: Duration) {
         let now = clock::since_boot();
         self.update(|freshness| freshness.unanswered(requested_at, now));
     }
 
-    /// Returns once a call may be sent by the list.
+    /// Waits until the list is fresh enough for calls to be sent, or nobody confirms it in time.
     pub async fn wait(&self) {
         loop {
             let started_at = clock::since_boot();
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Waits, up to `wait`, until calls need not wait.
+    /// Waits until calls may be sent, at most for `wait`; returns whether they may.
     async fn wait_until_sendable(&self, wait: Duration) -> bool {
         let mut rx = self.freshness.subscribe();
         self.waiters.notify_one();
@@ -89,7 +89,7 @@
         });
     }
 
-    /// Ready while a newer proof is wanted than the one that is known.
+    /// Waits until a read of the store is needed to confirm the list again.
     pub async fn wait_needed(&self) {
         let mut rx = self.freshness.subscribe();
         loop {
@@ -101,7 +101,7 @@
             let due = async {
                 match wanted_in.filter(|time| !time.is_zero()) {
                     Some(time) => tokio::time::sleep(time).await,
-                    // The first read is due anyway.
+                    // The first read is made in any case.
                     None => std::future::pending().await,
                 }
             };
--- a/fw-gate/src/process/fleet/lease.rs
+++ b/fw-gate/src/process/fleet/lease.rs
@@ -1,4 +1,4 @@
-//! Calls under way at upstreams, and calls that wait for one.
+//! Leases of upstreams for calls in flight, and the queue of calls that wait for one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,18 +13,19 @@
 use super::{Fleet, ListState, Service, Upstream};
 use crate::connection::link;
 
-/// Idle connections kept to one upstream. More calls than that at once to one upstream from one
-/// entry are rare.
+/// Maximum number of idle connections kept to one upstream. More concurrent calls from one entry to one
+/// upstream are rare.
 const MAX_IDLE_LINKS: usize = 4;
-/// Weight of the newest call in a service's mean times: they reach back some fifty calls.
+/// Smoothing factor of a service's mean durations, which thus cover the last fifty calls or so.
 const SMOOTHING: f64 = 0.02;
-/// Times below this are not compared, in seconds: they show the way, not the upstream.
+/// Lower bound in seconds of the mean to which durations are compared: shorter ones are dominated by the
+/// network, not by the upstream.
 const MIN_COMPARED_SECS: f64 = 1e-3;
-/// How long an upstream whose address another one has gets no calls. About as long as an entry
-/// without heartbeats stays on the list.
+/// How long an upstream gets no calls after another one answered at its address. About as long as an
+/// upstream without heartbeats stays on the list.
 const REPLACED_COOLDOWN: Duration = Duration::from_secs(4);
 
-/// An upstream's load, as it tells with an answer.
+/// An upstream's load, as stated with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// Requests running.
@@ -33,20 +34,20 @@
     pub waiting: u32,
 }
 
-/// A call under way at an upstream; counted there until dropped.
+/// A lease of an upstream for one call, which counts as in flight there until this is dropped.
 #[derive(Debug)]
 pub struct Lease {
     fleet: Arc<Fleet>,
     service: Arc<Mutex<Service>>,
     /// The upstream.
     pub id: id::UpstreamId,
-    /// Where it is called.
+    /// The upstream's address.
     pub addr: SocketAddr,
-    /// What was known of it when it was chosen, for log lines.
+    /// State of the upstream when it was chosen, for log lines.
     pub candidate: assign::Candidate,
-    /// By which state of the list it was chosen.
+    /// State of the list when it was chosen, for log lines.
     pub list_state: ListState,
-    /// Time from the choice until the call was handed to its connection, for log lines.
+    /// Time from the choice until the call was passed to the connection, for log lines.
     pub sent_after: Duration,
     started_at: Instant,
 }
@@ -64,7 +65,7 @@
 }
 
 impl Lease {
-    /// Counts one call more at `upstream` of `service`.
+    /// Creates a lease and counts its call at `upstream` of `service`.
     pub(super) fn take(
         fleet: &Arc<Fleet>,
         service: &Arc<Mutex<Service>>,
@@ -84,12 +85,12 @@
         }
     }
 
-    /// Returns once the list is known to be new, or nobody can confirm it.
+    /// Waits until the list is confirmed to be current, or nobody confirms it in time.
     pub async fn confirm_list(&self) {
         self.fleet.confirmation.wait().await;
     }
 
-    /// Whether the upstream still takes calls. It may have left since it was chosen.
+    /// Whether the upstream still takes calls; it may have left since it was chosen.
     pub fn is_valid(&self) -> bool {
         let mut service = self.service.lock();
         let upstream = service.find(&self.id);
@@ -97,7 +98,7 @@
             .is_some_and(|upstream| upstream.listed.takes_work && upstream.listed.addr == self.addr)
     }
 
-    /// The call is handed to its connection now.
+    /// Records that the call is passed to its connection now.
     pub fn note_sent(&mut self) {
         self.sent_after = self.started_at.elapsed();
         if let Some(age) = self.fleet.list_state().age {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// An idle connection to the upstream.
+    /// Takes an idle connection to the upstream, if there is one.
     pub fn idle_link(&self) -> Option<link::Link> {
         let mut service = self.service.lock();
         let upstream = service.find(&self.id)?;
@@ -133,21 +134,21 @@
         }
     }
 
-    /// The upstream told its load.
+    /// Records the load that the upstream stated.
     pub fn record_load(&self, load: Load) {
         if let Some(upstream) = self.service.lock().find(&self.id) {
-            // Its own word is as of some time ago, but counts what no entry tells.
+            // The upstream's figures are slightly out of date, but include calls that no entry reports.
             let others = (load.running + load.waiting).saturating_sub(upstream.own_calls);
             upstream.other_calls = upstream.other_calls.max(others);
             upstream.load_updated_at = Instant::now();
         }
     }
 
-    /// Another upstream answered at its address.
+    /// Records that another upstream answered at its address.
     ///
-    /// *Failure:* an upstream starts anew under another id, and a late heartbeat of its predecessor
-    /// puts the old id back on the list. It refuses at once and looks idle, so that it would draw
-    /// every call first until its entry lapses.
+    /// *Failure:* an upstream restarts under another id, and a late heartbeat of its predecessor puts the old
+    /// id back on the list. Calls to the old id are refused at once, so it appears idle and would be chosen
+    /// first for every call until its entry on the list expires.
     pub fn mark_replaced(&self) {
         let mut service = self.service.lock();
         if let Some(upstream) = service.find(&self.id) {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// What the call showed of the upstream's health.
+    /// Records the outcome of the call for the upstream's health.
     pub fn record_health(&self, seen: health::Seen) {
         let now = self.fleet.now();
         let mut service = self.service.lock();
@@ -177,13 +178,13 @@
         }
     }
 
-    /// Time since the call was sent.
+    /// Time since the lease was taken.
     pub fn age(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// The call ended well. `part` is the time of what can be compared among the calls of a
-    /// service, if there was any of it: an answer of twice the length is not twice as slow.
+    /// Records that the call succeeded. `part` is the duration of the part that is comparable among the calls
+    /// of a service, if it had one: an upstream is not slower because an answer is twice as long.
     pub fn complete(&self, part: Option<Duration>) {
         self.record_health(health::Seen::Answered);
         let now = self.fleet.now();
@@ -198,7 +199,7 @@
     }
 }
 
-/// Moves a mean in seconds towards `took`; it begins with the first time seen.
+/// Updates an exponentially smoothed mean in seconds, which starts with the first duration.
 fn smooth(mean: &mut f64, took: Duration) {
     let took = took.as_secs_f64();
     *mean = if *mean > 0.0 {
@@ -208,47 +209,47 @@
     };
 }
 
-/// A call that waits.
+/// A call that waits for an upstream.
 #[derive(Debug)]
 pub(super) struct Waiter {
-    /// The upstream that has its prompt in the cache.
+    /// The upstream that has the call's prompt in its cache.
     preferred: Option<trail::Upstream>,
     wakeup: Arc<Notify>,
 }
 
 impl Waiter {
-    /// Lets it look again.
+    /// Wakes the call to try again.
     pub(super) fn wake(&self) {
         self.wakeup.notify_one();
     }
 
-    /// Whether it waits for a place at `upstream` in the first place.
+    /// Whether `upstream` has the call's prompt in its cache.
     pub(super) fn prefers(&self, upstream: trail::Upstream) -> bool {
         self.preferred == Some(upstream)
     }
 }
 
-/// Upstreams that a waiting call may go to.
+/// The upstreams to which a waiting call may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Eligibility {
     /// All.
     All,
-    /// Only one that has its prompt in the cache.
+    /// Only the one that has its prompt in the cache.
     Preferred,
     /// None yet.
     None,
 }
 
-/// A call's place among those that wait; given up when dropped.
+/// A call's position in the queue of those that wait; removed when dropped.
 pub(super) struct Ticket<'a> {
     service: &'a Mutex<Service>,
     rank: hold::Rank,
-    /// Notified when it may be the first.
+    /// Notified when the call may be the first.
     pub(super) wakeup: Arc<Notify>,
 }
 
 impl<'a> Ticket<'a> {
-    /// `warm` has the call's prompt in its cache.
+    /// Adds a call to the queue; the upstream `preferred` has its prompt in the cache.
     pub(super) fn enqueue(
         service: &'a Mutex<Service>,
         preferred: Option<trail::Upstream>,
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Which upstreams the call may go to by its place among those that wait.
+    /// The upstreams to which the call may be sent from its position in the queue.
     pub(super) fn eligibility(&self, options: &hold::Options) -> Eligibility {
         let service = self.service.lock();
         match service.waiting.first_key_value() {
--- a/fw-gate/src/process/fleet/list.rs
+++ b/fw-gate/src/process/fleet/list.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams, as reads of the platform's store change it.
+//! The list of upstreams, and how reads of the platform's store update it.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,43 +10,43 @@
 
 use super::{Fleet, ListedUpstream, Service, Upstream, short_hash};
 
-/// A read of the platform's store, by this entry or another.
+/// A read of the platform's store, made by this entry or another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreRead {
-    /// Revision that it reflects.
+    /// Revision of the store that was read.
     pub as_of: u64,
-    /// How long ago it was made.
+    /// How long ago the read was made.
     pub ago: Duration,
 }
 
 impl StoreRead {
-    /// A read of this entry's that has just ended.
+    /// A read that this entry has just completed.
     pub fn own(as_of: u64) -> Self {
         let ago = Duration::ZERO;
         Self { as_of, ago }
     }
 }
 
-/// What a read says of the list.
+/// The content of a read of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// All that is listed.
+    /// All listed upstreams.
     Full(Vec<ListedUpstream>),
-    /// What has changed, oldest first.
+    /// The changes, oldest first.
     Changes(Vec<Change>),
 }
 
 /// A change of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// One is listed, or has changed.
+    /// An upstream was added or changed.
     Put(ListedUpstream),
-    /// One is no longer listed.
+    /// An upstream is no longer listed.
     Removed(id::UpstreamId),
 }
 
 impl Change {
-    /// The upstream that is listed.
+    /// The upstream that was added or changed, if any.
     pub fn into_listed(self) -> Option<ListedUpstream> {
         match self {
             Self::Put(listed) => Some(listed),
@@ -55,25 +55,25 @@
     }
 }
 
-/// The state of the list by which an upstream was chosen, for log lines.
+/// The state of the list from which an upstream was chosen, for log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListState {
-    /// Revision of the store that it reflects.
+    /// Revision of the store that the list is from.
     pub as_of: u64,
-    /// Time since the read of the store by which it was last confirmed; `None` if none was heard of.
+    /// Time since the read of the store that last confirmed it; `None` if there was none.
     pub age: Option<Duration>,
 }
 
 /// An upstream that is no longer listed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Missing {
-    /// When a read listed it last, since boot; `None` if none did that this entry knows of.
+    /// When the last read that listed it was made, since boot; `None` if no such read is recorded.
     last_listed: Option<Duration>,
-    /// Whether its entry may only have lapsed.
+    /// Whether its entry in the store may have expired during an outage, so that it may be listed again.
     may_return: bool,
 }
 
-/// The reads of the store that the list is from. Times are since boot.
+/// The history of the reads from which the list was built. Times are since boot.
 #[derive(Debug)]
 pub(super) struct ReadHistory {
     gapless: lapse::Reads,
@@ -84,7 +84,7 @@
 }
 
 impl ReadHistory {
-    /// None was made yet.
+    /// Creates a history without reads.
     pub(super) fn new(opts: lapse::Options) -> Self {
         Self {
             gapless: lapse::Reads::new(opts),
@@ -95,12 +95,12 @@
 }
 
 impl Fleet {
-    /// Whether the list was ever read.
+    /// Whether a full list has been received.
     pub fn has_list(&self) -> bool {
         self.has_list.load(Ordering::Relaxed)
     }
 
-    /// By which state of the list upstreams are chosen now.
+    /// The current state of the list.
     pub fn list_state(&self) -> ListState {
         let reads = self.reads.lock();
         ListState {
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Others made reads without a gap, the first and the last so long ago.
+    /// Records that other entries made reads without a gap, the first one `first` ago and the last one `last`
+    /// ago.
     pub fn note_reads(&self, first: Duration, last: Duration) {
         let now = clock::since_boot();
         let span = lapse::Span {
@@ -119,7 +120,8 @@
         self.reads.lock().gapless.note(span);
     }
 
-    /// Takes what `read` says of the list. Without a read, it is what somebody knew at some time.
+    /// Applies an update of the list from `read`. Without a read the age of the update is unknown: a replica
+    /// delivered it without evidence that it is current.
     pub fn apply(&self, read: Option<StoreRead>, update: ListUpdate) {
         let at = read.map(|read| clock::since_boot().saturating_sub(read.ago));
         if let (Some(read), Some(at)) = (read, at) {
@@ -142,7 +144,7 @@
         self.drop_removed();
     }
 
-    /// Takes a change; returns the upstream that is missing now.
+    /// Applies a change; returns the upstream that is newly missing, if any.
     fn apply_change(&self, change: Change) -> Option<id::UpstreamId> {
         match change {
             Change::Put(listed) => {
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Takes a whole list; returns the upstreams that are missing now.
+    /// Applies a full list; returns the upstreams that are newly missing.
     fn apply_full(&self, list: Vec<ListedUpstream>) -> Vec<id::UpstreamId> {
         self.has_list.store(true, Ordering::Relaxed);
         let known = self.listing().into_iter().map(|known| known.id);
@@ -165,8 +167,8 @@
         missing
     }
 
-    /// Adds or changes one upstream. One that leaves takes no work again before it starts anew: a late
-    /// heartbeat may list it as it was.
+    /// Adds or changes one upstream. One that is leaving gets no work again until it has restarted: a late
+    /// heartbeat may list it in its earlier state.
     pub fn put(&self, listed: ListedUpstream) {
         let service = {
             let mut services = self.services.lock();
@@ -204,7 +206,7 @@
         }
     }
 
-    /// An upstream is not on the list any more; returns it if it was before.
+    /// Marks an upstream as missing from the list; returns its id if it was listed before.
     fn mark_missing(&self, id: id::UpstreamId) -> Option<id::UpstreamId> {
         let listed = self.reads.lock().last;
         let is_new = self.with_upstream(&id, |upstream| {
@@ -218,7 +220,8 @@
         (is_new == Some(true)).then_some(id)
     }
 
-    /// Decides which of the upstreams that are `missing` now, where so many were listed `before`, may only have lapsed.
+    /// Keeps the upstreams of `missing` in use if their entries in the store may only have expired during an
+    /// outage; `before` is the number of upstreams that were listed before.
     fn keep_lapsed(&self, before: usize, mut missing: Vec<id::UpstreamId>) {
         let (listed, gapless) = {
             let reads = self.reads.lock();
@@ -267,7 +270,7 @@
         None
     }
 
-    /// Drops the missing upstreams that have left.
+    /// Removes the missing upstreams that have left.
     fn drop_removed(&self) {
         let (gapless, as_of) = {
             let reads = self.reads.lock();
@@ -307,7 +310,7 @@
         self.all_services().iter().map(count).sum()
     }
 
-    /// All upstreams on the list, by id.
+    /// All listed upstreams, sorted by id.
     pub fn listing(&self) -> Vec<ListedUpstream> {
         let mut listing = Vec::new();
         for service in self.all_services() {
@@ -321,7 +324,7 @@
 }
 
 impl Upstream {
-    /// One that is listed for the first time.
+    /// Creates the state of an upstream that is listed for the first time.
     fn new(listed: ListedUpstream) -> Self {
         Self {
             hash: short_hash(&listed.id),
@@ -337,7 +340,7 @@
         }
     }
 
-    /// It was restarted and holds nothing of before: connections and load are its predecessor's.
+    /// Resets the state after a restart: its connections and load were those of the previous process.
     fn reset(&mut self) {
         self.idle_links.clear();
         self.other_calls = 0;
--- a/fw-gate/src/process/fleet/mod.rs
+++ b/fw-gate/src/process/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The upstreams: who is listed, how busy and healthy each is, and its idle connections.
+//! The upstreams: the list of them, the load and health of each, and its idle connections.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -26,11 +26,11 @@
 pub use lease::{Lease, Load};
 pub use list::{Change, ListState, ListUpdate, StoreRead};
 
-/// Calls that wait and look again when news of the others' calls come: some may find the upstream
-/// free that has their prompt.
+/// Maximum number of waiting calls that are woken when other entries' calls are updated: the upstream with
+/// the cached prompt of some of them may have become free.
 const MAX_WOKEN: usize = 8;
 
-/// Start of an upstream, in milliseconds since the Unix epoch.
+/// Start time of an upstream, in milliseconds since the Unix epoch.
 pub type StartTime = u64;
 
 /// One upstream, as the platform's store lists it.
@@ -38,63 +38,63 @@
 pub struct ListedUpstream {
     /// Its id.
     pub id: id::UpstreamId,
-    /// The service that it runs.
+    /// The service that it serves.
     pub service: id::ServiceId,
-    /// Where it is called.
+    /// Its address for calls.
     pub addr: SocketAddr,
     /// Its data centre.
     pub place: id::PlaceId,
-    /// Requests that it runs together.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it takes new work.
     pub takes_work: bool,
-    /// When it started; 0 if not told.
+    /// When it started; 0 if the list does not state it.
     pub started_at: StartTime,
 }
 
-/// What makes one upstream faster than another for a call.
+/// Why one upstream is faster than another for a call: what it has cached.
 #[derive(Clone, Debug, Default)]
 pub enum Affinity<'a> {
-    /// Nothing.
+    /// All upstreams are alike.
     #[default]
     None,
-    /// Having handled the object lately.
+    /// An upstream that recently handled the object is faster.
     Object(&'a SmolStr),
-    /// Having the prompt in the cache.
+    /// An upstream that has the start of the prompt in its KV cache is faster.
     Prompt {
-        /// What it begins like.
+        /// Session and program, whose turns have prompts that begin alike.
         lineage: trail::Lineage,
-        /// Its length.
+        /// Length of the prompt.
         tokens: id::Tokens,
     },
 }
 
-/// What a call asks of its upstream.
+/// Criteria by which an upstream is chosen for a call.
 #[derive(Clone, Debug, Default)]
 pub struct Criteria<'a> {
-    /// What makes an upstream faster.
+    /// Why an upstream is faster than others.
     pub affinity: Affinity<'a>,
     /// Upstreams that failed this call.
     pub avoid: &'a [id::UpstreamId],
-    /// What decides its place if it has to wait.
+    /// What ranks the call among those that wait for an upstream.
     pub hold: hold::Call,
 }
 
 #[derive(Debug)]
 struct Upstream {
     listed: ListedUpstream,
-    /// Set while it is missing from the list, and kept.
+    /// Set if it is missing from the list but still in use.
     missing: Option<list::Missing>,
-    /// Until when another upstream is taken to have its address.
+    /// Until when it gets no calls because another upstream has its address.
     replaced_until: Option<Instant>,
-    /// Short hash of its id, as entries name it to each other.
+    /// Short hash of its id, by which entries refer to it among themselves.
     hash: trail::Upstream,
     own_calls: u32,
     other_calls: u32,
     load_updated_at: Instant,
     idle_links: Vec<link::Link>,
     pace: pace::Pace,
-    /// When a call to it failed, if none has ended well since.
+    /// When a call to it last failed, if none has succeeded since.
     failed_at: Option<Instant>,
 }
 
@@ -102,11 +102,11 @@
 struct Service {
     upstreams: Vec<Upstream>,
     health: health::Health,
-    /// Smoothed time of a call, in seconds.
+    /// Smoothed duration of a call, in seconds.
     mean_call_secs: f64,
-    /// Smoothed time of a call's comparable part, in seconds.
+    /// Smoothed duration of the part of a call that is comparable among calls, in seconds.
     mean_part_secs: f64,
-    /// Calls that are held back until there is a free slot.
+    /// Calls that wait for a free slot, by rank.
     waiting: BTreeMap<hold::Rank, Waiter>,
     arrivals: u64,
 }
@@ -117,7 +117,7 @@
             eject: Duration::from_millis(800),
             eject_max: Duration::from_secs(4),
             slow_start: Duration::from_secs(1),
-            // The list is what counts: one that is not on it may be leaving.
+            // Only listed upstreams are used: one that is not on the list may be leaving.
             unlisted: Duration::ZERO,
             ..health::Options::default()
         };
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Lets the first that waits look again, and the first whose prompt is in the cache of the
-    /// upstream that has `freed` a place.
+    /// Wakes the first waiting call, and the first whose prompt is cached at the upstream that has `freed` a
+    /// slot.
     fn wake(&self, freed: Option<trail::Upstream>) {
         let first = self.waiting.values().next();
         let preferring = freed.and_then(|freed| self.waiting.values().find(|w| w.prefers(freed)));
@@ -165,28 +165,28 @@
     pace: pace::Options,
     hold: hold::Options,
     services: Mutex<HashMap<id::ServiceId, Arc<Mutex<Service>>>>,
-    /// Where this entry sent sessions, or heard that others did.
+    /// Upstreams at which sessions and programs ran last, by this entry's calls and the replicas' reports.
     affinity: trail::Trail,
-    /// Whether the list was ever read.
+    /// Whether a full list has been received.
     has_list: AtomicBool,
-    /// The reads of the store that the list is from.
+    /// The reads of the store from which the list was built.
     reads: Mutex<list::ReadHistory>,
-    /// How new the list is known to be.
+    /// Time up to which the list is confirmed to be complete.
     pub confirmation: Confirmation,
-    /// Names this entry to the others.
+    /// Random id of this entry.
     entry: u32,
 }
 
-/// Short hash of an upstream's id. Two of a few hundred may share one; each then looks as busy as
-/// both.
+/// Short hash of an upstream's id. Among a few hundred upstreams two may have the same; each then appears
+/// as busy as both together.
 pub fn short_hash(id: &id::UpstreamId) -> trail::Upstream {
     let hash = (xxh3::xxh3_64(id.as_bytes()) & 0xffff) as u16;
     if hash == trail::NOWHERE { 1 } else { hash }
 }
 
 impl Fleet {
-    /// Knows no upstream yet; `place` is the entry's own data centre, `lapse` says how outages of the
-    /// store are told, and `confirm` how old the list may be.
+    /// Creates a fleet without upstreams. `place` is the entry's own data centre, `lapse` configures how
+    /// outages of the store are detected, and `confirm` how old the list may be.
     pub fn new(place: id::PlaceId, lapse: lapse::Options, confirm: confirm::Options) -> Arc<Self> {
         Arc::new(Self {
             place,
@@ -207,7 +207,7 @@
         self.started.elapsed()
     }
 
-    /// Names this entry to the others.
+    /// Random id of this entry, by which replicas and other entries tell it apart.
     pub fn entry(&self) -> u32 {
         self.entry
     }
@@ -216,7 +216,7 @@
         self.services.lock().get(id).cloned()
     }
 
-    /// A further call to an upstream that was chosen before, if it may still get work.
+    /// Leases an upstream that was chosen before for a further call, if it still takes work.
     pub fn lease_again(
         self: &Arc<Self>,
         service_id: &id::ServiceId,
@@ -232,7 +232,7 @@
         Some(Lease::take(self, &service, upstream, candidate))
     }
 
-    /// The entry's own calls under way.
+    /// This entry's calls in flight.
     pub fn load(&self) -> service::Load {
         let mut calls = Vec::new();
         for service in self.all_services() {
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Other entries' calls under way, as a replica tells them.
+    /// Sets the other entries' calls in flight, as reported by a replica.
     pub fn set_other_calls(&self, others: &[(u16, u16)]) {
         let now = Instant::now();
         let others: HashMap<u16, u16> = others.iter().copied().collect();
@@ -272,13 +272,13 @@
         self.services.lock().values().cloned().collect()
     }
 
-    /// Whether no turn of a program is known to have run.
+    /// Whether `lineage` has a program of which no turn is known to have run.
     pub fn is_new_program(&self, lineage: &trail::Lineage) -> bool {
         lineage.program.is_some() && self.affinity.last(lineage).program.is_none()
     }
 
-    /// Where turns of `lineage` ran last, as a replica tells it: newer than what this entry knows
-    /// if the last one came in through another.
+    /// Records where turns of `lineage` ran last, as reported by a replica: newer than this entry's own
+    /// record if the last turn came in through another entry.
     pub fn set_last_upstreams(&self, lineage: &trail::Lineage, last: trail::Last) {
         self.affinity.learn(lineage, last);
     }
--- a/fw-gate/src/process/gate.rs
+++ b/fw-gate/src/process/gate.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry share.
+//! The state that all requests of an entry share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,102 +16,102 @@
 use crate::names;
 use crate::version::config;
 
-/// How long a request waits for an entry that has just started and knows no configuration yet: the
-/// replicas of a system that starts as a whole are back within half a second.
+/// How long a request waits for the configuration on an entry that has just started: when the whole
+/// system starts, the replicas are back within half a second.
 const STARTUP_WAIT: Duration = Duration::from_millis(600);
 
-/// Pause between two looks at what others have not been told of quotas.
+/// Interval at which teams are checked for quota usage that is due to be reported.
 const QUOTA_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest wait for the moments of replicas before a read of the store.
+/// Timeout for the replicas' clock readings that are requested before a read of the store.
 const CLOCK_READING_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// What an entry is told at its start.
+/// Settings of an entry's shared state.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its data centre.
+    /// The entry's data centre.
     pub place: id::PlaceId,
-    /// Disks that may be lost together.
+    /// Number of disks whose simultaneous loss must be survived.
     pub faults: usize,
-    /// Headers by which callers and upstreams say things.
+    /// Names of the headers that callers and upstreams use.
     pub names: names::HeaderNames,
-    /// Where replicas may be found while the platform's store does not answer.
+    /// Addresses at which replicas are looked up while the platform's store does not answer.
     pub seeds: Vec<SocketAddr>,
-    /// Where this entry passes connections of others on to replicas.
+    /// Address at which this entry relays other entries' connections to replicas.
     pub relay: Option<SocketAddr>,
-    /// How old the knowledge of keys may be by which one is accepted; `None` if there is no bound.
+    /// Age of the configuration above which no API key is accepted; `None` for no bound.
     pub keys_stale_after: Option<Duration>,
     /// How requests are counted for teams' quotas.
     pub quota: quota::Options,
-    /// How outages of the platform's store are told.
+    /// How outages of the platform's store are detected.
     pub lapse: lapse::Options,
-    /// How old the list of upstreams and the configuration may be by which calls are sent.
+    /// How old the list of upstreams and the configuration may be when a call is sent.
     pub confirm: confirm::Options,
 }
 
-/// What is in force, and whether it is new enough to accept API keys by it.
+/// The configuration in force, and whether it is fresh enough for API keys to be accepted.
 #[derive(Clone, Debug)]
 pub struct ActiveConfig {
     /// The configuration.
     pub config: Arc<config::Config>,
-    /// Whether keys may be accepted by it.
+    /// Whether its keys may be accepted.
     pub key_freshness: staleness::Outcome,
 }
 
-/// A read of the store that is under way.
+/// The last read of the store that was requested.
 #[derive(Clone, Debug, Default)]
 struct PendingRead {
-    /// When it was asked, since boot.
+    /// When it was requested, since boot.
     requested_at: Option<Duration>,
-    /// Moments of the replicas before it was.
+    /// The replicas' clocks before the request.
     clock_readings: client::Moments,
 }
 
-/// One change that the entry learns of.
+/// A change read from the platform's store.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// A configuration.
+    /// A new configuration.
     Config(Box<config::Config>),
-    /// A configuration that cannot be read.
+    /// A configuration that cannot be decoded.
     UnreadableConfig,
-    /// Of the list of upstreams.
+    /// A change of the list of upstreams.
     Upstream(fleet::Change),
-    /// The replicas.
+    /// The list of replicas.
     Members(member::View),
-    /// The operator wants a replica emptied.
+    /// A replica that the operator retires: its data moves to the others.
     Retire(record::ReplicaId),
 }
 
 /// The shared state of an entry.
 #[derive(Debug)]
 pub struct Gate {
-    /// What it was told at its start.
+    /// Settings.
     pub opts: Options,
     /// The upstreams.
     pub fleet: Arc<fleet::Fleet>,
     /// The replicas.
     pub replicas: Arc<client::Client>,
-    /// Turns seen lately.
+    /// Recently used turns.
     pub turns: turn_cache::TurnCache,
     config: watch::Sender<Option<Arc<config::Config>>>,
     poison: Mutex<poison::Poison>,
     retries: Mutex<HashMap<id::ServiceId, retry::Budget>>,
     started: Instant,
     stopping: AtomicBool,
-    /// Whether this entry reads the platform's store.
+    /// When this entry reads the platform's store.
     read_schedule: read_schedule::ReadSchedule,
-    /// What is passed on by way of the replicas.
+    /// The store's content as exchanged with other entries through the replicas.
     snapshot: Mutex<snapshot::Cache>,
-    /// The read of the store that is under way.
+    /// The last read of the store that was requested.
     pending_read: Mutex<PendingRead>,
-    /// Up to which moment all changes are known.
+    /// Time up to which the configuration is confirmed to be complete.
     key_freshness: watch::Sender<staleness::Knowledge>,
-    /// What teams may send.
+    /// The teams' quota accounts.
     pub quotas: Arc<quotas::Quotas>,
 }
 
 impl Gate {
-    /// Knows nothing yet.
+    /// Creates the state of an entry that has no configuration, upstreams or replicas yet.
     pub fn new(opts: Options) -> Arc<Self> {
         let place = opts.place.clone();
         let fleet = fleet::Fleet::new(place, opts.lapse.clone(), opts.confirm.clone());
@@ -134,10 +134,10 @@
         })
     }
 
-    /// Takes what was read from the platform's store, unless another entry's newer read was heard of
-    /// meanwhile.
+    /// Applies a read of the platform's store, unless the replicas have delivered another entry's newer
+    /// read in the meantime.
     pub fn apply(&self, step: fw_follow::Step<Change>) {
-        // Held to the end, so that what others read is taken before or after, not between.
+        // Held until the end, so that an update from the replicas is applied before or after, not between.
         let mut cache = self.snapshot.lock();
         match step {
             fw_follow::Step::Lost => {}
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Takes all changes but those of the list of upstreams, which are returned.
+    /// Applies all changes except those of the list of upstreams, which are returned.
     fn apply_changes(
         &self,
         changes: Vec<Change>,
@@ -195,29 +195,31 @@
         list
     }
 
-    /// All changes are known that the store had acknowledged when it was asked last.
+    /// Records that this entry has all changes that the store had acknowledged when the last read was
+    /// requested.
     fn confirm_pending_read(&self) {
         if let Some(at) = self.pending_read.lock().requested_at {
             self.confirm_read(at);
         }
     }
 
-    /// The read under way brings no proof: calls do not wait for it.
+    /// Records that the last read confirms nothing, so that calls do not wait for it.
     fn fail_pending_read(&self) {
         if let Some(requested_at) = self.pending_read.lock().requested_at {
             self.fleet.confirmation.record_failure(requested_at);
         }
     }
 
-    /// All changes are known that the store had acknowledged at `asked`, since boot.
+    /// Records that this entry has all changes that the store had acknowledged at `requested_at`, since
+    /// boot.
     fn confirm_read(&self, requested_at: Duration) {
         self.fleet.confirmation.record_read(requested_at);
         self.key_freshness
             .send_modify(|key_freshness| key_freshness.proven(requested_at));
     }
 
-    /// Tells the replicas that the store was read, and what has changed. A read of what this entry cannot
-    /// decode proves nothing, and another entry may know how.
+    /// Publishes to the replicas that the store was read, with the changes. A read whose configuration this
+    /// entry cannot decode confirms nothing and is not published: another entry may be able to decode it.
     fn publish_read(&self, as_of: fw_follow::Revision, cache: &mut snapshot::Cache) {
         let config = self.config().filter(|_| cache.has_decodable_config());
         let Some(config) = config else {
@@ -239,7 +241,7 @@
             .post(&post, &clock_readings, cache.full_snapshot(config));
     }
 
-    /// Waits until this entry has to read the store.
+    /// Waits until this entry has to read the store, and prepares the read.
     pub async fn wait_read_due(&self) -> fw_follow::Due {
         let is_wanted = tokio::select! {
             () = self.read_schedule.wait_due() => false,
@@ -256,7 +258,7 @@
         }
     }
 
-    /// Hears from the replicas what other entries read, for ever.
+    /// Fetches other entries' reads of the store from the replicas; never returns.
     pub async fn poll_replicas(self: Arc<Self>) {
         loop {
             let known = self.snapshot.lock().known_version();
@@ -272,7 +274,7 @@
                 }
                 continue;
             }
-            // The nearest does not answer, or none is known.
+            // The nearest replica does not answer, or there is no list of replicas yet.
             let requested_at = clock::since_boot();
             if let Some(update) = self.replicas.ask_news(known).await {
                 self.apply_update(&update, requested_at);
@@ -285,8 +287,8 @@
         }
     }
 
-    /// Tells the replicas for ever what this entry has let through of teams with a quota, where the next
-    /// turn would tell it too late.
+    /// Reports this entry's usage of teams' quotas to the replicas, for teams whose next turn would report
+    /// it too late; never returns.
     pub async fn report_quotas(self: Arc<Self>) {
         loop {
             tokio::time::sleep(QUOTA_REPORT_INTERVAL).await;
@@ -307,8 +309,8 @@
         }
     }
 
-    /// Takes what a replica tells that was asked at `asked`, since boot. Returns whether all is known
-    /// now that the replica knows.
+    /// Applies a replica's `update` that was requested at `requested_at`, since boot. Returns whether this
+    /// entry now has everything that the replica has.
     pub fn apply_update(&self, update: &service::News, requested_at: Duration) -> bool {
         let last = update.last;
         let mut cache = self.snapshot.lock();
@@ -340,7 +342,7 @@
         self.fleet.apply(read, list);
         let Some(last) = whole else { return false };
         self.read_schedule.note_reported_read(last.by, last.ago);
-        // The answer was made so long after the question, at least.
+        // The replica held the request for at least this long before it answered.
         let answered_at = requested_at + update.held;
         if let Some(read) = last.asked.and_then(|ago| answered_at.checked_sub(ago)) {
             self.confirm_read(read);
@@ -348,7 +350,7 @@
         true
     }
 
-    /// Puts `config` in force unless a newer one is.
+    /// Puts `config` in force unless its version is already in force or a newer one is.
     pub fn configure(&self, config: config::Config) {
         self.config.send_if_modified(|known| {
             let newest = known.as_ref().map_or(0, |known| known.version);
@@ -371,14 +373,14 @@
         self.config.borrow().clone()
     }
 
-    /// The configuration in force, also if it is about to be read: that takes an entry some ten
-    /// milliseconds from its start, or some hundred if it has to wait for a replica that tells it.
+    /// Returns the configuration in force; waits for it on an entry that has just started. An entry has one
+    /// some ten milliseconds after its start, or some hundred if it has to wait for a replica to deliver it.
     ///
-    /// *Failure:* after a loss of all power, callers wait in the queue of the entry's socket. Refused
-    /// in its first moment, they used up the few attempts that they make, and gave up before the
-    /// entry could have served them. They are not refused before [`START`] is over.
+    /// *Failure:* after a loss of all power, callers wait in the backlog of the entry's socket. If the entry
+    /// refused them right after its start, they would use up their few attempts and give up before it could
+    /// serve them. They are not refused before [`STARTUP_WAIT`] has passed.
     pub async fn await_config(&self) -> Option<Arc<config::Config>> {
-        // Nearly always: no request but an entry's first ones has to wait.
+        // The usual case: only the first requests of an entry have to wait.
         if let Some(known) = self.config() {
             return Some(known);
         }
@@ -387,13 +389,13 @@
         known.ok()?.ok()?.clone()
     }
 
-    /// What is in force, also if it is about to be read, as for [`Self::config_soon`], or is known only from
-    /// some time ago.
+    /// Returns the configuration in force once it is confirmed to be current, or cannot be confirmed in time;
+    /// waits for the first one as [`Self::await_config`] does.
     pub async fn await_active_config(&self) -> Option<ActiveConfig> {
         self.await_config().await?;
         self.fleet.confirmation.wait().await;
         let key_freshness = self.await_key_freshness().await;
-        // Read after the proof, and so at least as new.
+        // Taken after the confirmation, so it is at least as new as the confirmed one.
         let config = self.config()?;
         Some(ActiveConfig {
             config,
@@ -401,7 +403,7 @@
         })
     }
 
-    /// Whether keys may be accepted. An entry that has just started waits until it has read the store.
+    /// Returns whether keys may be accepted. An entry that has just started waits until it has read the store.
     async fn await_key_freshness(&self) -> staleness::Outcome {
         let is_fresh = |key_freshness: &staleness::Knowledge| {
             key_freshness.decide(clock::since_boot()) == staleness::Outcome::Fresh
@@ -409,13 +411,13 @@
         let left = STARTUP_WAIT.saturating_sub(self.now());
         if !left.is_zero() {
             let mut key_freshness = self.key_freshness.subscribe();
-            // Over without news, what is known decides.
+            // After a timeout the current state decides.
             let _ = tokio::time::timeout(left, key_freshness.wait_for(is_fresh)).await;
         }
         self.key_freshness.borrow().decide(clock::since_boot())
     }
 
-    /// Whether callers may be sent here.
+    /// Whether callers may be routed to this entry.
     pub fn is_ready(&self) -> bool {
         let config = self.config();
         let has_teams = config.as_ref().is_some_and(|config| config.teams.is_some());
@@ -425,26 +427,26 @@
         known && is_fresh && self.replicas.epoch() > 0 && !self.is_stopping()
     }
 
-    /// From now on connections are closed with their next answer.
+    /// Begins the shutdown: from now on each connection is closed after its next answer.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the process is about to end.
+    /// Whether the shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Time since the start.
+    /// Time since the start of this entry.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Whether requests like this crashed upstreams before.
+    /// Refuses a request if requests with the same fingerprint have crashed upstreams.
     ///
     /// # Errors
     ///
-    /// `UpstreamCrashed` when it must not be sent to another.
+    /// `UpstreamCrashed` when it must not be sent to another upstream.
     pub fn check_poison(&self, fingerprint: &digest::Digest) -> Result<(), error::Error> {
         let now = self.now();
         match self.poison.lock().decide(now, fingerprint) {
@@ -456,7 +458,7 @@
         }
     }
 
-    /// `upstream` crashed while it ran a request like this.
+    /// Records that `upstream` crashed while it ran a request with this fingerprint.
     pub fn record_crash(&self, upstream: &id::UpstreamId, fingerprint: digest::Digest) {
         let now = self.now();
         self.poison
@@ -464,17 +466,17 @@
             .crashed(now, upstream, fingerprint, false);
     }
 
-    /// A request like this ran to its end.
+    /// Records that a request with this fingerprint was completed.
     pub fn record_success(&self, fingerprint: &digest::Digest) {
         self.poison.lock().survived(fingerprint);
     }
 
-    /// A call to `service` is sent for the first time.
+    /// Adds to the retry budget of `service` for the first attempt of a call.
     pub fn earn_retry(&self, service: &id::ServiceId) {
         self.with_retries(service, retry::Budget::earn);
     }
 
-    /// Whether a failed attempt is made again.
+    /// Decides whether a failed attempt is followed by another.
     pub fn decide_retry(
         &self,
         service: &id::ServiceId,
@@ -494,7 +496,7 @@
         let mut retries = self.retries.lock();
         let budget = retries.entry(service.clone()).or_insert_with(|| {
             retry::Budget::new(retry::Options {
-                // Most failures here are refusals that another upstream can take at once.
+                // Most failures are refusals of calls that another upstream can run at once.
                 base: Duration::from_millis(4),
                 cap: Duration::from_millis(100),
                 attempts: 4,
@@ -507,7 +509,7 @@
     }
 }
 
-/// When an entry reads the platform's store.
+/// The schedule by which [`fw_follow`] reads the platform's store for a [`Gate`].
 #[derive(Debug)]
 pub struct Schedule(pub Arc<Gate>);
 
--- a/fw-gate/src/process/quotas.rs
+++ b/fw-gate/src/process/quotas.rs
@@ -1,4 +1,4 @@
-//! The teams' accounts at this entry.
+//! The teams' request quotas: the accounts that this entry keeps.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 use crate::request::call;
 use crate::version::team;
 
-/// Locks among which the accounts are spread.
+/// Number of locks among which the accounts are spread.
 const SHARDS: usize = 16;
 
 type Accounts = HashMap<id::TeamId, quota::Account>;
 
-/// Teams about which something has to be done.
+/// This entry's usage of the teams whose accounts have to be synchronised with other entries now.
 #[derive(Debug, Default)]
 pub struct Due {
-    /// One replica is asked about these.
+    /// Usage to send to one replica, to get the other entries' usage in return.
     pub query: Vec<service::Spent>,
-    /// All replicas are told of these.
+    /// Usage to report to all replicas.
     pub report: Vec<service::Spent>,
 }
 
-/// All accounts.
+/// The accounts of all teams.
 #[derive(Debug)]
 pub struct Quotas {
     options: quota::Options,
@@ -37,7 +37,7 @@
 }
 
 impl Quotas {
-    /// No team has sent anything yet.
+    /// Creates the accounts; no team has sent a request yet.
     pub fn new(options: quota::Options) -> Arc<Self> {
         Arc::new(Self {
             options,
@@ -46,11 +46,11 @@
         })
     }
 
-    /// Takes a request from the account of its team; `None` if that has no `limit`.
+    /// Charges a request to its team's account; `None` if the team has no `limit`.
     ///
     /// # Errors
     ///
-    /// `QuotaExceeded`, with the time at which a request like this one may run.
+    /// `QuotaExceeded`, with the time after which such a request is admitted.
     pub fn acquire(
         self: &Arc<Self>,
         call: &call::Call,
@@ -81,15 +81,15 @@
         }
     }
 
-    /// What this entry has let through of `team`, for the others.
+    /// The usage of `team` that this entry has admitted, to be reported to other entries.
     pub fn team_usage(&self, team: &id::TeamId) -> Option<service::Spent> {
         let mut accounts = self.shard(team);
         let account = accounts.get_mut(team)?;
         Some(self.usage(team, account))
     }
 
-    /// What this entry has let through of those of `teams` about which the others have to be told or
-    /// heard now.
+    /// The usage that this entry has admitted, of those of `teams` whose usage has to be exchanged with other
+    /// entries now.
     pub fn due(&self, teams: &[team::Team]) -> Due {
         let now = self.now();
         let mut due = Due::default();
@@ -115,7 +115,7 @@
         }
     }
 
-    /// What a replica knows of `team`.
+    /// Merges a replica's `summary` of all entries' usage into the account of `team`.
     pub fn merge(&self, team: &id::TeamId, summary: &quota::Heard) {
         let now = self.now();
         if let Some(account) = self.shard(team).get_mut(team) {
@@ -132,14 +132,14 @@
         self.started.elapsed()
     }
 
-    /// A request of `team` runs once more.
+    /// Charges a further run of a request of `team`.
     fn charge(&self, team: &id::TeamId) {
         if let Some(account) = self.shard(team).get_mut(team) {
             account.charge(quota::Stage::GoesOn, self.now(), &self.options);
         }
     }
 
-    /// A request of `team` has not run.
+    /// Refunds a request of `team` that has not run.
     fn refund(&self, team: &id::TeamId, stage: quota::Stage) {
         if let Some(account) = self.shard(team).get_mut(team) {
             account.refund(stage, self.now(), &self.options);
@@ -147,25 +147,25 @@
     }
 }
 
-/// A request that was taken from its team's account. Given back when dropped, unless it ran.
+/// A request's charge to its team's account. Refunded when dropped, unless the request ran.
 #[derive(Debug)]
 pub struct Permit {
     quotas: Arc<Quotas>,
     team: id::TeamId,
     stage: quota::Stage,
-    /// How often it ran, or may have.
+    /// How often the request ran or may have run.
     runs: AtomicU32,
 }
 
 impl Permit {
-    /// The request is sent to an upstream.
+    /// Records that the request is sent to an upstream.
     pub fn sent(&self) {
         if self.runs.fetch_add(1, Ordering::Relaxed) > 0 {
             self.quotas.charge(&self.team);
         }
     }
 
-    /// The request that was sent has not run.
+    /// Records that the request was sent but has not run.
     pub fn not_run(&self) {
         if self.runs.fetch_sub(1, Ordering::Relaxed) > 1 {
             self.quotas.refund(&self.team, quota::Stage::GoesOn);
--- a/fw-gate/src/process/read_schedule.rs
+++ b/fw-gate/src/process/read_schedule.rs
@@ -1,15 +1,16 @@
-//! Whether this entry reads the platform's store, or relies on another that does.
+//! When this entry reads the platform's store: it is a reader itself, or follows the reads of another
+//! entry.
 
 use std::time::{Duration, Instant};
 
 use fw_plan::reader;
 use parking_lot::Mutex;
 
-/// Time between two reads while no replica tells of any: nobody else hears of them, and a whole fleet
-/// that starts, or has lost its replicas, reads for itself.
+/// Interval between reads while no replica reports one: reads then reach no other entry, so that in a fleet
+/// that starts, or has lost its replicas, every entry reads for itself.
 const FALLBACK_READ_INTERVAL: Duration = Duration::from_millis(900);
 
-/// What is known of who reads.
+/// Decides whether this entry is a reader, from the reads that it made or that replicas reported.
 #[derive(Debug)]
 pub struct ReadSchedule {
     entry: reader::Entry,
@@ -21,14 +22,14 @@
 struct State {
     is_reader: bool,
     last_read: Option<(reader::Entry, Instant)>,
-    /// When this entry read last.
+    /// When this entry made its last read.
     last_own_read: Option<Instant>,
-    /// When a replica last told of a read.
+    /// When a replica last reported a read.
     last_report: Option<Instant>,
 }
 
 impl ReadSchedule {
-    /// Nothing was heard yet by entry `me`.
+    /// Creates the schedule of `entry`, to which no read was reported yet.
     pub fn new(entry: reader::Entry) -> Self {
         Self {
             entry,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// This entry has read the store.
+    /// Records that this entry has read the store.
     pub fn note_own_read(&self) {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -45,7 +46,7 @@
         state.last_read = Some((self.entry, now));
     }
 
-    /// A replica tells that `by` read the store so long `ago`.
+    /// Records a replica's report that entry `by` read the store `ago`.
     pub fn note_reported_read(&self, by: reader::Entry, ago: Duration) {
         let now = Instant::now();
         let Some(at) = now.checked_sub(ago) else {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Waits until this entry has to read.
+    /// Waits until this entry has to read the store.
     pub async fn wait_due(&self) {
         loop {
             match self.decide() {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Waits for the slower pace of an entry that reads for itself alone.
+    /// Waits for the rest of the longer interval that applies while no replica reports reads.
     async fn wait_fallback_interval(&self) {
         let next = {
             let state = self.state.lock();
--- a/fw-gate/src/process/serve.rs
+++ b/fw-gate/src/process/serve.rs
@@ -1,4 +1,4 @@
-//! An entry from its start to its end.
+//! The entry process: startup, serving and graceful shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,32 +14,32 @@
 use super::gate;
 use crate::connection::listen;
 
-/// Time for whoever sends callers here to notice that the entry is not ready: it asks once a
-/// second and believes two misses.
+/// Time for load balancers to notice that the entry is not ready: they check its readiness once a second
+/// and take it out after two failed checks.
 const UNREADY_PROPAGATION: Duration = Duration::from_millis(2_600);
-/// Part of the grace that is left when the entry stops waiting for requests under way.
+/// Part of the grace period that is left when the entry stops waiting for requests in flight.
 const GRACE_RESERVE: Duration = Duration::from_millis(500);
 
-/// What an entry is told at its start.
+/// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// What its requests share.
+    /// Settings of the state that its requests share.
     pub gate: gate::Options,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where it passes connections of other entries on to replicas.
+    /// Address at which it relays other entries' connections to replicas.
     pub relay: SocketAddr,
-    /// Where it is asked whether it is ready.
+    /// Address of the readiness check.
     pub ready: SocketAddr,
-    /// Path of that question.
+    /// Path of the readiness check.
     pub ready_path: String,
-    /// Time from the signal to stop until it is killed.
+    /// Time from the stop signal until the process is killed.
     pub grace: Duration,
     /// How the platform's store is followed.
     pub follow: fw_follow::Options,
 }
 
-/// Why an entry does not run.
+/// Why an entry cannot start.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// An address cannot be listened on.
@@ -47,12 +47,12 @@
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// Runs an entry until `stop` is ready, and then until its requests under way are answered.
+/// Runs an entry until `stop` completes, and then until its requests in flight are answered.
 ///
 /// # Errors
 ///
@@ -69,7 +69,7 @@
     tracing::info!(callers = %opts.callers, ready = %opts.ready, "entry starts");
 
     let applier = Arc::clone(&gate);
-    // Dropped with this future, so that an entry which is killed leaves nothing running.
+    // Dropped with this future, so that an entry which is aborted leaves no task running.
     let mut tasks = JoinSet::new();
     let schedule = gate::Schedule(Arc::clone(&gate));
     tasks.spawn(fw_follow::follow(
@@ -100,7 +100,7 @@
     tracing::info!(grace = ?opts.grace, "entry stops");
     gate.stop();
     let propagation = UNREADY_PROPAGATION.min(opts.grace / 3);
-    // Callers are served until whoever sends them here has noticed.
+    // New callers are served until load balancers have noticed that the entry is not ready.
     let _ = tokio::time::timeout(propagation, &mut serving).await;
     close.cancel();
     let rest = opts.grace.saturating_sub(propagation + GRACE_RESERVE);
--- a/fw-gate/src/process/snapshot.rs
+++ b/fw-gate/src/process/snapshot.rs
@@ -1,12 +1,12 @@
-//! What an entry knows from the platform's store, as it is passed on by way of the replicas.
+//! The snapshot of the platform's store that entries exchange through the replicas.
 //!
-//! *Failure:* all entries lose power while the store is away, or the store turns one entry away for
-//! seconds. Without a disk an entry that starts then knows no route and no upstream, and could
-//! serve nobody until the store is back.
+//! *Failure:* all entries lose power while the store is unavailable, or the store refuses one entry for
+//! seconds. An entry has no disk, so one that starts then would have no route and no upstream, and could
+//! serve no request until the store is back.
 //!
-//! Whoever reads the store gives the replicas what has changed; everybody else hears of it from
-//! them. A configuration never goes back, since an older version is not put in force, and a part of an
-//! older revision of the store is not taken.
+//! The entry that reads the store publishes the changed parts to the replicas, and all other entries fetch
+//! them from there. A configuration is never rolled back: an older version is not put in force, and a part
+//! of an older revision of the store is not applied.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,36 +19,36 @@
 use super::fleet;
 use crate::version::config;
 
-/// How long a replica is asked to wait for news.
+/// How long a replica may hold a request for an update until it has one.
 pub const UPDATE_WAIT: Duration = Duration::from_millis(450);
-/// Pause before replicas that told nothing are asked again.
+/// Pause before replicas that had no update are polled again.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// The same while nothing is known: callers wait for it.
+/// The same pause while there is no configuration yet and callers wait for one.
 pub const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a replica tells, as far as it was not known.
+/// The parts of a replica's update that were new to this entry, decoded.
 #[derive(Debug, Default)]
 pub struct Decoded {
     /// The configuration.
     pub config: Option<config::Config>,
     /// All upstreams.
     pub upstreams: Option<Vec<fleet::ListedUpstream>>,
-    /// Whether all is known now that the replica knows.
+    /// Whether this entry now has everything that the replica has.
     pub is_complete: bool,
 }
 
-/// What is known, and of which revision of the store.
+/// The parts of the snapshot that this entry has, and the revision of the store that they are from.
 #[derive(Debug, Default)]
 pub struct Cache {
     digests: service::Marks,
-    /// Revision up to which all that the store holds is known.
+    /// Revision of the store at which all parts are known to be current.
     as_of: u64,
-    /// Newest revision of which something is known. What a replica has on its disk says nothing of
-    /// what else there was.
+    /// Newest revision that any part is from. A part from a replica's disk gives no evidence that the other
+    /// parts are of its revision too.
     newest: u64,
     config_version: Option<config::Version>,
     upstreams: Bytes,
-    /// Whether each part was told in a form that cannot be read, and not since in one that can.
+    /// The parts whose newest version could not be decoded.
     undecodable: Undecodable,
 }
 
@@ -59,17 +59,17 @@
 }
 
 impl Cache {
-    /// Digests of what is known.
+    /// Digests of the parts.
     pub fn digests(&self) -> service::Marks {
         self.digests
     }
 
-    /// Revision up to which all that the store holds is known.
+    /// Revision of the store at which all parts are known to be current.
     pub fn as_of(&self) -> u64 {
         self.as_of
     }
 
-    /// What is known, for replicas to tell what is lacking.
+    /// Revision and digests of the parts, by which a replica decides what to send.
     pub fn known_version(&self) -> service::Known {
         service::Known {
             as_of: self.newest,
@@ -77,22 +77,22 @@
         }
     }
 
-    /// Whether the newest parts that were told could be read.
+    /// Whether the newest version of each part could be decoded.
     fn is_decodable(&self) -> bool {
         !self.undecodable.config && !self.undecodable.upstreams
     }
 
-    /// Whether the newest configuration that was read or told could be decoded.
+    /// Whether the newest configuration, from the store or a replica, could be decoded.
     pub fn has_decodable_config(&self) -> bool {
         !self.undecodable.config
     }
 
-    /// The store was read, and held a configuration that could be decoded, or could not.
+    /// Records whether the configuration that was read from the store could be decoded.
     pub fn set_config_decodable(&mut self, decodable: bool) {
         self.undecodable.config = !decodable;
     }
 
-    /// The store was read, and held this at revision `as_of`. Returns what has changed.
+    /// Records the content of the store at revision `as_of`. Returns the parts that have changed.
     pub fn record_read(
         &mut self,
         as_of: u64,
@@ -119,8 +119,8 @@
         changed
     }
 
-    /// Makes all parts, for a replica that lacks some. Rarely wanted, so the configuration is encoded
-    /// only then.
+    /// Returns a function that builds all parts, for a replica that lacks some. This is rare, so the
+    /// configuration is encoded only on demand.
     pub fn full_snapshot(
         &self,
         config: Arc<config::Config>,
@@ -136,14 +136,14 @@
         }
     }
 
-    /// Takes what a replica tells; `None` if what is known is newer.
+    /// Applies a replica's update; `None` if this entry has a newer snapshot.
     ///
-    /// A revision does not determine a part, so it counts as known only once the digests agree, and a part of
-    /// the same revision is taken.
+    /// A revision does not determine the content of a part, so a revision counts as complete only once the
+    /// digests agree, and a part of the same revision is applied.
     pub fn apply_update(&mut self, update: &service::News) -> Option<Decoded> {
         let service::News { newer, last, .. } = update;
         let as_of = last.map_or(newer.as_of(), |last| last.as_of);
-        // Without a read since, it is what lies on the replica's disk.
+        // If no entry has read the store since the replica started, the parts are from its disk.
         let is_older = match last {
             Some(_) => as_of < self.newest,
             None => as_of <= self.newest,
@@ -171,7 +171,7 @@
     }
 
     fn apply_config(&mut self, part: &service::Bulletin) -> Option<config::Config> {
-        // One that cannot be read is not asked for again.
+        // The digest is kept also if decoding fails, so that the part is not fetched again.
         self.digests.config = part.digest();
         let config = decode_part::<config::Config>(part);
         self.undecodable.config = config.is_none();
--- a/fw-gate/src/process/turn_cache.rs
+++ b/fw-gate/src/process/turn_cache.rs
@@ -1,6 +1,6 @@
-//! Turns that this entry has seen lately, so that a chain is rarely read from the replicas.
+//! A cache of recently used turns, so that a chain is rarely read from the replicas.
 //!
-//! A finished turn never changes, so what is here is never stale.
+//! A finished turn never changes, so cached turns are never stale.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use fw_replica::record;
 use parking_lot::Mutex;
 
-/// Bytes kept. A chain is some ten kilobytes, so this holds the last hundred or so programs.
+/// Capacity in bytes. A chain has some ten kilobytes, so this holds about the last hundred programs.
 const MAX_BYTES: usize = 1 << 20;
 
 #[derive(Debug, Default)]
@@ -18,23 +18,23 @@
     bytes: usize,
 }
 
-/// The cache.
+/// The cache; the turns that were added first are evicted first.
 #[derive(Debug, Default)]
 pub struct TurnCache {
     inner: Mutex<Inner>,
 }
 
-/// As much of a chain as is here.
+/// The cached part of a chain.
 #[derive(Debug)]
 pub struct Chain {
     /// Turns from the newest to the oldest.
     pub turns: Vec<Arc<record::Turn>>,
-    /// The first one on the way that is not here.
+    /// The newest turn of the chain that is not cached; `None` if all are.
     pub missing: Option<record::TurnId>,
 }
 
 impl TurnCache {
-    /// The chain that ends with `newest`.
+    /// Returns the cached part of the chain whose newest turn is `newest`.
     pub fn chain(&self, newest: Option<&record::TurnId>) -> Chain {
         let inner = self.inner.lock();
         let mut turns = Vec::new();
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Keeps `turn`, and drops the oldest if there is no room.
+    /// Caches `turn`, and evicts the oldest turns if the capacity is exceeded.
     pub fn put(&self, turn: Arc<record::Turn>) {
         let mut inner = self.inner.lock();
         let size = size(&turn);
--- a/fw-gate/src/request/answer.rs
+++ b/fw-gate/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the entry makes itself, all from the table of error kinds.
+//! Error answers that the entry itself generates, all from the table of error kinds.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 
 use super::body;
 
-/// Earliest time at which a refused caller should come back: enough for a queue of some tens of
-/// milliseconds to drain, little against objectives of some hundred.
+/// Shortest time after which a refused caller should retry: long enough for a queue of some tens of
+/// milliseconds to drain, and short compared to latency objectives of some hundred.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Width of the span over which refused callers are spread, so that they do not return together.
+/// Span over which retries of refused callers are spread, so that they do not arrive together.
 const RETRY_AFTER_SPREAD: Duration = Duration::from_millis(200);
 
-/// When a refused caller should come back, drawn so that callers refused together spread out.
+/// Draws the time after which a refused caller should retry, so that callers refused together spread out.
 pub fn draw_retry_after(rng: &mut impl rand::Rng) -> Duration {
     MIN_RETRY_AFTER + RETRY_AFTER_SPREAD.mul_f64(rng.random::<f64>())
 }
 
-/// The answer that tells of `err`.
+/// The answer that reports `err`.
 pub fn of_error(err: &error::Error) -> Response<body::Outgoing> {
     let row = err.kind.row();
     metrics::counter!("fw_gate_errors_total", "kind" => row.label).increment(1);
--- a/fw-gate/src/request/attempt.rs
+++ b/fw-gate/src/request/attempt.rs
@@ -1,5 +1,5 @@
-//! Attempts to have one request answered by an upstream: where each goes, and whether another
-//! follows one that failed.
+//! Attempts to have one request answered by an upstream: the choice of the upstream for each, and whether
+//! a failed one is followed by another.
 
 use std::time::Duration;
 
@@ -12,47 +12,47 @@
 use crate::process::{fleet, gate, quotas};
 use crate::version::config;
 
-/// A request on its way: what every attempt of it needs.
+/// A request, with everything that each of its attempts needs.
 #[derive(Debug)]
 pub struct Job<'a> {
     /// Shared state.
     pub gate: &'a std::sync::Arc<gate::Gate>,
     /// The route.
     pub route: &'a config::Route,
-    /// The service chosen of the route's.
+    /// The service that was chosen among the route's.
     pub service: &'a id::ServiceId,
-    /// What the request says of itself.
+    /// The request's decoded headers.
     pub call: &'a call::Call,
-    /// The request as it is sent.
+    /// The request as sent to upstreams.
     pub out: &'a send::Outbound,
-    /// What requests like it have in common.
+    /// Fingerprint that is the same for repetitions of the request.
     pub fingerprint: digest::Digest,
-    /// When the caller gives up, or the route does.
+    /// When the caller's deadline or the route's timeout is over.
     pub until: Instant,
-    /// Its rank; 0 goes first.
+    /// Its priority; 0 is the highest.
     pub priority: u32,
-    /// What it took of its team's quota, if the team has one.
+    /// Its charge to its team's quota, if the team has one.
     pub permit: Option<&'a quotas::Permit>,
 }
 
-/// Attempts made so far.
+/// The attempts made so far.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub failed: u32,
-    /// Attempts that may have run.
+    /// Number of attempts that have run or may have run.
     pub may_have_run: u32,
-    /// Upstreams that failed.
+    /// Upstreams at which an attempt failed.
     pub avoid: Vec<id::UpstreamId>,
     /// An earlier failure after which the call may have run.
     pub earlier: Option<error::Error>,
 }
 
-/// Upstreams that a call may miss before its further attempts spend the retry budget.
+/// Number of failed attempts from which even a call that reached no upstream draws on the retry budget.
 const MAX_UNREACHED: u32 = 4;
 
-/// Whether a failure shows that the call reached no upstream of its service. Sending it on adds no
-/// load to one, so that it needs no retry budget.
+/// Whether a failure shows that the call reached no upstream of its service. Another attempt then adds no
+/// load to the upstreams, so that it needs no retry budget.
 fn reached_no_upstream(kind: error::Kind) -> bool {
     matches!(
         kind,
@@ -61,12 +61,12 @@
 }
 
 impl Job<'_> {
-    /// Sends the request to upstreams, until one begins an answer of which `finish` makes what is
-    /// wanted.
+    /// Sends the request to upstreams until one begins an answer that `finish` accepts, and returns the result
+    /// of `finish`.
     ///
     /// # Errors
     ///
-    /// What to tell the caller when there is to be no further attempt.
+    /// The error for the caller when there is to be no further attempt.
     pub async fn run<T, F>(
         &self,
         finish: impl Fn(send::OpenResponse) -> F,
@@ -99,17 +99,17 @@
         }
     }
 
-    /// Whether a program begins with the request.
+    /// Whether the request is the first turn of a program.
     pub fn begins_program(&self) -> bool {
         let is_first = self.route.kind == config::Kind::Stream && self.call.previous.is_none();
         is_first && self.gate.fleet.is_new_program(&self.call.lineage())
     }
 
-    /// Sends the request to the upstream of `lease`; an attempt that may have run is paid for.
+    /// Sends the request to the upstream of `lease`; an attempt that may have run is charged to the quota.
     ///
     /// # Errors
     ///
-    /// When there is no answer that may be passed on.
+    /// When there is no answer that may be forwarded.
     pub async fn send(&self, lease: fleet::Lease) -> Result<send::OpenResponse, send::Failure> {
         if let Some(permit) = self.permit {
             permit.sent();
@@ -124,7 +124,7 @@
         sent
     }
 
-    /// An upstream for the next attempt; that of a stream waits for a free slot.
+    /// Chooses the upstream for the next attempt; a stream waits for a free slot.
     ///
     /// # Errors
     ///
@@ -163,11 +163,12 @@
         })
     }
 
-    /// Waits until the next attempt after one that `failed` at an upstream chosen by `list`.
+    /// Decides whether another attempt follows one that `failed` at an upstream chosen by `list_state`, and
+    /// waits until it may be made.
     ///
     /// # Errors
     ///
-    /// The error to answer with, when there is to be none.
+    /// The error for the caller, when there is to be no further attempt.
     async fn prepare_retry(
         &self,
         attempts: &mut Attempts,
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Finds out whether `upstream` crashed under the call, and if so remembers the call.
+    /// Checks whether `upstream` crashed while it ran the call, and if so records the call's fingerprint.
     pub async fn check_crash(&self, upstream: &id::UpstreamId, addr: std::net::SocketAddr) {
         if send::has_crashed(addr).await {
             tracing::warn!(request = %self.call.id, %upstream, "upstream crashed under the call");
--- a/fw-gate/src/request/auth.rs
+++ b/fw-gate/src/request/auth.rs
@@ -1,4 +1,4 @@
-//! Which team a request belongs to, by its API key.
+//! Authentication: the team of a request, by its API key.
 
 use fw_base::{digest, error};
 use hyper::HeaderMap;
@@ -6,22 +6,22 @@
 
 use crate::version::{config, team};
 
-/// The scheme under which keys are sent.
+/// The authentication scheme of API keys.
 const SCHEME: &str = "Bearer";
 
-/// Why a request has no team.
+/// Why a request was not authenticated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// It carries no key.
     Missing,
-    /// Its key cannot be read, or it carries several.
+    /// Its header cannot be parsed, or it carries several.
     Malformed,
     /// No team holds its key.
     Unknown(digest::Digest),
 }
 
 impl Refusal {
-    /// Value of the `reason` label on the counter.
+    /// Value of the `reason` label of `fw_gate_unauthorized_total`.
     pub fn label(self) -> &'static str {
         match self {
             Self::Missing => "missing",
@@ -42,11 +42,12 @@
     }
 }
 
-/// The team of a request with `headers` on `route`; `None` if the request needs none.
+/// Returns the team of a request with `headers` on `route`; `None` if the request needs none and has no valid
+/// key.
 ///
 /// # Errors
 ///
-/// Why it may not run.
+/// The reason why the request is refused.
 pub fn team<'a>(
     config: &'a config::Config,
     route: &config::Route,
@@ -66,7 +67,7 @@
     }
 }
 
-/// The key that a request carries.
+/// The API key of a request.
 fn key(headers: &HeaderMap) -> Result<&[u8], Refusal> {
     let mut values = headers.get_all(header::AUTHORIZATION).into_iter();
     let value = values.next().ok_or(Refusal::Missing)?;
@@ -76,7 +77,7 @@
     bearer(value).ok_or(Refusal::Malformed)
 }
 
-/// The key in `value`: one word after the scheme, whose case does not matter.
+/// The key in `value`: one word after the scheme, which is case-insensitive.
 fn bearer(value: &HeaderValue) -> Option<&[u8]> {
     let bytes = value.as_bytes();
     let (scheme, rest) = bytes.split_at_checked(SCHEME.len())?;
--- a/fw-gate/src/request/body.rs
+++ b/fw-gate/src/request/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole, or passed on as they come.
+//! Bodies of answers: complete, or forwarded as they arrive.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,11 +8,11 @@
 use snafu::Snafu;
 use tokio::sync::mpsc;
 
-/// Pieces that wait for a caller who reads slowly. Beyond that the upstream is not read either.
+/// Maximum number of chunks that are buffered for a caller that reads slowly. When the buffer is full the
+/// upstream is not read either.
 pub const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// The upstream broke off: the caller's connection is closed, so that the answer does not look
-/// complete.
+/// The answer was cut off: the caller's connection is closed, so that the answer does not appear complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("the answer broke off"))]
 pub struct Interrupted;
@@ -20,9 +20,9 @@
 /// Body of an answer to a caller.
 #[derive(Debug)]
 pub enum Outgoing {
-    /// All of it.
+    /// The complete body; `None` once it is sent, or if it is empty.
     Whole(Option<Bytes>),
-    /// Pieces as they come.
+    /// Chunks as they arrive.
     Chunks(mpsc::Receiver<Result<Bytes, Interrupted>>),
 }
 
--- a/fw-gate/src/request/call.rs
+++ b/fw-gate/src/request/call.rs
@@ -1,4 +1,4 @@
-//! What a request says of itself.
+//! The headers of a request, decoded.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use crate::names;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which concern one connection only.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -23,39 +23,39 @@
     header::EXPECT,
 ];
 
-/// The headers of a request, decoded.
+/// A call, as its headers describe it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Call {
     /// Id of the caller's attempt.
     pub id: SmolStr,
-    /// The team that it belongs to, if callers have teams.
+    /// The caller's team, if callers have teams.
     pub team: Option<id::TeamId>,
-    /// The turn that it is.
+    /// Id of the turn.
     pub turn: record::TurnId,
-    /// How long the caller waits; `None` if it does not say.
+    /// How long the caller waits; `None` if it states no deadline.
     pub deadline: Option<Duration>,
     /// The program.
     pub program: Option<id::ProgramId>,
-    /// The line of turns that it belongs to, also if it is a tool's call between two of them.
+    /// The session, a sequence of turns; also set on a tool's call between two turns.
     pub session: Option<SmolStr>,
     /// The object that it concerns.
     pub object: Option<SmolStr>,
-    /// Time until the program should be finished; `None` if it is not told.
+    /// Time until the program's deadline; `None` if the caller states none.
     pub program_deadline: Option<Duration>,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: id::Tokens,
-    /// Tokens generated at most.
+    /// Maximum number of generated tokens.
     pub max_tokens: id::Tokens,
-    /// Tokens that the whole program may generate.
+    /// Maximum number of tokens that the whole program may generate.
     pub budget: Option<id::Tokens>,
-    /// The turn continued.
+    /// The turn that this one continues.
     pub previous: Option<record::TurnId>,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller received.
     pub resume_after: Option<SmolStr>,
 }
 
 impl Call {
-    /// What its prompt begins like, if it is a turn.
+    /// Session and program, whose turns have prompts that begin alike.
     pub fn lineage(&self) -> trail::Lineage {
         trail::Lineage {
             session: self.session.clone(),
@@ -63,10 +63,10 @@
         }
     }
 
-    /// The call as one of `team`: whatever its caller names is the team's own. Two teams may choose the
-    /// same ids, and neither reaches what is the other's.
+    /// Scopes the ids of the call to `team`. Two teams may choose the same ids, and neither may reach the
+    /// other's turns, programs and sessions.
     pub fn scoped_to(self, team: &id::TeamId) -> Self {
-        // No header holds this character, so that ids of two teams never look alike.
+        // No header value contains this character, so ids of two teams are never equal.
         let scoped = |id: SmolStr| smol_str::format_smolstr!("{team}\u{b7}{id}");
         Self {
             team: Some(team.clone()),
@@ -123,7 +123,7 @@
     parsed.ok_or_else(|| bad(&names.tokens, "must be two whole numbers and a comma"))
 }
 
-/// The object named by the cookie.
+/// The object's id from the cookie.
 fn object(names: &names::HeaderNames, headers: &HeaderMap) -> Option<SmolStr> {
     let cookies = headers.get_all(header::COOKIE).into_iter();
     let cookies = cookies.filter_map(|value| value.to_str().ok());
@@ -157,7 +157,7 @@
     error::Error::new(error::Kind::BadRequest, format!("`{name}` {why}"))
 }
 
-/// Removes what concerns one connection only, also what the `Connection` header names.
+/// Removes hop-by-hop headers, including those named by the `Connection` header.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named = headers.get_all(header::CONNECTION).into_iter();
     let named = named.filter_map(|value| value.to_str().ok());
@@ -172,7 +172,7 @@
     headers.remove("proxy-connection");
 }
 
-/// A header value of a number.
+/// The header value for a number.
 pub fn number_value(number: u64) -> HeaderValue {
     HeaderValue::from(number)
 }
--- a/fw-gate/src/request/events.rs
+++ b/fw-gate/src/request/events.rs
@@ -1,40 +1,40 @@
-//! Splits a `text/event-stream` into whole events.
+//! Splits a `text/event-stream` into complete events.
 //!
-//! A worker may break off in the middle of an event. Only whole events are passed on, so that a
-//! stream which goes on elsewhere continues at the boundary of an event.
+//! A stream may break in the middle of an event. Only complete events are forwarded, so that a stream that
+//! is resumed at another upstream continues at the boundary of an event.
 
 use bytes::{Buf, Bytes, BytesMut};
 use smol_str::SmolStr;
 
-/// Longest event, in bytes; a longer one is no event of an agent's answer.
+/// Maximum length of an event; events of an agent's answer are never longer.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     /// Its bytes, with the blank line that ends it.
     pub raw: Bytes,
     /// Its id, if it has one.
     pub id: Option<SmolStr>,
-    /// Its data, the lines of it joined by line feeds; `None` if it has no data line.
+    /// Its data lines, joined by line feeds; `None` if it has none.
     pub data: Option<Bytes>,
 }
 
-/// The splitter.
+/// An incremental splitter of a stream into events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buf: BytesMut,
-    /// Bytes of `buf` that hold no end of an event.
+    /// Length of the start of `buf` that was searched for the end of an event without finding one.
     searched: usize,
 }
 
 impl Splitter {
-    /// Adds bytes as they arrived.
+    /// Appends bytes that have arrived.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.end_of_event()?;
         let raw = self.buf.split_to(end).freeze();
@@ -42,17 +42,17 @@
         Some(parse(raw))
     }
 
-    /// Whether a part of an event is left over.
+    /// Whether the buffer ends with an incomplete event.
     pub fn has_partial(&self) -> bool {
         self.buf.has_remaining()
     }
 
-    /// Whether the part left over is longer than any event.
+    /// Whether the incomplete event exceeds the maximum length.
     pub fn is_too_long(&self) -> bool {
         self.buf.len() > MAX_EVENT_BYTES
     }
 
-    /// Where the first event ends: after two line ends in a row.
+    /// End of the first event: after two consecutive line ends.
     fn end_of_event(&mut self) -> Option<usize> {
         let from = self.searched.saturating_sub(3);
         let found = (from..self.buf.len()).find_map(|at| {
@@ -94,7 +94,7 @@
     }
 }
 
-/// The value of `line` if it is a field called `name`; one space after the colon does not count.
+/// The value of `line` if it is the field `name`; one space after the colon is skipped.
 fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?.strip_prefix(b":")?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
--- a/fw-gate/src/request/ingress.rs
+++ b/fw-gate/src/request/ingress.rs
@@ -1,4 +1,4 @@
-//! A caller's request, from its head to the head of its answer.
+//! Handling of a caller's request, from its head to the head of its answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 use crate::process::gate;
 use crate::version::{config, team};
 
-/// Answers one request. Dropping the future, as when the caller closes its connection, ends
-/// whatever is under way for it.
+/// Answers one request. Dropping the future, as happens when the caller closes its connection, cancels all
+/// work for it.
 pub async fn handle(gate: Arc<gate::Gate>, req: Request<Incoming>) -> Response<body::Outgoing> {
     let started = Instant::now();
     let names = &gate.opts.names;
@@ -62,7 +62,7 @@
     res
 }
 
-/// Milliseconds for a log line; -1 if there is no such time.
+/// Milliseconds for a log line; -1 for no time.
 pub(super) fn log_ms(time: Option<Duration>) -> i64 {
     time.map_or(-1, |time| time.as_millis() as i64)
 }
@@ -133,7 +133,7 @@
     plain::run(&job).await
 }
 
-/// The team of a request; `None` if it needs none.
+/// Authenticates a request and returns its team; `None` if it needs none.
 fn team<'a>(
     config: &'a config::Config,
     key_freshness: staleness::Outcome,
@@ -153,7 +153,7 @@
     })
 }
 
-/// The host named by the request, without a port.
+/// The host that the request is addressed to, without the port.
 fn host<'a>(headers: &'a HeaderMap, uri: &'a Uri) -> &'a str {
     let named = headers.get(header::HOST);
     let named = named.and_then(|value| value.to_str().ok());
@@ -161,7 +161,7 @@
     host.rsplit_once(':').map_or(host, |(host, _port)| host)
 }
 
-/// Reads a request's body.
+/// Reads the whole body of a request.
 async fn read_body(
     body: Incoming,
     max_bytes: usize,
@@ -186,7 +186,7 @@
     }
 }
 
-/// The request as upstreams get it.
+/// The request as sent to upstreams.
 fn outbound(
     gate: &gate::Gate,
     head: &hyper::http::request::Parts,
@@ -227,7 +227,7 @@
     })
 }
 
-/// What requests that are sent again have in common.
+/// The fingerprint of a request, which is the same when it is sent again.
 fn fingerprint(team: Option<&id::TeamId>, uri: &Uri, body: &Bytes) -> digest::Digest {
     let team = team.map_or("", SmolStr::as_str);
     let mut bytes = Vec::with_capacity(team.len() + 1 + uri.path().len() + 1 + body.len());
@@ -239,7 +239,7 @@
     digest::Digest::of_bytes(&bytes)
 }
 
-/// Limits of connections, from the configuration in force.
+/// Limits of callers' connections, from the configuration in force.
 pub fn limits(gate: &gate::Gate) -> config::Limits {
     gate.config()
         .map_or_else(config::Limits::default, |config| config.limits)
--- a/fw-gate/src/request/mod.rs
+++ b/fw-gate/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a request.
+//! The handling of one request, from its head to the end of its answer.
 
 pub mod answer;
 pub mod attempt;
--- a/fw-gate/src/request/plain.rs
+++ b/fw-gate/src/request/plain.rs
@@ -1,7 +1,7 @@
-//! Requests whose answer is passed on whole.
+//! Requests whose answer is forwarded only once it is complete.
 //!
-//! The answer is collected before its first byte goes to the caller, so that one which breaks off
-//! can be asked for again where that is allowed, and never looks complete where it is not.
+//! The answer is collected before its first byte is sent to the caller, so that after a broken one the
+//! request can be sent again where that is allowed, and a broken answer never appears complete.
 
 use bytes::Bytes;
 use fw_base::error;
@@ -13,21 +13,21 @@
 use super::ingress::log_ms;
 use super::{attempt, body, call, send};
 
-/// Longest answer that is collected; plain services send a few kilobytes.
+/// Maximum length of an answer that is collected; plain services send a few kilobytes.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// Runs the request and returns its answer.
 ///
 /// # Errors
 ///
-/// What to tell the caller when no upstream gave an answer.
+/// The error for the caller when no upstream answered.
 pub async fn run(job: &attempt::Job<'_>) -> Result<Response<body::Outgoing>, error::Error> {
     let (head, whole) = job.run(|response| collect_and_log(job, response)).await?;
     job.gate.record_success(&job.fingerprint);
     Ok(forwarded(head, body::Outgoing::from(whole)))
 }
 
-/// Reads the rest of the answer to a request, and logs where it was served.
+/// Reads the rest of the answer to a request, and logs the upstream that served it.
 async fn collect_and_log(
     job: &attempt::Job<'_>,
     response: send::OpenResponse,
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// When it breaks off: the call has run, or may have.
+/// When the answer breaks or is late: the call has run or may have run.
 pub async fn collect(
     response: send::OpenResponse,
     until: Instant,
@@ -91,7 +91,7 @@
     }
 }
 
-/// The upstream's answer, with a body of the entry's.
+/// The upstream's answer as forwarded to the caller, with `body` in place of its own.
 pub fn forwarded(
     head: hyper::http::response::Parts,
     body: body::Outgoing,
--- a/fw-gate/src/request/send.rs
+++ b/fw-gate/src/request/send.rs
@@ -1,4 +1,4 @@
-//! One call to one upstream, and what its answer means.
+//! One call to one upstream, and the check of its answer.
 
 use std::time::Duration;
 
@@ -17,14 +17,14 @@
 use crate::names;
 use crate::process::fleet;
 
-/// A request as it goes to upstreams.
+/// A request as sent to upstreams.
 #[derive(Clone, Debug)]
 pub struct Outbound {
     /// Method.
     pub method: Method,
     /// Path and query, as the caller sent them.
     pub uri: Uri,
-    /// Headers that are passed on.
+    /// Headers to forward.
     pub headers: HeaderMap,
     /// Whole body.
     pub body: Bytes,
@@ -32,10 +32,10 @@
     pub id: HeaderValue,
 }
 
-/// A call whose answer has begun.
+/// A call whose answer has begun: the head is there and the body still arrives.
 #[derive(Debug)]
 pub struct OpenResponse {
-    /// The upstream.
+    /// The lease of the upstream.
     pub lease: fleet::Lease,
     /// The connection to it.
     pub link: link::Link,
@@ -45,17 +45,17 @@
     pub body: Incoming,
 }
 
-/// A call that brought no answer to pass on.
+/// A call without an answer that may be forwarded.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// What happened; its row says whether the call ran.
+    /// The error; the table of its kinds states whether the call ran.
     pub err: error::Error,
-    /// Whether the connection broke while the call was at the upstream, as in a crash.
+    /// Whether the connection broke after the call was sent, as in a crash of the upstream.
     pub connection_broke: bool,
 }
 
 impl Outbound {
-    /// The request for `lease`, which may take until `until`.
+    /// The HTTP request for `lease`, whose deadline is `until`.
     fn request(
         &self,
         names: &names::HeaderNames,
@@ -80,11 +80,11 @@
     }
 }
 
-/// Sends `out` to the leased upstream and waits for the head of its answer until `until`.
+/// Sends `out` to the leased upstream and waits for the head of its answer, at most until `until`.
 ///
 /// # Errors
 ///
-/// When there is no answer that may be passed on.
+/// When there is no answer that may be forwarded.
 pub async fn call_upstream(
     names: &names::HeaderNames,
     out: &Outbound,
@@ -95,7 +95,7 @@
     let (link, res) = match tokio::time::timeout_at(until, sending).await {
         Ok(sent) => sent?,
         Err(_) => {
-            // Silence until the deadline is no proof of a fault.
+            // An upstream that does not answer before the deadline is not necessarily faulty.
             let message = format!("upstream `{}` did not answer in time", lease.id);
             return Err(Failure {
                 err: error::Error::new(error::Kind::DeadlineExceeded, message),
@@ -128,8 +128,8 @@
     }
 }
 
-/// Sends on an idle connection or a new one. A call that no byte of left on an idle connection,
-/// because the upstream had closed it, goes out on a new one.
+/// Sends on an idle connection or a new one. If no byte was sent on an idle connection, because the
+/// upstream had closed it, the call is sent on a new one.
 async fn send_on_link(
     names: &names::HeaderNames,
     out: &Outbound,
@@ -160,8 +160,8 @@
     }
 }
 
-/// Looks at the list once more before a byte of the call leaves: a connection may have taken a while, and
-/// the entry may have stood still.
+/// Checks the list again before a byte of the call is sent: connecting may have taken a while, and the
+/// entry may have been suspended.
 ///
 /// # Errors
 ///
@@ -196,7 +196,7 @@
     }
 }
 
-/// Whether the answer is the upstream's to this call and may be passed on.
+/// Checks that the answer is from this upstream, to this call, and may be forwarded.
 fn check_response(
     names: &names::HeaderNames,
     out: &Outbound,
@@ -215,7 +215,7 @@
         // A late or second answer to an earlier call.
         return fail(error::Kind::SpoiledAnswer, "answered another call");
     }
-    // Before the next one: such a refusal may also say that the call has not run.
+    // Checked before the next one: such a refusal may also state that the call has not run.
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         return fail(error::Kind::Misdirected, "is no longer at its address");
     }
@@ -233,7 +233,7 @@
             );
         }
     }
-    // To a caller these promise that the call has not run, which this upstream does not say.
+    // To a caller these mean that the call has not run, which this upstream has not stated.
     let promised_not_run = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::TOO_MANY_REQUESTS,
@@ -254,8 +254,8 @@
     })
 }
 
-/// Finds out whether an upstream whose connection broke has crashed: it then refuses a new
-/// connection, or does not answer.
+/// Checks whether an upstream whose connection broke has crashed: it then refuses a new connection, or does
+/// not accept one in time.
 pub async fn has_crashed(addr: std::net::SocketAddr) -> bool {
     link::Link::connect(addr).await.is_err()
 }
--- a/fw-gate/src/request/stream.rs
+++ b/fw-gate/src/request/stream.rs
@@ -1,4 +1,4 @@
-//! Requests whose answer is a series of events, passed on as they come.
+//! Requests whose answer is a stream of events, which are forwarded as they arrive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 use crate::process::{gate, quotas};
 use crate::version::config;
 
-/// How often a broken stream goes on elsewhere.
+/// Maximum number of times that a broken stream is resumed.
 const MAX_RESUMES: u32 = 3;
-/// Pause before a broken stream goes on, so that the upstream has noticed the end of the first.
+/// Pause before a broken stream is resumed, in which the upstream notices the end of the first call.
 const RESUME_PAUSE: Duration = Duration::from_millis(20);
 
-/// A streamed request, with all that its answer needs while it is passed on.
+/// A streamed request, with everything that is needed to forward its answer.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Shared state.
@@ -33,29 +33,29 @@
     pub config: Arc<config::Config>,
     /// The route.
     pub route: config::Route,
-    /// The service chosen of the route's.
+    /// The service that was chosen among the route's.
     pub service: id::ServiceId,
-    /// What the request says of itself.
+    /// The request's decoded headers.
     pub call: call::Call,
-    /// The request as it is sent.
+    /// The request as sent to upstreams.
     pub out: send::Outbound,
-    /// The caller's own input, without the chain before it.
+    /// The caller's input, without the chain of turns before it.
     pub input: Bytes,
-    /// What requests like it have in common.
+    /// Fingerprint that is the same for repetitions of the request.
     pub fingerprint: digest::Digest,
-    /// When the caller gives up, or the route does.
+    /// When the caller's deadline or the route's timeout is over.
     pub until: Instant,
-    /// Its rank; 0 goes first.
+    /// Its priority; 0 is the highest.
     pub priority: u32,
     /// Its team's limit, if the team has one.
     pub limit: Option<quota::Limit>,
-    /// What it took of that, once it was admitted.
+    /// Its charge to the quota, once it is admitted.
     pub permit: Option<Arc<quotas::Permit>>,
 }
 
 impl Job {
-    /// Takes the turn from its team's quota, and refuses it if a program would begin with it that could
-    /// not be in time.
+    /// Charges the turn to its team's quota, and refuses it if it would begin a program that could not be
+    /// finished in time.
     fn admit(&mut self) -> Result<(), error::Error> {
         let begins = self.attempt().begins_program();
         let stage = match begins {
@@ -85,16 +85,16 @@
     }
 }
 
-/// Runs the request; its answer goes on after this returns.
+/// Runs the request and returns its answer, whose body is still being forwarded.
 ///
 /// # Errors
 ///
-/// What to tell the caller when no upstream gave an answer.
+/// The error for the caller when no upstream answered.
 pub async fn run(mut job: Job) -> Result<Response<body::Outgoing>, error::Error> {
     let kept = job.route.keep_turns.is_some();
     let mut times = Times::start();
     let mut ready = turn::begin(&job.gate, &job.call, &job.input, kept, job.until).await?;
-    // Only now is it known whether the program has had a turn through another entry.
+    // The replicas' reply has shown whether the program has had a turn through another entry.
     job.admit()?;
     job.out.body = ready.body;
     times.prepared = times.started_at.elapsed();
@@ -130,22 +130,22 @@
     Ok(res)
 }
 
-/// When what happened of a streamed request, each counted from its begin.
+/// Times of the steps of a streamed request, each since its start.
 #[derive(Clone, Copy, Debug)]
 struct Times {
     started_at: Instant,
-    /// Its tokens were reserved and its chain was there.
+    /// Its tokens were reserved and its chain was complete.
     prepared: Duration,
     /// The upstream had begun to answer.
     head: Duration,
-    /// The first event was passed on.
+    /// The first event was forwarded.
     first_event: Option<Duration>,
-    /// The upstream's answer was whole; what follows is storing the turn.
+    /// The upstream's answer was complete; then the turn is stored.
     complete: Option<Duration>,
 }
 
 impl Times {
-    /// Nothing but the begin has happened.
+    /// The times of a request that starts now.
     fn start() -> Self {
         Self {
             started_at: Instant::now(),
@@ -161,22 +161,22 @@
 enum Ended {
     /// The stream is complete.
     Complete,
-    /// The upstream broke off.
+    /// The connection to the upstream broke.
     Broken,
-    /// The caller has gone.
+    /// The caller has disconnected.
     CallerGone,
-    /// The time is over.
+    /// The deadline has passed.
     DeadlinePassed,
 }
 
-/// Passes one answer on.
+/// Forwards one answer to its caller.
 struct Forwarder {
     job: Job,
     tokens_per_event: id::Tokens,
     splitter: events::Splitter,
-    /// What later turns will be told of this one.
+    /// Data of the events so far, which later turns get as this turn's output.
     output: BytesMut,
-    /// Id of the last event passed on.
+    /// Id of the last event forwarded.
     last_event_id: Option<SmolStr>,
     events: u32,
     /// `None` once it is being stored.
@@ -266,7 +266,7 @@
         );
     }
 
-    /// Mean time between two events; `None` if there were not two.
+    /// Mean time between two events; `None` for fewer than two.
     fn mean_event_interval(&self) -> Option<Duration> {
         let (first, complete) = (self.times.first_event?, self.times.complete?);
         let intervals = self
@@ -276,7 +276,7 @@
         Some((complete - first) / intervals)
     }
 
-    /// Reads from one upstream until its stream ends, one way or the other.
+    /// Reads from one upstream and forwards its events until its stream ends or breaks.
     async fn forward(&mut self, response: &mut send::OpenResponse) -> Ended {
         loop {
             let frame = tokio::select! {
@@ -306,7 +306,7 @@
         }
     }
 
-    /// Passes whole events on; `false` if the caller has gone.
+    /// Forwards complete events; `false` if the caller has disconnected.
     async fn forward_events(&mut self) -> bool {
         let mut chunk = BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
@@ -332,8 +332,8 @@
         chunk.is_empty() || self.tx.send(Ok(chunk.freeze())).await.is_ok()
     }
 
-    /// Whether an event was passed on before. A stream that goes on at another upstream may begin
-    /// with events that the caller has.
+    /// Whether an event was forwarded before. A stream that is resumed at another upstream may begin with
+    /// events that the caller already has.
     fn is_duplicate(&self, id: Option<&SmolStr>) -> bool {
         let (Some(id), Some(last)) = (id, &self.last_event_id) else {
             return false;
@@ -344,8 +344,8 @@
         }
     }
 
-    /// Lets a broken stream go on: at the same upstream if it still answers, as it may have what
-    /// was read in its cache, or else at another.
+    /// Resumes a broken stream: at the same upstream if it still answers, since it may have the prompt in its
+    /// KV cache, or else at another.
     async fn resume(
         &mut self,
         upstream: &id::UpstreamId,
@@ -393,8 +393,8 @@
         None
     }
 
-    /// Stores the turn and lets the answer end. An answer whose turn is not stored is broken off:
-    /// the caller must not continue a turn that may be lost.
+    /// Stores the turn and ends the answer. If the turn cannot be stored the answer is aborted: the caller
+    /// must not continue a turn that may be lost.
     async fn complete(&mut self) -> &'static str {
         let job = &self.job;
         job.gate.record_success(&job.fingerprint);
@@ -417,9 +417,9 @@
         "not stored"
     }
 
-    /// Closes the caller's connection, so that the answer does not look complete.
+    /// Closes the caller's connection, so that the answer does not appear complete.
     async fn abort(&mut self) {
-        // A caller that has gone needs no sign.
+        // Fails only if the caller has disconnected already.
         let _ = self.tx.send(Err(body::Interrupted)).await;
     }
 }
--- a/fw-gate/src/request/turn.rs
+++ b/fw-gate/src/request/turn.rs
@@ -1,4 +1,4 @@
-//! A turn's chain and tokens, with the replicas.
+//! A turn's chain and token budget, which the replicas store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use super::call;
 use crate::process::{fleet, gate};
 
-/// Pause before replicas that could not say are asked again.
+/// Pause before a request to replicas that were unsure is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// How long replicas that cannot say are asked: a restart of one of them takes about as long.
+/// How long a request to unsure replicas is repeated: a restart of one of them takes about as long.
 const UNSURE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A turn under way: the tokens reserved for it, and where it runs. Dropped before it is stored, it
-/// is settled with what was handed out so far.
+/// A turn in progress: the tokens reserved for it, and the upstream that runs it. If dropped before it is
+/// stored, it is settled with the tokens that were forwarded so far.
 #[derive(Debug)]
 pub struct Turn {
     gate: Arc<gate::Gate>,
@@ -28,7 +28,7 @@
 }
 
 impl Turn {
-    /// The turn runs at `upstream`.
+    /// Records that the turn runs at `upstream`.
     pub fn set_upstream(&mut self, upstream: &id::UpstreamId) {
         self.location = Some(trail::Ran {
             lineage: self.lineage.clone(),
@@ -36,8 +36,8 @@
         });
     }
 
-    /// The turn broke at the upstream that ran it. Its caller will send it again, through whichever
-    /// entry, and is not to meet the same upstream for the sake of its cache.
+    /// Records that the turn broke at its upstream. Its caller will send it again, through any entry, and
+    /// it should not be sent to the same upstream just because of the cached prompt.
     pub fn mark_broken(&mut self) {
         self.gate
             .fleet
@@ -48,15 +48,15 @@
         });
     }
 
-    /// The caller got `tokens` more.
+    /// Counts `tokens` that were forwarded to the caller.
     pub fn add_tokens(&mut self, tokens: id::Tokens) {
         if let Some(charge) = &mut self.charge {
             charge.tokens += tokens;
         }
     }
 
-    /// What came of it, with `record` if later turns may continue it; `None` if there is nothing to
-    /// tell.
+    /// The result for the replicas, with `record` if later turns may continue it; `None` if there is nothing
+    /// to report.
     fn settle(&mut self, record: Option<record::Turn>) -> Option<service::Finish> {
         let charge = self.charge.take().map(|charge| record::Charge {
             made: server::unix_ms(),
@@ -70,8 +70,8 @@
         })
     }
 
-    /// Stores the turn, if later ones may continue it, and settles its tokens. Returns whether the
-    /// turn is stored for good; a settlement alone is not waited for.
+    /// Stores the turn, if later ones may continue it, and settles its tokens. Returns whether the turn is
+    /// stored durably; a settlement without a turn is sent without waiting for it.
     pub async fn finish(mut self, record: Option<record::Turn>) -> bool {
         let Some(record) = record else { return true };
         let Some(req) = self.settle(Some(record.clone())) else {
@@ -93,20 +93,20 @@
     }
 }
 
-/// A turn that may run.
+/// A turn that is ready to run.
 #[derive(Debug)]
 pub struct Ready {
-    /// The whole input: the chain, then the turn's own.
+    /// The whole input: that of the chain, then the turn's own.
     pub body: Bytes,
-    /// Its tokens.
+    /// The turn, with its reserved tokens.
     pub turn: Turn,
 }
 
-/// Reserves the turn's tokens and puts its whole input together.
+/// Reserves the turn's tokens and assembles its whole input.
 ///
 /// # Errors
 ///
-/// `TokensSpent`, `UnknownTurn`, or `ReplicasUnsure` when too few replicas can say.
+/// `TokensSpent`, `UnknownTurn`, or `ReplicasUnsure` when too few replicas can decide.
 pub async fn begin(
     gate: &Arc<gate::Gate>,
     call: &call::Call,
@@ -124,7 +124,7 @@
         settled: true,
         made: 0,
     });
-    // Made first: if the caller leaves meanwhile, dropping it takes the reservation back.
+    // Created before the request: if the caller disconnects meanwhile, dropping it cancels the reservation.
     let turn = Turn {
         gate: Arc::clone(gate),
         charge,
@@ -204,7 +204,8 @@
     })
 }
 
-/// The inputs and outputs of `chain`, which is newest first, from the oldest on, then `input`.
+/// Concatenates the inputs and outputs of `chain`, which is sorted newest first, from the oldest turn on, and
+/// then `input`.
 fn concatenate(chain: &[Arc<record::Turn>], input: &Bytes) -> Bytes {
     if chain.is_empty() {
         return input.clone();
--- a/fw-gate/src/version/config.rs
+++ b/fw-gate/src/version/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration, and which route a request takes.
+//! The operators' configuration, and the choice of a request's route.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,18 +9,18 @@
 
 use super::team;
 
-/// Number of a configuration; grows in uneven steps.
+/// Version number of a configuration; increases, but not always by one.
 pub type Version = u64;
 
-/// What may be done twice.
+/// Kind of a route's requests, which states whether they may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// Idempotent: it may run more than once.
+    /// Idempotent: a request may run more than once.
     #[default]
     Safe,
-    /// It may run once at most.
+    /// Not idempotent: a request may run at most once.
     Unsafe,
-    /// A series of events; it may run once at most unless the route can resume it.
+    /// Answered by a stream of events: a request may run at most once unless the route is resumable.
     Stream,
 }
 
@@ -29,25 +29,25 @@
 pub struct Route {
     /// Its name, for log lines.
     pub name: SmolStr,
-    /// The host it covers.
+    /// The host it applies to.
     pub host: SmolStr,
-    /// The start of the paths it covers; begins and ends with a slash.
+    /// Prefix of the paths it applies to; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Kind of its requests.
     pub kind: Kind,
-    /// How long a request may be kept waiting for its whole answer.
+    /// Timeout of a request, until its answer is complete.
     pub timeout: Duration,
-    /// Rank among the routes; 0 goes first.
+    /// Priority among the routes; 0 is the highest.
     pub priority: u32,
-    /// Services that serve it, with their parts of the requests.
+    /// Services that serve it, with their weights.
     pub services: Vec<(id::ServiceId, f64)>,
-    /// Upstreams that may run one request.
+    /// Maximum number of upstreams that may run one request.
     pub attempts: u32,
-    /// For how long a turn is kept; `None` where callers send whole prompts.
+    /// How long a turn is stored; `None` where callers send whole prompts.
     pub keep_turns: Option<Duration>,
-    /// Whether an upstream that lately handled the object is faster.
+    /// Whether an upstream that recently handled the same object is faster.
     pub sticky: bool,
-    /// Whether a broken stream may go on at another upstream.
+    /// Whether a broken stream may be resumed at another upstream.
     pub resumable: bool,
     /// Whether requests need no API key.
     pub is_open: bool,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The service for a request; `draw` is uniform in `0.0..1.0`.
+    /// Chooses the service for a request by weight; `draw` is uniform in `0.0..1.0`.
     pub fn service(&self, draw: f64) -> Option<&id::ServiceId> {
         let total: f64 = self.services.iter().map(|(_, weight)| weight).sum();
         let mut left = draw * total;
@@ -99,29 +99,29 @@
 /// One service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its engines, if its upstreams run models.
+    /// Its model engines, if its upstreams run models.
     pub engine: Option<Engine>,
 }
 
-/// What a service's model engines are like.
+/// Properties of a service's model engines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that run together.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Tokens counted for each event of a stream.
+    /// Number of tokens charged for each event of a stream.
     pub tokens_per_event: id::Tokens,
 }
 
-/// What callers may send, and for how long.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head.
     pub header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body.
     pub body_bytes: usize,
-    /// Longest wait for a request's head once it has begun.
+    /// Timeout for a request's head once it has begun.
     pub header_timeout: Duration,
-    /// How long a connection may stay without a request.
+    /// How long a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -139,20 +139,20 @@
 /// A whole configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Its number.
+    /// Its version.
     pub version: Version,
     /// All routes.
     pub routes: Vec<Route>,
-    /// All services. Ordered, so that equal configurations are encoded alike.
+    /// All services. The map is ordered, so that equal configurations have equal encodings.
     pub services: BTreeMap<id::ServiceId, Service>,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
     /// The teams; `None` where requests need no API key.
     pub teams: Option<team::Teams>,
 }
 
 impl Config {
-    /// The route of `host` with the longest prefix of `path`.
+    /// The route of `host` whose prefix is the longest that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let covers = |route: &&Route| {
             route.host.eq_ignore_ascii_case(host) && path.starts_with(&route.prefix)
@@ -161,10 +161,10 @@
         routes.max_by_key(|route| route.prefix.len())
     }
 
-    /// Tokens counted for each event of a stream of `service`.
+    /// Number of tokens charged for each event of a stream of `service`.
     pub fn tokens_per_event(&self, service: &id::ServiceId) -> id::Tokens {
         let engine = self.services.get(service).and_then(|s| s.engine.as_ref());
-        // Without an engine the service declares no tokens; one an event is the least it can be.
+        // A service without an engine declares no number of tokens; each event has at least one.
         engine.map_or(1, |engine| engine.tokens_per_event.max(1))
     }
 }
--- a/fw-gate/src/version/mod.rs
+++ b/fw-gate/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a version of the operators' configuration.
+//! The operators' configuration, of which one version at a time is in force.
 
 pub mod config;
 pub mod team;
--- a/fw-gate/src/version/team.rs
+++ b/fw-gate/src/version/team.rs
@@ -1,4 +1,4 @@
-//! The teams of a configuration, and the API keys that belong to them.
+//! The teams of a configuration, and their API keys.
 
 use std::collections::BTreeMap;
 
@@ -12,13 +12,13 @@
 pub struct Team {
     /// Its name.
     pub name: id::TeamId,
-    /// Rank of its requests, in place of the route's; 0 goes first.
+    /// Priority of its requests, in place of the route's; 0 is the highest.
     pub priority: Option<u32>,
-    /// What it may send; `None` for no limit.
+    /// Limit of its request rate; `None` for no limit.
     pub quota: Option<quota::Limit>,
 }
 
-/// All teams, by the digests of their keys. The keys themselves are not kept.
+/// All teams, indexed by the digests of their keys. The keys themselves are not stored.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Teams {
     teams: Vec<Team>,
@@ -46,7 +46,8 @@
     }
 }
 
-/// The digest of an API key. Looking a key up by it takes a time that tells nothing of other keys.
+/// The digest of an API key. Keys are looked up by digest, so that the duration of a lookup reveals nothing
+/// about other keys.
 pub fn digest_of(key: &[u8]) -> digest::Digest {
     digest::Digest::of_bytes(key)
 }
--- a/fw-gate/tests/gate/api_keys.rs
+++ b/fw-gate/tests/gate/api_keys.rs
@@ -1,4 +1,4 @@
-//! Which team a request belongs to.
+//! API keys, and the teams to which they assign requests.
 
 use fw_gate::request::auth::{self, Refusal};
 use fw_gate::request::call::Call;
@@ -89,8 +89,8 @@
     expect_that!(without, ok(none()));
 }
 
-// A shopkeeper's program names a turn of a temple trust by its id: it would go on with what the trust's
-// customers had said.
+// Guards against a team's program that continues another team's turn by naming its id, and so gets what the
+// other team's customers wrote.
 #[gtest]
 fn keep_what_one_team_names_from_the_others() {
     let mut headers = HeaderMap::new();
--- a/fw-gate/tests/gate/call_headers.rs
+++ b/fw-gate/tests/gate/call_headers.rs
@@ -1,4 +1,4 @@
-//! What requests say of themselves.
+//! Headers of requests.
 
 use fw_gate::names::HeaderNames;
 use fw_gate::request::call::{self, Call};
--- a/fw-gate/tests/gate/event_split.rs
+++ b/fw-gate/tests/gate/event_split.rs
@@ -1,4 +1,4 @@
-//! Events of a stream.
+//! Events of a stream, split from its bytes.
 
 use fw_gate::request::events::Splitter;
 use googletest::prelude::*;
--- a/fw-gate/tests/gate/main.rs
+++ b/fw-gate/tests/gate/main.rs
@@ -1,4 +1,4 @@
-//! The entry's parts that need no network.
+//! Tests of the entry that need no other process.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod api_keys;
--- a/fw-gate/tests/gate/route_choice.rs
+++ b/fw-gate/tests/gate/route_choice.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! The route that is chosen for a request.
 
 use fw_gate::version::config::{Config, Route};
 use googletest::prelude::*;
--- a/fw-gate/tests/gate/sent_calls.rs
+++ b/fw-gate/tests/gate/sent_calls.rs
@@ -26,7 +26,7 @@
     }
 }
 
-// Guards against a call that is sent to an upstream which left between its choice and its sending.
+// Guards against a call that is sent to an upstream which left after it was chosen.
 #[gtest]
 #[tokio::test]
 async fn are_not_sent_to_an_upstream_that_has_left_since() {
@@ -50,7 +50,7 @@
         let until = Instant::now() + Duration::from_secs(1);
         let sent = send::call_upstream(&names(), &outbound(), lease, until).await;
         expect_that!(sent.unwrap_err().err.ran(), eq(error::Ran::No));
-        // A connection may have been made; nothing came over it.
+        // A connection may have been made, but nothing was sent over it.
         let accepted = tokio::time::timeout(Duration::from_millis(100), listener.accept()).await;
         if let Ok(Ok((mut stream, _))) = accepted {
             expect_that!(stream.read(&mut [0; 1]).await.unwrap_or(0), eq(0));
--- a/fw-gate/tests/gate/startup.rs
+++ b/fw-gate/tests/gate/startup.rs
@@ -10,7 +10,7 @@
 
 use crate::call_headers;
 
-/// What the entry of a test is told at its start.
+/// The settings of a test's entry.
 pub(crate) fn options() -> gate::Options {
     gate::Options {
         place: "a".into(),
@@ -25,14 +25,14 @@
     }
 }
 
-/// An entry that knows nothing yet.
+/// An entry without a configuration.
 pub(crate) fn gate() -> Arc<Gate> {
     Gate::new(options())
 }
 
-// All power is lost and comes back. Callers wait in the queue of the entry's socket. The entry
-// answered them in its first milliseconds that it was not ready; with that they had used up the few
-// attempts that they make, though it knew its configuration moments later.
+// After a loss of all power, callers wait in the backlog of the entry's socket. Guards against an entry that
+// refuses them as not ready in its first milliseconds: they use up their few attempts, although the entry has
+// its configuration moments later.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn make_requests_wait_for_the_configuration() {
@@ -48,8 +48,8 @@
     expect_that!(config.map(|config| config.version), some(eq(7)));
 }
 
-// Neither the store nor a replica tells the entry a configuration: callers are told so while they
-// can still turn to another entry.
+// Neither the store nor a replica delivers a configuration: callers are refused while they can still try
+// another entry.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn do_not_make_requests_wait_for_long() {
--- a/fw-gate/tests/gate/store_updates.rs
+++ b/fw-gate/tests/gate/store_updates.rs
@@ -1,4 +1,4 @@
-//! What one entry reads from the platform's store, and the others hear of.
+//! Reads of the platform's store by one entry, and updates that the others receive through the replicas.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,8 +43,8 @@
     }
 }
 
-// An entry's own read of the store is on its way back while it hears from a replica that an upstream
-// is leaving. The read is older and says that the upstream takes work: it went on to get calls.
+// While an entry's read of the store is on its way back, a replica reports that an upstream is leaving. Guards
+// against the older read, in which the upstream still takes work, making it get calls again.
 #[gtest]
 #[tokio::test]
 async fn an_older_read_does_not_undo_what_was_heard() {
@@ -85,8 +85,8 @@
     expect_that!(chosen.is_err(), eq(true));
 }
 
-// Whoever takes over the reading tells nothing anew: a configuration of a thousand routes would go to
-// all replicas, and from them to a hundred entries.
+// An entry that becomes the reader does not publish unchanged parts again: a configuration of a thousand
+// routes would be sent to all replicas, and from them to a hundred entries.
 #[gtest]
 fn what_was_heard_is_not_told_again() {
     let mut reader = Cache::default();
@@ -100,13 +100,14 @@
         eq(&nothing)
     );
     expect_that!(next.as_of(), eq(7));
-    // Of the parts, only what has changed.
+    // Only the changed part is published.
     let changed = next.record_read(8, &config(2), &[listed("x"), listed("y")]);
     expect_that!(changed.config.is_none(), eq(true));
     expect_that!(changed.upstreams.unwrap().as_of, eq(8));
 }
 
-// Guards against an upstream that stays in use as its removal is told at a revision known already.
+// Guards against an upstream that stays in use because its removal is delivered at a revision that the entry
+// already has.
 #[gtest]
 #[tokio::test]
 async fn a_list_of_the_same_revision_is_taken() {
@@ -126,7 +127,7 @@
     expect_false!(is_used(&gate.fleet));
 }
 
-// Guards against an entry that counts a revision as known and lacks what the store held at it.
+// Guards against an entry that counts a revision as complete but lacks some of its content.
 #[gtest]
 fn a_revision_counts_only_with_its_content() {
     let mut reader = Cache::default();
@@ -150,7 +151,7 @@
     expect_that!(follower.as_of(), eq(7));
 }
 
-// Guards against an entry that relies on others who tell it a list that it cannot read.
+// Guards against an entry that keeps following another one's reads although it cannot decode the list.
 #[gtest]
 fn an_unreadable_list_does_not_count_as_known() {
     let mut reader = Cache::default();
@@ -162,19 +163,19 @@
     let told = follower.apply_update(&update(first.clone(), 5)).unwrap();
     expect_that!(told.upstreams, none());
     expect_false!(told.is_complete);
-    // Nor when nothing is told anew.
+    // Nor does an update without changes make it count.
     let again = service::News {
         marks: first.marks(),
         ..update(service::Bulletins::default(), 6)
     };
     expect_false!(follower.apply_update(&again).unwrap().is_complete);
     expect_that!(follower.as_of(), eq(0));
-    // Its own read makes up for it.
+    // The entry's own read replaces the list.
     follower.record_read(6, &config(2), &[listed("x")]);
     expect_that!(follower.as_of(), eq(6));
 }
 
-// Guards against a list on a replica's disk that takes the place of a newer one.
+// Guards against a list from a replica's disk that replaces a newer one.
 #[gtest]
 fn what_lies_on_a_disk_is_taken_only_if_it_is_newer() {
     let mut reader = Cache::default();
@@ -187,11 +188,11 @@
     let mut follower = Cache::default();
     expect_true!(follower.apply_update(&on_disk(new)).is_some());
     expect_true!(follower.apply_update(&on_disk(old)).is_none());
-    // Nobody has said that all is known up to then.
+    // Without a read, no revision is known to be complete.
     expect_that!(follower.as_of(), eq(0));
 }
 
-// Guards against a reader that tells others to go on with an upstream which it keeps for itself.
+// Guards against a reader that publishes an upstream as listed which only it still keeps in use.
 #[gtest]
 #[tokio::test]
 async fn a_reader_that_was_cut_off_brings_nothing_back() {
@@ -216,7 +217,7 @@
     gate.apply(nothing);
     expect_true!(is_used(&gate.fleet));
     expect_that!(gate.fleet.listing(), is_empty());
-    // Others have read the store all the while.
+    // Other entries have read the store the whole time.
     let cache = Cache::default();
     let steady = service::News {
         reads: Some(service::SteadyReads {
@@ -230,7 +231,8 @@
     expect_false!(is_used(&gate.fleet));
 }
 
-// Guards against keys accepted by a configuration when a newer one is there that cannot be decoded.
+// Guards against keys that are accepted by a configuration although there is a newer one, which cannot be
+// decoded.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_read_of_an_unreadable_configuration_proves_nothing() {
--- a/fw-gate/tests/gate/turn_cache.rs
+++ b/fw-gate/tests/gate/turn_cache.rs
@@ -1,4 +1,4 @@
-//! Turns that an entry has seen.
+//! The cache of turns.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/fw-gate/tests/gate/upstream_list.rs
+++ b/fw-gate/tests/gate/upstream_list.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams.
+//! The list of upstreams, and the choice among them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     )
 }
 
-/// A read that was made so many milliseconds ago.
+/// A read that was made `ago` milliseconds ago.
 fn read(as_of: u64, ago: u64) -> Option<fleet::StoreRead> {
     let ago = Duration::from_millis(ago);
     Some(fleet::StoreRead { as_of, ago })
@@ -41,7 +41,8 @@
     fleet.choose(&"s".into(), &Criteria::default()).is_ok()
 }
 
-// Guards against a service left empty by entries that lapsed while the store was away.
+// Guards against a service that loses all upstreams because their entries expired while the store was
+// unavailable.
 #[gtest]
 fn loses_a_lapsed_upstream_only_when_it_has_had_time_to_come_back() {
     let fleet = fleet();
@@ -50,13 +51,13 @@
     expect_true!(is_used(&fleet));
     fleet.apply(read(2, 1_000), ListUpdate::Changes(vec![]));
     expect_true!(is_used(&fleet));
-    // Others are not told of it as of one that is listed.
+    // It is not published to other entries as listed.
     expect_that!(fleet.listing(), is_empty());
     fleet.apply(read(2, 700), ListUpdate::Changes(vec![]));
     expect_false!(is_used(&fleet));
 }
 
-// Guards against one that comes back in time and is dropped all the same.
+// Guards against an upstream that is dropped although it was listed again in time.
 #[gtest]
 fn keeps_a_lapsed_upstream_that_is_back() {
     let fleet = fleet();
@@ -71,7 +72,7 @@
     expect_that!(fleet.listing().len(), eq(1));
 }
 
-// Guards against calls to an upstream that leaves moments after an outage.
+// Guards against calls to an upstream that leaves shortly after an outage.
 #[gtest]
 fn loses_an_upstream_at_once_that_leaves_after_an_outage() {
     let fleet = fleet();
@@ -84,7 +85,8 @@
     expect_false!(is_used(&fleet));
 }
 
-// Guards against an entry, cut off alone, that goes on to use what left meanwhile.
+// Guards against an entry that alone was cut off from the store and keeps using an upstream that left
+// meanwhile.
 #[gtest]
 fn loses_an_upstream_that_left_while_only_this_entry_was_cut_off() {
     let fleet = fleet();
@@ -96,7 +98,7 @@
     expect_false!(is_used(&fleet));
 }
 
-// Guards against a late heartbeat that puts an upstream which is leaving back to use.
+// Guards against a late heartbeat that puts a leaving upstream back into use.
 #[gtest]
 fn takes_no_work_from_one_that_leaves_until_it_starts_anew() {
     let fleet = fleet();
@@ -135,8 +137,8 @@
     expect_that!(fleet.choose(&"s".into(), &criteria), err(anything()));
 }
 
-// A call failed at the one upstream that is in use; the others are ejected, and may be back. Its caller
-// heard that there was no upstream, while a first call would have been sent to an ejected one.
+// A call fails at the only upstream in use; the others are ejected, but may have recovered. Guards against
+// refusing it for want of an upstream while a first attempt would be sent to an ejected one.
 #[gtest]
 fn sends_a_call_that_failed_to_an_ejected_one_if_there_is_no_other() {
     let fleet = fleet();
@@ -160,8 +162,8 @@
 
 #[gtest]
 fn forgets_what_a_restarted_one_was_like() {
-    // An upstream crashes and starts again under its id. What was known of it is its
-    // predecessor's: the load it told, and that it failed.
+    // An upstream crashes and restarts under the same id. The load that it reported and its failures are
+    // those of the previous process.
     let fleet = fleet();
     fleet.put(listed("x"));
     fleet.put(listed("y"));
@@ -206,7 +208,7 @@
 
 #[gtest]
 fn knows_the_calls_of_other_entries() {
-    // Two entries each send a burst to the same two upstreams. Without each other's calls both
+    // Two entries each send a burst to the same two upstreams. Unless they count each other's calls, both
     // begin with the same one, and calls queue there while the other is idle.
     let one = fleet();
     let two = fleet();
@@ -240,7 +242,7 @@
     }
 }
 
-/// A fleet of many upstreams, so that chance seldom hits the right one.
+/// A fleet of so many upstreams that a random choice rarely hits the right one.
 fn many() -> std::sync::Arc<Fleet> {
     let fleet = fleet();
     for at in 0..30 {
@@ -251,9 +253,9 @@
 
 #[gtest]
 fn follows_a_session_that_came_through_another_entry() {
-    // A person's second turn comes in through another entry than the first. That entry sent it
-    // anywhere, and the whole prompt was read again; on the larger site five of six turns missed
-    // the engine that had it.
+    // A session's second turn comes in through another entry than the first. Guards against that entry
+    // sending it to any upstream, where the whole prompt is prefilled again: at a large deployment five of six
+    // turns missed the engine that had it cached.
     let fleet = many();
     let lineage = trail::Lineage {
         session: Some("s".into()),
@@ -272,8 +274,8 @@
 
 #[gtest]
 fn is_not_led_astray_by_tools() {
-    // Between two turns a program calls tools, whose requests name the same session and program.
-    // They run at another service; where they ran says nothing about where the prompt is.
+    // Between two turns a program calls tools, whose requests name the same session and program. They run at
+    // another service, so the upstreams that ran them do not have the prompt cached.
     let fleet = many();
     let tools = ListedUpstream {
         service: "tools".into(),
@@ -294,8 +296,8 @@
 
 #[gtest]
 fn agrees_with_other_entries_where_an_object_goes() {
-    // An upstream that lately handled an object is twice as fast. Entries that each choose for
-    // themselves spread the object over all upstreams, and none stays warm.
+    // An upstream that recently handled an object is twice as fast. If each entry chooses for itself, the
+    // object's calls are spread over all upstreams, and none keeps it cached.
     let object = "17".into();
     let criteria = Criteria {
         affinity: Affinity::Object(&object),
@@ -304,7 +306,7 @@
     let ids: Vec<_> = (0..5)
         .map(|_| {
             let fleet = many();
-            // The usual time of a call is known, some ten milliseconds.
+            // Sets the mean duration of a call to some ten milliseconds.
             let lease = fleet.choose(&"s".into(), &criteria).unwrap();
             std::thread::sleep(std::time::Duration::from_millis(20));
             lease.complete(None);
@@ -317,8 +319,8 @@
 
 #[gtest]
 fn follows_a_program_whose_sub_agents_come_through_another_entry() {
-    // A program begins at one entry; its sub-agents' turns come through others, which have seen
-    // nothing of it, and begin with the same prompt. All send them where the replicas say it ran.
+    // A program begins at one entry; its sub-agents' turns, which begin with the same prompt, come through
+    // others that have no record of it. All send them to the upstream at which it ran by the replicas' reports.
     let began = many();
     let lease = began.choose(&"s".into(), &turn(Some("main"))).unwrap();
     let lineage = trail::Lineage {
@@ -339,9 +341,9 @@
 
 #[gtest]
 fn leaves_an_upstream_that_broke_a_turn() {
-    // An upstream resets the connections of all turns that it gets. The turn may not be sent again
-    // within its request; its caller returns, through whichever entry. As its session ran there
-    // before, every entry sent it there again, until the program had failed.
+    // An upstream resets the connections of all turns that it gets. Such a turn may not be repeated within its
+    // request, so its caller sends it again, through any entry. Guards against every entry sending it to the
+    // same upstream, because its session ran there, until the program fails.
     let fleet = many();
     let lineage = trail::Lineage {
         session: Some("s".into()),
@@ -358,6 +360,6 @@
         .map(|_| fleet.choose(&"s".into(), &turn(Some("s"))).unwrap())
         .collect();
     let there = ids.iter().filter(|lease| lease.id == "u7").count();
-    // Once by chance, or twice; then the session has a new place.
+    // Up to twice by chance; then the session has another upstream.
     expect_that!(there, le(2));
 }
--- a/fw-gate/tests/gate/waiting_turns.rs
+++ b/fw-gate/tests/gate/waiting_turns.rs
@@ -8,7 +8,7 @@
 
 use crate::upstream_list::{fleet, listed};
 
-/// Calls that fill an upstream of [`listed`]: its slots, and as many that queue there.
+/// Calls that fill an upstream of [`listed`]: its two slots, and two calls that queue there.
 const FULL: usize = 4;
 
 fn turn(session: &str) -> Criteria<'static> {
@@ -49,9 +49,9 @@
         .collect()
 }
 
-// A burst fills all engines. Each that becomes free is given to the turn that waited longest,
-// wherever its prompt is cached. Nearly every prompt is read again, which takes the engines a
-// quarter of their time, and they stay overloaded after the burst is over.
+// A burst fills all engines. If each that becomes free is given to the turn that has waited longest, wherever
+// its prompt is cached, nearly every prompt is prefilled again. That takes a quarter of the engines' time, and
+// they stay overloaded after the burst.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn wait_for_the_engine_that_has_their_prompt() {
@@ -60,12 +60,12 @@
     let _at_y = busy(&fleet, "y", FULL - 1);
     let (service, criteria) = ("s".into(), turn("warm"));
     let waits = fleet.acquire(&service, &criteria);
-    // The other has room in its queue all the while.
+    // The other engine has room in its queue the whole time.
     let (lease, ()) = tokio::join!(waits, async { drop(at_x.pop()) });
     expect_that!(lease.map(|lease| lease.id.clone()), ok(eq("x")));
 }
 
-// The same turn, but its engine stays full: it must not wait there for long.
+// The same turn, but its engine stays full: it must not wait for it for long.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn queue_elsewhere_after_a_while() {
@@ -76,8 +76,8 @@
     expect_that!(lease.map(|lease| lease.id.clone()), ok(eq("y")));
 }
 
-// A turn whose prompt is cached nowhere has waited a little longer than one whose prompt is in the
-// cache of the engine that becomes free.
+// A turn whose prompt is cached nowhere has waited a little longer than one whose prompt is cached at the
+// engine that becomes free.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn pass_those_whose_prompt_is_elsewhere() {
