--- a/fw-gate/src/process/fleet/choose.rs
+++ b/fw-gate/src/process/fleet/choose.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use fw_base::{error, id};
-use fw_plan::{assign, hold};
-use fw_replica::trail;
+use fw_plan::{assign, wait_queue};
+use fw_replica::affinity;
 use parking_lot::Mutex;
 use smol_str::SmolStr;
 use xxhash_rust::xxh3;
@@ -23,7 +23,7 @@
 /// Slots and load of a candidate upstream, by which it is decided whether it has room for a call.
 #[derive(Clone, Copy, Debug)]
 struct Capacity {
-    hash: trail::Upstream,
+    hash: affinity::Upstream,
     slots: u32,
     load: f64,
 }
@@ -58,14 +58,14 @@
     ) -> Result<Lease, error::Error> {
         let service = self.find_service(service_id)?;
         let preferred = match &criteria.affinity {
-            Affinity::Prompt { lineage, .. } => self.affinity.last(lineage).warmest(),
+            Affinity::Prompt { lineage, .. } => self.affinity.last_upstreams(lineage).preferred(),
             Affinity::Object(_) | Affinity::None => None,
         };
         let ticket = Ticket::enqueue(&service, preferred, |number| {
             self.hold.rank(&criteria.hold, self.now(), number)
         });
         let started_at = tokio::time::Instant::now();
-        while started_at.elapsed() < self.hold.most {
+        while started_at.elapsed() < self.hold.max_wait {
             let eligibility = ticket.eligibility(&self.hold);
             let fits = |capacity: &Capacity| {
                 let is_preferred = Some(capacity.hash) == preferred;
@@ -84,13 +84,14 @@
                 return Ok(lease);
             }
             // Tried again also without a wake-up: the weight of reported load decreases with its age.
-            let _ = tokio::time::timeout(self.hold.look, ticket.wakeup.notified()).await;
+            let _ =
+                tokio::time::timeout(self.hold.recheck_interval, ticket.wakeup.notified()).await;
         }
         drop(ticket);
         metrics::counter!("fw_gate_held_too_long_total").increment(1);
-        match self.hold.over(&criteria.hold, rand::random()) {
-            hold::Over::Send => self.choose(service_id, criteria),
-            hold::Over::Refuse(after) => {
+        match self.hold.expire(&criteria.hold, rand::random()) {
+            wait_queue::Expired::Send => self.choose(service_id, criteria),
+            wait_queue::Expired::Refuse(after) => {
                 let message = "programs under way need all slots";
                 let err = error::Error::new(error::Kind::Overloaded, message);
                 Err(err.with_retry_after(after))
@@ -123,7 +124,7 @@
         metrics::counter!("fw_gate_programs_refused_total").increment(1);
         let message = format!("programs under way have {load:.0} calls at {slots:.0} slots");
         let err = error::Error::new(error::Kind::Overloaded, message);
-        Err(err.with_retry_after(self.hold.back_after(rand::random())))
+        Err(err.with_retry_after(self.hold.draw_retry_after(rand::random())))
     }
 
     /// The slots of all usable upstreams of a service, and the calls that are in flight there or wait here.
@@ -184,7 +185,8 @@
         drop(locked);
         if let Affinity::Prompt { lineage, .. } = &criteria.affinity {
             let lineage = lineage.clone();
-            self.affinity.note(&trail::Ran { lineage, upstream });
+            self.affinity
+                .record(&affinity::Location { lineage, upstream });
         }
         Ok(Some(lease))
     }
@@ -218,10 +220,10 @@
         let call = if service.mean_call_secs > 0.0 {
             Duration::from_secs_f64(service.mean_call_secs)
         } else {
-            self.options.call
+            self.options.call_duration
         };
         assign::Options {
-            call,
+            call_duration: call,
             ..self.options.clone()
         }
     }
@@ -246,7 +248,11 @@
     /// The upstreams that are probably faster than the others: those that served the session and its program
     /// last; for an object the one with the highest hash of its id and the object (rendezvous hashing), so
     /// that all entries choose the same.
-    fn preferred_upstreams(&self, affinity: &Affinity<'_>, among: &[&Upstream]) -> trail::Last {
+    fn preferred_upstreams(
+        &self,
+        affinity: &Affinity<'_>,
+        among: &[&Upstream],
+    ) -> affinity::LastUpstreams {
         let agreed = |object: &SmolStr| {
             let seed = xxh3::xxh3_64(object.as_bytes());
             let agreed = among.iter().max_by_key(|upstream| {
@@ -255,19 +261,19 @@
             agreed.map(|upstream| upstream.hash)
         };
         match affinity {
-            Affinity::None => trail::Last::default(),
-            Affinity::Object(object) => trail::Last {
+            Affinity::None => affinity::LastUpstreams::default(),
+            Affinity::Object(object) => affinity::LastUpstreams {
                 session: agreed(object),
                 program: None,
             },
-            Affinity::Prompt { lineage, .. } => self.affinity.last(lineage),
+            Affinity::Prompt { lineage, .. } => self.affinity.last_upstreams(lineage),
         }
     }
 
     fn candidate(
         &self,
         upstream: &Upstream,
-        preferred: &trail::Last,
+        preferred: &affinity::LastUpstreams,
         miss_cost: Duration,
     ) -> assign::Candidate {
         let this = Some(upstream.hash);
@@ -280,13 +286,13 @@
         };
         assign::Candidate {
             slots: upstream.listed.slots,
-            own: upstream.own_calls,
-            others: upstream.other_calls,
-            age: upstream.load_updated_at.elapsed(),
-            miss,
+            own_calls: upstream.own_calls,
+            reported_calls: upstream.other_calls,
+            report_age: upstream.load_updated_at.elapsed(),
+            prefill: miss,
             remote: upstream.listed.place != self.place,
             slowness: upstream.pace.slowness(&self.pace, self.now()),
-            failed: upstream.failed_at.map(|at| at.elapsed()),
+            failed_ago: upstream.failed_at.map(|at| at.elapsed()),
         }
     }
 }
--- a/fw-gate/src/process/fleet/confirmation.rs
+++ b/fw-gate/src/process/fleet/confirmation.rs
@@ -9,7 +9,7 @@
 /// Tracks the time up to which the list is confirmed to be complete. Times are since boot.
 #[derive(Debug)]
 pub struct Confirmation {
-    freshness: watch::Sender<confirm::Knowledge>,
+    freshness: watch::Sender<confirm::ListFreshness>,
     /// Notified when a call begins to wait for a confirmation.
     waiters: Notify,
 }
@@ -18,7 +18,7 @@
     /// Creates the state in which nothing is confirmed yet.
     pub fn new(opts: confirm::Options) -> Self {
         Self {
-            freshness: watch::Sender::new(confirm::Knowledge::new(opts)),
+            freshness: watch::Sender::new(confirm::ListFreshness::new(opts)),
             waiters: Notify::new(),
         }
     }
@@ -27,7 +27,7 @@
     pub fn record_read(&self, requested_at: Duration) {
         let now = clock::since_boot();
         self.freshness.send_modify(|freshness| {
-            if freshness.prove(requested_at, now) {
+            if freshness.confirm(requested_at, now) {
                 tracing::info!("the list of upstreams is confirmed again");
             }
         });
@@ -36,13 +36,13 @@
     /// Records that a read of the store requested at `requested_at` has failed.
     pub fn record_failure(&self, requested_at: Duration) {
         let now = clock::since_boot();
-        self.update(|freshness| freshness.failed(requested_at, now));
+        self.update(|freshness| freshness.read_failed(requested_at, now));
     }
 
     /// Records that a read of the store requested at `requested_at` was not answered in time.
     pub fn record_unanswered(&self, requested_at: Duration) {
         let now = clock::since_boot();
-        self.update(|freshness| freshness.unanswered(requested_at, now));
+        self.update(|freshness| freshness.read_unanswered(requested_at, now));
     }
 
     /// Waits until the list is fresh enough for calls to be sent, or nobody confirms it in time.
@@ -50,7 +50,7 @@
         loop {
             let started_at = clock::since_boot();
             let outcome = self.freshness.borrow().decide(started_at);
-            let confirm::Outcome::Await(wait) = outcome else {
+            let confirm::Outcome::Wait(wait) = outcome else {
                 return;
             };
             let is_sendable = self.wait_until_sendable(wait).await;
@@ -58,7 +58,7 @@
             let waited = now.saturating_sub(started_at);
             metrics::histogram!("fw_gate_confirm_seconds").record(waited.as_secs_f64());
             if !is_sendable {
-                self.update(|freshness| freshness.waited(waited, now));
+                self.update(|freshness| freshness.wait_expired(waited, now));
             }
         }
     }
@@ -67,14 +67,14 @@
     async fn wait_until_sendable(&self, wait: Duration) -> bool {
         let mut rx = self.freshness.subscribe();
         self.waiters.notify_one();
-        let is_sendable = |freshness: &confirm::Knowledge| {
+        let is_sendable = |freshness: &confirm::ListFreshness| {
             freshness.decide(clock::since_boot()) == confirm::Outcome::Send
         };
         let sendable = rx.wait_for(is_sendable);
         tokio::time::timeout(wait, sendable).await.is_ok()
     }
 
-    fn update(&self, apply: impl FnOnce(&mut confirm::Knowledge)) {
+    fn update(&self, apply: impl FnOnce(&mut confirm::ListFreshness)) {
         self.freshness.send_modify(|freshness| {
             let was_cut_off = freshness.is_cut_off();
             apply(freshness);
@@ -96,7 +96,7 @@
             let now = clock::since_boot();
             let (is_wanted, wanted_in) = {
                 let freshness = rx.borrow_and_update();
-                (freshness.is_wanted(now), freshness.wanted_in(now))
+                (freshness.needs_refresh(now), freshness.refresh_due_in(now))
             };
             let due = async {
                 match wanted_in.filter(|time| !time.is_zero()) {
--- a/fw-gate/src/process/fleet/lease.rs
+++ b/fw-gate/src/process/fleet/lease.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use fw_base::id;
-use fw_plan::{assign, health, hold};
-use fw_replica::trail;
+use fw_plan::{assign, health, wait_queue};
+use fw_replica::affinity;
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
@@ -159,16 +159,16 @@
     }
 
     /// Records the outcome of the call for the upstream's health.
-    pub fn record_health(&self, seen: health::Seen) {
+    pub fn record_health(&self, seen: health::Observation) {
         let now = self.fleet.now();
         let mut service = self.service.lock();
         let before = service.health.decide(now, &self.id).weight() > 0.0;
-        service.health.seen(now, &self.id, seen);
+        service.health.observe(now, &self.id, seen);
         if let Some(upstream) = service.find(&self.id) {
             upstream.failed_at = match seen {
-                health::Seen::Answered => None,
-                health::Seen::Failed | health::Seen::Down => Some(Instant::now()),
-                health::Seen::Leaving => upstream.failed_at,
+                health::Observation::Answered => None,
+                health::Observation::Failed | health::Observation::Down => Some(Instant::now()),
+                health::Observation::Leaving => upstream.failed_at,
             };
         }
         let after = service.health.decide(now, &self.id).weight() > 0.0;
@@ -186,7 +186,7 @@
     /// Records that the call succeeded. `part` is the duration of the part that is comparable among the calls
     /// of a service, if it had one: an upstream is not slower because an answer is twice as long.
     pub fn complete(&self, part: Option<Duration>) {
-        self.record_health(health::Seen::Answered);
+        self.record_health(health::Observation::Answered);
         let now = self.fleet.now();
         let mut service = self.service.lock();
         smooth(&mut service.mean_call_secs, self.age());
@@ -194,7 +194,7 @@
         smooth(&mut service.mean_part_secs, part);
         let ratio = part.as_secs_f64() / service.mean_part_secs.max(MIN_COMPARED_SECS);
         if let Some(upstream) = service.find(&self.id) {
-            upstream.pace.note(&self.fleet.pace, ratio, now);
+            upstream.pace.record(&self.fleet.pace, ratio, now);
         }
     }
 }
@@ -213,7 +213,7 @@
 #[derive(Debug)]
 pub(super) struct Waiter {
     /// The upstream that has the call's prompt in its cache.
-    preferred: Option<trail::Upstream>,
+    preferred: Option<affinity::Upstream>,
     wakeup: Arc<Notify>,
 }
 
@@ -224,7 +224,7 @@
     }
 
     /// Whether `upstream` has the call's prompt in its cache.
-    pub(super) fn prefers(&self, upstream: trail::Upstream) -> bool {
+    pub(super) fn prefers(&self, upstream: affinity::Upstream) -> bool {
         self.preferred == Some(upstream)
     }
 }
@@ -243,7 +243,7 @@
 /// A call's position in the queue of those that wait; removed when dropped.
 pub(super) struct Ticket<'a> {
     service: &'a Mutex<Service>,
-    rank: hold::Rank,
+    rank: wait_queue::Rank,
     /// Notified when the call may be the first.
     pub(super) wakeup: Arc<Notify>,
 }
@@ -252,8 +252,8 @@
     /// Adds a call to the queue; the upstream `preferred` has its prompt in the cache.
     pub(super) fn enqueue(
         service: &'a Mutex<Service>,
-        preferred: Option<trail::Upstream>,
-        rank: impl FnOnce(u64) -> hold::Rank,
+        preferred: Option<affinity::Upstream>,
+        rank: impl FnOnce(u64) -> wait_queue::Rank,
     ) -> Self {
         let mut locked = service.lock();
         locked.arrivals += 1;
@@ -272,11 +272,11 @@
     }
 
     /// The upstreams to which the call may be sent from its position in the queue.
-    pub(super) fn eligibility(&self, options: &hold::Options) -> Eligibility {
+    pub(super) fn eligibility(&self, options: &wait_queue::Options) -> Eligibility {
         let service = self.service.lock();
         match service.waiting.first_key_value() {
             Some((first, _)) if *first == self.rank => Eligibility::All,
-            Some((first, _)) if options.may_pass(*first, self.rank) => Eligibility::Preferred,
+            Some((first, _)) if options.may_overtake(*first, self.rank) => Eligibility::Preferred,
             _ => Eligibility::None,
         }
     }
--- a/fw-gate/src/process/fleet/list.rs
+++ b/fw-gate/src/process/fleet/list.rs
@@ -117,7 +117,7 @@
             first: now.saturating_sub(first),
             last: now.saturating_sub(last),
         };
-        self.reads.lock().gapless.note(span);
+        self.reads.lock().gapless.add_span(span);
     }
 
     /// Applies an update of the list from `read`. Without a read the age of the update is unknown: a replica
@@ -127,7 +127,7 @@
         if let (Some(read), Some(at)) = (read, at) {
             let mut reads = self.reads.lock();
             reads.as_of = read.as_of;
-            reads.gapless.note(lapse::Span::single(at));
+            reads.gapless.add_span(lapse::Span::single(at));
         }
         let before = self.count_listed();
         let missing = match update {
--- a/fw-gate/src/process/fleet/mod.rs
+++ b/fw-gate/src/process/fleet/mod.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use fw_base::id;
-use fw_plan::{assign, confirm, health, hold, lapse, pace};
-use fw_replica::{service, trail};
+use fw_plan::{assign, confirm, health, lapse, pace, wait_queue};
+use fw_replica::{affinity, service};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -63,7 +63,7 @@
     /// An upstream that has the start of the prompt in its KV cache is faster.
     Prompt {
         /// Session and program, whose turns have prompts that begin alike.
-        lineage: trail::Lineage,
+        lineage: affinity::Lineage,
         /// Length of the prompt.
         tokens: id::Tokens,
     },
@@ -77,7 +77,7 @@
     /// Upstreams that failed this call.
     pub avoid: &'a [id::UpstreamId],
     /// What ranks the call among those that wait for an upstream.
-    pub hold: hold::Call,
+    pub hold: wait_queue::Call,
 }
 
 #[derive(Debug)]
@@ -88,7 +88,7 @@
     /// Until when it gets no calls because another upstream has its address.
     replaced_until: Option<Instant>,
     /// Short hash of its id, by which entries refer to it among themselves.
-    hash: trail::Upstream,
+    hash: affinity::Upstream,
     own_calls: u32,
     other_calls: u32,
     load_updated_at: Instant,
@@ -107,18 +107,18 @@
     /// Smoothed duration of the part of a call that is comparable among calls, in seconds.
     mean_part_secs: f64,
     /// Calls that wait for a free slot, by rank.
-    waiting: BTreeMap<hold::Rank, Waiter>,
+    waiting: BTreeMap<wait_queue::Rank, Waiter>,
     arrivals: u64,
 }
 
 impl Service {
     fn new() -> Self {
         let options = health::Options {
-            eject: Duration::from_millis(800),
-            eject_max: Duration::from_secs(4),
+            first_ejection: Duration::from_millis(800),
+            max_ejection: Duration::from_secs(4),
             slow_start: Duration::from_secs(1),
             // Only listed upstreams are used: one that is not on the list may be leaving.
-            unlisted: Duration::ZERO,
+            unlisted_grace: Duration::ZERO,
             ..health::Options::default()
         };
         Self {
@@ -133,7 +133,7 @@
 
     /// Wakes the first waiting call, and the first whose prompt is cached at the upstream that has `freed` a
     /// slot.
-    fn wake(&self, freed: Option<trail::Upstream>) {
+    fn wake(&self, freed: Option<affinity::Upstream>) {
         let first = self.waiting.values().next();
         let preferring = freed.and_then(|freed| self.waiting.values().find(|w| w.prefers(freed)));
         for waiter in first.into_iter().chain(preferring) {
@@ -147,12 +147,15 @@
     }
 
     fn update_health(&mut self, now: Duration) {
-        let listed = self.upstreams.iter().map(|upstream| health::Listed {
-            upstream: upstream.listed.id.clone(),
-            leaving: false,
-        });
+        let listed = self
+            .upstreams
+            .iter()
+            .map(|upstream| health::ListedUpstream {
+                upstream: upstream.listed.id.clone(),
+                leaving: false,
+            });
         let listed: Vec<_> = listed.collect();
-        self.health.listed(now, &listed);
+        self.health.update_list(now, &listed);
     }
 }
 
@@ -163,10 +166,10 @@
     started: Instant,
     options: assign::Options,
     pace: pace::Options,
-    hold: hold::Options,
+    hold: wait_queue::Options,
     services: Mutex<HashMap<id::ServiceId, Arc<Mutex<Service>>>>,
     /// Upstreams at which sessions and programs ran last, by this entry's calls and the replicas' reports.
-    affinity: trail::Trail,
+    affinity: affinity::Table,
     /// Whether a full list has been received.
     has_list: AtomicBool,
     /// The reads of the store from which the list was built.
@@ -179,9 +182,13 @@
 
 /// Short hash of an upstream's id. Among a few hundred upstreams two may have the same; each then appears
 /// as busy as both together.
-pub fn short_hash(id: &id::UpstreamId) -> trail::Upstream {
+pub fn short_hash(id: &id::UpstreamId) -> affinity::Upstream {
     let hash = (xxh3::xxh3_64(id.as_bytes()) & 0xffff) as u16;
-    if hash == trail::NOWHERE { 1 } else { hash }
+    if hash == affinity::NO_UPSTREAM {
+        1
+    } else {
+        hash
+    }
 }
 
 impl Fleet {
@@ -193,9 +200,9 @@
             started: Instant::now(),
             options: assign::Options::default(),
             pace: pace::Options::default(),
-            hold: hold::Options::default(),
+            hold: wait_queue::Options::default(),
             services: Mutex::default(),
-            affinity: trail::Trail::default(),
+            affinity: affinity::Table::default(),
             has_list: AtomicBool::new(false),
             reads: Mutex::new(list::ReadHistory::new(lapse)),
             confirmation: Confirmation::new(confirm),
@@ -273,13 +280,13 @@
     }
 
     /// Whether `lineage` has a program of which no turn is known to have run.
-    pub fn is_new_program(&self, lineage: &trail::Lineage) -> bool {
-        lineage.program.is_some() && self.affinity.last(lineage).program.is_none()
+    pub fn is_new_program(&self, lineage: &affinity::Lineage) -> bool {
+        lineage.program.is_some() && self.affinity.last_upstreams(lineage).program.is_none()
     }
 
     /// Records where turns of `lineage` ran last, as reported by a replica: newer than this entry's own
     /// record if the last turn came in through another entry.
-    pub fn set_last_upstreams(&self, lineage: &trail::Lineage, last: trail::Last) {
-        self.affinity.learn(lineage, last);
+    pub fn set_last_upstreams(&self, lineage: &affinity::Lineage, last: affinity::LastUpstreams) {
+        self.affinity.merge(lineage, last);
     }
 }
--- a/fw-gate/src/process/gate.rs
+++ b/fw-gate/src/process/gate.rs
@@ -64,7 +64,7 @@
     /// When it was requested, since boot.
     requested_at: Option<Duration>,
     /// The replicas' clocks before the request.
-    clock_readings: client::Moments,
+    clock_readings: client::ClockReadings,
 }
 
 /// A change read from the platform's store.
@@ -94,7 +94,7 @@
     /// Recently used turns.
     pub turns: turn_cache::TurnCache,
     config: watch::Sender<Option<Arc<config::Config>>>,
-    poison: Mutex<poison::Poison>,
+    poison: Mutex<poison::Tracker>,
     retries: Mutex<HashMap<id::ServiceId, retry::Budget>>,
     started: Instant,
     stopping: AtomicBool,
@@ -105,7 +105,7 @@
     /// The last read of the store that was requested.
     pending_read: Mutex<PendingRead>,
     /// Time up to which the configuration is confirmed to be complete.
-    key_freshness: watch::Sender<staleness::Knowledge>,
+    key_freshness: watch::Sender<staleness::KeyFreshness>,
     /// The teams' quota accounts.
     pub quotas: Arc<quotas::Quotas>,
 }
@@ -115,14 +115,14 @@
     pub fn new(opts: Options) -> Arc<Self> {
         let place = opts.place.clone();
         let fleet = fleet::Fleet::new(place, opts.lapse.clone(), opts.confirm.clone());
-        let key_freshness = staleness::Knowledge::new(opts.keys_stale_after);
+        let key_freshness = staleness::KeyFreshness::new(opts.keys_stale_after);
         Arc::new(Self {
             read_schedule: read_schedule::ReadSchedule::new(fleet.entry()),
             fleet,
             replicas: client::Client::new(opts.faults, opts.seeds.clone()),
             turns: turn_cache::TurnCache::default(),
             config: watch::Sender::default(),
-            poison: Mutex::new(poison::Poison::new(poison::Options::default())),
+            poison: Mutex::new(poison::Tracker::new(poison::Options::default())),
             retries: Mutex::default(),
             started: Instant::now(),
             stopping: AtomicBool::new(false),
@@ -185,11 +185,11 @@
                 }
                 Change::UnreadableConfig => cache.set_config_decodable(false),
                 Change::Members(view) => {
-                    if self.replicas.learn(view) {
-                        self.replicas.tell();
+                    if self.replicas.update_view(view) {
+                        self.replicas.announce_members();
                     }
                 }
-                Change::Retire(replica) => self.replicas.tell_retire(replica),
+                Change::Retire(replica) => self.replicas.announce_retire(replica),
             }
         }
         list
@@ -215,7 +215,7 @@
     fn confirm_read(&self, requested_at: Duration) {
         self.fleet.confirmation.record_read(requested_at);
         self.key_freshness
-            .send_modify(|key_freshness| key_freshness.proven(requested_at));
+            .send_modify(|key_freshness| key_freshness.confirm(requested_at));
     }
 
     /// Publishes to the replicas that the store was read, with the changes. A read whose configuration this
@@ -229,16 +229,16 @@
         let changed = cache.record_read(as_of, &config, &upstreams);
         self.read_schedule.note_own_read();
         self.confirm_pending_read();
-        let post = service::Post {
-            by: self.fleet.entry(),
+        let post = service::Publish {
+            entry: self.fleet.entry(),
             as_of,
-            asked: None,
-            marks: cache.digests(),
+            requested_at: None,
+            digests: cache.digests(),
             changed,
         };
         let clock_readings = self.pending_read.lock().clock_readings.clone();
         self.replicas
-            .post(&post, &clock_readings, cache.full_snapshot(config));
+            .publish(&post, &clock_readings, cache.full_snapshot(config));
     }
 
     /// Waits until this entry has to read the store, and prepares the read.
@@ -247,10 +247,10 @@
             () = self.read_schedule.wait_due() => false,
             () = self.fleet.confirmation.wait_needed() => true,
         };
-        self.replicas.ask_moments(CLOCK_READING_TIMEOUT).await;
+        self.replicas.read_clocks(CLOCK_READING_TIMEOUT).await;
         *self.pending_read.lock() = PendingRead {
             requested_at: Some(clock::since_boot()),
-            clock_readings: self.replicas.moments(),
+            clock_readings: self.replicas.clock_readings(),
         };
         fw_follow::Due {
             known: self.snapshot.lock().as_of(),
@@ -266,7 +266,10 @@
             let is_first = self.config().is_none();
             let mut update = None;
             if !is_first {
-                update = self.replicas.await_news(known, snapshot::UPDATE_WAIT).await;
+                update = self
+                    .replicas
+                    .await_update(known, snapshot::UPDATE_WAIT)
+                    .await;
             }
             if let Some(update) = update {
                 if !self.apply_update(&update, requested_at) {
@@ -276,7 +279,7 @@
             }
             // The nearest replica does not answer, or there is no list of replicas yet.
             let requested_at = clock::since_boot();
-            if let Some(update) = self.replicas.ask_news(known).await {
+            if let Some(update) = self.replicas.fetch_update(known).await {
                 self.apply_update(&update, requested_at);
             }
             let pause = match is_first {
@@ -299,20 +302,20 @@
             let due = self.quotas.due(teams.map_or(&[], |teams| teams.all()));
             let entry = self.fleet.entry();
             let merge =
-                |spent: &service::Spent, summary: &_| self.quotas.merge(&spent.team, summary);
+                |spent: &service::TeamUsage, summary: &_| self.quotas.merge(&spent.team, summary);
             tokio::join!(
                 self.replicas
-                    .spend(entry, &due.report, client::Reach::All, merge),
+                    .report_usage(entry, &due.report, client::Reach::All, merge),
                 self.replicas
-                    .spend(entry, &due.query, client::Reach::Nearest, merge),
+                    .report_usage(entry, &due.query, client::Reach::Nearest, merge),
             );
         }
     }
 
     /// Applies a replica's `update` that was requested at `requested_at`, since boot. Returns whether this
     /// entry now has everything that the replica has.
-    pub fn apply_update(&self, update: &service::News, requested_at: Duration) -> bool {
-        let last = update.last;
+    pub fn apply_update(&self, update: &service::Update, requested_at: Duration) -> bool {
+        let last = update.last_read;
         let mut cache = self.snapshot.lock();
         let Some(decoded) = cache.apply_update(update) else {
             return false;
@@ -343,7 +346,7 @@
         let Some(last) = whole else { return false };
         self.read_schedule.note_reported_read(last.by, last.ago);
         // The replica held the request for at least this long before it answered.
-        let answered_at = requested_at + update.held;
+        let answered_at = requested_at + update.held_for;
         if let Some(read) = last.asked.and_then(|ago| answered_at.checked_sub(ago)) {
             self.confirm_read(read);
         }
@@ -405,7 +408,7 @@
 
     /// Returns whether keys may be accepted. An entry that has just started waits until it has read the store.
     async fn await_key_freshness(&self) -> staleness::Outcome {
-        let is_fresh = |key_freshness: &staleness::Knowledge| {
+        let is_fresh = |key_freshness: &staleness::KeyFreshness| {
             key_freshness.decide(clock::since_boot()) == staleness::Outcome::Fresh
         };
         let left = STARTUP_WAIT.saturating_sub(self.now());
@@ -463,17 +466,17 @@
         let now = self.now();
         self.poison
             .lock()
-            .crashed(now, upstream, fingerprint, false);
+            .record_crash(now, upstream, fingerprint, false);
     }
 
     /// Records that a request with this fingerprint was completed.
     pub fn record_success(&self, fingerprint: &digest::Digest) {
-        self.poison.lock().survived(fingerprint);
+        self.poison.lock().record_success(fingerprint);
     }
 
     /// Adds to the retry budget of `service` for the first attempt of a call.
     pub fn earn_retry(&self, service: &id::ServiceId) {
-        self.with_retries(service, retry::Budget::earn);
+        self.with_retries(service, retry::Budget::deposit);
     }
 
     /// Decides whether a failed attempt is followed by another.
@@ -497,12 +500,12 @@
         let budget = retries.entry(service.clone()).or_insert_with(|| {
             retry::Budget::new(retry::Options {
                 // Most failures are refusals of calls that another upstream can run at once.
-                base: Duration::from_millis(4),
-                cap: Duration::from_millis(100),
-                attempts: 4,
+                base_delay: Duration::from_millis(4),
+                max_delay: Duration::from_millis(100),
+                max_attempts: 4,
                 ratio: 0.3,
                 burst: 30.0,
-                trickle: 3.0,
+                refill_per_second: 3.0,
             })
         });
         with(budget)
--- a/fw-gate/src/process/quotas.rs
+++ b/fw-gate/src/process/quotas.rs
@@ -23,9 +23,9 @@
 #[derive(Debug, Default)]
 pub struct Due {
     /// Usage to send to one replica, to get the other entries' usage in return.
-    pub query: Vec<service::Spent>,
+    pub query: Vec<service::TeamUsage>,
     /// Usage to report to all replicas.
-    pub report: Vec<service::Spent>,
+    pub report: Vec<service::TeamUsage>,
 }
 
 /// The accounts of all teams.
@@ -82,7 +82,7 @@
     }
 
     /// The usage of `team` that this entry has admitted, to be reported to other entries.
-    pub fn team_usage(&self, team: &id::TeamId) -> Option<service::Spent> {
+    pub fn team_usage(&self, team: &id::TeamId) -> Option<service::TeamUsage> {
         let mut accounts = self.shard(team);
         let account = accounts.get_mut(team)?;
         Some(self.usage(team, account))
@@ -99,27 +99,27 @@
             let Some(account) = accounts.get_mut(&team.name) else {
                 continue;
             };
-            match account.due(limit, now, &self.options) {
-                quota::Due::Nothing => {}
-                quota::Due::Ask => due.query.push(self.usage(&team.name, account)),
-                quota::Due::Tell => due.report.push(self.usage(&team.name, account)),
+            match account.required_sync(limit, now, &self.options) {
+                quota::SyncNeed::Nothing => {}
+                quota::SyncNeed::Query => due.query.push(self.usage(&team.name, account)),
+                quota::SyncNeed::Report => due.report.push(self.usage(&team.name, account)),
             }
         }
         due
     }
 
-    fn usage(&self, team: &id::TeamId, account: &mut quota::Account) -> service::Spent {
-        service::Spent {
+    fn usage(&self, team: &id::TeamId, account: &mut quota::Account) -> service::TeamUsage {
+        service::TeamUsage {
             team: team.clone(),
-            told: account.tell(self.now(), &self.options),
+            report: account.report(self.now(), &self.options),
         }
     }
 
     /// Merges a replica's `summary` of all entries' usage into the account of `team`.
-    pub fn merge(&self, team: &id::TeamId, summary: &quota::Heard) {
+    pub fn merge(&self, team: &id::TeamId, summary: &quota::Summary) {
         let now = self.now();
         if let Some(account) = self.shard(team).get_mut(team) {
-            account.heard(summary, now, &self.options);
+            account.merge(summary, now, &self.options);
         }
     }
 
@@ -135,7 +135,7 @@
     /// Charges a further run of a request of `team`.
     fn charge(&self, team: &id::TeamId) {
         if let Some(account) = self.shard(team).get_mut(team) {
-            account.charge(quota::Stage::GoesOn, self.now(), &self.options);
+            account.charge(quota::Stage::Continues, self.now(), &self.options);
         }
     }
 
@@ -168,7 +168,7 @@
     /// Records that the request was sent but has not run.
     pub fn not_run(&self) {
         if self.runs.fetch_sub(1, Ordering::Relaxed) > 1 {
-            self.quotas.refund(&self.team, quota::Stage::GoesOn);
+            self.quotas.refund(&self.team, quota::Stage::Continues);
         }
     }
 }
--- a/fw-gate/src/process/read_schedule.rs
+++ b/fw-gate/src/process/read_schedule.rs
@@ -13,7 +13,7 @@
 /// Decides whether this entry is a reader, from the reads that it made or that replicas reported.
 #[derive(Debug)]
 pub struct ReadSchedule {
-    entry: reader::Entry,
+    entry: reader::EntryNumber,
     takeover_timeout: Duration,
     state: Mutex<State>,
 }
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 struct State {
     is_reader: bool,
-    last_read: Option<(reader::Entry, Instant)>,
+    last_read: Option<(reader::EntryNumber, Instant)>,
     /// When this entry made its last read.
     last_own_read: Option<Instant>,
     /// When a replica last reported a read.
@@ -30,10 +30,10 @@
 
 impl ReadSchedule {
     /// Creates the schedule of `entry`, to which no read was reported yet.
-    pub fn new(entry: reader::Entry) -> Self {
+    pub fn new(entry: reader::EntryNumber) -> Self {
         Self {
             entry,
-            takeover_timeout: reader::Options::default().patience(rand::random()),
+            takeover_timeout: reader::Options::default().takeover_timeout(rand::random()),
             state: Mutex::default(),
         }
     }
@@ -47,7 +47,7 @@
     }
 
     /// Records a replica's report that entry `by` read the store `ago`.
-    pub fn note_reported_read(&self, by: reader::Entry, ago: Duration) {
+    pub fn note_reported_read(&self, by: reader::EntryNumber, ago: Duration) {
         let now = Instant::now();
         let Some(at) = now.checked_sub(ago) else {
             return;
@@ -64,7 +64,7 @@
         loop {
             match self.decide() {
                 reader::Outcome::Read => return self.wait_fallback_interval().await,
-                reader::Outcome::Rely(time) => tokio::time::sleep(time).await,
+                reader::Outcome::Follow(time) => tokio::time::sleep(time).await,
             }
         }
     }
--- a/fw-gate/src/process/snapshot.rs
+++ b/fw-gate/src/process/snapshot.rs
@@ -40,7 +40,7 @@
 /// The parts of the snapshot that this entry has, and the revision of the store that they are from.
 #[derive(Debug, Default)]
 pub struct Cache {
-    digests: service::Marks,
+    digests: service::PartDigests,
     /// Revision of the store at which all parts are known to be current.
     as_of: u64,
     /// Newest revision that any part is from. A part from a replica's disk gives no evidence that the other
@@ -60,7 +60,7 @@
 
 impl Cache {
     /// Digests of the parts.
-    pub fn digests(&self) -> service::Marks {
+    pub fn digests(&self) -> service::PartDigests {
         self.digests
     }
 
@@ -70,10 +70,10 @@
     }
 
     /// Revision and digests of the parts, by which a replica decides what to send.
-    pub fn known_version(&self) -> service::Known {
-        service::Known {
+    pub fn known_version(&self) -> service::KnownVersion {
+        service::KnownVersion {
             as_of: self.newest,
-            marks: self.digests,
+            digests: self.digests,
         }
     }
 
@@ -98,10 +98,10 @@
         as_of: u64,
         config: &config::Config,
         upstreams: &[fleet::ListedUpstream],
-    ) -> service::Bulletins {
+    ) -> service::Snapshot {
         self.as_of = self.as_of.max(as_of);
         self.newest = self.newest.max(as_of);
-        let mut changed = service::Bulletins::default();
+        let mut changed = service::Snapshot::default();
         if self.config_version != Some(config.version)
             && let Some(part) = encode_part(as_of, config)
         {
@@ -124,13 +124,13 @@
     pub fn full_snapshot(
         &self,
         config: Arc<config::Config>,
-    ) -> impl Fn() -> service::Bulletins + use<> {
+    ) -> impl Fn() -> service::Snapshot + use<> {
         let as_of = self.as_of;
-        let upstreams = service::Bulletin {
+        let upstreams = service::SnapshotPart {
             as_of,
             bytes: self.upstreams.clone(),
         };
-        move || service::Bulletins {
+        move || service::Snapshot {
             config: encode_part(as_of, config.as_ref()),
             upstreams: Some(upstreams.clone()),
         }
@@ -140,8 +140,12 @@
     ///
     /// A revision does not determine the content of a part, so a revision counts as complete only once the
     /// digests agree, and a part of the same revision is applied.
-    pub fn apply_update(&mut self, update: &service::News) -> Option<Decoded> {
-        let service::News { newer, last, .. } = update;
+    pub fn apply_update(&mut self, update: &service::Update) -> Option<Decoded> {
+        let service::Update {
+            newer,
+            last_read: last,
+            ..
+        } = update;
         let as_of = last.map_or(newer.as_of(), |last| last.as_of);
         // If no entry has read the store since the replica started, the parts are from its disk.
         let is_older = match last {
@@ -159,7 +163,7 @@
             .and_then(|part| self.apply_config(part));
         let upstreams = newer.upstreams.as_ref();
         let upstreams = upstreams.and_then(|part| self.apply_upstreams(part));
-        let is_complete = last.is_some() && self.is_decodable() && self.digests == update.marks;
+        let is_complete = last.is_some() && self.is_decodable() && self.digests == update.digests;
         if is_complete {
             self.as_of = as_of;
         }
@@ -170,7 +174,7 @@
         })
     }
 
-    fn apply_config(&mut self, part: &service::Bulletin) -> Option<config::Config> {
+    fn apply_config(&mut self, part: &service::SnapshotPart) -> Option<config::Config> {
         // The digest is kept also if decoding fails, so that the part is not fetched again.
         self.digests.config = part.digest();
         let config = decode_part::<config::Config>(part);
@@ -179,7 +183,10 @@
         config
     }
 
-    fn apply_upstreams(&mut self, part: &service::Bulletin) -> Option<Vec<fleet::ListedUpstream>> {
+    fn apply_upstreams(
+        &mut self,
+        part: &service::SnapshotPart,
+    ) -> Option<Vec<fleet::ListedUpstream>> {
         self.digests.upstreams = part.digest();
         self.upstreams = part.bytes.clone();
         let upstreams = decode_part(part);
@@ -188,9 +195,9 @@
     }
 }
 
-fn encode_part<T: Serialize + ?Sized>(as_of: u64, part: &T) -> Option<service::Bulletin> {
+fn encode_part<T: Serialize + ?Sized>(as_of: u64, part: &T) -> Option<service::SnapshotPart> {
     match postcard::to_stdvec(part) {
-        Ok(bytes) => Some(service::Bulletin {
+        Ok(bytes) => Some(service::SnapshotPart {
             as_of,
             bytes: bytes.into(),
         }),
@@ -201,7 +208,7 @@
     }
 }
 
-fn decode_part<T: DeserializeOwned>(part: &service::Bulletin) -> Option<T> {
+fn decode_part<T: DeserializeOwned>(part: &service::SnapshotPart) -> Option<T> {
     match postcard::from_bytes(&part.bytes) {
         Ok(decoded) => Some(decoded),
         Err(err) => {
--- a/fw-gate/src/request/attempt.rs
+++ b/fw-gate/src/request/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fw_base::{digest, error, id};
-use fw_plan::{hold, retry};
+use fw_plan::{retry, wait_queue};
 use tokio::time::Instant;
 
 use super::ingress::log_ms;
@@ -146,10 +146,10 @@
         let criteria = fleet::Criteria {
             affinity,
             avoid: &attempts.avoid,
-            hold: hold::Call {
+            hold: wait_queue::Call {
                 priority: self.priority,
-                left: self.call.program_deadline,
-                begins,
+                time_left: self.call.program_deadline,
+                begins_program: begins,
             },
         };
         let fleet = &self.gate.fleet;
@@ -185,7 +185,7 @@
             attempt: attempts.failed,
             repeatable: self.route.is_repeatable()
                 && attempts.may_have_run < self.route.attempts.max(2),
-            deadline: send::time_left(self.until),
+            time_left: send::time_left(self.until),
             retry_after: None,
         };
         let outcome = if reached_no_upstream(err.kind) && attempts.failed < MAX_UNREACHED {
--- a/fw-gate/src/request/ingress.rs
+++ b/fw-gate/src/request/ingress.rs
@@ -118,7 +118,7 @@
         };
         return stream::run(job).await;
     }
-    let permit = gate.quotas.acquire(&call, limit, quota::Stage::GoesOn)?;
+    let permit = gate.quotas.acquire(&call, limit, quota::Stage::Continues)?;
     let job = attempt::Job {
         gate,
         route,
--- a/fw-gate/src/request/plain.rs
+++ b/fw-gate/src/request/plain.rs
@@ -74,7 +74,7 @@
             Ok((head, whole.to_bytes()))
         }
         Ok(Err(err)) => {
-            lease.record_health(health::Seen::Failed);
+            lease.record_health(health::Observation::Failed);
             let message = format!("the answer of upstream `{}` broke off: {err}", lease.id);
             Err(send::Failure {
                 err: error::Error::new(error::Kind::UpstreamCrashed, message),
--- a/fw-gate/src/request/send.rs
+++ b/fw-gate/src/request/send.rs
@@ -117,8 +117,10 @@
         Err(err) => {
             match err.kind {
                 error::Kind::Misdirected => lease.mark_replaced(),
-                _ if err.ran() == error::Ran::No => lease.record_health(health::Seen::Answered),
-                _ => lease.record_health(health::Seen::Failed),
+                _ if err.ran() == error::Ran::No => {
+                    lease.record_health(health::Observation::Answered)
+                }
+                _ => lease.record_health(health::Observation::Failed),
             }
             Err(Failure {
                 err,
@@ -146,7 +148,7 @@
     }
     metrics::counter!("fw_gate_connects_total").increment(1);
     let mut link = link::Link::connect(lease.addr).await.map_err(|err| {
-        lease.record_health(health::Seen::Down);
+        lease.record_health(health::Observation::Down);
         let message = format!("cannot connect to upstream `{}`: {err}", lease.id);
         Failure {
             err: error::Error::new(error::Kind::UpstreamUnreachable, message),
@@ -180,7 +182,7 @@
 }
 
 fn connection_failure(lease: &fleet::Lease, failed: &link::SendError) -> Failure {
-    lease.record_health(health::Seen::Failed);
+    lease.record_health(health::Observation::Failed);
     let message = format!(
         "the connection to upstream `{}` broke: {}",
         lease.id, failed.message
--- a/fw-gate/src/request/stream.rs
+++ b/fw-gate/src/request/stream.rs
@@ -60,7 +60,7 @@
         let begins = self.attempt().begins_program();
         let stage = match begins {
             true => quota::Stage::Begins,
-            false => quota::Stage::GoesOn,
+            false => quota::Stage::Continues,
         };
         let permit = self.gate.quotas.acquire(&self.call, self.limit, stage)?;
         self.permit = permit.map(Arc::new);
@@ -219,7 +219,7 @@
                     break "deadline passed";
                 }
                 Ended::Broken => {
-                    response.lease.record_health(health::Seen::Failed);
+                    response.lease.record_health(health::Observation::Failed);
                     drop(response);
                     self.job.attempt().check_crash(&upstream, addr).await;
                     let next = self.resume(&upstream, &mut resumes).await;
@@ -249,10 +249,10 @@
             team = self.job.call.team.as_deref(),
             priority = self.job.priority,
             upstream = %last_upstream,
-            own = candidate.own,
-            others = candidate.others,
-            others_age_ms = candidate.age.as_millis() as u64,
-            miss_ms = candidate.miss.as_millis() as u64,
+            own = candidate.own_calls,
+            others = candidate.reported_calls,
+            others_age_ms = candidate.report_age.as_millis() as u64,
+            miss_ms = candidate.prefill.as_millis() as u64,
             slowness = candidate.slowness,
             list_as_of = list_state.as_of,
             list_age_ms = log_ms(list_state.age),
@@ -404,7 +404,7 @@
             input: job.input.clone(),
             output: std::mem::take(&mut self.output).freeze(),
             ended: server::unix_ms(),
-            keep,
+            retention: keep,
         });
         let stored = match self.turn.take() {
             Some(turn) => turn.finish(record).await,
--- a/fw-gate/src/request/turn.rs
+++ b/fw-gate/src/request/turn.rs
@@ -5,7 +5,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use fw_base::{error, id};
-use fw_replica::{client, record, server, service, trail};
+use fw_replica::{affinity, client, record, server, service};
 use tokio::time::Instant;
 
 use super::call;
@@ -23,14 +23,14 @@
     gate: Arc<gate::Gate>,
     /// `None` for a program without a budget.
     charge: Option<record::Charge>,
-    lineage: trail::Lineage,
-    location: Option<trail::Ran>,
+    lineage: affinity::Lineage,
+    location: Option<affinity::Location>,
 }
 
 impl Turn {
     /// Records that the turn runs at `upstream`.
     pub fn set_upstream(&mut self, upstream: &id::UpstreamId) {
-        self.location = Some(trail::Ran {
+        self.location = Some(affinity::Location {
             lineage: self.lineage.clone(),
             upstream: fleet::short_hash(upstream),
         });
@@ -41,10 +41,10 @@
     pub fn mark_broken(&mut self) {
         self.gate
             .fleet
-            .set_last_upstreams(&self.lineage, trail::Last::nowhere());
-        self.location = Some(trail::Ran {
+            .set_last_upstreams(&self.lineage, affinity::LastUpstreams::no_upstream());
+        self.location = Some(affinity::Location {
             lineage: self.lineage.clone(),
-            upstream: trail::NOWHERE,
+            upstream: affinity::NO_UPSTREAM,
         });
     }
 
@@ -66,7 +66,7 @@
         is_needed.then(|| service::Finish {
             turn: record,
             charge,
-            ran: self.location.take(),
+            location: self.location.take(),
         })
     }
 
@@ -161,20 +161,20 @@
             relay: gate.opts.relay,
             ..gate.fleet.load()
         };
-        let ask = client::Ask {
+        let ask = client::BeginParams {
             reserve: reserve.clone(),
             newest: newest.clone(),
             load,
             lineage: lineage.clone(),
-            spent: call
+            usage: call
                 .team
                 .as_ref()
                 .and_then(|team| gate.quotas.team_usage(team)),
         };
-        let tell = |told: client::Told<'_>| {
+        let tell = |told: client::PeerReport<'_>| {
             gate.fleet.set_other_calls(told.calls);
-            gate.fleet.set_last_upstreams(&lineage, told.last);
-            if let (Some(team), Some(spent)) = (&call.team, &told.spent) {
+            gate.fleet.set_last_upstreams(&lineage, told.last_upstreams);
+            if let (Some(team), Some(spent)) = (&call.team, &told.usage) {
                 gate.quotas.merge(team, spent);
             }
         };
--- a/fw-gate/tests/gate/store_updates.rs
+++ b/fw-gate/tests/gate/store_updates.rs
@@ -27,14 +27,14 @@
     Step::News { changes, as_of }
 }
 
-fn update(newer: service::Bulletins, as_of: u64) -> service::News {
-    service::News {
-        marks: newer.marks(),
+fn update(newer: service::Snapshot, as_of: u64) -> service::Update {
+    service::Update {
+        digests: newer.digests(),
         newer,
         reads: None,
         view: member::View::default(),
-        held: Duration::ZERO,
-        last: Some(service::LastRead {
+        held_for: Duration::ZERO,
+        last_read: Some(service::LastRead {
             by: 1,
             as_of,
             ago: Duration::ZERO,
@@ -94,7 +94,7 @@
     expect_that!(newer.config, some(anything()));
     let mut next = Cache::default();
     expect_true!(next.apply_update(&update(newer, 5)).unwrap().is_complete);
-    let nothing = service::Bulletins::default();
+    let nothing = service::Snapshot::default();
     expect_that!(
         next.record_read(7, &config(2), &[listed("x")]),
         eq(&nothing)
@@ -116,8 +116,8 @@
     let first = reader.record_read(5, &config(2), &[listed("x")]);
     expect_true!(gate.apply_update(&update(first, 5), clock::since_boot()));
     expect_true!(is_used(&gate.fleet));
-    let second = service::News {
-        marks: {
+    let second = service::Update {
+        digests: {
             reader.record_read(5, &config(2), &[]);
             reader.digests()
         },
@@ -135,9 +135,9 @@
     let mut follower = Cache::default();
     follower.apply_update(&update(first, 5));
     reader.record_read(7, &config(2), &[]);
-    let without_the_list = service::News {
-        marks: reader.digests(),
-        ..update(service::Bulletins::default(), 7)
+    let without_the_list = service::Update {
+        digests: reader.digests(),
+        ..update(service::Snapshot::default(), 7)
     };
     expect_false!(
         follower
@@ -164,9 +164,9 @@
     expect_that!(told.upstreams, none());
     expect_false!(told.is_complete);
     // Nor does an update without changes make it count.
-    let again = service::News {
-        marks: first.marks(),
-        ..update(service::Bulletins::default(), 6)
+    let again = service::Update {
+        digests: first.digests(),
+        ..update(service::Snapshot::default(), 6)
     };
     expect_false!(follower.apply_update(&again).unwrap().is_complete);
     expect_that!(follower.as_of(), eq(0));
@@ -181,8 +181,8 @@
     let mut reader = Cache::default();
     let old = reader.record_read(5, &config(2), &[listed("x")]);
     let new = reader.record_read(7, &config(3), &[]);
-    let on_disk = |parts: service::Bulletins| service::News {
-        last: None,
+    let on_disk = |parts: service::Snapshot| service::Update {
+        last_read: None,
         ..update(parts, 0)
     };
     let mut follower = Cache::default();
@@ -200,8 +200,8 @@
     let mut other = Cache::default();
     let newer = other.record_read(5, &config(2), &[listed("x")]);
     let ago = Duration::from_secs(9);
-    let old = service::News {
-        last: Some(service::LastRead {
+    let old = service::Update {
+        last_read: Some(service::LastRead {
             by: 1,
             as_of: 5,
             ago,
@@ -219,13 +219,13 @@
     expect_that!(gate.fleet.listing(), is_empty());
     // Other entries have read the store the whole time.
     let cache = Cache::default();
-    let steady = service::News {
-        reads: Some(service::SteadyReads {
+    let steady = service::Update {
+        reads: Some(service::ReadSpan {
             first: Duration::from_secs(60),
             last: Duration::from_millis(200),
         }),
-        marks: cache.digests(),
-        ..update(service::Bulletins::default(), 8)
+        digests: cache.digests(),
+        ..update(service::Snapshot::default(), 8)
     };
     gate.apply_update(&steady, clock::since_boot());
     expect_false!(is_used(&gate.fleet));
--- a/fw-gate/tests/gate/upstream_list.rs
+++ b/fw-gate/tests/gate/upstream_list.rs
@@ -6,9 +6,9 @@
 use fw_gate::process::fleet::{
     self, Affinity, Change, Criteria, Fleet, ListUpdate, ListedUpstream, Load,
 };
-use fw_plan::health::Seen;
+use fw_plan::health::Observation;
 use fw_plan::{confirm, lapse};
-use fw_replica::trail;
+use fw_replica::affinity;
 use googletest::prelude::*;
 
 pub(crate) fn listed(id: &str) -> ListedUpstream {
@@ -147,7 +147,7 @@
     }
     for id in ["y", "z"] {
         let lease = fleet.lease_again(&"s".into(), &id.into()).unwrap();
-        lease.record_health(Seen::Down);
+        lease.record_health(Observation::Down);
     }
     let lease = fleet.choose(&"s".into(), &Criteria::default()).unwrap();
     expect_that!(lease.id, eq("x"));
@@ -176,7 +176,7 @@
     for _ in 0..10 {
         let lease = fleet.choose(&"s".into(), &Criteria::default()).unwrap();
         expect_that!(lease.id, eq("y"));
-        lease.record_health(Seen::Answered);
+        lease.record_health(Observation::Answered);
     }
     fleet.put(ListedUpstream {
         started_at: 2,
@@ -229,7 +229,7 @@
 }
 
 fn turn(session: Option<&str>) -> Criteria<'static> {
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: session.map(Into::into),
         program: Some("p".into()),
     };
@@ -257,12 +257,12 @@
     // sending it to any upstream, where the whole prompt is prefilled again: at a large deployment five of six
     // turns missed the engine that had it cached.
     let fleet = many();
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: Some("s".into()),
         program: None,
     };
     for id in ["u7", "u21"] {
-        let last = trail::Last {
+        let last = affinity::LastUpstreams {
             session: Some(fleet::short_hash(&id.into())),
             program: None,
         };
@@ -323,11 +323,11 @@
     // others that have no record of it. All send them to the upstream at which it ran by the replicas' reports.
     let began = many();
     let lease = began.choose(&"s".into(), &turn(Some("main"))).unwrap();
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: None,
         program: Some("p".into()),
     };
-    let last = trail::Last {
+    let last = affinity::LastUpstreams {
         session: None,
         program: Some(fleet::short_hash(&lease.id)),
     };
@@ -345,17 +345,17 @@
     // request, so its caller sends it again, through any entry. Guards against every entry sending it to the
     // same upstream, because its session ran there, until the program fails.
     let fleet = many();
-    let lineage = trail::Lineage {
+    let lineage = affinity::Lineage {
         session: Some("s".into()),
         program: Some("p".into()),
     };
     let broken = fleet::short_hash(&"u7".into());
-    let ran = trail::Last {
+    let ran = affinity::LastUpstreams {
         session: Some(broken),
         program: Some(broken),
     };
     fleet.set_last_upstreams(&lineage, ran);
-    fleet.set_last_upstreams(&lineage, trail::Last::nowhere());
+    fleet.set_last_upstreams(&lineage, affinity::LastUpstreams::no_upstream());
     let ids: Vec<_> = (0..20)
         .map(|_| fleet.choose(&"s".into(), &turn(Some("s"))).unwrap())
         .collect();
--- a/fw-keep/src/keeper/inner.rs
+++ b/fw-keep/src/keeper/inner.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use fw_base::id;
-use fw_plan::window;
+use fw_plan::commit_window;
 use fw_store::kv;
 use parking_lot::Mutex;
 use parking_lot::RwLock;
@@ -49,7 +49,7 @@
     /// When a shard was loaded last.
     pub(super) loaded: Mutex<Option<Instant>>,
     pub(super) window: Mutex<Duration>,
-    pub(super) pacing: Mutex<window::Window>,
+    pub(super) pacing: Mutex<commit_window::CommitWindow>,
     pub(super) closing: watch::Sender<bool>,
 }
 
@@ -72,9 +72,9 @@
             sure_until: Mutex::new(Instant::now()),
             loaded: Mutex::new(None),
             window,
-            pacing: Mutex::new(window::Window::new(window::Options {
-                max: opts.window_max,
-                ..window::Options::default()
+            pacing: Mutex::new(commit_window::CommitWindow::new(commit_window::Options {
+                max_delay: opts.window_max,
+                ..commit_window::Options::default()
             })),
             closing: watch::Sender::new(false),
             opts,
@@ -87,10 +87,10 @@
 
     pub(super) fn owner(&self, shard: id::ShardId) -> Owner {
         if usize::from(shard) >= self.slots.len() {
-            return Owner::Nobody;
+            return Owner::Vacant;
         }
         if self.slot(shard).lock().serving().is_some() {
-            return Owner::Mine;
+            return Owner::Local;
         }
         self.table.read().owner(shard, &self.opts.entry)
     }
@@ -101,7 +101,7 @@
         f: impl FnOnce(&mut Shard) -> T,
     ) -> Result<Changed<T>, Owner> {
         if usize::from(shard) >= self.slots.len() {
-            return Err(Owner::Nobody);
+            return Err(Owner::Vacant);
         }
         let mut slot = self.slot(shard).lock();
         let Some(kept) = slot.serving() else {
@@ -144,7 +144,7 @@
         self.dirtied.notify_one();
     }
 
-    pub(super) async fn durable(&self, ticket: Ticket, wait: Duration) -> Result<(), Error> {
+    pub(super) async fn wait_durable(&self, ticket: Ticket, wait: Duration) -> Result<(), Error> {
         let progress = {
             let mut slot = self.slot(ticket.shard).lock();
             let kept = slot
