--- a/fw-gate/src/process/fleet/choose.rs
+++ b/fw-gate/src/process/fleet/choose.rs
@@ -62,18 +62,19 @@
             Affinity::Object(_) | Affinity::None => None,
         };
         let ticket = Ticket::enqueue(&service, preferred, |number| {
-            self.hold.rank(&criteria.hold, self.now(), number)
+            self.wait_queue
+                .rank(&criteria.queue_call, self.now(), number)
         });
         let started_at = tokio::time::Instant::now();
-        while started_at.elapsed() < self.hold.max_wait {
-            let eligibility = ticket.eligibility(&self.hold);
+        while started_at.elapsed() < self.wait_queue.max_wait {
+            let eligibility = ticket.eligibility(&self.wait_queue);
             let fits = |capacity: &Capacity| {
                 let is_preferred = Some(capacity.hash) == preferred;
                 let waited = started_at.elapsed();
                 let is_eligible = eligibility == Eligibility::All || is_preferred;
                 is_eligible
                     && self
-                        .hold
+                        .wait_queue
                         .has_room(capacity.slots, capacity.load, is_preferred, waited)
             };
             if eligibility != Eligibility::None
@@ -85,11 +86,12 @@
             }
             // Tried again also without a wake-up: the weight of reported load decreases with its age.
             let _ =
-                tokio::time::timeout(self.hold.recheck_interval, ticket.wakeup.notified()).await;
+                tokio::time::timeout(self.wait_queue.recheck_interval, ticket.wakeup.notified())
+                    .await;
         }
         drop(ticket);
         metrics::counter!("fw_gate_held_too_long_total").increment(1);
-        match self.hold.expire(&criteria.hold, rand::random()) {
+        match self.wait_queue.expire(&criteria.queue_call, rand::random()) {
             wait_queue::Expired::Send => self.choose(service_id, criteria),
             wait_queue::Expired::Refuse(after) => {
                 let message = "programs under way need all slots";
@@ -114,17 +116,17 @@
         service: &id::ServiceId,
         priority: u32,
     ) -> Result<(), error::Error> {
-        let Some(known) = self.service(service) else {
+        let Some(state) = self.service(service) else {
             return Ok(());
         };
-        let (slots, load) = self.occupancy(&known.lock());
-        if self.hold.may_begin(priority, slots, load) {
+        let (slots, load) = self.occupancy(&state.lock());
+        if self.wait_queue.may_begin(priority, slots, load) {
             return Ok(());
         }
         metrics::counter!("fw_gate_programs_refused_total").increment(1);
         let message = format!("programs under way have {load:.0} calls at {slots:.0} slots");
         let err = error::Error::new(error::Kind::Overloaded, message);
-        Err(err.with_retry_after(self.hold.draw_retry_after(rand::random())))
+        Err(err.with_retry_after(self.wait_queue.draw_retry_after(rand::random())))
     }
 
     /// The slots of all usable upstreams of a service, and the calls that are in flight there or wait here.
--- a/fw-gate/src/process/fleet/list.rs
+++ b/fw-gate/src/process/fleet/list.rs
@@ -158,9 +158,9 @@
     /// Applies a full list; returns the upstreams that are newly missing.
     fn apply_full(&self, list: Vec<ListedUpstream>) -> Vec<id::UpstreamId> {
         self.has_list.store(true, Ordering::Relaxed);
-        let known = self.listing().into_iter().map(|known| known.id);
-        let gone = known.filter(|known| !list.iter().any(|listed| listed.id == *known));
-        let missing = gone.filter_map(|id| self.mark_missing(id)).collect();
+        let current = self.listing().into_iter().map(|current| current.id);
+        let removed = current.filter(|current| !list.iter().any(|listed| listed.id == *current));
+        let missing = removed.filter_map(|id| self.mark_missing(id)).collect();
         for listed in list {
             self.put(listed);
         }
@@ -178,30 +178,30 @@
         let mut service = service.lock();
         let now = self.now();
         let id = listed.id.clone();
-        let Some(known) = service.find(&id) else {
+        let Some(upstream) = service.find(&id) else {
             tracing::info!(upstream = %id, service = %listed.service, addr = %listed.addr, takes_work = listed.takes_work, "upstream listed");
             service.upstreams.push(Upstream::new(listed));
             service.update_health(now);
             return;
         };
         let restarted =
-            known.listed.started_at != listed.started_at || known.listed.addr != listed.addr;
-        let leaves = !known.listed.takes_work && !restarted;
-        if leaves && listed.takes_work {
+            upstream.listed.started_at != listed.started_at || upstream.listed.addr != listed.addr;
+        let is_leaving = !upstream.listed.takes_work && !restarted;
+        if is_leaving && listed.takes_work {
             tracing::info!(upstream = %id, "a late heartbeat lists an upstream that leaves as ready; it gets no calls");
         }
         let listed = ListedUpstream {
-            takes_work: listed.takes_work && !leaves,
+            takes_work: listed.takes_work && !is_leaving,
             ..listed
         };
-        if known.listed.takes_work != listed.takes_work || restarted {
+        if upstream.listed.takes_work != listed.takes_work || restarted {
             let as_of = self.list_state().as_of;
             tracing::info!(upstream = %id, takes_work = listed.takes_work, restarted, as_of, "upstream changed");
         }
-        known.missing = None;
-        known.listed = listed;
+        upstream.missing = None;
+        upstream.listed = listed;
         if restarted {
-            known.reset();
+            upstream.reset();
             service.health.restarted(now, &id);
         }
     }
--- a/fw-gate/src/process/fleet/mod.rs
+++ b/fw-gate/src/process/fleet/mod.rs
@@ -77,7 +77,7 @@
     /// Upstreams that failed this call.
     pub avoid: &'a [id::UpstreamId],
     /// What ranks the call among those that wait for an upstream.
-    pub hold: wait_queue::Call,
+    pub queue_call: wait_queue::Call,
 }
 
 #[derive(Debug)]
@@ -166,7 +166,7 @@
     started: Instant,
     options: assign::Options,
     pace: pace::Options,
-    hold: wait_queue::Options,
+    wait_queue: wait_queue::Options,
     services: Mutex<HashMap<id::ServiceId, Arc<Mutex<Service>>>>,
     /// Upstreams at which sessions and programs ran last, by this entry's calls and the replicas' reports.
     affinity: affinity::Table,
@@ -200,7 +200,7 @@
             started: Instant::now(),
             options: assign::Options::default(),
             pace: pace::Options::default(),
-            hold: wait_queue::Options::default(),
+            wait_queue: wait_queue::Options::default(),
             services: Mutex::default(),
             affinity: affinity::Table::default(),
             has_list: AtomicBool::new(false),
--- a/fw-gate/src/process/gate.rs
+++ b/fw-gate/src/process/gate.rs
@@ -229,7 +229,7 @@
         let changed = cache.record_read(as_of, &config, &upstreams);
         self.read_schedule.note_own_read();
         self.confirm_pending_read();
-        let post = service::Publish {
+        let publish = service::Publish {
             entry: self.fleet.entry(),
             as_of,
             requested_at: None,
@@ -238,7 +238,7 @@
         };
         let clock_readings = self.pending_read.lock().clock_readings.clone();
         self.replicas
-            .publish(&post, &clock_readings, cache.full_snapshot(config));
+            .publish(&publish, &clock_readings, cache.full_snapshot(config));
     }
 
     /// Waits until this entry has to read the store, and prepares the read.
@@ -261,14 +261,14 @@
     /// Fetches other entries' reads of the store from the replicas; never returns.
     pub async fn poll_replicas(self: Arc<Self>) {
         loop {
-            let known = self.snapshot.lock().known_version();
+            let version = self.snapshot.lock().known_version();
             let requested_at = clock::since_boot();
             let is_first = self.config().is_none();
             let mut update = None;
             if !is_first {
                 update = self
                     .replicas
-                    .await_update(known, snapshot::UPDATE_WAIT)
+                    .await_update(version, snapshot::UPDATE_WAIT)
                     .await;
             }
             if let Some(update) = update {
@@ -279,7 +279,7 @@
             }
             // The nearest replica does not answer, or there is no list of replicas yet.
             let requested_at = clock::since_boot();
-            if let Some(update) = self.replicas.fetch_update(known).await {
+            if let Some(update) = self.replicas.fetch_update(version).await {
                 self.apply_update(&update, requested_at);
             }
             let pause = match is_first {
@@ -302,7 +302,7 @@
             let due = self.quotas.due(teams.map_or(&[], |teams| teams.all()));
             let entry = self.fleet.entry();
             let merge =
-                |spent: &service::TeamUsage, summary: &_| self.quotas.merge(&spent.team, summary);
+                |usage: &service::TeamUsage, summary: &_| self.quotas.merge(&usage.team, summary);
             tokio::join!(
                 self.replicas
                     .report_usage(entry, &due.report, client::Reach::All, merge),
@@ -329,8 +329,8 @@
         if let Some(reads) = update.reads {
             self.fleet.note_reads(reads.first, reads.last);
         }
-        let whole = last.filter(|_| decoded.is_complete);
-        let read = whole.map(|last| fleet::StoreRead {
+        let complete = last.filter(|_| decoded.is_complete);
+        let read = complete.map(|last| fleet::StoreRead {
             as_of: last.as_of,
             ago: last.ago,
         });
@@ -343,7 +343,7 @@
             },
         );
         self.fleet.apply(read, list);
-        let Some(last) = whole else { return false };
+        let Some(last) = complete else { return false };
         self.read_schedule.note_reported_read(last.by, last.ago);
         // The replica held the request for at least this long before it answered.
         let answered_at = requested_at + update.held_for;
@@ -355,9 +355,9 @@
 
     /// Puts `config` in force unless its version is already in force or a newer one is.
     pub fn configure(&self, config: config::Config) {
-        self.config.send_if_modified(|known| {
-            let newest = known.as_ref().map_or(0, |known| known.version);
-            if config.version <= newest && known.is_some() {
+        self.config.send_if_modified(|current| {
+            let newest = current.as_ref().map_or(0, |current| current.version);
+            if config.version <= newest && current.is_some() {
                 return false;
             }
             tracing::info!(
@@ -366,7 +366,7 @@
                 routes = config.routes.len(),
                 "configuration in force"
             );
-            *known = Some(Arc::new(config));
+            *current = Some(Arc::new(config));
             true
         });
     }
@@ -384,12 +384,12 @@
     /// serve them. They are not refused before [`STARTUP_WAIT`] has passed.
     pub async fn await_config(&self) -> Option<Arc<config::Config>> {
         // The usual case: only the first requests of an entry have to wait.
-        if let Some(known) = self.config() {
-            return Some(known);
+        if let Some(config) = self.config() {
+            return Some(config);
         }
         let mut config = self.config.subscribe();
-        let known = tokio::time::timeout(STARTUP_WAIT, config.wait_for(Option::is_some)).await;
-        known.ok()?.ok()?.clone()
+        let result = tokio::time::timeout(STARTUP_WAIT, config.wait_for(Option::is_some)).await;
+        result.ok()?.ok()?.clone()
     }
 
     /// Returns the configuration in force once it is confirmed to be current, or cannot be confirmed in time;
@@ -426,8 +426,8 @@
         let has_teams = config.as_ref().is_some_and(|config| config.teams.is_some());
         let freshness = self.key_freshness.borrow().decide(clock::since_boot());
         let is_fresh = !has_teams || freshness == staleness::Outcome::Fresh;
-        let known = config.is_some() && self.fleet.has_list();
-        known && is_fresh && self.replicas.epoch() > 0 && !self.is_stopping()
+        let has_state = config.is_some() && self.fleet.has_list();
+        has_state && is_fresh && self.replicas.epoch() > 0 && !self.is_stopping()
     }
 
     /// Begins the shutdown: from now on each connection is closed after its next answer.
--- a/fw-gate/src/request/attempt.rs
+++ b/fw-gate/src/request/attempt.rs
@@ -146,7 +146,7 @@
         let criteria = fleet::Criteria {
             affinity,
             avoid: &attempts.avoid,
-            hold: wait_queue::Call {
+            queue_call: wait_queue::Call {
                 priority: self.priority,
                 time_left: self.call.program_deadline,
                 begins_program: begins,
--- a/fw-gate/src/request/turn.rs
+++ b/fw-gate/src/request/turn.rs
@@ -161,7 +161,7 @@
             relay: gate.opts.relay,
             ..gate.fleet.load()
         };
-        let ask = client::BeginParams {
+        let params = client::BeginParams {
             reserve: reserve.clone(),
             newest: newest.clone(),
             load,
@@ -171,14 +171,15 @@
                 .as_ref()
                 .and_then(|team| gate.quotas.team_usage(team)),
         };
-        let tell = |told: client::PeerReport<'_>| {
-            gate.fleet.set_other_calls(told.calls);
-            gate.fleet.set_last_upstreams(&lineage, told.last_upstreams);
-            if let (Some(team), Some(spent)) = (&call.team, &told.usage) {
-                gate.quotas.merge(team, spent);
+        let on_report = |report: client::PeerReport<'_>| {
+            gate.fleet.set_other_calls(report.calls);
+            gate.fleet
+                .set_last_upstreams(&lineage, report.last_upstreams);
+            if let (Some(team), Some(usage)) = (&call.team, &report.usage) {
+                gate.quotas.merge(team, usage);
             }
         };
-        let err = match gate.replicas.begin(ask, tell).await {
+        let err = match gate.replicas.begin(params, on_report).await {
             Ok(chain) => return Ok(chain),
             Err(err) => err,
         };
