--- a/fw-gate/tests/gate/api_keys.rs
+++ b/fw-gate/tests/gate/api_keys.rs
@@ -92,7 +92,7 @@
 // Guards against a team's program that continues another team's turn by naming its id, and so gets what the
 // other team's customers wrote.
 #[gtest]
-fn keep_what_one_team_names_from_the_others() {
+fn scope_ids_to_their_team() {
     let mut headers = HeaderMap::new();
     for name in ["id", "program", "session", "previous"] {
         headers.insert(name, HeaderValue::from_static("1"));
--- a/fw-gate/tests/gate/call_headers.rs
+++ b/fw-gate/tests/gate/call_headers.rs
@@ -70,7 +70,7 @@
 }
 
 #[gtest]
-fn lose_what_concerns_one_connection() {
+fn lose_hop_by_hop_headers() {
     let mut all = headers(&[
         ("connection", "close, x-mine"),
         ("x-mine", "1"),
--- a/fw-gate/tests/gate/event_split.rs
+++ b/fw-gate/tests/gate/event_split.rs
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn are_held_back_until_they_are_whole() {
+fn are_held_back_until_complete() {
     let mut splitter = Splitter::default();
     splitter.push(b"id: 1\ndata: a\n");
     expect_that!(splitter.next_event(), none());
--- a/fw-gate/tests/gate/store_updates.rs
+++ b/fw-gate/tests/gate/store_updates.rs
@@ -47,7 +47,7 @@
 // against the older read, in which the upstream still takes work, making it get calls again.
 #[gtest]
 #[tokio::test]
-async fn an_older_read_does_not_undo_what_was_heard() {
+async fn an_older_read_does_not_undo_an_update() {
     let gate = gate();
     let first = vec![
         Change::Config(Box::new(config(1))),
@@ -72,7 +72,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_later_read_counts_again() {
+async fn a_later_read_is_applied_again() {
     let gate = gate();
     let mut other = Cache::default();
     let newer = other.record_read(5, &config(2), &[listed("x")]);
@@ -88,7 +88,7 @@
 // An entry that becomes the reader does not publish unchanged parts again: a configuration of a thousand
 // routes would be sent to all replicas, and from them to a hundred entries.
 #[gtest]
-fn what_was_heard_is_not_told_again() {
+fn unchanged_parts_are_not_published_again() {
     let mut reader = Cache::default();
     let newer = reader.record_read(5, &config(2), &[listed("x")]);
     expect_that!(newer.config, some(anything()));
@@ -153,7 +153,7 @@
 
 // Guards against an entry that keeps following another one's reads although it cannot decode the list.
 #[gtest]
-fn an_unreadable_list_does_not_count_as_known() {
+fn an_undecodable_list_does_not_count_as_complete() {
     let mut reader = Cache::default();
     let mut first = reader.record_read(5, &config(2), &[listed("x")]);
     if let Some(part) = &mut first.upstreams {
@@ -177,7 +177,7 @@
 
 // Guards against a list from a replica's disk that replaces a newer one.
 #[gtest]
-fn what_lies_on_a_disk_is_taken_only_if_it_is_newer() {
+fn parts_from_a_disk_are_applied_only_if_newer() {
     let mut reader = Cache::default();
     let old = reader.record_read(5, &config(2), &[listed("x")]);
     let new = reader.record_read(7, &config(3), &[]);
@@ -195,7 +195,7 @@
 // Guards against a reader that publishes an upstream as listed which only it still keeps in use.
 #[gtest]
 #[tokio::test]
-async fn a_reader_that_was_cut_off_brings_nothing_back() {
+async fn an_entry_that_was_cut_off_restores_no_removed_upstream() {
     let gate = gate();
     let mut other = Cache::default();
     let newer = other.record_read(5, &config(2), &[listed("x")]);
@@ -235,7 +235,7 @@
 // decoded.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_read_of_an_unreadable_configuration_proves_nothing() {
+async fn a_read_of_an_undecodable_configuration_confirms_nothing() {
     let gate = Gate::new(gate::Options {
         keys_stale_after: Some(Duration::from_secs(60)),
         ..options()
--- a/fw-gate/tests/gate/turn_cache.rs
+++ b/fw-gate/tests/gate/turn_cache.rs
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn give_a_chain_as_far_as_it_is_known() {
+fn return_the_cached_part_of_a_chain() {
     let turns = TurnCache::default();
     turns.put(turn(1, 10));
     turns.put(turn(2, 10));
--- a/fw-gate/tests/gate/upstream_list.rs
+++ b/fw-gate/tests/gate/upstream_list.rs
@@ -100,7 +100,7 @@
 
 // Guards against a late heartbeat that puts a leaving upstream back into use.
 #[gtest]
-fn takes_no_work_from_one_that_leaves_until_it_starts_anew() {
+fn gives_no_work_to_one_that_leaves_until_it_restarts() {
     let fleet = fleet();
     let leaving = ListedUpstream {
         takes_work: false,
@@ -161,7 +161,7 @@
 }
 
 #[gtest]
-fn forgets_what_a_restarted_one_was_like() {
+fn resets_the_state_of_a_restarted_one() {
     // An upstream crashes and restarts under the same id. The load that it reported and its failures are
     // those of the previous process.
     let fleet = fleet();
@@ -195,7 +195,7 @@
 }
 
 #[gtest]
-fn counts_calls_under_way() {
+fn counts_calls_in_flight() {
     let fleet = fleet();
     fleet.put(listed("x"));
     fleet.put(listed("y"));
@@ -207,7 +207,7 @@
 }
 
 #[gtest]
-fn knows_the_calls_of_other_entries() {
+fn counts_the_calls_of_other_entries() {
     // Two entries each send a burst to the same two upstreams. Unless they count each other's calls, both
     // begin with the same one, and calls queue there while the other is idle.
     let one = fleet();
@@ -273,7 +273,7 @@
 }
 
 #[gtest]
-fn is_not_led_astray_by_tools() {
+fn ignores_where_tools_ran() {
     // Between two turns a program calls tools, whose requests name the same session and program. They run at
     // another service, so the upstreams that ran them do not have the prompt cached.
     let fleet = many();
