--- a/fw-gate/src/process/fleet/choose.rs
+++ b/fw-gate/src/process/fleet/choose.rs
@@ -94,7 +94,7 @@
         match self.wait_queue.expire(&criteria.queue_call, rand::random()) {
             wait_queue::Expired::Send => self.choose(service_id, criteria),
             wait_queue::Expired::Refuse(after) => {
-                let message = "programs under way need all slots";
+                let message = "programs in progress need all slots";
                 let err = error::Error::new(error::Kind::Overloaded, message);
                 Err(err.with_retry_after(after))
             }
@@ -124,7 +124,7 @@
             return Ok(());
         }
         metrics::counter!("fw_gate_programs_refused_total").increment(1);
-        let message = format!("programs under way have {load:.0} calls at {slots:.0} slots");
+        let message = format!("programs in progress have {load:.0} calls for {slots:.0} slots");
         let err = error::Error::new(error::Kind::Overloaded, message);
         Err(err.with_retry_after(self.wait_queue.draw_retry_after(rand::random())))
     }
--- a/fw-gate/src/process/fleet/confirmation.rs
+++ b/fw-gate/src/process/fleet/confirmation.rs
@@ -82,7 +82,7 @@
                 let age = freshness.age(clock::since_boot());
                 tracing::info!(
                     ?age,
-                    "nobody confirms the list of upstreams; calls are sent by it as it is"
+                    "the list of upstreams cannot be confirmed; calls are sent without confirmation"
                 );
                 metrics::counter!("fw_gate_unconfirmed_total").increment(1);
             }
--- a/fw-gate/src/process/fleet/lease.rs
+++ b/fw-gate/src/process/fleet/lease.rs
@@ -152,7 +152,7 @@
     pub fn mark_replaced(&self) {
         let mut service = self.service.lock();
         if let Some(upstream) = service.find(&self.id) {
-            tracing::warn!(upstream = %self.id, addr = %self.addr, "another upstream has its address");
+            tracing::warn!(upstream = %self.id, addr = %self.addr, "another upstream answered at the address of this one");
             upstream.replaced_until = Some(Instant::now() + REPLACED_COOLDOWN);
             upstream.idle_links.clear();
         }
--- a/fw-gate/src/process/fleet/list.rs
+++ b/fw-gate/src/process/fleet/list.rs
@@ -188,7 +188,7 @@
             upstream.listed.started_at != listed.started_at || upstream.listed.addr != listed.addr;
         let is_leaving = !upstream.listed.takes_work && !restarted;
         if is_leaving && listed.takes_work {
-            tracing::info!(upstream = %id, "a late heartbeat lists an upstream that leaves as ready; it gets no calls");
+            tracing::info!(upstream = %id, "a late heartbeat lists a leaving upstream as ready; it gets no calls");
         }
         let listed = ListedUpstream {
             takes_work: listed.takes_work && !is_leaving,
@@ -247,7 +247,7 @@
                 upstream = %id,
                 listed_ms_ago = listed.map(ms),
                 reads_since_ms = gapless.span().map(|span| ms(span.first)),
-                "upstream missing after a gap between reads of the store; used until lapsed ones are back"
+                "upstream missing after a gap between reads of the store; kept in use until expired entries are listed again"
             );
         }
     }
--- a/fw-gate/src/process/gate.rs
+++ b/fw-gate/src/process/gate.rs
@@ -148,7 +148,7 @@
                 tracing::info!(
                     as_of,
                     known,
-                    "a read of the store is older than what is known"
+                    "a read of the store is older than the current state; not applied"
                 );
                 self.read_schedule.note_own_read();
                 self.confirm_pending_read();
@@ -323,7 +323,7 @@
         let as_of = cache.known_version().as_of;
         if let Some(config) = decoded.config {
             let version = config.version;
-            tracing::info!(version, as_of, ?last, "told by a replica");
+            tracing::info!(version, as_of, ?last, "update received from a replica");
             self.configure(config);
         }
         if let Some(reads) = update.reads {
@@ -338,7 +338,7 @@
             || fleet::ListUpdate::Changes(Vec::new()),
             |upstreams| {
                 let listed = upstreams.len();
-                tracing::info!(listed, as_of, ?last, "told by a replica");
+                tracing::info!(listed, as_of, ?last, "update received from a replica");
                 fleet::ListUpdate::Full(upstreams)
             },
         );
@@ -455,7 +455,7 @@
         match self.poison.lock().decide(now, fingerprint) {
             poison::Outcome::Refused(_) => Err(error::Error::new(
                 error::Kind::UpstreamCrashed,
-                "requests like this one crashed the upstreams that ran them",
+                "identical requests crashed the upstreams that ran them",
             )),
             poison::Outcome::Normal | poison::Outcome::Alone { .. } => Ok(()),
         }
--- a/fw-gate/src/process/read_schedule.rs
+++ b/fw-gate/src/process/read_schedule.rs
@@ -95,7 +95,7 @@
         let outcome = reader::decide(self.entry, state.is_reader, self.takeover_timeout, last);
         let reads = outcome == reader::Outcome::Read;
         if reads != state.is_reader {
-            tracing::info!(reads, ?last, patience = ?self.takeover_timeout, "reading of the platform's store");
+            tracing::info!(reads, ?last, patience = ?self.takeover_timeout, "reader role for the platform's store changed");
         }
         state.is_reader = reads;
         outcome
--- a/fw-gate/src/process/snapshot.rs
+++ b/fw-gate/src/process/snapshot.rs
@@ -202,7 +202,7 @@
             bytes: bytes.into(),
         }),
         Err(err) => {
-            tracing::error!(%err, "what is known cannot be encoded for the replicas");
+            tracing::error!(%err, "cannot encode a part of the snapshot for the replicas");
             None
         }
     }
@@ -212,7 +212,7 @@
     match postcard::from_bytes(&part.bytes) {
         Ok(decoded) => Some(decoded),
         Err(err) => {
-            tracing::error!(%err, as_of = part.as_of, "what a replica tells cannot be read");
+            tracing::error!(%err, as_of = part.as_of, "cannot decode a part of a replica's snapshot");
             None
         }
     }
--- a/fw-gate/src/request/attempt.rs
+++ b/fw-gate/src/request/attempt.rs
@@ -228,7 +228,7 @@
     /// Checks whether `upstream` crashed while it ran the call, and if so records the call's fingerprint.
     pub async fn check_crash(&self, upstream: &id::UpstreamId, addr: std::net::SocketAddr) {
         if send::has_crashed(addr).await {
-            tracing::warn!(request = %self.call.id, %upstream, "upstream crashed under the call");
+            tracing::warn!(request = %self.call.id, %upstream, "upstream crashed while it ran the call");
             self.gate.record_crash(upstream, self.fingerprint);
         }
     }
--- a/fw-gate/src/request/body.rs
+++ b/fw-gate/src/request/body.rs
@@ -14,7 +14,7 @@
 
 /// The answer was cut off: the caller's connection is closed, so that the answer does not appear complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the answer broke off"))]
+#[snafu(display("the answer was cut off"))]
 pub struct Interrupted;
 
 /// Body of an answer to a caller.
--- a/fw-gate/src/request/ingress.rs
+++ b/fw-gate/src/request/ingress.rs
@@ -78,10 +78,13 @@
         config,
         key_freshness,
     } = active
-        .ok_or_else(|| error::Error::new(error::Kind::NotReady, "no configuration is known yet"))?;
+        .ok_or_else(|| error::Error::new(error::Kind::NotReady, "no configuration received yet"))?;
     let host = host(&head.headers, &head.uri);
     let route = config.route(host, head.uri.path()).ok_or_else(|| {
-        let message = format!("no route covers `{host}` and `{}`", head.uri.path());
+        let message = format!(
+            "no route matches host `{host}` and path `{}`",
+            head.uri.path()
+        );
         error::Error::new(error::Kind::UnknownRoute, message)
     })?;
     let team = team(&config, key_freshness, route, &head.headers)?;
@@ -144,7 +147,9 @@
         && config.teams.is_some()
         && !route.is_open
     {
-        let message = format!("no key is accepted by what was known {age:?} ago");
+        let message = format!(
+            "API keys cannot be checked: the configuration was not confirmed recently enough (age: {age:?})"
+        );
         return Err(error::Error::new(error::Kind::StaleKeys, message));
     }
     auth::team(config, route, headers).map_err(|refusal| {
@@ -195,7 +200,7 @@
     body: Bytes,
 ) -> Result<send::Outbound, error::Error> {
     let names = &gate.opts.names;
-    let bad = |what: &str| error::Error::new(error::Kind::BadRequest, format!("bad {what}"));
+    let bad = |part: &str| error::Error::new(error::Kind::BadRequest, format!("bad {part}"));
     let id = HeaderValue::from_str(&call.id).map_err(|_| bad("request id"))?;
     let path = head.uri.path_and_query().ok_or_else(|| bad("path"))?;
     let mut headers = head.headers.clone();
--- a/fw-gate/src/request/plain.rs
+++ b/fw-gate/src/request/plain.rs
@@ -75,7 +75,7 @@
         }
         Ok(Err(err)) => {
             lease.record_health(health::Observation::Failed);
-            let message = format!("the answer of upstream `{}` broke off: {err}", lease.id);
+            let message = format!("the answer of upstream `{}` was cut off: {err}", lease.id);
             Err(send::Failure {
                 err: error::Error::new(error::Kind::UpstreamCrashed, message),
                 connection_broke: true,
--- a/fw-gate/src/request/send.rs
+++ b/fw-gate/src/request/send.rs
@@ -231,7 +231,7 @@
         if !is_valid {
             return fail(
                 error::Kind::SpoiledAnswer,
-                "sent an answer that is not its own",
+                "sent an answer without signature or request id, or with an encoding",
             );
         }
     }
--- a/fw-gate/src/request/stream.rs
+++ b/fw-gate/src/request/stream.rs
@@ -379,13 +379,13 @@
                 }
             };
             let id = lease.id.clone();
-            tracing::info!(request = %self.job.call.id, upstream = %id, after = ?self.last_event_id, "stream goes on");
+            tracing::info!(request = %self.job.call.id, upstream = %id, after = ?self.last_event_id, "resuming the stream");
             let attempt = self.job.attempt();
             match attempt.send(lease).await {
                 Ok(response) if response.head.status.is_success() => return Some(response),
                 Ok(_) => avoid.push(id),
                 Err(failed) => {
-                    tracing::info!(request = %self.job.call.id, err = %failed.err, "stream cannot go on here");
+                    tracing::info!(request = %self.job.call.id, err = %failed.err, "the stream cannot be resumed at this upstream");
                     avoid.push(id);
                 }
             }
