--- a/fw-gate/src/process/fleet/choose.rs
+++ b/fw-gate/src/process/fleet/choose.rs
@@ -1,4 +1,4 @@
-//! Choosing the upstream of a call: who may get it, what is known of each, and the wait for a place.
+//! Choice of the upstream for a call: the usable upstreams, the cost of each, and the wait for a free slot.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,20 +10,20 @@
 use smol_str::SmolStr;
 use xxhash_rust::xxh3;
 
-use super::lease::{Lease, Reach, Ticket};
-use super::{Fleet, Service, Upstream, Want, Warmth};
+use super::lease::{Eligibility, Lease, Ticket};
+use super::{Affinity, Criteria, Fleet, Service, Upstream};
 
-/// Prompt tokens that an engine reads in a millisecond, for the order of magnitude of what a lost
-/// cache costs; engines of today read some hundred.
-const READ_PER_MS: u64 = 100;
-/// Part of a call's usual time that an upstream saves which handled the object lately; services
-/// of today save a half.
-const WARM_GAIN: f64 = 0.5;
+/// Prompt tokens that an engine prefills per millisecond, which gives the order of magnitude of the cost of
+/// a cache miss; present engines prefill some hundred.
+const PREFILL_TOKENS_PER_MS: u64 = 100;
+/// Fraction of a call's mean duration that is saved at an upstream which recently handled the object;
+/// present services save a half.
+const AFFINITY_GAIN: f64 = 0.5;
 
-/// An upstream that a call may get, as far as it decides whether there is room.
+/// Slots and load of a candidate upstream, by which it is decided whether it has room for a call.
 #[derive(Clone, Copy, Debug)]
-struct Open {
-    short: affinity::Upstream,
+struct Capacity {
+    hash: affinity::Upstream,
     slots: u32,
     load: f64,
 }
@@ -33,96 +33,107 @@
     ///
     /// # Errors
     ///
-    /// `NoUpstream` when none may get new work.
+    /// `NoUpstream` when none takes work.
     pub fn choose(
         self: &Arc<Self>,
         service_id: &id::ServiceId,
-        want: &Want<'_>,
+        criteria: &Criteria<'_>,
     ) -> Result<Lease, error::Error> {
-        let service = self.served(service_id)?;
-        let picked = self.pick(service_id, &service, want, |_| true)?;
+        let service = self.find_service(service_id)?;
+        let picked = self.pick(service_id, &service, criteria, |_| true)?;
         picked.ok_or_else(|| no_upstream(service_id))
     }
 
-    /// Waits, for some time at most, until an upstream of `service` has room and the call is the first
-    /// of those that wait, or one of the first and the upstream has its prompt; chooses one.
+    /// Chooses an upstream of `service` that has room; waits for a limited time until there is one and the
+    /// call is the first in the queue, or one of the first and the upstream has its prompt in the cache.
     ///
     /// # Errors
     ///
-    /// `NoUpstream` when none may get new work; `Overloaded` when a program would begin with the
-    /// call and those under way need all slots.
+    /// `NoUpstream` when none takes work; `Overloaded` when the call would begin a program and programs in
+    /// progress need all slots.
     pub async fn acquire(
         self: &Arc<Self>,
         service_id: &id::ServiceId,
-        want: &Want<'_>,
+        criteria: &Criteria<'_>,
     ) -> Result<Lease, error::Error> {
-        let service = self.served(service_id)?;
-        let warm = match &want.warmth {
-            Warmth::Prompt { lineage, .. } => self.trail.last_upstreams(lineage).preferred(),
-            Warmth::Object(_) | Warmth::None => None,
+        let service = self.find_service(service_id)?;
+        let preferred = match &criteria.affinity {
+            Affinity::Prompt { lineage, .. } => self.affinity.last_upstreams(lineage).preferred(),
+            Affinity::Object(_) | Affinity::None => None,
         };
-        let ticket = Ticket::draw(&service, warm, |number| {
-            self.hold.rank(&want.hold, self.now(), number)
+        let ticket = Ticket::enqueue(&service, preferred, |number| {
+            self.wait_queue
+                .rank(&criteria.queue_call, self.now(), number)
         });
-        let begun = tokio::time::Instant::now();
-        while begun.elapsed() < self.hold.max_wait {
-            let reach = ticket.may_go(&self.hold);
-            let fits = |open: &Open| {
-                let warm = Some(open.short) == warm;
-                let waited = begun.elapsed();
-                let reached = reach == Reach::All || warm;
-                reached && self.hold.has_room(open.slots, open.load, warm, waited)
+        let started_at = tokio::time::Instant::now();
+        while started_at.elapsed() < self.wait_queue.max_wait {
+            let eligibility = ticket.eligibility(&self.wait_queue);
+            let fits = |capacity: &Capacity| {
+                let is_preferred = Some(capacity.hash) == preferred;
+                let waited = started_at.elapsed();
+                let is_eligible = eligibility == Eligibility::All || is_preferred;
+                is_eligible
+                    && self
+                        .wait_queue
+                        .has_room(capacity.slots, capacity.load, is_preferred, waited)
             };
-            if reach != Reach::None
-                && let Some(lease) = self.pick(service_id, &service, want, fits)?
+            if eligibility != Eligibility::None
+                && let Some(lease) = self.pick(service_id, &service, criteria, fits)?
             {
-                metrics::histogram!("fw_gate_held_seconds").record(begun.elapsed().as_secs_f64());
+                metrics::histogram!("fw_gate_held_seconds")
+                    .record(started_at.elapsed().as_secs_f64());
                 return Ok(lease);
             }
-            // Heard of or not: what is known of the load fades.
-            let _ = tokio::time::timeout(self.hold.recheck_interval, ticket.turn.notified()).await;
+            // Tried again also without a wake-up: the weight of reported load decreases with its age.
+            let _ =
+                tokio::time::timeout(self.wait_queue.recheck_interval, ticket.wakeup.notified())
+                    .await;
         }
         drop(ticket);
         metrics::counter!("fw_gate_held_too_long_total").increment(1);
-        match self.hold.expire(&want.hold, rand::random()) {
-            wait_queue::Expired::Send => self.choose(service_id, want),
+        match self.wait_queue.expire(&criteria.queue_call, rand::random()) {
+            wait_queue::Expired::Send => self.choose(service_id, criteria),
             wait_queue::Expired::Refuse(after) => {
-                let message = "programs under way need all slots";
+                let message = "programs in progress need all slots";
                 let err = error::Error::new(error::Kind::Overloaded, message);
                 Err(err.with_retry_after(after))
             }
         }
     }
 
-    /// Refuses a program of a route of `priority` that would begin while those under way need the upstreams
-    /// of `service`.
+    /// Refuses to begin a program on a route of `priority` while programs in progress need the upstreams of
+    /// `service`.
     ///
-    /// *Failure:* a burst brought more programs than the engines could finish, and all began. Each then
-    /// took longer, so that more were under way at once than the engines' caches hold; prompts were read
-    /// again and again, and nearly none was in time until long after the burst.
+    /// *Failure:* a burst brings more programs than the engines can finish, and all of them begin. Each then
+    /// takes longer, so that more are in progress at once than fit into the engines' KV caches; prompts are
+    /// prefilled again and again, and hardly any program is in time until long after the burst.
     ///
     /// # Errors
     ///
-    /// `Overloaded`, with a time to return.
-    pub fn admit(&self, service: &id::ServiceId, priority: u32) -> Result<(), error::Error> {
-        let Some(known) = self.service(service) else {
+    /// `Overloaded`, with the time after which to retry.
+    pub fn admit_program(
+        &self,
+        service: &id::ServiceId,
+        priority: u32,
+    ) -> Result<(), error::Error> {
+        let Some(state) = self.service(service) else {
             return Ok(());
         };
-        let (slots, load) = self.occupancy(&known.lock());
-        if self.hold.may_begin(priority, slots, load) {
+        let (slots, load) = self.occupancy(&state.lock());
+        if self.wait_queue.may_begin(priority, slots, load) {
             return Ok(());
         }
         metrics::counter!("fw_gate_programs_refused_total").increment(1);
-        let message = format!("programs under way have {load:.0} calls at {slots:.0} slots");
+        let message = format!("programs in progress have {load:.0} calls for {slots:.0} slots");
         let err = error::Error::new(error::Kind::Overloaded, message);
-        Err(err.with_retry_after(self.hold.draw_retry_after(rand::random())))
+        Err(err.with_retry_after(self.wait_queue.draw_retry_after(rand::random())))
     }
 
-    /// Slots of all upstreams of a service that take calls, and calls that are there or wait here.
+    /// The slots of all usable upstreams of a service, and the calls that are in flight there or wait here.
     fn occupancy(&self, service: &Service) -> (f64, f64) {
         let usable = self.usable(service, &[]);
-        let options = self.weights(service);
-        let candidates = self.candidates(service, &usable, &Warmth::None);
+        let options = self.cost_options(service);
+        let candidates = self.candidates(service, &usable, &Affinity::None);
         let at = candidates.map(|(_, c)| (f64::from(c.slots), c.load(&options)));
         let waiting = service.waiting.len() as f64;
         at.fold((0.0, waiting), |(slots, load), (more_slots, more)| {
@@ -130,38 +141,38 @@
         })
     }
 
-    /// The service of that name.
+    /// Finds a service.
     ///
     /// # Errors
     ///
-    /// `NoUpstream` when no upstream was ever listed for it.
-    fn served(&self, id: &id::ServiceId) -> Result<Arc<Mutex<Service>>, error::Error> {
+    /// `NoUpstream` when no upstream of it has ever been listed.
+    fn find_service(&self, id: &id::ServiceId) -> Result<Arc<Mutex<Service>>, error::Error> {
         self.service(id).ok_or_else(|| no_upstream(id))
     }
 
-    /// The best upstream that `fits`, if any does.
+    /// Leases the best upstream that `fits`, if any does.
     ///
     /// # Errors
     ///
-    /// `NoUpstream` when none may get new work.
+    /// `NoUpstream` when none takes work.
     fn pick(
         self: &Arc<Self>,
         service_id: &id::ServiceId,
         service: &Arc<Mutex<Service>>,
-        want: &Want<'_>,
-        fits: impl Fn(&Open) -> bool,
+        criteria: &Criteria<'_>,
+        fits: impl Fn(&Capacity) -> bool,
     ) -> Result<Option<Lease>, error::Error> {
         let mut locked = service.lock();
-        let usable = self.usable(&locked, want.avoid);
+        let usable = self.usable(&locked, criteria.avoid);
         if usable.is_empty() {
             return Err(no_upstream(service_id));
         }
-        let options = self.weights(&locked);
+        let options = self.cost_options(&locked);
         let (indices, candidates): (Vec<_>, Vec<_>) = self
-            .candidates(&locked, &usable, &want.warmth)
+            .candidates(&locked, &usable, &criteria.affinity)
             .filter(|(at, c)| {
-                fits(&Open {
-                    short: locked.upstreams[*at].short,
+                fits(&Capacity {
+                    hash: locked.upstreams[*at].hash,
                     slots: c.slots,
                     load: c.load(&options),
                 })
@@ -172,42 +183,44 @@
         };
         let upstream = &mut locked.upstreams[indices[chosen]];
         let lease = Lease::take(self, service, upstream, candidates[chosen]);
-        let upstream = upstream.short;
+        let upstream = upstream.hash;
         drop(locked);
-        if let Warmth::Prompt { lineage, .. } = &want.warmth {
+        if let Affinity::Prompt { lineage, .. } = &criteria.affinity {
             let lineage = lineage.clone();
-            self.trail.record(&affinity::Location { lineage, upstream });
+            self.affinity
+                .record(&affinity::Location { lineage, upstream });
         }
         Ok(Some(lease))
     }
 
-    /// Where the upstreams are that may get a call which failed at `avoid`.
+    /// Indices of the upstreams that may get a call which has failed at those in `avoid`.
     fn usable(&self, service: &Service, avoid: &[id::UpstreamId]) -> Vec<usize> {
         let now = self.now();
         let takes_work = |at: &usize| {
             let upstream = &service.upstreams[*at];
-            let replaced = upstream.replaced_until;
-            upstream.listed.takes_work && replaced.is_none_or(|until| Instant::now() >= until)
+            let replaced_until = upstream.replaced_until;
+            upstream.listed.takes_work && replaced_until.is_none_or(|until| Instant::now() >= until)
         };
         let listed = (0..service.upstreams.len()).filter(takes_work);
-        let is_new = |at: &usize| !avoid.contains(&service.upstreams[*at].listed.id);
+        let is_untried = |at: &usize| !avoid.contains(&service.upstreams[*at].listed.id);
         let is_healthy = |at: &usize| {
             let id = &service.upstreams[*at].listed.id;
             service.health.decide(now, id).weight() > 0.0
         };
-        let new: Vec<_> = listed.filter(is_new).collect();
-        let usable: Vec<_> = new.iter().copied().filter(is_healthy).collect();
+        let untried: Vec<_> = listed.filter(is_untried).collect();
+        let usable: Vec<_> = untried.iter().copied().filter(is_healthy).collect();
         if usable.is_empty() {
-            // All ejected: using one is better than using none, also for a call that failed elsewhere.
-            return new;
+            // All are ejected: sending the call to one of them is better than refusing it, also after it has
+            // failed elsewhere.
+            return untried;
         }
         usable
     }
 
-    /// The weights of the costs, with the service's own time of a call.
-    fn weights(&self, service: &Service) -> assign::Options {
-        let call = if service.mean > 0.0 {
-            Duration::from_secs_f64(service.mean)
+    /// The options of the cost function, with the mean duration of the service's calls.
+    fn cost_options(&self, service: &Service) -> assign::Options {
+        let call = if service.mean_call_secs > 0.0 {
+            Duration::from_secs_f64(service.mean_call_secs)
         } else {
             self.options.call_duration
         };
@@ -217,77 +230,82 @@
         }
     }
 
-    /// What is known of the upstreams at `indices`.
+    /// The cost inputs of the upstreams at `indices`.
     fn candidates<'a>(
         &'a self,
         service: &'a Service,
         indices: &'a [usize],
-        warmth: &Warmth<'_>,
+        affinity: &Affinity<'_>,
     ) -> impl Iterator<Item = (usize, assign::Candidate)> + use<'a> {
         let among: Vec<_> = indices.iter().map(|at| &service.upstreams[*at]).collect();
-        let warm = self.warm(warmth, &among);
-        let cold = cold(warmth, service.mean);
+        let preferred = self.preferred_upstreams(affinity, &among);
+        let miss_cost = miss_cost(affinity, service.mean_call_secs);
         let candidate = move |at: &usize| {
-            let candidate = self.candidate(&service.upstreams[*at], &warm, cold);
+            let candidate = self.candidate(&service.upstreams[*at], &preferred, miss_cost);
             (*at, candidate)
         };
         indices.iter().map(candidate)
     }
 
-    /// The upstreams that are probably faster than the rest: those that served the session and its
-    /// program last; for objects the one that all entries agree on, by its hash with the object.
-    fn warm(&self, warmth: &Warmth<'_>, among: &[&Upstream]) -> affinity::LastUpstreams {
+    /// The upstreams that are probably faster than the others: those that served the session and its program
+    /// last; for an object the one with the highest hash of its id and the object (rendezvous hashing), so
+    /// that all entries choose the same.
+    fn preferred_upstreams(
+        &self,
+        affinity: &Affinity<'_>,
+        among: &[&Upstream],
+    ) -> affinity::LastUpstreams {
         let agreed = |object: &SmolStr| {
             let seed = xxh3::xxh3_64(object.as_bytes());
             let agreed = among.iter().max_by_key(|upstream| {
                 xxh3::xxh3_64_with_seed(upstream.listed.id.as_bytes(), seed)
             });
-            agreed.map(|upstream| upstream.short)
+            agreed.map(|upstream| upstream.hash)
         };
-        match warmth {
-            Warmth::None => affinity::LastUpstreams::default(),
-            Warmth::Object(object) => affinity::LastUpstreams {
+        match affinity {
+            Affinity::None => affinity::LastUpstreams::default(),
+            Affinity::Object(object) => affinity::LastUpstreams {
                 session: agreed(object),
                 program: None,
             },
-            Warmth::Prompt { lineage, .. } => self.trail.last_upstreams(lineage),
+            Affinity::Prompt { lineage, .. } => self.affinity.last_upstreams(lineage),
         }
     }
 
     fn candidate(
         &self,
         upstream: &Upstream,
-        warm: &affinity::LastUpstreams,
-        cold: Duration,
+        preferred: &affinity::LastUpstreams,
+        miss_cost: Duration,
     ) -> assign::Candidate {
-        let this = Some(upstream.short);
-        let miss = if warm.session == this {
+        let this = Some(upstream.hash);
+        let miss = if preferred.session == this {
             Duration::ZERO
-        } else if warm.program == this {
-            cold / 2
+        } else if preferred.program == this {
+            miss_cost / 2
         } else {
-            cold
+            miss_cost
         };
         assign::Candidate {
             slots: upstream.listed.slots,
-            own_calls: upstream.own,
-            reported_calls: upstream.others,
-            report_age: upstream.reported.elapsed(),
+            own_calls: upstream.own_calls,
+            reported_calls: upstream.other_calls,
+            report_age: upstream.load_updated_at.elapsed(),
             prefill: miss,
             remote: upstream.listed.place != self.place,
             slowness: upstream.pace.slowness(&self.pace, self.now()),
-            failed_ago: upstream.failed.map(|at| at.elapsed()),
+            failed_ago: upstream.failed_at.map(|at| at.elapsed()),
         }
     }
 }
 
-/// How much longer a call takes at an upstream that knows nothing of it; `mean` is the usual time
-/// of a call there, in seconds.
-fn cold(warmth: &Warmth<'_>, mean: f64) -> Duration {
-    match warmth {
-        Warmth::None => Duration::ZERO,
-        Warmth::Object(_) => Duration::from_secs_f64(mean * WARM_GAIN),
-        Warmth::Prompt { tokens, .. } => Duration::from_millis(tokens / READ_PER_MS),
+/// The additional duration of a call at an upstream that has nothing of it cached; `mean_secs` is the mean
+/// duration of the service's calls, in seconds.
+fn miss_cost(affinity: &Affinity<'_>, mean_secs: f64) -> Duration {
+    match affinity {
+        Affinity::None => Duration::ZERO,
+        Affinity::Object(_) => Duration::from_secs_f64(mean_secs * AFFINITY_GAIN),
+        Affinity::Prompt { tokens, .. } => Duration::from_millis(tokens / PREFILL_TOKENS_PER_MS),
     }
 }
 
--- a/fw-gate/src/process/fleet/list.rs
+++ b/fw-gate/src/process/fleet/list.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams, as reads of the platform's store change it.
+//! The list of upstreams, and how reads of the platform's store update it.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,46 +8,46 @@
 use fw_plan::{lapse, pace};
 use parking_lot::Mutex;
 
-use super::{Fleet, ListedUpstream, Service, Upstream, short};
+use super::{Fleet, ListedUpstream, Service, Upstream, short_hash};
 
-/// A read of the platform's store, by this entry or another.
+/// A read of the platform's store, made by this entry or another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Read {
-    /// Revision that it reflects.
+pub struct StoreRead {
+    /// Revision of the store that was read.
     pub as_of: u64,
-    /// How long ago it was made.
+    /// How long ago the read was made.
     pub ago: Duration,
 }
 
-impl Read {
-    /// A read of this entry's that has just ended.
+impl StoreRead {
+    /// A read that this entry has just completed.
     pub fn own(as_of: u64) -> Self {
         let ago = Duration::ZERO;
         Self { as_of, ago }
     }
 }
 
-/// What a read says of the list.
+/// The content of a read of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum List {
-    /// All that is listed.
-    Whole(Vec<ListedUpstream>),
-    /// What has changed, oldest first.
+pub enum ListUpdate {
+    /// All listed upstreams.
+    Full(Vec<ListedUpstream>),
+    /// The changes, oldest first.
     Changes(Vec<Change>),
 }
 
 /// A change of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// One is listed, or has changed.
+    /// An upstream was added or changed.
     Put(ListedUpstream),
-    /// One is no longer listed.
+    /// An upstream is no longer listed.
     Removed(id::UpstreamId),
 }
 
 impl Change {
-    /// The upstream that is listed.
-    pub fn listed(self) -> Option<ListedUpstream> {
+    /// The upstream that was added or changed, if any.
+    pub fn into_listed(self) -> Option<ListedUpstream> {
         match self {
             Self::Put(listed) => Some(listed),
             Self::Removed(_) => None,
@@ -55,39 +55,39 @@
     }
 }
 
-/// The state of the list by which an upstream was chosen, for log lines.
+/// The state of the list from which an upstream was chosen, for log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct State {
-    /// Revision of the store that it reflects.
+pub struct ListState {
+    /// Revision of the store that the list is from.
     pub as_of: u64,
-    /// Time since the read of the store by which it was last confirmed; `None` if none was heard of.
+    /// Time since the read of the store that last confirmed it; `None` if there was none.
     pub age: Option<Duration>,
 }
 
 /// An upstream that is no longer listed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Missing {
-    /// When a read listed it last, since boot; `None` if none did that this entry knows of.
-    listed: Option<Duration>,
-    /// Whether its entry may only have lapsed.
-    may_be_back: bool,
+    /// When the last read that listed it was made, since boot; `None` if no such read is recorded.
+    last_listed: Option<Duration>,
+    /// Whether its entry in the store may have expired during an outage, so that it may be listed again.
+    may_return: bool,
 }
 
-/// The reads of the store that the list is from. Times are since boot.
+/// The history of the reads from which the list was built. Times are since boot.
 #[derive(Debug)]
-pub(super) struct Reads {
-    steady: lapse::Reads,
+pub(super) struct ReadHistory {
+    gapless: lapse::Reads,
     /// Revision of the last read.
     as_of: u64,
     /// When the last read was made.
     last: Option<Duration>,
 }
 
-impl Reads {
-    /// None was made yet.
+impl ReadHistory {
+    /// Creates a history without reads.
     pub(super) fn new(opts: lapse::Options) -> Self {
         Self {
-            steady: lapse::Reads::new(opts),
+            gapless: lapse::Reads::new(opts),
             as_of: 0,
             last: None,
         }
@@ -95,75 +95,80 @@
 }
 
 impl Fleet {
-    /// Whether the list was ever read.
-    pub fn is_known(&self) -> bool {
-        self.known.load(Ordering::Relaxed)
+    /// Whether a full list has been received.
+    pub fn has_list(&self) -> bool {
+        self.has_list.load(Ordering::Relaxed)
     }
 
-    /// By which state of the list upstreams are chosen now.
-    pub fn list_state(&self) -> State {
+    /// The current state of the list.
+    pub fn list_state(&self) -> ListState {
         let reads = self.reads.lock();
-        State {
+        ListState {
             as_of: reads.as_of,
             age: reads.last.map(|at| clock::since_boot().saturating_sub(at)),
         }
     }
 
-    /// Others made reads without a gap, the first and the last so long ago.
+    /// Records that other entries made reads without a gap, the first one `first` ago and the last one `last`
+    /// ago.
     pub fn note_reads(&self, first: Duration, last: Duration) {
         let now = clock::since_boot();
         let span = lapse::Span {
             first: now.saturating_sub(first),
             last: now.saturating_sub(last),
         };
-        self.reads.lock().steady.add_span(span);
+        self.reads.lock().gapless.add_span(span);
     }
 
-    /// Takes what `read` says of the list. Without a read, it is what somebody knew at some time.
-    pub fn apply(&self, read: Option<Read>, list: List) {
+    /// Applies an update of the list from `read`. Without a read the age of the update is unknown: a replica
+    /// delivered it without evidence that it is current.
+    pub fn apply(&self, read: Option<StoreRead>, update: ListUpdate) {
         let at = read.map(|read| clock::since_boot().saturating_sub(read.ago));
         if let (Some(read), Some(at)) = (read, at) {
             let mut reads = self.reads.lock();
             reads.as_of = read.as_of;
-            reads.steady.add_span(lapse::Span::single(at));
+            reads.gapless.add_span(lapse::Span::single(at));
         }
         let before = self.count_listed();
-        let missing = match list {
-            List::Whole(list) => self.replace(list),
-            List::Changes(changes) => changes.into_iter().filter_map(|c| self.change(c)).collect(),
+        let missing = match update {
+            ListUpdate::Full(list) => self.apply_full(list),
+            ListUpdate::Changes(changes) => changes
+                .into_iter()
+                .filter_map(|c| self.apply_change(c))
+                .collect(),
         };
-        self.judge(before, missing);
+        self.keep_lapsed(before, missing);
         let mut reads = self.reads.lock();
         reads.last = reads.last.max(at);
         drop(reads);
-        self.drop_gone();
+        self.drop_removed();
     }
 
-    /// Takes a change; returns the upstream that is missing now.
-    fn change(&self, change: Change) -> Option<id::UpstreamId> {
+    /// Applies a change; returns the upstream that is newly missing, if any.
+    fn apply_change(&self, change: Change) -> Option<id::UpstreamId> {
         match change {
             Change::Put(listed) => {
                 self.put(listed);
                 None
             }
-            Change::Removed(id) => self.miss(id),
+            Change::Removed(id) => self.mark_missing(id),
         }
     }
 
-    /// Takes a whole list; returns the upstreams that are missing now.
-    fn replace(&self, list: Vec<ListedUpstream>) -> Vec<id::UpstreamId> {
-        self.known.store(true, Ordering::Relaxed);
-        let known = self.listing().into_iter().map(|known| known.id);
-        let gone = known.filter(|known| !list.iter().any(|listed| listed.id == *known));
-        let missing = gone.filter_map(|id| self.miss(id)).collect();
+    /// Applies a full list; returns the upstreams that are newly missing.
+    fn apply_full(&self, list: Vec<ListedUpstream>) -> Vec<id::UpstreamId> {
+        self.has_list.store(true, Ordering::Relaxed);
+        let current = self.listing().into_iter().map(|current| current.id);
+        let removed = current.filter(|current| !list.iter().any(|listed| listed.id == *current));
+        let missing = removed.filter_map(|id| self.mark_missing(id)).collect();
         for listed in list {
             self.put(listed);
         }
         missing
     }
 
-    /// Adds or changes one upstream. One that leaves takes no work again before it starts anew: a late
-    /// heartbeat may list it as it was.
+    /// Adds or changes one upstream. One that is leaving gets no work again until it has restarted: a late
+    /// heartbeat may list it in its earlier state.
     pub fn put(&self, listed: ListedUpstream) {
         let service = {
             let mut services = self.services.lock();
@@ -173,56 +178,57 @@
         let mut service = service.lock();
         let now = self.now();
         let id = listed.id.clone();
-        let Some(known) = service.find(&id) else {
+        let Some(upstream) = service.find(&id) else {
             tracing::info!(upstream = %id, service = %listed.service, addr = %listed.addr, takes_work = listed.takes_work, "upstream listed");
             service.upstreams.push(Upstream::new(listed));
-            service.tell_health(now);
+            service.update_health(now);
             return;
         };
         let restarted =
-            known.listed.started_at != listed.started_at || known.listed.addr != listed.addr;
-        let leaves = !known.listed.takes_work && !restarted;
-        if leaves && listed.takes_work {
-            tracing::info!(upstream = %id, "a late heartbeat lists an upstream that leaves as ready; it gets no calls");
+            upstream.listed.started_at != listed.started_at || upstream.listed.addr != listed.addr;
+        let is_leaving = !upstream.listed.takes_work && !restarted;
+        if is_leaving && listed.takes_work {
+            tracing::info!(upstream = %id, "a late heartbeat lists a leaving upstream as ready; it gets no calls");
         }
         let listed = ListedUpstream {
-            takes_work: listed.takes_work && !leaves,
+            takes_work: listed.takes_work && !is_leaving,
             ..listed
         };
-        if known.listed.takes_work != listed.takes_work || restarted {
+        if upstream.listed.takes_work != listed.takes_work || restarted {
             let as_of = self.list_state().as_of;
             tracing::info!(upstream = %id, takes_work = listed.takes_work, restarted, as_of, "upstream changed");
         }
-        known.missing = None;
-        known.listed = listed;
+        upstream.missing = None;
+        upstream.listed = listed;
         if restarted {
-            known.forget();
+            upstream.reset();
             service.health.restarted(now, &id);
         }
     }
 
-    /// An upstream is not on the list any more; returns it if it was before.
-    fn miss(&self, id: id::UpstreamId) -> Option<id::UpstreamId> {
+    /// Marks an upstream as missing from the list; returns its id if it was listed before.
+    fn mark_missing(&self, id: id::UpstreamId) -> Option<id::UpstreamId> {
         let listed = self.reads.lock().last;
         let is_new = self.with_upstream(&id, |upstream| {
             let is_new = upstream.missing.is_none();
             upstream.missing.get_or_insert(Missing {
-                listed,
-                may_be_back: false,
+                last_listed: listed,
+                may_return: false,
             });
             is_new
         });
         (is_new == Some(true)).then_some(id)
     }
 
-    /// Decides which of the upstreams that are `missing` now, where so many were listed `before`, may only have lapsed.
-    fn judge(&self, before: usize, mut missing: Vec<id::UpstreamId>) {
-        let (listed, steady) = {
+    /// Keeps the upstreams of `missing` in use if their entries in the store may only have expired during an
+    /// outage; `before` is the number of upstreams that were listed before.
+    fn keep_lapsed(&self, before: usize, mut missing: Vec<id::UpstreamId>) {
+        let (listed, gapless) = {
             let reads = self.reads.lock();
-            (reads.last, reads.steady.clone())
+            (reads.last, reads.gapless.clone())
         };
         missing.retain(|id| self.is_missing(id));
-        if steady.decide(listed) == lapse::Outcome::Gone
+        if gapless.decide(listed) == lapse::Outcome::Gone
             || !lapse::has_lapsed(before, missing.len())
         {
             return;
@@ -232,16 +238,16 @@
         for id in &missing {
             self.with_upstream(id, |upstream| {
                 let missing = Missing {
-                    listed,
-                    may_be_back: true,
+                    last_listed: listed,
+                    may_return: true,
                 };
                 upstream.missing = Some(missing);
             });
             tracing::info!(
                 upstream = %id,
                 listed_ms_ago = listed.map(ms),
-                reads_since_ms = steady.span().map(|span| ms(span.first)),
-                "upstream missing after a gap between reads of the store; used until lapsed ones are back"
+                reads_since_ms = gapless.span().map(|span| ms(span.first)),
+                "upstream missing after a gap between reads of the store; kept in use until expired entries are listed again"
             );
         }
     }
@@ -264,30 +270,30 @@
         None
     }
 
-    /// Drops the missing upstreams that have left.
-    fn drop_gone(&self) {
-        let (steady, as_of) = {
+    /// Removes the missing upstreams that have left.
+    fn drop_removed(&self) {
+        let (gapless, as_of) = {
             let reads = self.reads.lock();
-            (reads.steady.clone(), reads.as_of)
+            (reads.gapless.clone(), reads.as_of)
         };
-        let is_gone = |upstream: &Upstream| {
+        let has_left = |upstream: &Upstream| {
             let missing = upstream.missing;
             missing.is_some_and(|missing| {
-                !missing.may_be_back || steady.decide(missing.listed) == lapse::Outcome::Gone
+                !missing.may_return || gapless.decide(missing.last_listed) == lapse::Outcome::Gone
             })
         };
         for service in self.all_services() {
             let mut service = service.lock();
             let before = service.upstreams.len();
             service.upstreams.retain(|upstream| {
-                let gone = is_gone(upstream);
-                if gone {
+                let left = has_left(upstream);
+                if left {
                     tracing::info!(upstream = %upstream.listed.id, as_of, "upstream gone from the list");
                 }
-                !gone
+                !left
             });
             if service.upstreams.len() < before {
-                service.tell_health(self.now());
+                service.update_health(self.now());
             }
         }
     }
@@ -304,7 +310,7 @@
         self.all_services().iter().map(count).sum()
     }
 
-    /// All upstreams on the list, by id.
+    /// All listed upstreams, sorted by id.
     pub fn listing(&self) -> Vec<ListedUpstream> {
         let mut listing = Vec::new();
         for service in self.all_services() {
@@ -318,28 +324,28 @@
 }
 
 impl Upstream {
-    /// One that is listed for the first time.
+    /// Creates the state of an upstream that is listed for the first time.
     fn new(listed: ListedUpstream) -> Self {
         Self {
-            short: short(&listed.id),
+            hash: short_hash(&listed.id),
             listed,
             missing: None,
             replaced_until: None,
-            own: 0,
-            others: 0,
-            reported: Instant::now(),
-            idle: Vec::new(),
+            own_calls: 0,
+            other_calls: 0,
+            load_updated_at: Instant::now(),
+            idle_links: Vec::new(),
             pace: pace::Pace::default(),
-            failed: None,
+            failed_at: None,
         }
     }
 
-    /// It was restarted and holds nothing of before: connections and load are its predecessor's.
-    fn forget(&mut self) {
-        self.idle.clear();
-        self.others = 0;
+    /// Resets the state after a restart: its connections and load were those of the previous process.
+    fn reset(&mut self) {
+        self.idle_links.clear();
+        self.other_calls = 0;
         self.pace = pace::Pace::default();
         self.replaced_until = None;
-        self.failed = None;
+        self.failed_at = None;
     }
 }
--- a/fw-gate/src/process/gate.rs
+++ b/fw-gate/src/process/gate.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry share.
+//! The state that all requests of an entry share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,172 +12,178 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use super::{fleet, quotas, reading, snapshot, turns};
+use super::{fleet, quotas, read_schedule, snapshot, turn_cache};
 use crate::names;
 use crate::version::config;
 
-/// How long a request waits for an entry that has just started and knows no configuration yet: the
-/// replicas of a system that starts as a whole are back within half a second.
-const START: Duration = Duration::from_millis(600);
+/// How long a request waits for the configuration on an entry that has just started: when the whole
+/// system starts, the replicas are back within half a second.
+const STARTUP_WAIT: Duration = Duration::from_millis(600);
 
-/// Pause between two looks at what others have not been told of quotas.
-const TELL: Duration = Duration::from_millis(50);
+/// Interval at which teams are checked for quota usage that is due to be reported.
+const QUOTA_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest wait for the moments of replicas before a read of the store.
-const MOMENTS: Duration = Duration::from_millis(30);
+/// Timeout for the replicas' clock readings that are requested before a read of the store.
+const CLOCK_READING_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// What an entry is told at its start.
+/// Settings of an entry's shared state.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its data centre.
+    /// The entry's data centre.
     pub place: id::PlaceId,
-    /// Disks that may be lost together.
+    /// Number of disks whose simultaneous loss must be survived.
     pub faults: usize,
-    /// Headers by which callers and upstreams say things.
+    /// Names of the headers that callers and upstreams use.
     pub names: names::HeaderNames,
-    /// Where replicas may be found while the platform's store does not answer.
+    /// Addresses at which replicas are looked up while the platform's store does not answer.
     pub seeds: Vec<SocketAddr>,
-    /// Where this entry passes connections of others on to replicas.
+    /// Address at which this entry relays other entries' connections to replicas.
     pub relay: Option<SocketAddr>,
-    /// How old the knowledge of keys may be by which one is accepted; `None` if there is no bound.
+    /// Age of the configuration above which no API key is accepted; `None` for no bound.
     pub keys_stale_after: Option<Duration>,
     /// How requests are counted for teams' quotas.
     pub quota: quota::Options,
-    /// How outages of the platform's store are told.
+    /// How outages of the platform's store are detected.
     pub lapse: lapse::Options,
-    /// How old the list of upstreams and the configuration may be by which calls are sent.
+    /// How old the list of upstreams and the configuration may be when a call is sent.
     pub confirm: confirm::Options,
 }
 
-/// What is in force, and whether it is new enough to accept API keys by it.
+/// The configuration in force, and whether it is fresh enough for API keys to be accepted.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct ActiveConfig {
     /// The configuration.
     pub config: Arc<config::Config>,
-    /// Whether keys may be accepted by it.
-    pub keys: staleness::Outcome,
+    /// Whether its keys may be accepted.
+    pub key_freshness: staleness::Outcome,
 }
 
-/// A read of the store that is under way.
+/// The last read of the store that was requested.
 #[derive(Clone, Debug, Default)]
-struct Asked {
-    /// When it was asked, since boot.
-    at: Option<Duration>,
-    /// Moments of the replicas before it was.
-    moments: client::ClockReadings,
+struct PendingRead {
+    /// When it was requested, since boot.
+    requested_at: Option<Duration>,
+    /// The replicas' clocks before the request.
+    clock_readings: client::ClockReadings,
 }
 
-/// One change that the entry learns of.
+/// A change read from the platform's store.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// A configuration.
+    /// A new configuration.
     Config(Box<config::Config>),
-    /// A configuration that cannot be read.
+    /// A configuration that cannot be decoded.
     UnreadableConfig,
-    /// Of the list of upstreams.
+    /// A change of the list of upstreams.
     Upstream(fleet::Change),
-    /// The replicas.
+    /// The list of replicas.
     Members(member::View),
-    /// The operator wants a replica emptied.
+    /// A replica that the operator retires: its data moves to the others.
     Retire(record::ReplicaId),
 }
 
 /// The shared state of an entry.
 #[derive(Debug)]
 pub struct Gate {
-    /// What it was told at its start.
+    /// Settings.
     pub opts: Options,
     /// The upstreams.
     pub fleet: Arc<fleet::Fleet>,
     /// The replicas.
     pub replicas: Arc<client::Client>,
-    /// Turns seen lately.
-    pub turns: turns::Turns,
+    /// Recently used turns.
+    pub turns: turn_cache::TurnCache,
     config: watch::Sender<Option<Arc<config::Config>>>,
     poison: Mutex<poison::Tracker>,
     retries: Mutex<HashMap<id::ServiceId, retry::Budget>>,
     started: Instant,
     stopping: AtomicBool,
-    /// Whether this entry reads the platform's store.
-    reading: reading::Reading,
-    /// What is passed on by way of the replicas.
-    known: Mutex<snapshot::Known>,
-    /// The read of the store that is under way.
-    asked: Mutex<Asked>,
-    /// Up to which moment all changes are known.
-    knowledge: watch::Sender<staleness::KeyFreshness>,
-    /// What teams may send.
+    /// When this entry reads the platform's store.
+    read_schedule: read_schedule::ReadSchedule,
+    /// The store's content as exchanged with other entries through the replicas.
+    snapshot: Mutex<snapshot::Cache>,
+    /// The last read of the store that was requested.
+    pending_read: Mutex<PendingRead>,
+    /// Time up to which the configuration is confirmed to be complete.
+    key_freshness: watch::Sender<staleness::KeyFreshness>,
+    /// The teams' quota accounts.
     pub quotas: Arc<quotas::Quotas>,
 }
 
 impl Gate {
-    /// Knows nothing yet.
+    /// Creates the state of an entry that has no configuration, upstreams or replicas yet.
     pub fn new(opts: Options) -> Arc<Self> {
         let place = opts.place.clone();
         let fleet = fleet::Fleet::new(place, opts.lapse.clone(), opts.confirm.clone());
-        let knowledge = staleness::KeyFreshness::new(opts.keys_stale_after);
+        let key_freshness = staleness::KeyFreshness::new(opts.keys_stale_after);
         Arc::new(Self {
-            reading: reading::Reading::new(fleet.entry()),
+            read_schedule: read_schedule::ReadSchedule::new(fleet.entry()),
             fleet,
             replicas: client::Client::new(opts.faults, opts.seeds.clone()),
-            turns: turns::Turns::default(),
+            turns: turn_cache::TurnCache::default(),
             config: watch::Sender::default(),
             poison: Mutex::new(poison::Tracker::new(poison::Options::default())),
             retries: Mutex::default(),
             started: Instant::now(),
             stopping: AtomicBool::new(false),
-            known: Mutex::default(),
-            asked: Mutex::default(),
-            knowledge: watch::Sender::new(knowledge),
+            snapshot: Mutex::default(),
+            pending_read: Mutex::default(),
+            key_freshness: watch::Sender::new(key_freshness),
             quotas: quotas::Quotas::new(opts.quota),
             opts,
         })
     }
 
-    /// Takes what was read from the platform's store, unless another entry's newer read was heard of
-    /// meanwhile.
+    /// Applies a read of the platform's store, unless the replicas have delivered another entry's newer
+    /// read in the meantime.
     pub fn apply(&self, step: fw_follow::Step<Change>) {
-        // Held to the end, so that what others read is taken before or after, not between.
-        let mut known = self.known.lock();
+        // Held until the end, so that an update from the replicas is applied before or after, not between.
+        let mut cache = self.snapshot.lock();
         match step {
             fw_follow::Step::Lost => {}
             fw_follow::Step::Whole { as_of, .. } | fw_follow::Step::News { as_of, .. }
-                if as_of < known.as_of() =>
+                if as_of < cache.as_of() =>
             {
-                let known = known.as_of();
+                let known = cache.as_of();
                 tracing::info!(
                     as_of,
                     known,
-                    "a read of the store is older than what is known"
+                    "a read of the store is older than the current state; not applied"
                 );
-                self.reading.has_read();
-                self.prove();
+                self.read_schedule.note_own_read();
+                self.confirm_pending_read();
             }
             fw_follow::Step::Whole { changes, as_of } => {
-                let listed = self.take(changes, &mut known).into_iter();
-                let list = fleet::List::Whole(listed.filter_map(fleet::Change::listed).collect());
-                self.fleet.apply(Some(fleet::Read::own(as_of)), list);
-                self.post(as_of, &mut known);
+                let listed = self.apply_changes(changes, &mut cache).into_iter();
+                let list = fleet::ListUpdate::Full(
+                    listed.filter_map(fleet::Change::into_listed).collect(),
+                );
+                self.fleet.apply(Some(fleet::StoreRead::own(as_of)), list);
+                self.publish_read(as_of, &mut cache);
             }
             fw_follow::Step::News { changes, as_of } => {
-                let list = fleet::List::Changes(self.take(changes, &mut known));
-                self.fleet.apply(Some(fleet::Read::own(as_of)), list);
-                self.post(as_of, &mut known);
+                let list = fleet::ListUpdate::Changes(self.apply_changes(changes, &mut cache));
+                self.fleet.apply(Some(fleet::StoreRead::own(as_of)), list);
+                self.publish_read(as_of, &mut cache);
             }
         }
     }
 
-    /// Takes all changes but those of the list of upstreams, which are returned.
-    fn take(&self, changes: Vec<Change>, known: &mut snapshot::Known) -> Vec<fleet::Change> {
+    /// Applies all changes except those of the list of upstreams, which are returned.
+    fn apply_changes(
+        &self,
+        changes: Vec<Change>,
+        cache: &mut snapshot::Cache,
+    ) -> Vec<fleet::Change> {
         let mut list = Vec::new();
         for change in changes {
             match change {
                 Change::Upstream(change) => list.push(change),
                 Change::Config(config) => {
-                    known.found_config(true);
+                    cache.set_config_decodable(true);
                     self.configure(*config);
                 }
-                Change::UnreadableConfig => known.found_config(false),
+                Change::UnreadableConfig => cache.set_config_decodable(false),
                 Change::Members(view) => {
                     if self.replicas.update_view(view) {
                         self.replicas.announce_members();
@@ -189,163 +195,169 @@
         list
     }
 
-    /// All changes are known that the store had acknowledged when it was asked last.
-    fn prove(&self) {
-        if let Some(at) = self.asked.lock().at {
-            self.proven(at);
+    /// Records that this entry has all changes that the store had acknowledged when the last read was
+    /// requested.
+    fn confirm_pending_read(&self) {
+        if let Some(at) = self.pending_read.lock().requested_at {
+            self.confirm_read(at);
         }
     }
 
-    /// The read under way brings no proof: calls do not wait for it.
-    fn proves_nothing(&self) {
-        if let Some(asked) = self.asked.lock().at {
-            self.fleet.proof.failed(asked);
+    /// Records that the last read confirms nothing, so that calls do not wait for it.
+    fn fail_pending_read(&self) {
+        if let Some(requested_at) = self.pending_read.lock().requested_at {
+            self.fleet.confirmation.record_failure(requested_at);
         }
     }
 
-    /// All changes are known that the store had acknowledged at `asked`, since boot.
-    fn proven(&self, asked: Duration) {
-        self.fleet.proof.prove(asked);
-        self.knowledge
-            .send_modify(|knowledge| knowledge.confirm(asked));
+    /// Records that this entry has all changes that the store had acknowledged at `requested_at`, since
+    /// boot.
+    fn confirm_read(&self, requested_at: Duration) {
+        self.fleet.confirmation.record_read(requested_at);
+        self.key_freshness
+            .send_modify(|key_freshness| key_freshness.confirm(requested_at));
     }
 
-    /// Tells the replicas that the store was read, and what has changed. A read of what this entry cannot
-    /// decode proves nothing, and another entry may know how.
-    fn post(&self, as_of: fw_follow::Revision, known: &mut snapshot::Known) {
-        let config = self.config().filter(|_| known.knows_config());
+    /// Publishes to the replicas that the store was read, with the changes. A read whose configuration this
+    /// entry cannot decode confirms nothing and is not published: another entry may be able to decode it.
+    fn publish_read(&self, as_of: fw_follow::Revision, cache: &mut snapshot::Cache) {
+        let config = self.config().filter(|_| cache.has_decodable_config());
         let Some(config) = config else {
-            return self.proves_nothing();
+            return self.fail_pending_read();
         };
         let upstreams = self.fleet.listing();
-        let changed = known.read(as_of, &config, &upstreams);
-        self.reading.has_read();
-        self.prove();
-        let post = service::Publish {
+        let changed = cache.record_read(as_of, &config, &upstreams);
+        self.read_schedule.note_own_read();
+        self.confirm_pending_read();
+        let publish = service::Publish {
             entry: self.fleet.entry(),
             as_of,
             requested_at: None,
-            digests: known.marks(),
+            digests: cache.digests(),
             changed,
         };
-        let moments = self.asked.lock().moments.clone();
-        self.replicas.publish(&post, &moments, known.whole(config));
+        let clock_readings = self.pending_read.lock().clock_readings.clone();
+        self.replicas
+            .publish(&publish, &clock_readings, cache.full_snapshot(config));
     }
 
-    /// Waits until this entry has to read the store.
-    pub async fn turn_to_read(&self) -> fw_follow::Due {
+    /// Waits until this entry has to read the store, and prepares the read.
+    pub async fn wait_read_due(&self) -> fw_follow::Due {
         let is_wanted = tokio::select! {
-            () = self.reading.turn() => false,
-            () = self.fleet.proof.wanted() => true,
+            () = self.read_schedule.wait_due() => false,
+            () = self.fleet.confirmation.wait_needed() => true,
         };
-        self.replicas.read_clocks(MOMENTS).await;
-        *self.asked.lock() = Asked {
-            at: Some(clock::since_boot()),
-            moments: self.replicas.clock_readings(),
+        self.replicas.read_clocks(CLOCK_READING_TIMEOUT).await;
+        *self.pending_read.lock() = PendingRead {
+            requested_at: Some(clock::since_boot()),
+            clock_readings: self.replicas.clock_readings(),
         };
         fw_follow::Due {
-            known: self.known.lock().as_of(),
+            known: self.snapshot.lock().as_of(),
             is_wanted,
         }
     }
 
-    /// Hears from the replicas what other entries read, for ever.
-    pub async fn hear_others(self: Arc<Self>) {
+    /// Fetches other entries' reads of the store from the replicas; never returns.
+    pub async fn poll_replicas(self: Arc<Self>) {
         loop {
-            let known = self.known.lock().known();
-            let asked = clock::since_boot();
+            let version = self.snapshot.lock().known_version();
+            let requested_at = clock::since_boot();
             let is_first = self.config().is_none();
-            let mut news = None;
+            let mut update = None;
             if !is_first {
-                news = self.replicas.await_update(known, snapshot::AWAIT).await;
+                update = self
+                    .replicas
+                    .await_update(version, snapshot::UPDATE_WAIT)
+                    .await;
             }
-            if let Some(news) = news {
-                if !self.hear(&news, asked) {
-                    tokio::time::sleep(snapshot::ASK_FIRST).await;
+            if let Some(update) = update {
+                if !self.apply_update(&update, requested_at) {
+                    tokio::time::sleep(snapshot::STARTUP_POLL_INTERVAL).await;
                 }
                 continue;
             }
-            // The nearest does not answer, or none is known.
-            let asked = clock::since_boot();
-            if let Some(news) = self.replicas.fetch_update(known).await {
-                self.hear(&news, asked);
+            // The nearest replica does not answer, or there is no list of replicas yet.
+            let requested_at = clock::since_boot();
+            if let Some(update) = self.replicas.fetch_update(version).await {
+                self.apply_update(&update, requested_at);
             }
             let pause = match is_first {
-                true => snapshot::ASK_FIRST,
-                false => snapshot::ASK,
+                true => snapshot::STARTUP_POLL_INTERVAL,
+                false => snapshot::POLL_INTERVAL,
             };
             tokio::time::sleep(pause).await;
         }
     }
 
-    /// Tells the replicas for ever what this entry has let through of teams with a quota, where the next
-    /// turn would tell it too late.
-    pub async fn tell_quotas(self: Arc<Self>) {
+    /// Reports this entry's usage of teams' quotas to the replicas, for teams whose next turn would report
+    /// it too late; never returns.
+    pub async fn report_quotas(self: Arc<Self>) {
         loop {
-            tokio::time::sleep(TELL).await;
+            tokio::time::sleep(QUOTA_REPORT_INTERVAL).await;
             let Some(config) = self.config() else {
                 continue;
             };
             let teams = config.teams.as_ref();
             let due = self.quotas.due(teams.map_or(&[], |teams| teams.all()));
             let entry = self.fleet.entry();
-            let heard =
-                |spent: &service::TeamUsage, known: &_| self.quotas.heard(&spent.team, known);
+            let merge =
+                |usage: &service::TeamUsage, summary: &_| self.quotas.merge(&usage.team, summary);
             tokio::join!(
                 self.replicas
-                    .report_usage(entry, &due.tell, client::Reach::All, heard),
+                    .report_usage(entry, &due.report, client::Reach::All, merge),
                 self.replicas
-                    .report_usage(entry, &due.ask, client::Reach::Nearest, heard),
+                    .report_usage(entry, &due.query, client::Reach::Nearest, merge),
             );
         }
     }
 
-    /// Takes what a replica tells that was asked at `asked`, since boot. Returns whether all is known
-    /// now that the replica knows.
-    pub fn hear(&self, news: &service::Update, asked: Duration) -> bool {
-        let last = news.last_read;
-        let mut known = self.known.lock();
-        let Some(told) = known.hear(news) else {
+    /// Applies a replica's `update` that was requested at `requested_at`, since boot. Returns whether this
+    /// entry now has everything that the replica has.
+    pub fn apply_update(&self, update: &service::Update, requested_at: Duration) -> bool {
+        let last = update.last_read;
+        let mut cache = self.snapshot.lock();
+        let Some(decoded) = cache.apply_update(update) else {
             return false;
         };
-        let as_of = known.known().as_of;
-        if let Some(config) = told.config {
+        let as_of = cache.known_version().as_of;
+        if let Some(config) = decoded.config {
             let version = config.version;
-            tracing::info!(version, as_of, ?last, "told by a replica");
+            tracing::info!(version, as_of, ?last, "update received from a replica");
             self.configure(config);
         }
-        if let Some(reads) = news.reads {
+        if let Some(reads) = update.reads {
             self.fleet.note_reads(reads.first, reads.last);
         }
-        let whole = last.filter(|_| told.is_whole);
-        let read = whole.map(|last| fleet::Read {
+        let complete = last.filter(|_| decoded.is_complete);
+        let read = complete.map(|last| fleet::StoreRead {
             as_of: last.as_of,
             ago: last.ago,
         });
-        let list = told.upstreams.map_or_else(
-            || fleet::List::Changes(Vec::new()),
+        let list = decoded.upstreams.map_or_else(
+            || fleet::ListUpdate::Changes(Vec::new()),
             |upstreams| {
                 let listed = upstreams.len();
-                tracing::info!(listed, as_of, ?last, "told by a replica");
-                fleet::List::Whole(upstreams)
+                tracing::info!(listed, as_of, ?last, "update received from a replica");
+                fleet::ListUpdate::Full(upstreams)
             },
         );
         self.fleet.apply(read, list);
-        let Some(last) = whole else { return false };
-        self.reading.heard(last.by, last.ago);
-        // The answer was made so long after the question, at least.
-        let told_at = asked + news.held_for;
-        if let Some(read) = last.asked.and_then(|ago| told_at.checked_sub(ago)) {
-            self.proven(read);
+        let Some(last) = complete else { return false };
+        self.read_schedule.note_reported_read(last.by, last.ago);
+        // The replica held the request for at least this long before it answered.
+        let answered_at = requested_at + update.held_for;
+        if let Some(read) = last.asked.and_then(|ago| answered_at.checked_sub(ago)) {
+            self.confirm_read(read);
         }
         true
     }
 
-    /// Puts `config` in force unless a newer one is.
+    /// Puts `config` in force unless its version is already in force or a newer one is.
     pub fn configure(&self, config: config::Config) {
-        self.config.send_if_modified(|known| {
-            let newest = known.as_ref().map_or(0, |known| known.version);
-            if config.version <= newest && known.is_some() {
+        self.config.send_if_modified(|current| {
+            let newest = current.as_ref().map_or(0, |current| current.version);
+            if config.version <= newest && current.is_some() {
                 return false;
             }
             tracing::info!(
@@ -354,7 +366,7 @@
                 routes = config.routes.len(),
                 "configuration in force"
             );
-            *known = Some(Arc::new(config));
+            *current = Some(Arc::new(config));
             true
         });
     }
@@ -364,107 +376,110 @@
         self.config.borrow().clone()
     }
 
-    /// The configuration in force, also if it is about to be read: that takes an entry some ten
-    /// milliseconds from its start, or some hundred if it has to wait for a replica that tells it.
+    /// Returns the configuration in force; waits for it on an entry that has just started. An entry has one
+    /// some ten milliseconds after its start, or some hundred if it has to wait for a replica to deliver it.
     ///
-    /// *Failure:* after a loss of all power, callers wait in the queue of the entry's socket. Refused
-    /// in its first moment, they used up the few attempts that they make, and gave up before the
-    /// entry could have served them. They are not refused before [`START`] is over.
-    pub async fn config_soon(&self) -> Option<Arc<config::Config>> {
-        // Nearly always: no request but an entry's first ones has to wait.
-        if let Some(known) = self.config() {
-            return Some(known);
+    /// *Failure:* after a loss of all power, callers wait in the backlog of the entry's socket. If the entry
+    /// refused them right after its start, they would use up their few attempts and give up before it could
+    /// serve them. They are not refused before [`STARTUP_WAIT`] has passed.
+    pub async fn await_config(&self) -> Option<Arc<config::Config>> {
+        // The usual case: only the first requests of an entry have to wait.
+        if let Some(config) = self.config() {
+            return Some(config);
         }
         let mut config = self.config.subscribe();
-        let known = tokio::time::timeout(START, config.wait_for(Option::is_some)).await;
-        known.ok()?.ok()?.clone()
+        let result = tokio::time::timeout(STARTUP_WAIT, config.wait_for(Option::is_some)).await;
+        result.ok()?.ok()?.clone()
     }
 
-    /// What is in force, also if it is about to be read, as for [`Self::config_soon`], or is known only from
-    /// some time ago.
-    pub async fn in_force_soon(&self) -> Option<InForce> {
-        self.config_soon().await?;
-        self.fleet.proof.confirm().await;
-        let keys = self.keys_soon().await;
-        // Read after the proof, and so at least as new.
+    /// Returns the configuration in force once it is confirmed to be current, or cannot be confirmed in time;
+    /// waits for the first one as [`Self::await_config`] does.
+    pub async fn await_active_config(&self) -> Option<ActiveConfig> {
+        self.await_config().await?;
+        self.fleet.confirmation.wait().await;
+        let key_freshness = self.await_key_freshness().await;
+        // Taken after the confirmation, so it is at least as new as the confirmed one.
         let config = self.config()?;
-        Some(InForce { config, keys })
+        Some(ActiveConfig {
+            config,
+            key_freshness,
+        })
     }
 
-    /// Whether keys may be accepted. An entry that has just started waits until it has read the store.
-    async fn keys_soon(&self) -> staleness::Outcome {
-        let is_fresh = |knowledge: &staleness::KeyFreshness| {
-            knowledge.decide(clock::since_boot()) == staleness::Outcome::Fresh
+    /// Returns whether keys may be accepted. An entry that has just started waits until it has read the store.
+    async fn await_key_freshness(&self) -> staleness::Outcome {
+        let is_fresh = |key_freshness: &staleness::KeyFreshness| {
+            key_freshness.decide(clock::since_boot()) == staleness::Outcome::Fresh
         };
-        let left = START.saturating_sub(self.now());
+        let left = STARTUP_WAIT.saturating_sub(self.now());
         if !left.is_zero() {
-            let mut knowledge = self.knowledge.subscribe();
-            // Over without news, what is known decides.
-            let _ = tokio::time::timeout(left, knowledge.wait_for(is_fresh)).await;
+            let mut key_freshness = self.key_freshness.subscribe();
+            // After a timeout the current state decides.
+            let _ = tokio::time::timeout(left, key_freshness.wait_for(is_fresh)).await;
         }
-        self.knowledge.borrow().decide(clock::since_boot())
+        self.key_freshness.borrow().decide(clock::since_boot())
     }
 
-    /// Whether callers may be sent here.
+    /// Whether callers may be routed to this entry.
     pub fn is_ready(&self) -> bool {
         let config = self.config();
         let has_teams = config.as_ref().is_some_and(|config| config.teams.is_some());
-        let keys = self.knowledge.borrow().decide(clock::since_boot());
-        let is_fresh = !has_teams || keys == staleness::Outcome::Fresh;
-        let known = config.is_some() && self.fleet.is_known();
-        known && is_fresh && self.replicas.epoch() > 0 && !self.is_stopping()
+        let freshness = self.key_freshness.borrow().decide(clock::since_boot());
+        let is_fresh = !has_teams || freshness == staleness::Outcome::Fresh;
+        let has_state = config.is_some() && self.fleet.has_list();
+        has_state && is_fresh && self.replicas.epoch() > 0 && !self.is_stopping()
     }
 
-    /// From now on connections are closed with their next answer.
+    /// Begins the shutdown: from now on each connection is closed after its next answer.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the process is about to end.
+    /// Whether the shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Time since the start.
+    /// Time since the start of this entry.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Whether requests like this crashed upstreams before.
+    /// Refuses a request if requests with the same fingerprint have crashed upstreams.
     ///
     /// # Errors
     ///
-    /// `UpstreamCrashed` when it must not be sent to another.
+    /// `UpstreamCrashed` when it must not be sent to another upstream.
     pub fn check_poison(&self, fingerprint: &digest::Digest) -> Result<(), error::Error> {
         let now = self.now();
         match self.poison.lock().decide(now, fingerprint) {
             poison::Outcome::Refused(_) => Err(error::Error::new(
                 error::Kind::UpstreamCrashed,
-                "requests like this one crashed the upstreams that ran them",
+                "identical requests crashed the upstreams that ran them",
             )),
             poison::Outcome::Normal | poison::Outcome::Alone { .. } => Ok(()),
         }
     }
 
-    /// `upstream` crashed while it ran a request like this.
-    pub fn crashed(&self, upstream: &id::UpstreamId, fingerprint: digest::Digest) {
+    /// Records that `upstream` crashed while it ran a request with this fingerprint.
+    pub fn record_crash(&self, upstream: &id::UpstreamId, fingerprint: digest::Digest) {
         let now = self.now();
         self.poison
             .lock()
             .record_crash(now, upstream, fingerprint, false);
     }
 
-    /// A request like this ran to its end.
-    pub fn survived(&self, fingerprint: &digest::Digest) {
+    /// Records that a request with this fingerprint was completed.
+    pub fn record_success(&self, fingerprint: &digest::Digest) {
         self.poison.lock().record_success(fingerprint);
     }
 
-    /// A call to `service` is sent for the first time.
+    /// Adds to the retry budget of `service` for the first attempt of a call.
     pub fn earn_retry(&self, service: &id::ServiceId) {
         self.with_retries(service, retry::Budget::deposit);
     }
 
-    /// Whether a failed attempt is made again.
+    /// Decides whether a failed attempt is followed by another.
     pub fn decide_retry(
         &self,
         service: &id::ServiceId,
@@ -484,7 +499,7 @@
         let mut retries = self.retries.lock();
         let budget = retries.entry(service.clone()).or_insert_with(|| {
             retry::Budget::new(retry::Options {
-                // Most failures here are refusals that another upstream can take at once.
+                // Most failures are refusals of calls that another upstream can run at once.
                 base_delay: Duration::from_millis(4),
                 max_delay: Duration::from_millis(100),
                 max_attempts: 4,
@@ -497,26 +512,26 @@
     }
 }
 
-/// When an entry reads the platform's store.
+/// The schedule by which [`fw_follow`] reads the platform's store for a [`Gate`].
 #[derive(Debug)]
 pub struct Schedule(pub Arc<Gate>);
 
 impl fw_follow::Schedule for Schedule {
     async fn due(&self) -> fw_follow::Due {
-        self.0.turn_to_read().await
+        self.0.wait_read_due().await
     }
 
     async fn wanted(&self) {
-        self.0.fleet.proof.wanted().await;
+        self.0.fleet.confirmation.wait_needed().await;
     }
 
     fn failed(&self) {
-        self.0.proves_nothing();
+        self.0.fail_pending_read();
     }
 
     fn unanswered(&self) {
-        if let Some(asked) = self.0.asked.lock().at {
-            self.0.fleet.proof.unanswered(asked);
+        if let Some(requested_at) = self.0.pending_read.lock().requested_at {
+            self.0.fleet.confirmation.record_unanswered(requested_at);
         }
     }
 }
--- a/fw-gate/src/process/mod.rs
+++ b/fw-gate/src/process/mod.rs
@@ -1,9 +1,9 @@
-//! What lives as long as the process.
+//! State and tasks with the lifetime of the process.
 
 pub mod fleet;
 pub mod gate;
 pub mod quotas;
-pub mod reading;
+pub mod read_schedule;
 pub mod serve;
 pub mod snapshot;
-pub mod turns;
+pub mod turn_cache;
--- a/fw-gate/src/request/body.rs
+++ b/fw-gate/src/request/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole, or passed on as they come.
+//! Bodies of answers: complete, or forwarded as they arrive.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,22 +8,22 @@
 use snafu::Snafu;
 use tokio::sync::mpsc;
 
-/// Pieces that wait for a caller who reads slowly. Beyond that the upstream is not read either.
-pub const PIECES: usize = 16;
+/// Maximum number of chunks that are buffered for a caller that reads slowly. When the buffer is full the
+/// upstream is not read either.
+pub const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// The upstream broke off: the caller's connection is closed, so that the answer does not look
-/// complete.
+/// The answer was cut off: the caller's connection is closed, so that the answer does not appear complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the answer broke off"))]
-pub struct BrokeOff;
+#[snafu(display("the answer was cut off"))]
+pub struct Interrupted;
 
 /// Body of an answer to a caller.
 #[derive(Debug)]
 pub enum Outgoing {
-    /// All of it.
+    /// The complete body; `None` once it is sent, or if it is empty.
     Whole(Option<Bytes>),
-    /// Pieces as they come.
-    Pieces(mpsc::Receiver<Result<Bytes, BrokeOff>>),
+    /// Chunks as they arrive.
+    Chunks(mpsc::Receiver<Result<Bytes, Interrupted>>),
 }
 
 impl From<Bytes> for Outgoing {
@@ -34,17 +34,17 @@
 
 impl Body for Outgoing {
     type Data = Bytes;
-    type Error = BrokeOff;
+    type Error = Interrupted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokeOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Interrupted>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Pieces(rx) => {
-                let piece = rx.poll_recv(cx);
-                piece.map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            Self::Chunks(rx) => {
+                let chunk = rx.poll_recv(cx);
+                chunk.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -58,7 +58,7 @@
             Self::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Chunks(_) => SizeHint::default(),
         }
     }
 }
--- a/fw-gate/src/request/ingress.rs
+++ b/fw-gate/src/request/ingress.rs
@@ -1,4 +1,4 @@
-//! A caller's request, from its head to the head of its answer.
+//! Handling of a caller's request, from its head to the head of its answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 use crate::process::gate;
 use crate::version::{config, team};
 
-/// Answers one request. Dropping the future, as when the caller closes its connection, ends
-/// whatever is under way for it.
+/// Answers one request. Dropping the future, as happens when the caller closes its connection, cancels all
+/// work for it.
 pub async fn handle(gate: Arc<gate::Gate>, req: Request<Incoming>) -> Response<body::Outgoing> {
     let started = Instant::now();
     let names = &gate.opts.names;
@@ -27,7 +27,7 @@
     let program = req.headers().get(&names.program).cloned();
     let deadline = req.headers().get(&names.deadline_ms).cloned();
     let program_left = req.headers().get(&names.program_deadline_ms).cloned();
-    let mut res = match answered(&gate, req, started).await {
+    let mut res = match serve(&gate, req, started).await {
         Ok(res) => res,
         Err(err) => {
             let text = |value: &Option<HeaderValue>| {
@@ -42,7 +42,7 @@
                 kind = err.kind.row().label,
                 why = err.message,
                 ran = ?err.ran(),
-                retry_after_ms = ms(err.retry_after),
+                retry_after_ms = log_ms(err.retry_after),
                 ms = started.elapsed().as_millis() as u64,
                 "request not served"
             );
@@ -62,35 +62,41 @@
     res
 }
 
-/// Milliseconds for a log line; -1 if there is no such time.
-pub(super) fn ms(time: Option<Duration>) -> i64 {
+/// Milliseconds for a log line; -1 for no time.
+pub(super) fn log_ms(time: Option<Duration>) -> i64 {
     time.map_or(-1, |time| time.as_millis() as i64)
 }
 
-async fn answered(
+async fn serve(
     gate: &Arc<gate::Gate>,
     req: Request<Incoming>,
     started: Instant,
 ) -> Result<Response<body::Outgoing>, error::Error> {
     let (head, body) = req.into_parts();
-    let in_force = gate.in_force_soon().await;
-    let gate::InForce { config, keys } = in_force
-        .ok_or_else(|| error::Error::new(error::Kind::NotReady, "no configuration is known yet"))?;
+    let active = gate.await_active_config().await;
+    let gate::ActiveConfig {
+        config,
+        key_freshness,
+    } = active
+        .ok_or_else(|| error::Error::new(error::Kind::NotReady, "no configuration received yet"))?;
     let host = host(&head.headers, &head.uri);
     let route = config.route(host, head.uri.path()).ok_or_else(|| {
-        let message = format!("no route covers `{host}` and `{}`", head.uri.path());
+        let message = format!(
+            "no route matches host `{host}` and path `{}`",
+            head.uri.path()
+        );
         error::Error::new(error::Kind::UnknownRoute, message)
     })?;
-    let team = team(&config, keys, route, &head.headers)?;
+    let team = team(&config, key_freshness, route, &head.headers)?;
     let names = &gate.opts.names;
     let mut call = call::Call::read(names, &head.headers)?;
     if let Some(team) = team {
-        call = call.of_team(&team.name);
+        call = call.scoped_to(&team.name);
     }
     let limit = team.and_then(|team| team.quota);
-    let patience = call.deadline.unwrap_or(route.timeout).min(route.timeout);
-    let until = started + patience;
-    let input = read(body, config.limits.body_bytes, until).await?;
+    let timeout = call.deadline.unwrap_or(route.timeout).min(route.timeout);
+    let until = started + timeout;
+    let input = read_body(body, config.limits.body_bytes, until).await?;
     let service = route
         .service(rand::rng().random())
         .ok_or_else(|| error::Error::new(error::Kind::NoUpstream, "the route has no service"))?;
@@ -111,11 +117,11 @@
             until,
             priority,
             limit,
-            credit: None,
+            permit: None,
         };
         return stream::run(job).await;
     }
-    let credit = gate.quotas.take(&call, limit, quota::Stage::Continues)?;
+    let permit = gate.quotas.acquire(&call, limit, quota::Stage::Continues)?;
     let job = attempt::Job {
         gate,
         route,
@@ -125,23 +131,25 @@
         fingerprint,
         until,
         priority,
-        credit: credit.as_ref(),
+        permit: permit.as_ref(),
     };
     plain::run(&job).await
 }
 
-/// The team of a request; `None` if it needs none.
+/// Authenticates a request and returns its team; `None` if it needs none.
 fn team<'a>(
     config: &'a config::Config,
-    keys: staleness::Outcome,
+    key_freshness: staleness::Outcome,
     route: &config::Route,
     headers: &HeaderMap,
 ) -> Result<Option<&'a team::Team>, error::Error> {
-    if let staleness::Outcome::Stale { age } = keys
+    if let staleness::Outcome::Stale { age } = key_freshness
         && config.teams.is_some()
         && !route.is_open
     {
-        let message = format!("no key is accepted by what was known {age:?} ago");
+        let message = format!(
+            "API keys cannot be checked: the configuration was not confirmed recently enough (age: {age:?})"
+        );
         return Err(error::Error::new(error::Kind::StaleKeys, message));
     }
     auth::team(config, route, headers).map_err(|refusal| {
@@ -150,7 +158,7 @@
     })
 }
 
-/// The host named by the request, without a port.
+/// The host that the request is addressed to, without the port.
 fn host<'a>(headers: &'a HeaderMap, uri: &'a Uri) -> &'a str {
     let named = headers.get(header::HOST);
     let named = named.and_then(|value| value.to_str().ok());
@@ -158,13 +166,17 @@
     host.rsplit_once(':').map_or(host, |(host, _port)| host)
 }
 
-/// Reads a request's body.
-async fn read(body: Incoming, most: usize, until: Instant) -> Result<Bytes, error::Error> {
-    let whole = Limited::new(body, most).collect();
+/// Reads the whole body of a request.
+async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    until: Instant,
+) -> Result<Bytes, error::Error> {
+    let whole = Limited::new(body, max_bytes).collect();
     match tokio::time::timeout_at(until, whole).await {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(err)) if err.is::<LengthLimitError>() => {
-            let message = format!("the body is longer than {most} bytes");
+            let message = format!("the body is longer than {max_bytes} bytes");
             Err(error::Error::new(error::Kind::BodyTooLarge, message))
         }
         Ok(Err(err)) => {
@@ -179,7 +191,7 @@
     }
 }
 
-/// The request as upstreams get it.
+/// The request as sent to upstreams.
 fn outbound(
     gate: &gate::Gate,
     head: &hyper::http::request::Parts,
@@ -188,11 +200,11 @@
     body: Bytes,
 ) -> Result<send::Outbound, error::Error> {
     let names = &gate.opts.names;
-    let bad = |what: &str| error::Error::new(error::Kind::BadRequest, format!("bad {what}"));
+    let bad = |part: &str| error::Error::new(error::Kind::BadRequest, format!("bad {part}"));
     let id = HeaderValue::from_str(&call.id).map_err(|_| bad("request id"))?;
     let path = head.uri.path_and_query().ok_or_else(|| bad("path"))?;
     let mut headers = head.headers.clone();
-    call::strip_hop(&mut headers);
+    call::strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     for name in &names.reserved {
         headers.remove(name);
@@ -220,7 +232,7 @@
     })
 }
 
-/// What requests that are sent again have in common.
+/// The fingerprint of a request, which is the same when it is sent again.
 fn fingerprint(team: Option<&id::TeamId>, uri: &Uri, body: &Bytes) -> digest::Digest {
     let team = team.map_or("", SmolStr::as_str);
     let mut bytes = Vec::with_capacity(team.len() + 1 + uri.path().len() + 1 + body.len());
@@ -232,7 +244,7 @@
     digest::Digest::of_bytes(&bytes)
 }
 
-/// Limits of connections, from the configuration in force.
+/// Limits of callers' connections, from the configuration in force.
 pub fn limits(gate: &gate::Gate) -> config::Limits {
     gate.config()
         .map_or_else(config::Limits::default, |config| config.limits)
--- a/fw-gate/src/request/send.rs
+++ b/fw-gate/src/request/send.rs
@@ -1,4 +1,4 @@
-//! One call to one upstream, and what its answer means.
+//! One call to one upstream, and the check of its answer.
 
 use std::time::Duration;
 
@@ -17,14 +17,14 @@
 use crate::names;
 use crate::process::fleet;
 
-/// A request as it goes to upstreams.
+/// A request as sent to upstreams.
 #[derive(Clone, Debug)]
 pub struct Outbound {
     /// Method.
     pub method: Method,
     /// Path and query, as the caller sent them.
     pub uri: Uri,
-    /// Headers that are passed on.
+    /// Headers to forward.
     pub headers: HeaderMap,
     /// Whole body.
     pub body: Bytes,
@@ -32,10 +32,10 @@
     pub id: HeaderValue,
 }
 
-/// A call whose answer has begun.
+/// A call whose answer has begun: the head is there and the body still arrives.
 #[derive(Debug)]
-pub struct Begun {
-    /// The upstream.
+pub struct OpenResponse {
+    /// The lease of the upstream.
     pub lease: fleet::Lease,
     /// The connection to it.
     pub link: link::Link,
@@ -45,17 +45,17 @@
     pub body: Incoming,
 }
 
-/// A call that brought no answer to pass on.
+/// A call without an answer that may be forwarded.
 #[derive(Clone, Debug)]
-pub struct Failed {
-    /// What happened; its row says whether the call ran.
+pub struct Failure {
+    /// The error; the table of its kinds states whether the call ran.
     pub err: error::Error,
-    /// Whether the connection broke while the call was at the upstream, as in a crash.
-    pub broke: bool,
+    /// Whether the connection broke after the call was sent, as in a crash of the upstream.
+    pub connection_broke: bool,
 }
 
 impl Outbound {
-    /// The request for `lease`, which may take until `until`.
+    /// The HTTP request for `lease`, whose deadline is `until`.
     fn request(
         &self,
         names: &names::HeaderNames,
@@ -71,7 +71,7 @@
         headers.insert(names.request_id.clone(), self.id.clone());
         headers.insert(
             names.deadline_ms.clone(),
-            call::value(left.as_millis() as u64),
+            call::number_value(left.as_millis() as u64),
         );
         if let Ok(id) = HeaderValue::from_str(&lease.id) {
             headers.insert(names.expect_upstream.clone(), id);
@@ -80,35 +80,35 @@
     }
 }
 
-/// Sends `out` to the leased upstream and waits for the head of its answer until `until`.
+/// Sends `out` to the leased upstream and waits for the head of its answer, at most until `until`.
 ///
 /// # Errors
 ///
-/// When there is no answer that may be passed on.
-pub async fn once(
+/// When there is no answer that may be forwarded.
+pub async fn call_upstream(
     names: &names::HeaderNames,
     out: &Outbound,
     mut lease: fleet::Lease,
     until: Instant,
-) -> Result<Begun, Failed> {
-    let sending = send(names, out, &mut lease, until);
+) -> Result<OpenResponse, Failure> {
+    let sending = send_on_link(names, out, &mut lease, until);
     let (link, res) = match tokio::time::timeout_at(until, sending).await {
         Ok(sent) => sent?,
         Err(_) => {
-            // Silence until the deadline is no proof of a fault.
+            // An upstream that does not answer before the deadline is not necessarily faulty.
             let message = format!("upstream `{}` did not answer in time", lease.id);
-            return Err(Failed {
+            return Err(Failure {
                 err: error::Error::new(error::Kind::DeadlineExceeded, message),
-                broke: false,
+                connection_broke: false,
             });
         }
     };
     let (head, body) = res.into_parts();
-    if let Some(load) = load(names, &head.headers) {
-        lease.told(load);
+    if let Some(load) = parse_load(names, &head.headers) {
+        lease.record_load(load);
     }
-    match judge(names, out, &lease, &head) {
-        Ok(()) => Ok(Begun {
+    match check_response(names, out, &lease, &head) {
+        Ok(()) => Ok(OpenResponse {
             lease,
             link,
             head,
@@ -116,68 +116,73 @@
         }),
         Err(err) => {
             match err.kind {
-                error::Kind::Misdirected => lease.replaced(),
-                _ if err.ran() == error::Ran::No => lease.seen(health::Observation::Answered),
-                _ => lease.seen(health::Observation::Failed),
+                error::Kind::Misdirected => lease.mark_replaced(),
+                _ if err.ran() == error::Ran::No => {
+                    lease.record_health(health::Observation::Answered)
+                }
+                _ => lease.record_health(health::Observation::Failed),
             }
-            Err(Failed { err, broke: false })
+            Err(Failure {
+                err,
+                connection_broke: false,
+            })
         }
     }
 }
 
-/// Sends on an idle connection or a new one. A call that no byte of left on an idle connection,
-/// because the upstream had closed it, goes out on a new one.
-async fn send(
+/// Sends on an idle connection or a new one. If no byte was sent on an idle connection, because the
+/// upstream had closed it, the call is sent on a new one.
+async fn send_on_link(
     names: &names::HeaderNames,
     out: &Outbound,
     lease: &mut fleet::Lease,
     until: Instant,
-) -> Result<(link::Link, hyper::Response<Incoming>), Failed> {
+) -> Result<(link::Link, hyper::Response<Incoming>), Failure> {
     if let Some(mut link) = lease.idle_link() {
-        confirm(lease).await?;
+        confirm_upstream(lease).await?;
         match link.send(out.request(names, lease, until)).await {
             Ok(res) => return Ok((link, res)),
-            Err(failed) if !failed.unsent => return Err(broken(lease, &failed)),
+            Err(failed) if !failed.unsent => return Err(connection_failure(lease, &failed)),
             Err(_) => {}
         }
     }
     metrics::counter!("fw_gate_connects_total").increment(1);
     let mut link = link::Link::connect(lease.addr).await.map_err(|err| {
-        lease.seen(health::Observation::Down);
+        lease.record_health(health::Observation::Down);
         let message = format!("cannot connect to upstream `{}`: {err}", lease.id);
-        Failed {
+        Failure {
             err: error::Error::new(error::Kind::UpstreamUnreachable, message),
-            broke: false,
+            connection_broke: false,
         }
     })?;
-    confirm(lease).await?;
+    confirm_upstream(lease).await?;
     match link.send(out.request(names, lease, until)).await {
         Ok(res) => Ok((link, res)),
-        Err(failed) => Err(broken(lease, &failed)),
+        Err(failed) => Err(connection_failure(lease, &failed)),
     }
 }
 
-/// Looks at the list once more before a byte of the call leaves: a connection may have taken a while, and
-/// the entry may have stood still.
+/// Checks the list again before a byte of the call is sent: connecting may have taken a while, and the
+/// entry may have been suspended.
 ///
 /// # Errors
 ///
 /// `UpstreamLeaving` when the upstream gets no more calls.
-async fn confirm(lease: &mut fleet::Lease) -> Result<(), Failed> {
+async fn confirm_upstream(lease: &mut fleet::Lease) -> Result<(), Failure> {
     lease.confirm_list().await;
     if lease.is_valid() {
         lease.note_sent();
         return Ok(());
     }
     let message = format!("upstream `{}` left before the call was sent", lease.id);
-    Err(Failed {
+    Err(Failure {
         err: error::Error::new(error::Kind::UpstreamLeaving, message),
-        broke: false,
+        connection_broke: false,
     })
 }
 
-fn broken(lease: &fleet::Lease, failed: &link::Failed) -> Failed {
-    lease.seen(health::Observation::Failed);
+fn connection_failure(lease: &fleet::Lease, failed: &link::SendError) -> Failure {
+    lease.record_health(health::Observation::Failed);
     let message = format!(
         "the connection to upstream `{}` broke: {}",
         lease.id, failed.message
@@ -187,21 +192,21 @@
     } else {
         error::Kind::UpstreamCrashed
     };
-    Failed {
+    Failure {
         err: error::Error::new(kind, message),
-        broke: !failed.unsent,
+        connection_broke: !failed.unsent,
     }
 }
 
-/// Whether the answer is the upstream's to this call and may be passed on.
-fn judge(
+/// Checks that the answer is from this upstream, to this call, and may be forwarded.
+fn check_response(
     names: &names::HeaderNames,
     out: &Outbound,
     lease: &fleet::Lease,
     head: &response::Parts,
 ) -> Result<(), error::Error> {
-    let tell = |kind, what: &str| {
-        let message = format!("upstream `{}` {what}", lease.id);
+    let fail = |kind, reason: &str| {
+        let message = format!("upstream `{}` {reason}", lease.id);
         Err(error::Error::new(kind, message))
     };
     let headers = &head.headers;
@@ -210,39 +215,39 @@
         .is_some_and(|id| *id != out.id)
     {
         // A late or second answer to an earlier call.
-        return tell(error::Kind::SpoiledAnswer, "answered another call");
+        return fail(error::Kind::SpoiledAnswer, "answered another call");
     }
-    // Before the next one: such a refusal may also say that the call has not run.
+    // Checked before the next one: such a refusal may also state that the call has not run.
     if head.status == StatusCode::MISDIRECTED_REQUEST {
-        return tell(error::Kind::Misdirected, "is no longer at its address");
+        return fail(error::Kind::Misdirected, "is no longer at its address");
     }
     if headers.contains_key(&names.not_run) {
-        return tell(error::Kind::UpstreamFull, "has not run the call");
+        return fail(error::Kind::UpstreamFull, "has not run the call");
     }
     if head.status.is_success() {
-        let whole = headers.contains_key(&names.signature)
+        let is_valid = headers.contains_key(&names.signature)
             && headers.contains_key(&names.request_id)
             && !headers.contains_key(header::CONTENT_ENCODING);
-        if !whole {
-            return tell(
+        if !is_valid {
+            return fail(
                 error::Kind::SpoiledAnswer,
-                "sent an answer that is not its own",
+                "sent an answer without signature or request id, or with an encoding",
             );
         }
     }
-    // To a caller these promise that the call has not run, which this upstream does not say.
-    let promises = [
+    // To a caller these mean that the call has not run, which this upstream has not stated.
+    let promised_not_run = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    if promises.contains(&head.status) {
-        return tell(error::Kind::UpstreamError, "failed while it ran the call");
+    if promised_not_run.contains(&head.status) {
+        return fail(error::Kind::UpstreamError, "failed while it ran the call");
     }
     Ok(())
 }
 
-fn load(names: &names::HeaderNames, headers: &HeaderMap) -> Option<fleet::Load> {
+fn parse_load(names: &names::HeaderNames, headers: &HeaderMap) -> Option<fleet::Load> {
     let text = headers.get(&names.load)?.to_str().ok()?;
     let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
     Some(fleet::Load {
@@ -251,13 +256,13 @@
     })
 }
 
-/// Finds out whether an upstream whose connection broke has crashed: it then refuses a new
-/// connection, or does not answer.
+/// Checks whether an upstream whose connection broke has crashed: it then refuses a new connection, or does
+/// not accept one in time.
 pub async fn has_crashed(addr: std::net::SocketAddr) -> bool {
     link::Link::connect(addr).await.is_err()
 }
 
 /// Time left until `until`.
-pub fn left(until: Instant) -> Duration {
+pub fn time_left(until: Instant) -> Duration {
     until.saturating_duration_since(Instant::now())
 }
--- a/fw-gate/src/request/turn.rs
+++ b/fw-gate/src/request/turn.rs
@@ -1,4 +1,4 @@
-//! A turn's chain and tokens, with the replicas.
+//! A turn's chain and token budget, which the replicas store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,67 +11,67 @@
 use super::call;
 use crate::process::{fleet, gate};
 
-/// Pause before replicas that could not say are asked again.
-const AGAIN: Duration = Duration::from_millis(60);
-/// How long replicas that cannot say are asked: a restart of one of them takes about as long.
-const PATIENCE: Duration = Duration::from_millis(600);
+/// Pause before a request to replicas that were unsure is repeated.
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// How long a request to unsure replicas is repeated: a restart of one of them takes about as long.
+const UNSURE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A turn under way: the tokens reserved for it, and where it runs. Dropped before it is stored, it
-/// is settled with what was handed out so far.
+/// A turn in progress: the tokens reserved for it, and the upstream that runs it. If dropped before it is
+/// stored, it is settled with the tokens that were forwarded so far.
 #[derive(Debug)]
 pub struct Turn {
     gate: Arc<gate::Gate>,
     /// `None` for a program without a budget.
     charge: Option<record::Charge>,
     lineage: affinity::Lineage,
-    ran: Option<affinity::Location>,
+    location: Option<affinity::Location>,
 }
 
 impl Turn {
-    /// The turn runs at `upstream`.
-    pub fn runs_at(&mut self, upstream: &id::UpstreamId) {
-        self.ran = Some(affinity::Location {
+    /// Records that the turn runs at `upstream`.
+    pub fn set_upstream(&mut self, upstream: &id::UpstreamId) {
+        self.location = Some(affinity::Location {
             lineage: self.lineage.clone(),
-            upstream: fleet::short(upstream),
+            upstream: fleet::short_hash(upstream),
         });
     }
 
-    /// The turn broke at the upstream that ran it. Its caller will send it again, through whichever
-    /// entry, and is not to meet the same upstream for the sake of its cache.
-    pub fn broke(&mut self) {
+    /// Records that the turn broke at its upstream. Its caller will send it again, through any entry, and
+    /// it should not be sent to the same upstream just because of the cached prompt.
+    pub fn mark_broken(&mut self) {
         self.gate
             .fleet
-            .told_last(&self.lineage, affinity::LastUpstreams::no_upstream());
-        self.ran = Some(affinity::Location {
+            .set_last_upstreams(&self.lineage, affinity::LastUpstreams::no_upstream());
+        self.location = Some(affinity::Location {
             lineage: self.lineage.clone(),
             upstream: affinity::NO_UPSTREAM,
         });
     }
 
-    /// The caller got `tokens` more.
-    pub fn hand_out(&mut self, tokens: id::Tokens) {
+    /// Counts `tokens` that were forwarded to the caller.
+    pub fn add_tokens(&mut self, tokens: id::Tokens) {
         if let Some(charge) = &mut self.charge {
             charge.tokens += tokens;
         }
     }
 
-    /// What came of it, with `record` if later turns may continue it; `None` if there is nothing to
-    /// tell.
+    /// The result for the replicas, with `record` if later turns may continue it; `None` if there is nothing
+    /// to report.
     fn settle(&mut self, record: Option<record::Turn>) -> Option<service::Finish> {
         let charge = self.charge.take().map(|charge| record::Charge {
             made: server::unix_ms(),
             ..charge
         });
-        let is_news = charge.is_some() || record.is_some();
-        is_news.then(|| service::Finish {
+        let is_needed = charge.is_some() || record.is_some();
+        is_needed.then(|| service::Finish {
             turn: record,
             charge,
-            location: self.ran.take(),
+            location: self.location.take(),
         })
     }
 
-    /// Stores the turn, if later ones may continue it, and settles its tokens. Returns whether the
-    /// turn is stored for good; a settlement alone is not waited for.
+    /// Stores the turn, if later ones may continue it, and settles its tokens. Returns whether the turn is
+    /// stored durably; a settlement without a turn is sent without waiting for it.
     pub async fn finish(mut self, record: Option<record::Turn>) -> bool {
         let Some(record) = record else { return true };
         let Some(req) = self.settle(Some(record.clone())) else {
@@ -93,20 +93,20 @@
     }
 }
 
-/// A turn that may run.
+/// A turn that is ready to run.
 #[derive(Debug)]
 pub struct Ready {
-    /// The whole input: the chain, then the turn's own.
+    /// The whole input: that of the chain, then the turn's own.
     pub body: Bytes,
-    /// Its tokens.
+    /// The turn, with its reserved tokens.
     pub turn: Turn,
 }
 
-/// Reserves the turn's tokens and puts its whole input together.
+/// Reserves the turn's tokens and assembles its whole input.
 ///
 /// # Errors
 ///
-/// `TokensSpent`, `UnknownTurn`, or `ReplicasUnsure` when too few replicas can say.
+/// `TokensSpent`, `UnknownTurn`, or `ReplicasUnsure` when too few replicas can decide.
 pub async fn begin(
     gate: &Arc<gate::Gate>,
     call: &call::Call,
@@ -115,7 +115,7 @@
     until: Instant,
 ) -> Result<Ready, error::Error> {
     let previous = call.previous.as_ref().filter(|_| kept);
-    let seen = gate.turns.chain(previous);
+    let cached = gate.turns.chain(previous);
     let reserve = reserve(call);
     let charge = reserve.as_ref().map(|reserve| record::Charge {
         program: reserve.program.clone(),
@@ -124,30 +124,30 @@
         settled: true,
         made: 0,
     });
-    // Made first: if the caller leaves meanwhile, dropping it takes the reservation back.
+    // Created before the request: if the caller disconnects meanwhile, dropping it cancels the reservation.
     let turn = Turn {
         gate: Arc::clone(gate),
         charge,
         lineage: call.lineage(),
-        ran: None,
+        location: None,
     };
-    let rest = if reserve.is_none() && seen.missing.is_none() {
+    let rest = if reserve.is_none() && cached.missing.is_none() {
         Vec::new()
     } else {
-        ask(gate, call, reserve, seen.missing, until).await?
+        request_chain(gate, call, reserve, cached.missing, until).await?
     };
     let rest: Vec<_> = rest.into_iter().map(Arc::new).collect();
     for record in &rest {
         gate.turns.put(Arc::clone(record));
     }
-    let chain: Vec<_> = seen.turns.into_iter().chain(rest).collect();
+    let chain: Vec<_> = cached.turns.into_iter().chain(rest).collect();
     Ok(Ready {
-        body: join(&chain, input),
+        body: concatenate(&chain, input),
         turn,
     })
 }
 
-async fn ask(
+async fn request_chain(
     gate: &Arc<gate::Gate>,
     call: &call::Call,
     reserve: Option<service::Reserve>,
@@ -155,27 +155,31 @@
     until: Instant,
 ) -> Result<Vec<record::Turn>, error::Error> {
     let lineage = call.lineage();
-    let patience = until.min(Instant::now() + PATIENCE);
+    let deadline = until.min(Instant::now() + UNSURE_TIMEOUT);
     loop {
         let load = service::Load {
             relay: gate.opts.relay,
             ..gate.fleet.load()
         };
-        let ask = client::BeginParams {
+        let params = client::BeginParams {
             reserve: reserve.clone(),
             newest: newest.clone(),
             load,
             lineage: lineage.clone(),
-            usage: call.team.as_ref().and_then(|team| gate.quotas.spent(team)),
+            usage: call
+                .team
+                .as_ref()
+                .and_then(|team| gate.quotas.team_usage(team)),
         };
-        let tell = |told: client::PeerReport<'_>| {
-            gate.fleet.told_others(told.calls);
-            gate.fleet.told_last(&lineage, told.last_upstreams);
-            if let (Some(team), Some(spent)) = (&call.team, &told.usage) {
-                gate.quotas.heard(team, spent);
+        let on_report = |report: client::PeerReport<'_>| {
+            gate.fleet.set_other_calls(report.calls);
+            gate.fleet
+                .set_last_upstreams(&lineage, report.last_upstreams);
+            if let (Some(team), Some(usage)) = (&call.team, &report.usage) {
+                gate.quotas.merge(team, usage);
             }
         };
-        let err = match gate.replicas.begin(ask, tell).await {
+        let err = match gate.replicas.begin(params, on_report).await {
             Ok(chain) => return Ok(chain),
             Err(err) => err,
         };
@@ -184,10 +188,10 @@
             client::Error::UnknownTurn { .. } => error::Kind::UnknownTurn,
             client::Error::Unsure { .. } => error::Kind::ReplicasUnsure,
         };
-        if kind != error::Kind::ReplicasUnsure || Instant::now() + AGAIN >= patience {
+        if kind != error::Kind::ReplicasUnsure || Instant::now() + RETRY_PAUSE >= deadline {
             return Err(error::Error::new(kind, err.to_string()));
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -195,14 +199,15 @@
     Some(service::Reserve {
         program: call.program.clone()?,
         turn: call.turn.clone(),
-        tokens: call.most_tokens,
+        tokens: call.max_tokens,
         budget: call.budget?,
         known: Vec::new(),
     })
 }
 
-/// The inputs and outputs of `chain`, which is newest first, from the oldest on, then `input`.
-fn join(chain: &[Arc<record::Turn>], input: &Bytes) -> Bytes {
+/// Concatenates the inputs and outputs of `chain`, which is sorted newest first, from the oldest turn on, and
+/// then `input`.
+fn concatenate(chain: &[Arc<record::Turn>], input: &Bytes) -> Bytes {
     if chain.is_empty() {
         return input.clone();
     }
--- a/fw-gate/tests/gate/main.rs
+++ b/fw-gate/tests/gate/main.rs
@@ -1,13 +1,13 @@
-//! The entry's parts that need no network.
+//! Tests of the entry that need no other process.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod api_keys;
 mod call_headers;
 mod event_split;
-mod first_moments;
-mod held_turns;
 mod route_choice;
 mod sent_calls;
-mod store_news;
+mod startup;
+mod store_updates;
 mod turn_cache;
 mod upstream_list;
+mod waiting_turns;
--- a/fw-gate/tests/gate/upstream_list.rs
+++ b/fw-gate/tests/gate/upstream_list.rs
@@ -1,9 +1,11 @@
-//! The list of upstreams.
+//! The list of upstreams, and the choice among them.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use fw_gate::process::fleet::{self, Change, Fleet, List, ListedUpstream, Load, Want, Warmth};
+use fw_gate::process::fleet::{
+    self, Affinity, Change, Criteria, Fleet, ListUpdate, ListedUpstream, Load,
+};
 use fw_plan::health::Observation;
 use fw_plan::{confirm, lapse};
 use fw_replica::affinity;
@@ -29,74 +31,76 @@
     )
 }
 
-/// A read that was made so many milliseconds ago.
-fn read(as_of: u64, ago: u64) -> Option<fleet::Read> {
+/// A read that was made `ago` milliseconds ago.
+fn read(as_of: u64, ago: u64) -> Option<fleet::StoreRead> {
     let ago = Duration::from_millis(ago);
-    Some(fleet::Read { as_of, ago })
+    Some(fleet::StoreRead { as_of, ago })
 }
 
 pub(crate) fn is_used(fleet: &Arc<Fleet>) -> bool {
-    fleet.choose(&"s".into(), &Want::default()).is_ok()
+    fleet.choose(&"s".into(), &Criteria::default()).is_ok()
 }
 
-// Guards against a service left empty by entries that lapsed while the store was away.
+// Guards against a service that loses all upstreams because their entries expired while the store was
+// unavailable.
 #[gtest]
 fn loses_a_lapsed_upstream_only_when_it_has_had_time_to_come_back() {
     let fleet = fleet();
-    fleet.apply(read(1, 10_000), List::Whole(vec![listed("x")]));
-    fleet.apply(read(2, 3_000), List::Whole(vec![]));
+    fleet.apply(read(1, 10_000), ListUpdate::Full(vec![listed("x")]));
+    fleet.apply(read(2, 3_000), ListUpdate::Full(vec![]));
     expect_true!(is_used(&fleet));
-    fleet.apply(read(2, 1_000), List::Changes(vec![]));
+    fleet.apply(read(2, 1_000), ListUpdate::Changes(vec![]));
     expect_true!(is_used(&fleet));
-    // Others are not told of it as of one that is listed.
+    // It is not published to other entries as listed.
     expect_that!(fleet.listing(), is_empty());
-    fleet.apply(read(2, 700), List::Changes(vec![]));
+    fleet.apply(read(2, 700), ListUpdate::Changes(vec![]));
     expect_false!(is_used(&fleet));
 }
 
-// Guards against one that comes back in time and is dropped all the same.
+// Guards against an upstream that is dropped although it was listed again in time.
 #[gtest]
 fn keeps_a_lapsed_upstream_that_is_back() {
     let fleet = fleet();
-    fleet.apply(read(1, 10_000), List::Whole(vec![listed("x")]));
-    fleet.apply(read(2, 3_000), List::Whole(vec![]));
+    fleet.apply(read(1, 10_000), ListUpdate::Full(vec![listed("x")]));
+    fleet.apply(read(2, 3_000), ListUpdate::Full(vec![]));
     fleet.apply(
         read(3, 2_000),
-        List::Changes(vec![Change::Put(listed("x"))]),
+        ListUpdate::Changes(vec![Change::Put(listed("x"))]),
     );
-    fleet.apply(read(3, 500), List::Changes(vec![]));
+    fleet.apply(read(3, 500), ListUpdate::Changes(vec![]));
     expect_true!(is_used(&fleet));
     expect_that!(fleet.listing().len(), eq(1));
 }
 
-// Guards against calls to an upstream that leaves moments after an outage.
+// Guards against calls to an upstream that leaves shortly after an outage.
 #[gtest]
 fn loses_an_upstream_at_once_that_leaves_after_an_outage() {
     let fleet = fleet();
-    fleet.apply(read(1, 10_000), List::Whole(vec![listed("x")]));
-    fleet.apply(read(2, 1_000), List::Whole(vec![listed("x")]));
+    fleet.apply(read(1, 10_000), ListUpdate::Full(vec![listed("x")]));
+    fleet.apply(read(2, 1_000), ListUpdate::Full(vec![listed("x")]));
     fleet.apply(
         read(3, 500),
-        List::Changes(vec![Change::Removed("x".into())]),
+        ListUpdate::Changes(vec![Change::Removed("x".into())]),
     );
     expect_false!(is_used(&fleet));
 }
 
-// Guards against an entry, cut off alone, that goes on to use what left meanwhile.
+// Guards against an entry that alone was cut off from the store and keeps using an upstream that left
+// meanwhile.
 #[gtest]
 fn loses_an_upstream_that_left_while_only_this_entry_was_cut_off() {
     let fleet = fleet();
-    fleet.apply(read(1, 10_000), List::Whole(vec![listed("x")]));
-    fleet.apply(read(9, 100), List::Whole(vec![]));
+    fleet.apply(read(1, 10_000), ListUpdate::Full(vec![listed("x")]));
+    fleet.apply(read(9, 100), ListUpdate::Full(vec![]));
     expect_true!(is_used(&fleet));
     fleet.note_reads(Duration::from_secs(60), Duration::from_millis(300));
-    fleet.apply(None, List::Changes(vec![]));
+    fleet.apply(None, ListUpdate::Changes(vec![]));
     expect_false!(is_used(&fleet));
 }
 
-// Guards against a late heartbeat that puts an upstream which is leaving back to use.
+// Guards against a late heartbeat that puts a leaving upstream back into use.
 #[gtest]
-fn takes_no_work_from_one_that_leaves_until_it_starts_anew() {
+fn gives_no_work_to_one_that_leaves_until_it_restarts() {
     let fleet = fleet();
     let leaving = ListedUpstream {
         takes_work: false,
@@ -122,19 +126,19 @@
         ..listed("y")
     });
     for _ in 0..20 {
-        let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
+        let lease = fleet.choose(&"s".into(), &Criteria::default()).unwrap();
         expect_that!(lease.id, eq("x"));
     }
     let avoid = ["x".into()];
-    let want = Want {
+    let criteria = Criteria {
         avoid: &avoid,
-        ..Want::default()
+        ..Criteria::default()
     };
-    expect_that!(fleet.choose(&"s".into(), &want), err(anything()));
+    expect_that!(fleet.choose(&"s".into(), &criteria), err(anything()));
 }
 
-// A call failed at the one upstream that is in use; the others are ejected, and may be back. Its caller
-// heard that there was no upstream, while a first call would have been sent to an ejected one.
+// A call fails at the only upstream in use; the others are ejected, but may have recovered. Guards against
+// refusing it for want of an upstream while a first attempt would be sent to an ejected one.
 #[gtest]
 fn sends_a_call_that_failed_to_an_ejected_one_if_there_is_no_other() {
     let fleet = fleet();
@@ -142,37 +146,37 @@
         fleet.put(listed(id));
     }
     for id in ["y", "z"] {
-        let lease = fleet.again(&"s".into(), &id.into()).unwrap();
-        lease.seen(Observation::Down);
+        let lease = fleet.lease_again(&"s".into(), &id.into()).unwrap();
+        lease.record_health(Observation::Down);
     }
-    let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
+    let lease = fleet.choose(&"s".into(), &Criteria::default()).unwrap();
     expect_that!(lease.id, eq("x"));
     let avoid = ["x".into()];
-    let want = Want {
+    let criteria = Criteria {
         avoid: &avoid,
-        ..Want::default()
+        ..Criteria::default()
     };
-    let lease = fleet.choose(&"s".into(), &want).unwrap();
+    let lease = fleet.choose(&"s".into(), &criteria).unwrap();
     expect_that!(lease.id, not(eq("x")));
 }
 
 #[gtest]
-fn forgets_what_a_restarted_one_was_like() {
-    // An upstream crashes and starts again under its id. What was known of it is its
-    // predecessor's: the load it told, and that it failed.
+fn resets_the_state_of_a_restarted_one() {
+    // An upstream crashes and restarts under the same id. The load that it reported and its failures are
+    // those of the previous process.
     let fleet = fleet();
     fleet.put(listed("x"));
     fleet.put(listed("y"));
-    let lease = fleet.again(&"s".into(), &"x".into()).unwrap();
-    lease.told(Load {
+    let lease = fleet.lease_again(&"s".into(), &"x".into()).unwrap();
+    lease.record_load(Load {
         running: 2,
         waiting: 30,
     });
     drop(lease);
     for _ in 0..10 {
-        let lease = fleet.choose(&"s".into(), &Want::default()).unwrap();
+        let lease = fleet.choose(&"s".into(), &Criteria::default()).unwrap();
         expect_that!(lease.id, eq("y"));
-        lease.seen(Observation::Answered);
+        lease.record_health(Observation::Answered);
     }
     fleet.put(ListedUpstream {
         started_at: 2,
@@ -181,7 +185,7 @@
     let ids: Vec<_> = (0..40)
         .map(|_| {
             fleet
-                .choose(&"s".into(), &Want::default())
+                .choose(&"s".into(), &Criteria::default())
                 .unwrap()
                 .id
                 .clone()
@@ -191,20 +195,20 @@
 }
 
 #[gtest]
-fn counts_calls_under_way() {
+fn counts_calls_in_flight() {
     let fleet = fleet();
     fleet.put(listed("x"));
     fleet.put(listed("y"));
     let leases: Vec<_> = (0..8)
-        .map(|_| fleet.choose(&"s".into(), &Want::default()).unwrap())
+        .map(|_| fleet.choose(&"s".into(), &Criteria::default()).unwrap())
         .collect();
     let at_x = leases.iter().filter(|lease| lease.id == "x").count();
     expect_that!(at_x, eq(4));
 }
 
 #[gtest]
-fn knows_the_calls_of_other_entries() {
-    // Two entries each send a burst to the same two upstreams. Without each other's calls both
+fn counts_the_calls_of_other_entries() {
+    // Two entries each send a burst to the same two upstreams. Unless they count each other's calls, both
     // begin with the same one, and calls queue there while the other is idle.
     let one = fleet();
     let two = fleet();
@@ -213,32 +217,32 @@
         fleet.put(listed("y"));
     }
     let busy: Vec<_> = (0..4)
-        .map(|_| one.again(&"s".into(), &"x".into()).unwrap())
+        .map(|_| one.lease_again(&"s".into(), &"x".into()).unwrap())
         .collect();
-    two.told_others(&one.load().calls);
+    two.set_other_calls(&one.load().calls);
     for _ in 0..3 {
-        let lease = two.choose(&"s".into(), &Want::default()).unwrap();
+        let lease = two.choose(&"s".into(), &Criteria::default()).unwrap();
         expect_that!(lease.id, eq("y"));
     }
     drop(busy);
     expect_that!(one.load().calls, is_empty());
 }
 
-fn turn(session: Option<&str>) -> Want<'static> {
+fn turn(session: Option<&str>) -> Criteria<'static> {
     let lineage = affinity::Lineage {
         session: session.map(Into::into),
         program: Some("p".into()),
     };
-    Want {
-        warmth: Warmth::Prompt {
+    Criteria {
+        affinity: Affinity::Prompt {
             lineage,
             tokens: 2_000,
         },
-        ..Want::default()
+        ..Criteria::default()
     }
 }
 
-/// A fleet of many upstreams, so that chance seldom hits the right one.
+/// A fleet of so many upstreams that a random choice rarely hits the right one.
 fn many() -> std::sync::Arc<Fleet> {
     let fleet = fleet();
     for at in 0..30 {
@@ -249,9 +253,9 @@
 
 #[gtest]
 fn follows_a_session_that_came_through_another_entry() {
-    // A person's second turn comes in through another entry than the first. That entry sent it
-    // anywhere, and the whole prompt was read again; on the larger site five of six turns missed
-    // the engine that had it.
+    // A session's second turn comes in through another entry than the first. Guards against that entry
+    // sending it to any upstream, where the whole prompt is prefilled again: at a large deployment five of six
+    // turns missed the engine that had it cached.
     let fleet = many();
     let lineage = affinity::Lineage {
         session: Some("s".into()),
@@ -259,19 +263,19 @@
     };
     for id in ["u7", "u21"] {
         let last = affinity::LastUpstreams {
-            session: Some(fleet::short(&id.into())),
+            session: Some(fleet::short_hash(&id.into())),
             program: None,
         };
-        fleet.told_last(&lineage, last);
+        fleet.set_last_upstreams(&lineage, last);
         let lease = fleet.choose(&"s".into(), &turn(Some("s"))).unwrap();
         expect_that!(lease.id, eq(id));
     }
 }
 
 #[gtest]
-fn is_not_led_astray_by_tools() {
-    // Between two turns a program calls tools, whose requests name the same session and program.
-    // They run at another service; where they ran says nothing about where the prompt is.
+fn ignores_where_tools_ran() {
+    // Between two turns a program calls tools, whose requests name the same session and program. They run at
+    // another service, so the upstreams that ran them do not have the prompt cached.
     let fleet = many();
     let tools = ListedUpstream {
         service: "tools".into(),
@@ -280,34 +284,34 @@
     fleet.put(tools);
     let first = fleet.choose(&"s".into(), &turn(Some("s"))).unwrap();
     let object = "17".into();
-    let call = Want {
-        warmth: Warmth::Object(&object),
-        ..Want::default()
+    let call = Criteria {
+        affinity: Affinity::Object(&object),
+        ..Criteria::default()
     };
     fleet.choose(&"tools".into(), &call).unwrap();
-    fleet.choose(&"tools".into(), &Want::default()).unwrap();
+    fleet.choose(&"tools".into(), &Criteria::default()).unwrap();
     let second = fleet.choose(&"s".into(), &turn(Some("s"))).unwrap();
     expect_that!(second.id, eq(&first.id));
 }
 
 #[gtest]
 fn agrees_with_other_entries_where_an_object_goes() {
-    // An upstream that lately handled an object is twice as fast. Entries that each choose for
-    // themselves spread the object over all upstreams, and none stays warm.
+    // An upstream that recently handled an object is twice as fast. If each entry chooses for itself, the
+    // object's calls are spread over all upstreams, and none keeps it cached.
     let object = "17".into();
-    let want = Want {
-        warmth: Warmth::Object(&object),
-        ..Want::default()
+    let criteria = Criteria {
+        affinity: Affinity::Object(&object),
+        ..Criteria::default()
     };
     let ids: Vec<_> = (0..5)
         .map(|_| {
             let fleet = many();
-            // The usual time of a call is known, some ten milliseconds.
-            let lease = fleet.choose(&"s".into(), &want).unwrap();
+            // Sets the mean duration of a call to some ten milliseconds.
+            let lease = fleet.choose(&"s".into(), &criteria).unwrap();
             std::thread::sleep(std::time::Duration::from_millis(20));
-            lease.done(None);
+            lease.complete(None);
             drop(lease);
-            fleet.choose(&"s".into(), &want).unwrap().id.clone()
+            fleet.choose(&"s".into(), &criteria).unwrap().id.clone()
         })
         .collect();
     expect_true!(ids.iter().all(|id| *id == ids[0]), "{ids:?}");
@@ -315,8 +319,8 @@
 
 #[gtest]
 fn follows_a_program_whose_sub_agents_come_through_another_entry() {
-    // A program begins at one entry; its sub-agents' turns come through others, which have seen
-    // nothing of it, and begin with the same prompt. All send them where the replicas say it ran.
+    // A program begins at one entry; its sub-agents' turns, which begin with the same prompt, come through
+    // others that have no record of it. All send them to the upstream at which it ran by the replicas' reports.
     let began = many();
     let lease = began.choose(&"s".into(), &turn(Some("main"))).unwrap();
     let lineage = affinity::Lineage {
@@ -325,11 +329,11 @@
     };
     let last = affinity::LastUpstreams {
         session: None,
-        program: Some(fleet::short(&lease.id)),
+        program: Some(fleet::short_hash(&lease.id)),
     };
     for agent in ["a1", "a2", "a3", "a4", "a5"] {
         let other = many();
-        other.told_last(&lineage, last);
+        other.set_last_upstreams(&lineage, last);
         let theirs = other.choose(&"s".into(), &turn(Some(agent))).unwrap();
         expect_that!(theirs.id, eq(&lease.id));
     }
@@ -337,25 +341,25 @@
 
 #[gtest]
 fn leaves_an_upstream_that_broke_a_turn() {
-    // An upstream resets the connections of all turns that it gets. The turn may not be sent again
-    // within its request; its caller returns, through whichever entry. As its session ran there
-    // before, every entry sent it there again, until the program had failed.
+    // An upstream resets the connections of all turns that it gets. Such a turn may not be repeated within its
+    // request, so its caller sends it again, through any entry. Guards against every entry sending it to the
+    // same upstream, because its session ran there, until the program fails.
     let fleet = many();
     let lineage = affinity::Lineage {
         session: Some("s".into()),
         program: Some("p".into()),
     };
-    let broken = fleet::short(&"u7".into());
+    let broken = fleet::short_hash(&"u7".into());
     let ran = affinity::LastUpstreams {
         session: Some(broken),
         program: Some(broken),
     };
-    fleet.told_last(&lineage, ran);
-    fleet.told_last(&lineage, affinity::LastUpstreams::no_upstream());
+    fleet.set_last_upstreams(&lineage, ran);
+    fleet.set_last_upstreams(&lineage, affinity::LastUpstreams::no_upstream());
     let ids: Vec<_> = (0..20)
         .map(|_| fleet.choose(&"s".into(), &turn(Some("s"))).unwrap())
         .collect();
     let there = ids.iter().filter(|lease| lease.id == "u7").count();
-    // Once by chance, or twice; then the session has a new place.
+    // Up to twice by chance; then the session has another upstream.
     expect_that!(there, le(2));
 }
