--- a/fw-keep/tests/keep/keeper_takeover.rs
+++ b/fw-keep/tests/keep/keeper_takeover.rs
@@ -301,7 +301,7 @@
     let client = fw_store::Client::new(fw_store::Options {
         endpoints: vec![fleet.store.endpoint(0)],
         timeout: Duration::from_millis(200),
-        watch_silence: Duration::from_secs(60),
+        watch_idle_timeout: Duration::from_secs(60),
         ..fw_store::Options::default()
     });
     let a = keeper::Keeper::open(client, Fleet::options("a"));
--- a/fw-keep/tests/keep/memory_store.rs
+++ b/fw-keep/tests/keep/memory_store.rs
@@ -35,10 +35,10 @@
         self.range(&kv::Range::one(key)).kvs.pop()
     }
 
-    pub fn range(&self, range: &kv::Range) -> kv::Ranged {
+    pub fn range(&self, range: &kv::Range) -> kv::RangeReply {
         match self.mvcc.read(&read(range)).unwrap() {
             mvcc::Reply::Got { kvs, .. } => got(kvs),
-            _ => kv::Ranged::default(),
+            _ => kv::RangeReply::default(),
         }
     }
 
@@ -102,11 +102,11 @@
         mvcc::Reply::Deleted(count) => kv::Reply::Deleted {
             count: i64::try_from(count).unwrap(),
         },
-        mvcc::Reply::Got { kvs, .. } => kv::Reply::Got(got(kvs)),
+        mvcc::Reply::Got { kvs, .. } => kv::Reply::Range(got(kvs)),
     }
 }
 
-fn got(kvs: Vec<mvcc::Kv>) -> kv::Ranged {
+fn got(kvs: Vec<mvcc::Kv>) -> kv::RangeReply {
     let kvs = kvs.into_iter().map(|kv| kv::Kv {
         key: String::from_utf8(kv.key).unwrap(),
         value: kv.value,
@@ -115,8 +115,8 @@
         version: kv.version,
         lease: kv.lease,
     });
-    kv::Ranged {
+    kv::RangeReply {
         kvs: kvs.collect(),
-        ..kv::Ranged::default()
+        ..kv::RangeReply::default()
     }
 }
--- a/fw-record/src/load.rs
+++ b/fw-record/src/load.rs
@@ -74,7 +74,7 @@
         match watch.next().await {
             Ok(batch) => take(holder, &batch),
             Err(err @ Error::Compacted { .. }) => return Err(err),
-            Err(err) if watch.age() > client.options().watch_silence => {
+            Err(err) if watch.age() > client.options().watch_idle_timeout => {
                 tracing::warn!(%err, age = ?watch.age(), "the watch of the records fails; they are read anew");
                 return Err(err);
             }
--- a/fw-record/tests/record/main.rs
+++ b/fw-record/tests/record/main.rs
@@ -30,7 +30,7 @@
     client::Client::new(client::Options {
         endpoints: store.endpoints(),
         timeout: Duration::from_millis(300),
-        watch_silence: Duration::from_secs(1),
+        watch_idle_timeout: Duration::from_secs(1),
         watch_backoff: Duration::from_millis(20),
     })
 }
--- a/fw-store/src/client.rs
+++ b/fw-store/src/client.rs
@@ -41,7 +41,7 @@
     pub timeout: Duration,
     /// Longest silence on a watch before its connection is given up. Must exceed the interval of
     /// the store's progress notifications, or idle watches are opened anew each time.
-    pub watch_silence: Duration,
+    pub watch_idle_timeout: Duration,
     /// Pause before a failed watch is opened again.
     pub watch_backoff: Duration,
 }
@@ -51,7 +51,7 @@
         Self {
             endpoints: Vec::new(),
             timeout: Duration::from_secs(2),
-            watch_silence: Duration::from_secs(2),
+            watch_idle_timeout: Duration::from_secs(2),
             watch_backoff: Duration::from_millis(200),
         }
     }
@@ -101,9 +101,9 @@
     /// # Errors
     ///
     /// When no endpoint answers in time.
-    pub async fn range(&self, range: &kv::Range) -> Result<kv::Ranged> {
+    pub async fn range(&self, range: &kv::Range) -> Result<kv::RangeReply> {
         let req = codec::range(range);
-        let read = self.unary::<codec::RawRanged>("range", RANGE, &req, Repeat::Read);
+        let read = self.unary::<codec::RawRangeReply>("range", RANGE, &req, Repeat::Read);
         read.await?.decode()
     }
 
--- a/fw-store/src/codec.rs
+++ b/fw-store/src/codec.rs
@@ -65,7 +65,7 @@
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-pub(crate) struct RawRanged {
+pub(crate) struct RawRangeReply {
     header: Header,
     kvs: Vec<RawKv>,
     more: bool,
@@ -81,7 +81,7 @@
 #[serde(default)]
 struct RawReply {
     response_put: Option<serde::de::IgnoredAny>,
-    response_range: Option<RawRanged>,
+    response_range: Option<RawRangeReply>,
     response_delete_range: Option<RawDeleted>,
 }
 
@@ -153,11 +153,11 @@
     }
 }
 
-impl RawRanged {
-    pub(crate) fn decode(self) -> Result<kv::Ranged> {
+impl RawRangeReply {
+    pub(crate) fn decode(self) -> Result<kv::RangeReply> {
         let revision = self.header.revision()?;
         let kvs = self.kvs.into_iter().map(RawKv::decode);
-        Ok(kv::Ranged {
+        Ok(kv::RangeReply {
             kvs: kvs.collect::<Result<_>>()?,
             revision,
             more: self.more,
@@ -167,8 +167,8 @@
 
 impl RawReply {
     fn decode(self) -> Result<kv::Reply> {
-        if let Some(ranged) = self.response_range {
-            return ranged.decode().map(kv::Reply::Got);
+        if let Some(range_reply) = self.response_range {
+            return range_reply.decode().map(kv::Reply::Range);
         }
         if let Some(deleted) = self.response_delete_range {
             let count = deleted.deleted.0;
--- a/fw-store/src/kv.rs
+++ b/fw-store/src/kv.rs
@@ -56,7 +56,7 @@
 
 /// What a [`Range`] found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ranged {
+pub struct RangeReply {
     /// The keys in ascending order.
     pub kvs: Vec<Kv>,
     /// Revision of the store when it answered.
@@ -159,7 +159,7 @@
         count: i64,
     },
     /// Keys were read.
-    Got(Ranged),
+    Range(RangeReply),
 }
 
 /// What a [`Txn`] did.
@@ -178,7 +178,7 @@
     /// The keys that all reads of the transaction returned, in order.
     pub fn into_kvs(self) -> Vec<Kv> {
         let got = self.responses.into_iter().filter_map(|reply| match reply {
-            Reply::Got(ranged) => Some(ranged.kvs),
+            Reply::Range(range_reply) => Some(range_reply.kvs),
             Reply::Put | Reply::Deleted { .. } => None,
         });
         got.flatten().collect()
--- a/fw-store/src/watch.rs
+++ b/fw-store/src/watch.rs
@@ -130,7 +130,7 @@
 
     async fn advance(&mut self) -> Result<Batch> {
         loop {
-            let silence = self.client.options().watch_silence;
+            let silence = self.client.options().watch_idle_timeout;
             match &mut self.state {
                 State::Closed { retry_at } => {
                     if let Some(at) = *retry_at {
--- a/fw-store/tests/store/main.rs
+++ b/fw-store/tests/store/main.rs
@@ -26,7 +26,7 @@
     client::Client::new(client::Options {
         endpoints,
         timeout: TIMEOUT,
-        watch_silence: Duration::from_millis(600),
+        watch_idle_timeout: Duration::from_millis(600),
         watch_backoff: Duration::from_millis(20),
     })
 }
