--- a/fw-gate/src/connection/link.rs
+++ b/fw-gate/src/connection/link.rs
@@ -52,7 +52,7 @@
         TcpSocket::new_v6()?
     };
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, fresh.connect(addr)).await??;
-    socket::watch_silence(&socket2::SockRef::from(&stream))?;
+    socket::set_options(&socket2::SockRef::from(&stream))?;
     Ok(stream)
 }
 
--- a/fw-http/src/lib.rs
+++ b/fw-http/src/lib.rs
@@ -128,9 +128,9 @@
         connector.set_connect_timeout(Some(opts.connect_timeout));
         connector.set_nodelay(true);
         // A pooled connection that went silent must not take calls until each has timed out.
-        connector.set_keepalive(Some(socket::PROBE));
-        connector.set_keepalive_interval(Some(socket::PROBE));
-        connector.set_keepalive_retries(Some(socket::PROBES));
+        connector.set_keepalive(Some(socket::KEEPALIVE_INTERVAL));
+        connector.set_keepalive_interval(Some(socket::KEEPALIVE_INTERVAL));
+        connector.set_keepalive_retries(Some(socket::KEEPALIVE_RETRIES));
         let pool = legacy::Client::builder(rt::TokioExecutor::new())
             .pool_timer(rt::TokioTimer::new())
             .pool_idle_timeout(opts.idle_timeout)
--- a/fw-replica/src/relay.rs
+++ b/fw-replica/src/relay.rs
@@ -47,7 +47,7 @@
     };
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, tries).await.ok()??;
     // Fails only on a closed socket, which the first call reports.
-    let _ = socket::watch_silence(&socket2::SockRef::from(&stream));
+    let _ = socket::set_options(&socket2::SockRef::from(&stream));
     Some(stream)
 }
 
@@ -82,7 +82,7 @@
 }
 
 async fn forward(mut from: TcpStream, client: &client::Client) -> Option<()> {
-    let _ = socket::watch_silence(&socket2::SockRef::from(&from));
+    let _ = socket::set_options(&socket2::SockRef::from(&from));
     let mut header = [0; 7];
     let read = tokio::time::timeout(TARGET_TIMEOUT, from.read_exact(&mut header)).await;
     read.ok()?.ok()?;
--- a/fw-replica/src/serve.rs
+++ b/fw-replica/src/serve.rs
@@ -107,7 +107,7 @@
             continue;
         };
         // Fails only on a closed socket, which the first read reports.
-        let _ = socket::watch_silence(&socket2::SockRef::from(&stream));
+        let _ = socket::set_options(&socket2::SockRef::from(&stream));
         let transport =
             tarpc::serde_transport::new(codec::framed(stream), codec::Postcard::default());
         let calls = BaseChannel::with_defaults(transport)
