--- a/fw-base/src/error.rs
+++ b/fw-base/src/error.rs
@@ -204,7 +204,7 @@
     ///
     /// A last try that was refused did not run; told alone it would say "not run" of a call that
     /// an earlier try may have run.
-    pub fn after(self, earlier: Option<Self>) -> Self {
+    pub fn merge_earlier(self, earlier: Option<Self>) -> Self {
         match earlier {
             Some(earlier) if self.ran() == Ran::No && earlier.ran() != Ran::No => Self {
                 retry_after: self.retry_after,
--- a/fw-entry/src/process/held.rs
+++ b/fw-entry/src/process/held.rs
@@ -17,7 +17,7 @@
 /// The turns, in the order in which a successor can take them.
 #[derive(Debug, Default)]
 pub struct Held {
-    turns: Mutex<BTreeMap<peer::HeldPlace, side::Held>>,
+    turns: Mutex<BTreeMap<peer::HeldCursor, side::Held>>,
 }
 
 impl Held {
@@ -36,7 +36,7 @@
     pub fn reply(
         &self,
         shards: &HashSet<id::ShardId>,
-        after: Option<peer::HeldPlace>,
+        after: Option<peer::HeldCursor>,
     ) -> side::HeldReply {
         let turns = self.turns.lock();
         let mut reply = side::HeldReply::default();
--- a/fw-entry/src/process/keepers.rs
+++ b/fw-entry/src/process/keepers.rs
@@ -105,7 +105,7 @@
         if !lookup::should_retry(miss, waited, silence, &opts) {
             let may_have_run = received.is_some();
             tracing::warn!(entry = %entry.id, shard, reason, ?waited, ?silence, may_have_run, "no keeper was found in time");
-            return Err(entry.keeper.unavailable_error().after(received));
+            return Err(entry.keeper.unavailable_error().merge_earlier(received));
         }
         entry.keeper.prioritize(shard);
         tokio::time::sleep(PAUSE).await;
--- a/fw-entry/src/request/follow.rs
+++ b/fw-entry/src/request/follow.rs
@@ -183,7 +183,7 @@
             .saturating_duration_since(tokio::time::Instant::now());
         let accepted = submit::at_keeper(&self.entry, &self.req).await;
         // Whatever refuses it now: it was accepted before, so it may have run.
-        let accepted = accepted.map_err(|err| err.after(Some(keepers::lost())))?;
+        let accepted = accepted.map_err(|err| err.merge_earlier(Some(keepers::lost())))?;
         self.place = accepted.place;
         self.restart(accepted.attempt)
     }
--- a/fw-entry/src/request/plain.rs
+++ b/fw-entry/src/request/plain.rs
@@ -112,7 +112,7 @@
                 service.lock().hedge.observe(started.elapsed());
                 return Ok(answer);
             }
-            Err(err) => err.after(earlier),
+            Err(err) => err.merge_earlier(earlier),
         };
         let failure = retry::Failure {
             kind: err.kind,
--- a/fw-entry/src/turn/run.rs
+++ b/fw-entry/src/turn/run.rs
@@ -139,7 +139,7 @@
                 Err(err) => err,
             };
             let after = self.decide(tried, &err);
-            let err = err.after(earlier);
+            let err = err.merge_earlier(earlier);
             let after = after.ok_or(err.clone())?;
             tokio::time::sleep(after).await;
             earlier = Some(err);
--- a/fw-entry/src/turn/upstream.rs
+++ b/fw-entry/src/turn/upstream.rs
@@ -55,7 +55,7 @@
     /// The kind tells whether the turn may have run there.
     pub async fn run(mut self) -> Result<attempt::Finish, error::Error> {
         self.start().await?;
-        self.buf.running();
+        self.buf.mark_running();
         self.read().await
     }
 
--- a/fw-gate/src/request/attempt.rs
+++ b/fw-gate/src/request/attempt.rs
@@ -79,7 +79,7 @@
         loop {
             let lease = match self.choose(&attempts).await {
                 Ok(lease) => lease,
-                Err(err) => return Err(err.after(attempts.earlier.take())),
+                Err(err) => return Err(err.merge_earlier(attempts.earlier.take())),
             };
             let (upstream, addr, list_state) = (lease.id.clone(), lease.addr, lease.list_state);
             let finished = match self.send(lease).await {
@@ -220,7 +220,7 @@
             retry::Outcome::GiveUp { reason } => {
                 metrics::counter!("fw_gate_given_up_total", "reason" => reason.label())
                     .increment(1);
-                Err(err.after(attempts.earlier.take()))
+                Err(err.merge_earlier(attempts.earlier.take()))
             }
         }
     }
--- a/fw-side/src/request/run.rs
+++ b/fw-side/src/request/run.rs
@@ -61,7 +61,7 @@
     let start = &attempt.start;
     core.sessions
         .begin(&start.program, start.shard, Instant::now());
-    attempt.buffer.running();
+    attempt.buffer.mark_running();
     let mut run = Run {
         name: name_of(start.attempt),
         core: &core,
--- a/fw-wire/src/buffer.rs
+++ b/fw-wire/src/buffer.rs
@@ -49,7 +49,7 @@
     }
 
     /// Notes that the attempt was released into the engine.
-    pub fn running(&self) {
+    pub fn mark_running(&self) {
         self.change(|inner| inner.state = attempt::State::Running);
     }
 
--- a/fw-wire/src/peer.rs
+++ b/fw-wire/src/peer.rs
@@ -226,8 +226,8 @@
     /// The shards, with the sender's fencing numbers.
     pub shards: Vec<(id::ShardId, id::Fence)>,
     /// Place of the last turn that an earlier reply brought.
-    pub after: Option<HeldPlace>,
+    pub after: Option<HeldCursor>,
 }
 
 /// Place of a held turn among those that an entry holds.
-pub type HeldPlace = (id::Turn, id::AttemptId);
+pub type HeldCursor = (id::Turn, id::AttemptId);
