--- a/fw-follow/src/lib.rs
+++ b/fw-follow/src/lib.rs
@@ -156,9 +156,9 @@
     }
 }
 
-/// Follows `area` for ever by `schedule`, and hands each step to `apply`.
+/// Follows `source` for ever by `schedule`, and hands each event to `apply`.
 pub async fn follow<A: Source>(
-    area: A,
+    source: A,
     opts: Options,
     schedule: impl Schedule,
     mut apply: impl FnMut(Event<A::Change>),
@@ -166,78 +166,80 @@
     let mut follower = Follower::new(opts);
     loop {
         let due = schedule.wait_due().await;
-        follower.begin(due);
+        follower.start_read(due);
         let outcome = tokio::select! {
             // After a standstill both may be ready.
             biased;
-            read = follower.read(&area, due) => Some(read),
-            () = follower.late(&schedule) => None,
+            read = follower.read(&source, due) => Some(read),
+            () = follower.wait_late(&schedule) => None,
         };
-        let step = match outcome {
-            Some(Ok(read)) => Some(follower.took(read)),
+        let event = match outcome {
+            Some(Ok(read)) => Some(follower.record_success(read)),
             Some(Err(Error::HistoryGone { after })) => {
-                follower.history_gone(after);
+                follower.record_history_gone(after);
                 None
             }
             Some(Err(err)) => {
                 schedule.read_failed();
-                follower.failed(&err)
+                follower.record_failure(&err)
             }
             None => {
                 schedule.read_unanswered();
-                follower.gave_up();
+                follower.record_late();
                 None
             }
         };
-        if let Some(step) = step {
-            apply(step);
+        if let Some(event) = event {
+            apply(event);
         }
         follower.pause(&schedule).await;
     }
 }
 
 /// Reads in a row that are asked again while somebody waits for them.
-const UNANSWERED: u32 = 3;
+const MAX_URGENT_RETRIES: u32 = 3;
 
 /// A time between a half of `most` and `most`.
-fn jitter(most: Duration) -> Duration {
-    most.mul_f64(rand::random_range(0.5..=1.0))
+fn jitter(max: Duration) -> Duration {
+    max.mul_f64(rand::random_range(0.5..=1.0))
 }
 
 struct Follower {
     opts: Options,
     /// Revision of the last read; `None` means that everything has to be read.
-    at: Option<Revision>,
+    revision: Option<Revision>,
     failures: u32,
     /// Reads in a row that were late and asked again.
-    given_up: u32,
-    begun: Instant,
+    late_reads: u32,
+    started_at: Instant,
 }
 
 impl Follower {
     fn new(opts: Options) -> Self {
         Self {
             opts,
-            at: None,
+            revision: None,
             failures: 0,
-            given_up: 0,
-            begun: Instant::now(),
+            late_reads: 0,
+            started_at: Instant::now(),
         }
     }
 
-    fn begin(&mut self, due: Due) {
-        self.begun = Instant::now();
-        self.at = self.at.map(|at| at.max(due.received_revision));
+    fn start_read(&mut self, due: Due) {
+        self.started_at = Instant::now();
+        self.revision = self
+            .revision
+            .map(|revision| revision.max(due.received_revision));
     }
 
-    async fn read<A: Source>(&self, area: &A, due: Due) -> Result<Read<A::Change>, Error> {
+    async fn read<A: Source>(&self, source: &A, due: Due) -> Result<Read<A::Change>, Error> {
         let wait = match due.is_urgent {
             true => Duration::ZERO,
             false => self.opts.long_poll,
         };
-        match self.at {
-            None => area.read_all().await,
-            Some(after) => area.read_changes(after, wait).await,
+        match self.revision {
+            None => source.read_all().await,
+            Some(after) => source.read_changes(after, wait).await,
         }
     }
 
@@ -245,8 +247,8 @@
     ///
     /// Whoever waits gives up after a few, at all followers in the same moment. The read that is under way then is
     /// asked again after a time drawn by each, so that they do not all hang when the store returns.
-    async fn late(&self, schedule: &impl Schedule) {
-        match self.given_up.cmp(&UNANSWERED) {
+    async fn wait_late(&self, schedule: &impl Schedule) {
+        match self.late_reads.cmp(&MAX_URGENT_RETRIES) {
             Ordering::Less => {
                 tokio::time::sleep(self.opts.urgent_timeout).await;
                 schedule.wait_urgent().await;
@@ -257,37 +259,37 @@
     }
 
     /// The read under way is dropped, and its connection with it.
-    fn gave_up(&mut self) {
-        self.given_up += 1;
+    fn record_late(&mut self) {
+        self.late_reads += 1;
         metrics::counter!("fw_follow_late_total").increment(1);
-        let ms = self.begun.elapsed().as_millis() as u64;
+        let ms = self.started_at.elapsed().as_millis() as u64;
         tracing::info!(
             ms,
             "a read of the platform's store is late; it is asked again"
         );
     }
 
-    fn took<C>(&mut self, read: Read<C>) -> Event<C> {
+    fn record_success<C>(&mut self, read: Read<C>) -> Event<C> {
         if std::mem::take(&mut self.failures) > 0 {
             tracing::info!(as_of = read.as_of, "the platform's store answers again");
         }
-        self.given_up = 0;
+        self.late_reads = 0;
         let Read { changes, as_of } = read;
-        match self.at.replace(as_of) {
+        match self.revision.replace(as_of) {
             None => Event::Snapshot { changes, as_of },
             Some(_) => Event::Update { changes, as_of },
         }
     }
 
-    fn history_gone(&mut self, after: Revision) {
+    fn record_history_gone(&mut self, after: Revision) {
         tracing::info!(after, "the store dropped its history; all is read again");
-        self.at = None;
+        self.revision = None;
     }
 
-    fn failed<C>(&mut self, err: &Error) -> Option<Event<C>> {
+    fn record_failure<C>(&mut self, err: &Error) -> Option<Event<C>> {
         self.failures += 1;
         // What was written meanwhile may have been dropped from the history.
-        self.at = None;
+        self.revision = None;
         metrics::counter!("fw_follow_failures_total").increment(1);
         if self.failures > 1 {
             return None;
@@ -298,22 +300,22 @@
 
     /// Waits between two reads; not for long while somebody waits for one.
     async fn pause(&self, schedule: &impl Schedule) {
-        let usual = if self.failures > 0 {
-            let doubled = self.opts.initial_backoff * (1 << (self.failures - 1).min(8));
+        let scheduled_at = if self.failures > 0 {
+            let backoff = self.opts.initial_backoff * (1 << (self.failures - 1).min(8));
             // Followers that fail together would all pause when the store returns.
-            Instant::now() + jitter(doubled.min(self.opts.max_backoff))
-        } else if self.at.is_some() {
-            self.begun + self.opts.interval
+            Instant::now() + jitter(backoff.min(self.opts.max_backoff))
+        } else if self.revision.is_some() {
+            self.started_at + self.opts.interval
         } else {
             return;
         };
-        let wanted = async {
-            tokio::time::sleep_until(self.begun + self.opts.urgent_interval).await;
+        let urgent = async {
+            tokio::time::sleep_until(self.started_at + self.opts.urgent_interval).await;
             schedule.wait_urgent().await;
         };
         tokio::select! {
-            () = tokio::time::sleep_until(usual) => {}
-            () = wanted => {}
+            () = tokio::time::sleep_until(scheduled_at) => {}
+            () = urgent => {}
         }
     }
 }
--- a/fw-store/src/client.rs
+++ b/fw-store/src/client.rs
@@ -73,7 +73,7 @@
 
 /// Whether a call may be sent again after its answer was lost.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Repeat {
+enum CallKind {
     Read,
     Write,
 }
@@ -103,7 +103,7 @@
     /// When no endpoint answers in time.
     pub async fn range(&self, range: &kv::Range) -> Result<kv::RangeReply> {
         let req = codec::range(range);
-        let read = self.unary::<codec::RawRangeReply>("range", RANGE, &req, Repeat::Read);
+        let read = self.unary::<codec::RawRangeReply>("range", RANGE, &req, CallKind::Read);
         read.await?.decode()
     }
 
@@ -114,12 +114,12 @@
     /// [`Error::may_have_applied`] tells whether it may have taken effect.
     pub async fn txn(&self, txn: &kv::Txn) -> Result<kv::TxnOutcome> {
         let req = codec::txn(txn);
-        let repeat = if txn.can_write() {
-            Repeat::Write
+        let kind = if txn.can_write() {
+            CallKind::Write
         } else {
-            Repeat::Read
+            CallKind::Read
         };
-        let done = self.unary::<codec::RawTxnOutcome>("txn", TXN, &req, repeat);
+        let done = self.unary::<codec::RawTxnOutcome>("txn", TXN, &req, kind);
         done.await?.decode()
     }
 
@@ -132,9 +132,9 @@
         let secs = ttl.as_millis().div_ceil(1000).max(1);
         let req = json!({ "TTL": secs.to_string() });
         let lease: codec::RawLease = self
-            .unary("lease_grant", LEASE_GRANT, &req, Repeat::Write)
+            .unary("lease_grant", LEASE_GRANT, &req, CallKind::Write)
             .await?;
-        lease_of(&lease)
+        decode_lease(&lease)
     }
 
     /// Renews a lease.
@@ -146,12 +146,12 @@
         let req = json!({ "ID": id.to_string() });
         // Renewing twice does no harm, hence tried like a read.
         let line: codec::Line<codec::RawLease> = self
-            .unary("lease_keep_alive", LEASE_KEEP_ALIVE, &req, Repeat::Read)
+            .unary("lease_keep_alive", LEASE_KEEP_ALIVE, &req, CallKind::Read)
             .await?;
         match line.result {
             Some(lease) if lease.id.0 != id => Err(codec::malformed("ID", &lease.id.0)),
             Some(lease) if lease.ttl.0 == 0 => Err(Error::LeaseGone { id }),
-            Some(lease) => lease_of(&lease),
+            Some(lease) => decode_lease(&lease),
             None => Err(refusal(200, line.error.unwrap_or_default())),
         }
     }
@@ -164,7 +164,7 @@
     pub async fn revoke(&self, id: kv::LeaseId) -> Result<()> {
         let req = json!({ "ID": id.to_string() });
         let done = self
-            .unary::<serde::de::IgnoredAny>("lease_revoke", LEASE_REVOKE, &req, Repeat::Read)
+            .unary::<serde::de::IgnoredAny>("lease_revoke", LEASE_REVOKE, &req, CallKind::Read)
             .await;
         match done {
             Ok(_) => Ok(()),
@@ -184,37 +184,37 @@
     }
 
     /// Posts `req` and reads the JSON of the answer.
-    async fn unary<T>(&self, op: &'static str, path: &str, req: &Value, repeat: Repeat) -> Result<T>
+    async fn unary<T>(&self, op: &'static str, path: &str, req: &Value, kind: CallKind) -> Result<T>
     where
         T: for<'de> Deserialize<'de>,
     {
-        let answer = self.tries(op, path, req, repeat).await?;
+        let answer = self.call_with_retries(op, path, req, kind).await?;
         codec::parse(&answer)
     }
 
-    async fn tries(
+    async fn call_with_retries(
         &self,
         op: &'static str,
         path: &str,
         req: &Value,
-        repeat: Repeat,
+        kind: CallKind,
     ) -> Result<bytes::Bytes> {
         let endpoints = self.shared.opts.endpoints.len();
-        let tries = match repeat {
-            Repeat::Read => endpoints.max(MIN_READ_TRIES),
-            Repeat::Write => endpoints,
+        let tries = match kind {
+            CallKind::Read => endpoints.max(MIN_READ_TRIES),
+            CallKind::Write => endpoints,
         };
         for _ in 1..tries {
-            match self.once(op, path, req).await {
-                Err(err) if is_worth_another(&err, repeat) => (),
+            match self.call_once(op, path, req).await {
+                Err(err) if should_retry(&err, kind) => (),
                 result => return result,
             }
         }
-        self.once(op, path, req).await
+        self.call_once(op, path, req).await
     }
 
     /// One try on the endpoint whose turn it is.
-    async fn once(&self, op: &'static str, path: &str, req: &Value) -> Result<bytes::Bytes> {
+    async fn call_once(&self, op: &'static str, path: &str, req: &Value) -> Result<bytes::Bytes> {
         let (index, uri) = self.endpoint(path);
         let pool = self.shared.pool.read().clone();
         let result = match pool.post_json(&uri, req).await {
@@ -227,7 +227,7 @@
         };
         count(op, result.as_ref().err());
         if let Err(err) = &result {
-            self.note_failure(index, err);
+            self.record_failure(index, err);
         }
         result
     }
@@ -243,7 +243,7 @@
         let result = open_stream(&pool, &uri, req).await;
         count("watch", result.as_ref().err());
         if let Err(err) = &result {
-            self.note_failure(index, err);
+            self.record_failure(index, err);
         }
         result
     }
@@ -261,7 +261,7 @@
     /// A connection that went silent looks idle and sound, and every call on it times out while
     /// new connections work. After one lost answer the whole pool is replaced, so that at most one
     /// call finds out the hard way.
-    fn note_failure(&self, index: usize, err: &Error) {
+    fn record_failure(&self, index: usize, err: &Error) {
         let endpoints = self.shared.opts.endpoints.len().max(1);
         let next = (index + 1) % endpoints;
         let first = &self.shared.first;
@@ -297,11 +297,11 @@
     Ok(answer)
 }
 
-fn is_worth_another(err: &Error, repeat: Repeat) -> bool {
-    match (err, repeat) {
+fn should_retry(err: &Error, kind: CallKind) -> bool {
+    match (err, kind) {
         (Error::Unreachable { .. }, _) => true,
-        (Error::AnswerLost { .. }, Repeat::Read) => true,
-        (Error::Refused { .. }, Repeat::Read) => err.may_have_applied(),
+        (Error::AnswerLost { .. }, CallKind::Read) => true,
+        (Error::Refused { .. }, CallKind::Read) => err.may_have_applied(),
         _ => false,
     }
 }
@@ -324,7 +324,7 @@
     }
 }
 
-fn lease_of(raw: &codec::RawLease) -> Result<kv::Lease> {
+fn decode_lease(raw: &codec::RawLease) -> Result<kv::Lease> {
     if raw.id.0 == 0 {
         return Err(codec::malformed("ID", &raw.id.0));
     }
--- a/fw-store/src/watch.rs
+++ b/fw-store/src/watch.rs
@@ -59,7 +59,7 @@
     /// First revision not yet delivered; 0 until the first answer if it is to start from now.
     next_revision: id::Revision,
     /// When all changes up to `next_revision` were last known to be delivered.
-    told_at: Instant,
+    last_update_at: Instant,
     state: State,
 }
 
@@ -67,16 +67,16 @@
 /// drops it again and again, as `select!` does, still gets to a connection and to its silence.
 enum State {
     Closed { retry_at: Option<Instant> },
-    Opening(BoxFuture<'static, Result<Open>>),
-    Open(Open),
+    Opening(BoxFuture<'static, Result<Connection>>),
+    Open(Connection),
 }
 
-struct Open {
+struct Connection {
     body: Incoming,
     buf: BytesMut,
     /// Bytes of `buf` known to hold no end of line.
     scanned: usize,
-    heard_at: Instant,
+    last_received_at: Instant,
 }
 
 impl Watch {
@@ -85,7 +85,7 @@
             client,
             prefix,
             next_revision: from,
-            told_at: Instant::now(),
+            last_update_at: Instant::now(),
             state: State::Closed { retry_at: None },
         }
     }
@@ -115,7 +115,7 @@
     /// A watch that cannot be opened tries again for ever, with more to be told each time. What it
     /// follows is to be read anew once this age is too great for its use.
     pub fn age(&self) -> Duration {
-        self.told_at.elapsed()
+        self.last_update_at.elapsed()
     }
 
     /// The watch as a stream; it ends after [`Error::Compacted`].
@@ -130,21 +130,21 @@
 
     async fn advance(&mut self) -> Result<Batch> {
         loop {
-            let silence = self.client.options().watch_idle_timeout;
+            let idle_timeout = self.client.options().watch_idle_timeout;
             match &mut self.state {
                 State::Closed { retry_at } => {
                     if let Some(at) = *retry_at {
                         tokio::time::sleep_until(at).await;
                     }
-                    self.state = State::Opening(self.opening());
+                    self.state = State::Opening(self.open());
                 }
                 State::Opening(opening) => self.state = State::Open(opening.await?),
-                State::Open(open) => {
-                    let message = open.message(silence).await;
+                State::Open(connection) => {
+                    let message = connection.next_message(idle_timeout).await;
                     if message.is_err() {
                         self.client.renew_connections();
                     }
-                    if let Some(batch) = self.take(message?)? {
+                    if let Some(batch) = self.handle_message(message?)? {
                         return Ok(batch);
                     }
                 }
@@ -152,30 +152,30 @@
         }
     }
 
-    fn opening(&self) -> BoxFuture<'static, Result<Open>> {
+    fn open(&self) -> BoxFuture<'static, Result<Connection>> {
         let client = self.client.clone();
         let req = codec::watch(&self.prefix, self.next_revision);
         async move {
             let answer = client.open(client::WATCH, &req).await?;
-            Ok(Open {
+            Ok(Connection {
                 body: answer.into_body(),
                 buf: BytesMut::new(),
                 scanned: 0,
-                heard_at: Instant::now(),
+                last_received_at: Instant::now(),
             })
         }
         .boxed()
     }
 
     /// Turns a message into a batch; `None` for the confirmation of a new watch.
-    fn take(&mut self, message: codec::RawWatch) -> Result<Option<Batch>> {
+    fn handle_message(&mut self, message: codec::RawWatch) -> Result<Option<Batch>> {
         let compacted = message.compact_revision.0;
         if compacted > 0 {
             let revision = compacted;
             return Err(Error::Compacted { revision });
         }
         if message.canceled {
-            return ended(&message.cancel_reason);
+            return watch_ended(&message.cancel_reason);
         }
         let revision = message.header.revision()?;
         if message.created && message.events.is_empty() {
@@ -194,43 +194,43 @@
         self.next_revision = before.max(revision + 1);
         let is_new = |event: &Event| event.kv.mod_revision >= before;
         let events = events.into_iter().filter(is_new).collect();
-        self.told_at = Instant::now();
+        self.last_update_at = Instant::now();
         Ok(Some(Batch { revision, events }))
     }
 }
 
-impl Open {
+impl Connection {
     /// The next message, or an error if the connection ended or stayed silent for too long.
     ///
     /// A connection that something between the two ends has forgotten stays open and delivers
     /// nothing, so changes would go unseen for good. The store notifies of its progress even
     /// when nothing changes, hence a silent connection is a lost one.
-    async fn message(&mut self, silence: Duration) -> Result<codec::RawWatch> {
-        let deadline = self.heard_at + silence;
-        match tokio::time::timeout_at(deadline, self.line()).await {
+    async fn next_message(&mut self, idle_timeout: Duration) -> Result<codec::RawWatch> {
+        let deadline = self.last_received_at + idle_timeout;
+        match tokio::time::timeout_at(deadline, self.next_line()).await {
             Ok(line) => line,
-            Err(_) => ended("its connection fell silent"),
+            Err(_) => watch_ended("its connection fell silent"),
         }
     }
 
-    async fn line(&mut self) -> Result<codec::RawWatch> {
+    async fn next_line(&mut self) -> Result<codec::RawWatch> {
         loop {
             if let Some(line) = self.take_line() {
                 return decode_line(&line);
             }
             if self.buf.len() > MAX_LINE {
-                return ended("a line is too long");
+                return watch_ended("a line is too long");
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => self.push(frame),
-                Some(Err(err)) => return ended(&err.to_string()),
-                None => return ended("closed by the store"),
+                Some(Err(err)) => return watch_ended(&err.to_string()),
+                None => return watch_ended("closed by the store"),
             }
         }
     }
 
     fn push(&mut self, frame: Frame<Bytes>) {
-        self.heard_at = Instant::now();
+        self.last_received_at = Instant::now();
         if let Ok(data) = frame.into_data() {
             self.buf.extend_from_slice(&data);
         }
@@ -258,7 +258,7 @@
     let line: codec::Line<codec::RawWatch> = codec::parse(line)?;
     match line.result {
         Some(result) => Ok(result),
-        None => ended(&line.error.unwrap_or_default().message),
+        None => watch_ended(&line.error.unwrap_or_default().message),
     }
 }
 
@@ -271,7 +271,7 @@
     Ok(Event { kind, kv })
 }
 
-fn ended<T>(reason: &str) -> Result<T> {
+fn watch_ended<T>(reason: &str) -> Result<T> {
     let reason = reason.to_owned();
     Err(Error::WatchEnded { reason })
 }
--- a/fw-wire/src/buffer.rs
+++ b/fw-wire/src/buffer.rs
@@ -42,7 +42,7 @@
 
     /// Appends events and notes that the attempt runs. Without effect after its end.
     pub fn push(&self, events: impl IntoIterator<Item = attempt::Event>) {
-        self.change(|inner| {
+        self.update(|inner| {
             inner.events.extend(events);
             inner.state = attempt::State::Running;
         });
@@ -50,7 +50,7 @@
 
     /// Notes that the attempt was released into the engine.
     pub fn mark_running(&self) {
-        self.change(|inner| inner.state = attempt::State::Running);
+        self.update(|inner| inner.state = attempt::State::Running);
     }
 
     /// Ends the attempt whole.
@@ -65,7 +65,7 @@
 
     /// Ends the attempt with `state`. The first end stands; later ones are without effect.
     pub fn end(&self, state: attempt::State) {
-        self.change(|inner| inner.state = state);
+        self.update(|inner| inner.state = state);
     }
 
     /// How the attempt stands.
@@ -96,13 +96,13 @@
         let deadline = tokio::time::Instant::now() + wait;
         loop {
             version.mark_unchanged();
-            let reply = self.look(offset);
+            let reply = self.current_reply(offset);
             if reply.state.is_final() || !reply.events.is_empty() {
                 return reply;
             }
             let changed = tokio::time::timeout_at(deadline, version.changed()).await;
             if changed.is_err() {
-                return self.look(offset);
+                return self.current_reply(offset);
             }
         }
     }
@@ -116,10 +116,10 @@
         }
         // An offset beyond the events waits for the end only.
         self.read(u32::MAX, req.gather).await;
-        self.look(req.offset)
+        self.current_reply(req.offset)
     }
 
-    fn look(&self, offset: u32) -> attempt::ReadReply {
+    fn current_reply(&self, offset: u32) -> attempt::ReadReply {
         let inner = self.inner.lock();
         let from = usize::try_from(offset).unwrap_or(usize::MAX);
         let events = inner.events.get(from..).unwrap_or_default().to_vec();
@@ -133,7 +133,7 @@
         }
     }
 
-    fn change(&self, apply: impl FnOnce(&mut Inner)) {
+    fn update(&self, apply: impl FnOnce(&mut Inner)) {
         let mut inner = self.inner.lock();
         if inner.state.is_final() {
             return;
--- a/fw-wire/src/transport.rs
+++ b/fw-wire/src/transport.rs
@@ -52,15 +52,15 @@
 ///
 /// # Errors
 ///
-/// When no connection is made within `within`.
+/// When no connection is made within `timeout`.
 pub async fn connect_side(
     addr: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> io::Result<Connected<side::SideClient>> {
     let mut connect = tarpc::serde_transport::tcp::connect(addr, Json::default);
     connect.config_mut().max_frame_length(MAX_FRAME);
-    let transport = tokio::time::timeout(within, connect).await??;
-    send_at_once(transport.get_ref());
+    let transport = tokio::time::timeout(timeout, connect).await??;
+    set_nodelay(transport.get_ref());
     let new = side::SideClient::new(tarpc::client::Config::default(), transport);
     Ok(Connected::spawn(new))
 }
@@ -69,30 +69,30 @@
 ///
 /// # Errors
 ///
-/// When no connection is made within `within`.
+/// When no connection is made within `timeout`.
 pub async fn connect_peer(
     addr: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> io::Result<Connected<peer::PeerClient>> {
     let mut connect = tarpc::serde_transport::tcp::connect(addr, Json::default);
     connect.config_mut().max_frame_length(MAX_FRAME);
-    let transport = tokio::time::timeout(within, connect).await??;
-    send_at_once(transport.get_ref());
+    let transport = tokio::time::timeout(timeout, connect).await??;
+    set_nodelay(transport.get_ref());
     let new = peer::PeerClient::new(tarpc::client::Config::default(), transport);
     Ok(Connected::spawn(new))
 }
 
 /// Sends small messages without delay. Otherwise the second of two waits until the peer has
 /// acknowledged the first, which takes it up to 40 ms.
-fn send_at_once(socket: &TcpStream) {
+fn set_nodelay(socket: &TcpStream) {
     // It fails only on a socket that is closed already, which the next message will show.
     let _ = socket.set_nodelay(true);
 }
 
-/// A context whose deadline lies `within` from now.
-pub fn context(within: Duration) -> tarpc::context::Context {
+/// A context whose deadline lies `timeout` from now.
+pub fn context(timeout: Duration) -> tarpc::context::Context {
     let mut cx = tarpc::context::current();
-    cx.deadline = std::time::Instant::now() + within;
+    cx.deadline = std::time::Instant::now() + timeout;
     cx
 }
 
@@ -110,10 +110,10 @@
 /// A connection from an entry to another, as the called one sees it.
 pub type PeerTransport = Framed<peer::PeerRequest, peer::PeerResponse>;
 
-/// Accepts connections on `listener` and runs `each` for every one, until the returned future is
+/// Accepts connections on `listener` and runs `handle` for every one, until the returned future is
 /// dropped, which also ends the connections.
 ///
-/// `each` builds its channel itself, because a service's futures are known to be `Send` only where
+/// `handle` builds its channel itself, because a service's futures are known to be `Send` only where
 /// the service's type is:
 ///
 /// ```ignore
@@ -123,7 +123,7 @@
 ///         .for_each_concurrent(None, |answer| answer)
 /// })
 /// ```
-pub async fn accept<Req, Resp, F, Fut>(listener: TcpListener, each: F)
+pub async fn accept<Req, Resp, F, Fut>(listener: TcpListener, handle: F)
 where
     Req: DeserializeOwned,
     Resp: Serialize,
@@ -139,8 +139,8 @@
     while let Some(accepted) = incoming.next().await {
         // A peer that closes before it is accepted costs that connection only.
         let Ok(transport) = accepted else { continue };
-        send_at_once(transport.get_ref());
-        connections.spawn(each(transport));
+        set_nodelay(transport.get_ref());
+        connections.spawn(handle(transport));
         while connections.try_join_next().is_some() {}
     }
 }
