--- a/fw-follow/tests/follow/main.rs
+++ b/fw-follow/tests/follow/main.rs
@@ -1,4 +1,4 @@
 //! Following the store.
 
 mod store_outage;
-mod wanted_reads;
+mod urgent_reads;
--- a/fw-follow/tests/follow/store_outage.rs
+++ b/fw-follow/tests/follow/store_outage.rs
@@ -1,4 +1,4 @@
-//! What is told while the store is away, and after.
+//! What is events while the store is away, and after.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,27 +11,27 @@
 use tokio::time::Instant;
 
 #[derive(Clone, Default)]
-struct Fake {
-    away: Arc<Mutex<bool>>,
-    gone: Arc<Mutex<bool>>,
+struct FakeSource {
+    unavailable: Arc<Mutex<bool>>,
+    history_gone: Arc<Mutex<bool>>,
     calls: Arc<Mutex<u32>>,
 }
 
-impl Fake {
-    fn read(&self, what: &'static str) -> std::result::Result<Read<&'static str>, Error> {
+impl FakeSource {
+    fn read(&self, change: &'static str) -> std::result::Result<Read<&'static str>, Error> {
         *self.calls.lock() += 1;
-        if *self.away.lock() {
+        if *self.unavailable.lock() {
             let message = "away".to_owned();
             return Err(Error::Unavailable { message });
         }
         Ok(Read {
-            changes: vec![what],
+            changes: vec![change],
             as_of: 5,
         })
     }
 }
 
-impl Source for Fake {
+impl Source for FakeSource {
     type Change = &'static str;
 
     fn read_all(&self) -> BoxFuture<'_, std::result::Result<Read<&'static str>, Error>> {
@@ -44,7 +44,7 @@
         _: Duration,
     ) -> BoxFuture<'_, std::result::Result<Read<&'static str>, Error>> {
         async move {
-            if std::mem::take(&mut *self.gone.lock()) {
+            if std::mem::take(&mut *self.history_gone.lock()) {
                 return Err(Error::HistoryGone { after });
             }
             self.read("news")
@@ -54,70 +54,70 @@
 }
 
 /// Time between two reads.
-const PACE: Duration = Duration::from_millis(900);
+const INTERVAL: Duration = Duration::from_millis(900);
 
-type Told = Arc<Mutex<Vec<(Duration, Event<&'static str>)>>>;
+type Events = Arc<Mutex<Vec<(Duration, Event<&'static str>)>>>;
 
-fn start(fake: &Fake) -> Told {
-    let told = Told::default();
-    let begun = Instant::now();
-    let note = Arc::clone(&told);
+fn start(source: &FakeSource) -> Events {
+    let events = Events::default();
+    let started_at = Instant::now();
+    let recorder = Arc::clone(&events);
     tokio::spawn(fw_follow::follow(
-        fake.clone(),
+        source.clone(),
         Options {
-            interval: PACE,
+            interval: INTERVAL,
             ..Options::default()
         },
         async || 0,
-        move |step| note.lock().push((begun.elapsed(), step)),
+        move |event| recorder.lock().push((started_at.elapsed(), event)),
     ));
-    told
+    events
 }
 
 // Guards against changes of an outage that are never read, as the history may have been dropped.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn all_is_read_once_the_store_is_back() {
-    let fake = Fake::default();
-    let told = start(&fake);
+    let source = FakeSource::default();
+    let events = start(&source);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    *fake.away.lock() = true;
+    *source.unavailable.lock() = true;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    *fake.away.lock() = false;
-    let back = Duration::from_secs(5);
+    *source.unavailable.lock() = false;
+    let returned_at = Duration::from_secs(5);
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let told = told.lock();
-    expect_that!(told[0].1, matches_pattern!(Event::Snapshot { .. }));
-    let lost = told
+    let events = events.lock();
+    expect_that!(events[0].1, matches_pattern!(Event::Snapshot { .. }));
+    let outage = events
         .iter()
-        .position(|(_, step)| *step == Event::Unavailable);
-    let lost = lost.unwrap();
-    let (at, step) = &told[lost + 1];
-    expect_that!(step, matches_pattern!(Event::Snapshot { .. }));
-    expect_that!(*at - back, le(Duration::from_secs(1)));
-    let later: Vec<_> = told[lost + 2..].iter().collect();
+        .position(|(_, event)| *event == Event::Unavailable);
+    let outage = outage.unwrap();
+    let (at, event) = &events[outage + 1];
+    expect_that!(event, matches_pattern!(Event::Snapshot { .. }));
+    expect_that!(*at - returned_at, le(Duration::from_secs(1)));
+    let later: Vec<_> = events[outage + 2..].iter().collect();
     expect_that!(later.is_empty(), eq(false));
-    let news = |(_, step): &(Duration, Event<_>)| matches!(step, Event::Update { .. });
-    expect_that!(later.iter().all(|told| news(told)), eq(true));
+    let is_update = |(_, event): &(Duration, Event<_>)| matches!(event, Event::Update { .. });
+    expect_that!(later.iter().all(|entry| is_update(entry)), eq(true));
     // One word of the outage, however long it lasts.
-    let losses = told
+    let outages = events
         .iter()
-        .filter(|(_, step)| *step == Event::Unavailable)
+        .filter(|(_, event)| *event == Event::Unavailable)
         .count();
-    expect_that!(losses, eq(1));
+    expect_that!(outages, eq(1));
 }
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn reads_all_when_history_is_gone_and_paces_its_calls() {
-    let fake = Fake::default();
-    let told = start(&fake);
+async fn reads_all_when_history_is_gone_and_limits_its_calls() {
+    let source = FakeSource::default();
+    let events = start(&source);
     tokio::time::sleep(Duration::from_secs(9)).await;
     // A call each 0.9 s, however much changes.
-    expect_that!(*fake.calls.lock(), le(12));
-    *fake.gone.lock() = true;
-    let before = told.lock().len();
+    expect_that!(*source.calls.lock(), le(12));
+    *source.history_gone.lock() = true;
+    let before = events.lock().len();
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let told = told.lock();
-    expect_that!(told[before].1, matches_pattern!(Event::Snapshot { .. }));
+    let events = events.lock();
+    expect_that!(events[before].1, matches_pattern!(Event::Snapshot { .. }));
 }
--- a/fw-follow/tests/follow/wanted_reads.rs
+++ b/fw-follow/tests/follow/urgent_reads.rs
@@ -14,12 +14,12 @@
 
 /// A store whose watches wait as long as they are told, or hang.
 #[derive(Clone, Default)]
-struct Fake {
+struct FakeSource {
     hangs: Arc<AtomicBool>,
     reads: Arc<AtomicU32>,
 }
 
-impl Fake {
+impl FakeSource {
     fn answer(&self) -> Answer {
         self.reads.fetch_add(1, Ordering::Relaxed);
         Ok(Read {
@@ -29,7 +29,7 @@
     }
 }
 
-impl Source for Fake {
+impl Source for FakeSource {
     type Change = ();
 
     fn read_all(&self) -> BoxFuture<'_, Answer> {
@@ -50,9 +50,9 @@
 
 /// Reads are wanted while the value is true.
 #[derive(Clone)]
-struct Wanted(watch::Receiver<bool>);
+struct SwitchedSchedule(watch::Receiver<bool>);
 
-impl Schedule for Wanted {
+impl Schedule for SwitchedSchedule {
     async fn wait_due(&self) -> Due {
         Due {
             received_revision: 0,
@@ -63,19 +63,24 @@
     async fn wait_urgent(&self) {
         let mut rx = self.0.clone();
         // It ends with the test.
-        let _ = rx.wait_for(|wanted| *wanted).await;
+        let _ = rx.wait_for(|urgent| *urgent).await;
     }
 }
 
-const PACE: Duration = Duration::from_millis(900);
+const INTERVAL: Duration = Duration::from_millis(900);
 
-fn start(fake: &Fake) -> watch::Sender<bool> {
+fn start(source: &FakeSource) -> watch::Sender<bool> {
     let (tx, rx) = watch::channel(false);
     let opts = Options {
-        interval: PACE,
+        interval: INTERVAL,
         ..Options::default()
     };
-    tokio::spawn(fw_follow::follow(fake.clone(), opts, Wanted(rx), |_| {}));
+    tokio::spawn(fw_follow::follow(
+        source.clone(),
+        opts,
+        SwitchedSchedule(rx),
+        |_| {},
+    ));
     tx
 }
 
@@ -83,43 +88,43 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn are_made_at_once() {
-    let fake = Fake::default();
-    let wanted = start(&fake);
-    for at in [PACE * 2, PACE + PACE / 2] {
-        tokio::time::sleep(at).await;
-        let before = fake.reads.load(Ordering::Relaxed);
-        wanted.send_replace(true);
+    let source = FakeSource::default();
+    let urgent = start(&source);
+    for pause in [INTERVAL * 2, INTERVAL + INTERVAL / 2] {
+        tokio::time::sleep(pause).await;
+        let before = source.reads.load(Ordering::Relaxed);
+        urgent.send_replace(true);
         tokio::time::sleep(Options::default().urgent_timeout).await;
-        expect_that!(fake.reads.load(Ordering::Relaxed), gt(before));
-        wanted.send_replace(false);
+        expect_that!(source.reads.load(Ordering::Relaxed), gt(before));
+        urgent.send_replace(false);
     }
 }
 
 // Guards against a call that waits for an answer which never comes.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn are_asked_again_when_they_hang() {
-    let fake = Fake::default();
-    let wanted = start(&fake);
-    tokio::time::sleep(PACE).await;
-    fake.hangs.store(true, Ordering::Relaxed);
-    tokio::time::sleep(PACE * 3).await;
-    expect_false!(fake.hangs.load(Ordering::Relaxed));
-    let before = fake.reads.load(Ordering::Relaxed);
-    wanted.send_replace(true);
+async fn are_repeated_when_they_hang() {
+    let source = FakeSource::default();
+    let urgent = start(&source);
+    tokio::time::sleep(INTERVAL).await;
+    source.hangs.store(true, Ordering::Relaxed);
+    tokio::time::sleep(INTERVAL * 3).await;
+    expect_false!(source.hangs.load(Ordering::Relaxed));
+    let before = source.reads.load(Ordering::Relaxed);
+    urgent.send_replace(true);
     tokio::time::sleep(Options::default().urgent_timeout).await;
-    expect_that!(fake.reads.load(Ordering::Relaxed), gt(before));
+    expect_that!(source.reads.load(Ordering::Relaxed), gt(before));
 }
 
 // Guards against a store that is asked without a pause for as long as calls wait.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn are_paced() {
-    let fake = Fake::default();
-    let wanted = start(&fake);
-    tokio::time::sleep(PACE).await;
-    let before = fake.reads.load(Ordering::Relaxed);
-    wanted.send_replace(true);
+    let source = FakeSource::default();
+    let urgent = start(&source);
+    tokio::time::sleep(INTERVAL).await;
+    let before = source.reads.load(Ordering::Relaxed);
+    urgent.send_replace(true);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    expect_that!(fake.reads.load(Ordering::Relaxed) - before, le(21));
+    expect_that!(source.reads.load(Ordering::Relaxed) - before, le(21));
 }
--- a/fw-store/tests/store/bad_answers.rs
+++ b/fw-store/tests/store/bad_answers.rs
@@ -43,14 +43,14 @@
 
 /// An endpoint that answers every call with the same body.
 #[derive(Clone, Default)]
-struct Parrot {
+struct FixedEndpoint {
     body: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Parrot {
+impl FixedEndpoint {
     async fn start(&self) -> client::Client {
         let answer =
-            |State(parrot): State<Self>| async move { parrot.body.lock().unwrap().clone() };
+            |State(endpoint): State<Self>| async move { endpoint.body.lock().unwrap().clone() };
         let app = Router::new().fallback(answer).with_state(self.clone());
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap().to_string();
@@ -58,7 +58,7 @@
         connect(vec![addr])
     }
 
-    fn say(&self, body: impl Into<Vec<u8>>) {
+    fn set_body(&self, body: impl Into<Vec<u8>>) {
         *self.body.lock().unwrap() = body.into();
     }
 }
@@ -69,16 +69,16 @@
     // Something between the two ends answers every call with `{}`. The gateway leaves out zero
     // values, so this would read as an empty store: records would vanish, and a writer would
     // take its write for refused although it may have been made.
-    let parrot = Parrot::default();
-    let client = parrot.start().await;
-    parrot.say("{}");
+    let endpoint = FixedEndpoint::default();
+    let client = endpoint.start().await;
+    endpoint.set_body("{}");
     let read = client.range(&kv::Range::prefix("/")).await;
     expect_true!(matches!(read, Err(Error::Malformed { .. })));
     let written = client.txn(&write()).await.unwrap_err();
     expect_true!(written.may_have_applied());
     let granted = client.grant(std::time::Duration::from_secs(1)).await;
     expect_true!(matches!(granted, Err(Error::Malformed { .. })));
-    parrot.say(r#"{"result": {}}"#);
+    endpoint.set_body(r#"{"result": {}}"#);
     let renewed = client.keep_alive(7).await;
     expect_true!(matches!(renewed, Err(Error::Malformed { .. })));
 }
@@ -158,14 +158,14 @@
 }
 
 /// Runs `check` with many bodies.
-fn for_all_bodies(check: impl AsyncFn(&Parrot, &client::Client) -> bool) {
+fn for_all_bodies(check: impl AsyncFn(&FixedEndpoint, &client::Client) -> bool) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
         .build()
         .unwrap();
-    let parrot = Parrot::default();
-    let client = runtime.block_on(parrot.start());
+    let endpoint = FixedEndpoint::default();
+    let client = runtime.block_on(endpoint.start());
     let config = test_runner::Config {
         cases: CASES,
         failure_persistence: None,
@@ -174,8 +174,8 @@
     };
     let mut runner = test_runner::TestRunner::new(config);
     let result = runner.run(&any_body(), |body| {
-        parrot.say(body);
-        prop_assert!(runtime.block_on(check(&parrot, &client)));
+        endpoint.set_body(body);
+        prop_assert!(runtime.block_on(check(&endpoint, &client)));
         Ok(())
     });
     result.unwrap();
--- a/fw-store/tests/store/read_write.rs
+++ b/fw-store/tests/store/read_write.rs
@@ -44,7 +44,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn limit_says_that_there_is_more() {
+async fn limit_reports_that_there_is_more() {
     let store = start().await;
     store.put("/a/1", "x");
     store.put("/a/2", "x");
--- a/fw-store/tests/store/silent_connections.rs
+++ b/fw-store/tests/store/silent_connections.rs
@@ -26,8 +26,8 @@
         faults.delay = std::time::Duration::from_millis(50)
     });
     let range = kv::Range::one("/a");
-    let warm = (0..IDLE).map(|_| client.range(&range));
-    for read in futures_util::future::join_all(warm).await {
+    let first_calls = (0..IDLE).map(|_| client.range(&range));
+    for read in futures_util::future::join_all(first_calls).await {
         read.unwrap();
     }
     expect_eq!(relay.accepted(), IDLE as u64);
--- a/fw-store/tests/store/watch_events.rs
+++ b/fw-store/tests/store/watch_events.rs
@@ -74,7 +74,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn silence_is_seen_by_a_caller_that_polls() {
+async fn silence_is_detected_for_a_caller_that_polls() {
     // As before, but the caller waits in a `select!` whose other arm wins often, so that each
     // call of `next` is dropped long before the silence is over.
     let store = start().await;
@@ -120,7 +120,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn compaction_is_told() {
+async fn compaction_is_reported() {
     let store = start().await;
     store.put("/a/1", "one");
     let newest = store.put("/a/2", "two");
--- a/fw-wire/tests/wire/buffer_reads.rs
+++ b/fw-wire/tests/wire/buffer_reads.rs
@@ -31,7 +31,7 @@
 // The events that came meanwhile must all be there, in order, once.
 #[gtest]
 #[tokio::test]
-async fn reading_on_from_an_offset_loses_nothing() {
+async fn resuming_from_an_offset_loses_nothing() {
     let buf = buffer::Buffer::new();
     buf.push([event("a")]);
     let first = buf.read(0, NO_WAIT).await;
@@ -78,7 +78,7 @@
 // meanwhile in one answer, none twice; the end is not held back.
 #[gtest]
 #[tokio::test]
-async fn gathered_events_come_together() {
+async fn gathered_events_share_a_reply() {
     let buf = Arc::new(buffer::Buffer::new());
     buf.push([event("a")]);
     let reader = tokio::spawn({
--- a/fw-wire/tests/wire/message_forms.rs
+++ b/fw-wire/tests/wire/message_forms.rs
@@ -20,7 +20,7 @@
 // Heartbeats go to thousands of sides, most of them idle: one that spelled out every field would
 // cost a node more than all of its control may. What is usual is left out and read back as usual.
 #[gtest]
-fn a_usual_heartbeat_is_small_and_reads_back() {
+fn a_default_heartbeat_is_small_and_reads_back() {
     let reply = side::HeartbeatReply {
         incarnation: 7,
         ..side::HeartbeatReply::default()
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn load_reports_keep_their_times() {
+fn load_times_survive_a_round_trip() {
     let load = side::Load {
         delay: std::time::Duration::from_micros(1_234_567),
         ..side::Load::default()
