--- a/fw-base/src/chat.rs
+++ b/fw-base/src/chat.rs
@@ -10,7 +10,7 @@
 
 use crate::id;
 
-/// One message as canonical JSON text: keys sorted, `null` fields and empty arrays dropped.
+/// One message as canonical JSON text: keys sorted, `null` fields and empty arrays removed.
 ///
 /// Client libraries send an assistant's message back with their own field order and with fields
 /// set to `null`; the canonical form makes both equal, so that a full history still verifies.
@@ -21,17 +21,17 @@
 /// A parsed chat completion request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// The model asked for.
+    /// The requested model.
     pub model: id::ModelId,
     /// The messages, in order; at least one.
     pub messages: Vec<Message>,
-    /// Whether the answer is to be streamed.
+    /// Whether to stream the answer.
     pub stream: bool,
     /// Whether a streamed answer ends with a chunk that carries the usage.
     pub include_usage: bool,
-    /// The most tokens to generate, if the caller set a bound.
+    /// Maximum number of tokens to generate, if the caller set one.
     pub max_tokens: Option<id::Tokens>,
-    /// Every other field, to be passed on to the engine: a JSON object as text.
+    /// All other fields, forwarded to the engine: a JSON object as text.
     pub params: Arc<str>,
 }
 
@@ -53,7 +53,7 @@
     /// The body is not JSON.
     #[snafu(display("the body is not valid JSON: {source}"))]
     Json {
-        /// What the parser saw.
+        /// The parser's error.
         source: serde_json::Error,
     },
     /// A field is missing or has the wrong type.
@@ -61,7 +61,7 @@
     Field {
         /// Name of the field.
         field: &'static str,
-        /// What is expected of it.
+        /// The expected type or bounds.
         expected: &'static str,
     },
 }
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// When `value` is no object or has no `role`.
+    /// When `value` is not an object or has no `role`.
     pub fn from_value(value: Value) -> Result<Self, ParseError> {
         let Value::Object(map) = value else {
             return FieldSnafu {
@@ -101,7 +101,7 @@
         &self.0
     }
 
-    /// The message's `role`, or the empty string if the text was tampered with.
+    /// The message's `role`, or the empty string if a deserialized text has none.
     pub fn role(&self) -> String {
         self.field("role")
     }
@@ -123,8 +123,8 @@
     ///
     /// # Errors
     ///
-    /// When the body is no JSON, or a field that the system reads is missing or of a wrong type.
-    /// Fields that it does not read are passed on unchecked.
+    /// When the body is not JSON, or a field that the system reads is missing or of a wrong type.
+    /// Other fields are forwarded unchecked.
     pub fn parse(body: &[u8]) -> Result<Self, ParseError> {
         let mut map: Map<String, Value> = serde_json::from_slice(body).context(JsonSnafu)?;
         let model = take_model(&mut map)?;
--- a/fw-base/src/digest.rs
+++ b/fw-base/src/digest.rs
@@ -1,8 +1,8 @@
 //! The chained digest of a program's history.
 //!
-//! Each message extends the digest of all before it, so two histories share a digest only when
-//! they share every message in order. The keeper compares digests before it runs a turn and the
-//! side compares them again before it sends one, which keeps histories from mixing.
+//! Each message extends the digest of all previous ones, so two histories have the same digest only if
+//! they have the same messages in the same order. The keeper compares digests before it runs a turn,
+//! and the side before it sends one, which prevents a turn from running on another program's history.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 
 use crate::chat;
 
-/// Digest of a history; [`Digest::EMPTY`] for the one without messages. Written as 64 hex digits.
+/// Digest of a history; [`Digest::EMPTY`] for one without messages. Serialized as 64 hex digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Digest([u8; 32]);
@@ -19,7 +19,7 @@
     /// The digest of the empty history.
     pub const EMPTY: Self = Self([0; 32]);
 
-    /// The digest after `message` is appended to the history that `self` stands for.
+    /// The digest of the history of `self` with `message` appended.
     pub fn extend(self, message: &chat::Message) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.0);
@@ -27,12 +27,12 @@
         Self(*hasher.finalize().as_bytes())
     }
 
-    /// The digest after all of `messages` are appended in order.
+    /// The digest of the history of `self` with `messages` appended in order.
     pub fn extend_all(self, messages: &[chat::Message]) -> Self {
         messages.iter().fold(self, Self::extend)
     }
 
-    /// Digest of arbitrary bytes, for fingerprints of request bodies.
+    /// Digest of arbitrary bytes, such as a request body.
     pub fn of_bytes(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
--- a/fw-base/src/error.rs
+++ b/fw-base/src/error.rs
@@ -1,26 +1,27 @@
-//! The closed list of error kinds, and the one table from kind to answer.
+//! The closed set of error kinds, and the table that maps each kind to its answer.
 //!
-//! Every refusal and failure that leaves a process carries a [`Kind`]; status, truth of "not run",
-//! advice to retry and counter label all come from [`Kind::row`]. No answer is made elsewhere.
+//! Every refusal and failure that leaves a process has a [`Kind`]. The HTTP status, whether the call
+//! may have run, whether to retry and the metric label all come from [`Kind::row`], and from nowhere
+//! else.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Whether the call reached an upstream.
+/// Whether the call was executed by an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// No byte of the call could have reached an upstream, or the upstream's side says so.
+    /// No byte of the call reached an upstream, or the upstream's side reports that it did not run.
     No,
-    /// It may have run; whoever sends it again risks running it twice.
+    /// It may have run; sending it again may run it twice.
     Maybe,
     /// It ran.
     Yes,
 }
 
-/// What one kind of error means to the caller.
+/// Properties of a kind of error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Row {
     /// HTTP status of the answer.
@@ -29,13 +30,13 @@
     pub ran: Ran,
     /// Whether the same call may succeed later.
     pub retry: bool,
-    /// Value of the `kind` label on counters, and of `kind` in the JSON answer.
+    /// Value of the metric label `kind`, and of `kind` in the JSON answer.
     pub label: &'static str,
 }
 
 macro_rules! kinds {
     ($($(#[$doc:meta])* $kind:ident => $status:literal, $ran:ident, $retry:literal, $label:literal;)*) => {
-        /// Every kind of error that a caller, operator or peer process can be told of.
+        /// All kinds of errors that are reported to callers, operators or other processes.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum Kind {
@@ -46,7 +47,7 @@
             /// All kinds, in the order of the table.
             pub const ALL: &'static [Self] = &[$(Self::$kind,)*];
 
-            /// The table from kind to answer.
+            /// The properties of this kind.
             pub const fn row(self) -> Row {
                 match self {
                     $(Self::$kind => Row {
@@ -66,15 +67,15 @@
     BadRequest => 400, No, false, "bad_request";
     /// The body exceeds the configured size.
     BodyTooLarge => 413, No, false, "body_too_large";
-    /// The caller's key belongs to no team.
+    /// The caller's API key belongs to no team.
     Unauthorized => 401, No, false, "unauthorized";
     /// No service serves the model.
     UnknownModel => 404, No, false, "unknown_model";
     /// No route covers the path.
     UnknownRoute => 404, No, false, "unknown_route";
-    /// No such program.
+    /// The program does not exist.
     UnknownProgram => 404, No, false, "unknown_program";
-    /// No such record.
+    /// The record does not exist.
     UnknownRecord => 404, No, false, "unknown_record";
     /// The program was ended.
     ProgramEnded => 410, No, false, "program_ended";
@@ -86,29 +87,29 @@
     HistoryMismatch => 409, No, false, "history_mismatch";
     /// The program belongs to another team.
     ForeignProgram => 403, No, false, "foreign_program";
-    /// A call that is not idempotent came without an `Idempotency-Key`.
+    /// A call that is not idempotent has no `Idempotency-Key`.
     MissingKey => 400, No, false, "missing_key";
     /// The `Idempotency-Key` was used before with another body.
     KeyReused => 422, No, false, "key_reused";
-    /// A call under this `Idempotency-Key` is still under way.
+    /// A call with this `Idempotency-Key` is still in progress.
     KeyInUse => 409, Maybe, true, "key_in_use";
-    /// A call under this `Idempotency-Key` was sent and its outcome is not known.
+    /// A call with this `Idempotency-Key` was sent and its outcome is unknown.
     MayHaveRun => 409, Maybe, false, "may_have_run";
     /// The program has no turns, tokens or time left.
     BudgetExhausted => 403, No, false, "budget_exhausted";
     /// The program's tokens are used or reserved.
     TokensSpent => 402, No, false, "tokens_spent";
-    /// No such turn is stored, or its retention is over.
+    /// The turn is not stored, or its retention period is over.
     UnknownTurn => 404, No, false, "unknown_turn";
     /// The body did not arrive in time.
     SlowRequest => 408, No, true, "slow_request";
     /// The team has used up its quota.
     QuotaExceeded => 429, No, true, "quota_exceeded";
-    /// What the entry knows of API keys is too old to accept one.
+    /// The entry's set of API keys is too old to accept one.
     StaleKeys => 503, No, true, "stale_keys";
     /// The entry has no configuration yet.
     NotReady => 503, No, true, "not_ready";
-    /// Too few replicas answer to say whether the turn may run.
+    /// Too few replicas answer to decide whether the turn may run.
     ReplicasUnsure => 503, No, true, "replicas_unsure";
     /// The upstream accepts no connection.
     UpstreamUnreachable => 503, No, true, "upstream_unreachable";
@@ -132,9 +133,9 @@
     NoUpstream => 503, No, true, "no_upstream";
     /// The upstream is leaving.
     UpstreamLeaving => 503, No, true, "upstream_leaving";
-    /// The program's keeper is gone and its shard not yet taken over.
+    /// The program's keeper has failed and its shard has not been taken over yet.
     KeeperUnavailable => 503, No, true, "keeper_unavailable";
-    /// The program changed its keeper while the call was under way.
+    /// The program's keeper changed while the call was in progress.
     KeeperLost => 503, Maybe, true, "keeper_lost";
     /// The platform's store does not answer, and the call is not safe without it.
     StoreUnavailable => 503, No, true, "store_unavailable";
@@ -142,42 +143,42 @@
     ShuttingDown => 503, No, true, "shutting_down";
     /// The sender's fencing number is older than one already seen.
     StaleFence => 503, No, true, "stale_fence";
-    /// Requests like this one crashed upstreams before.
+    /// Requests like this one have crashed upstreams.
     Quarantined => 422, No, false, "quarantined";
     /// A segment of the journal is torn, missing or foreign.
     JournalCorrupt => 500, No, false, "journal_corrupt";
-    /// The upstream crashed or closed the connection under the call.
+    /// The upstream crashed or closed the connection during the call.
     UpstreamCrashed => 502, Maybe, true, "upstream_crashed";
     /// The upstream answered with an error.
     UpstreamError => 502, Yes, false, "upstream_error";
     /// The upstream did not answer in time.
     UpstreamTimeout => 504, Maybe, true, "upstream_timeout";
-    /// The deadline passed while the call was under way.
+    /// The deadline passed while the call was in progress.
     DeadlineExceeded => 504, Maybe, true, "deadline_exceeded";
-    /// The attempt was cancelled, by its caller's wish or absence.
+    /// The attempt was cancelled by its caller, or because its caller disconnected.
     Cancelled => 409, Maybe, false, "cancelled";
-    /// A record was changed by someone else; the answer shows both.
+    /// The record was changed concurrently; the answer contains both versions.
     RecordConflict => 409, No, false, "record_conflict";
     /// The record is malformed; the message names the field.
     BadRecord => 400, No, false, "bad_record";
-    /// A defect of the system itself.
+    /// A fault in the system itself.
     Internal => 500, Maybe, true, "internal";
 }
 
-/// An error as it travels between processes and, as JSON, to callers.
+/// An error as sent to other processes and, as JSON, to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Snafu)]
 #[snafu(display("{}: {message}", kind.row().label))]
 pub struct Error {
-    /// What sort of error.
+    /// The kind of error.
     pub kind: Kind,
-    /// One sentence: the field or thing concerned, its bounds and the way out.
+    /// One sentence that names the field or object, its bounds and the remedy.
     pub message: String,
-    /// When the same call may be sent again, where the kind allows it.
+    /// Time after which the same call may be sent again, if the kind allows retries.
     pub retry_after: Option<Duration>,
 }
 
 impl Error {
-    /// An error without a time to retry.
+    /// An error without `retry_after`.
     pub fn new(kind: Kind, message: impl Into<String>) -> Self {
         Self {
             kind,
@@ -186,7 +187,7 @@
         }
     }
 
-    /// The same error with a time to retry.
+    /// The same error with `retry_after`.
     pub fn with_retry_after(self, after: Duration) -> Self {
         Self {
             retry_after: Some(after),
@@ -199,11 +200,11 @@
         self.kind.row().ran
     }
 
-    /// What to tell of a call whose last try ended with this error and an earlier one with
+    /// The error to report for a call whose last attempt failed with this error and an earlier one with
     /// `earlier`.
     ///
-    /// A last try that was refused did not run; told alone it would say "not run" of a call that
-    /// an earlier try may have run.
+    /// A refused attempt did not run. Reported alone, it would state "not run" for a call that an earlier
+    /// attempt may have run.
     pub fn merge_earlier(self, earlier: Option<Self>) -> Self {
         match earlier {
             Some(earlier) if self.ran() == Ran::No && earlier.ran() != Ran::No => Self {
--- a/fw-base/src/id.rs
+++ b/fw-base/src/id.rs
@@ -1,23 +1,23 @@
-//! Type aliases for identifiers and counts, and the hash from program to shard.
+//! Type aliases for identifiers and counts, and the mapping of programs to shards.
 
 use smol_str::SmolStr;
 use xxhash_rust::xxh3;
 
-/// Names a program; chosen by the caller or given out by an entry. At most [`MAX_NAME`] bytes.
+/// Id of a program, chosen by the caller or assigned by an entry. At most [`MAX_NAME`] bytes.
 pub type ProgramId = SmolStr;
-/// Names a team: the unit of fair sharing between callers.
+/// Id of a team: the unit of fair sharing between callers.
 pub type TeamId = SmolStr;
-/// Names one upstream instance.
+/// Id of an upstream instance.
 pub type UpstreamId = SmolStr;
-/// Names a service: a pool of interchangeable upstreams.
+/// Name of a service: a pool of interchangeable upstreams.
 pub type ServiceId = SmolStr;
-/// Names a place, such as a data centre.
+/// Name of a place, such as a data centre.
 pub type PlaceId = SmolStr;
-/// Names one running entry process. A restarted entry takes a new id.
+/// Id of a running entry process. A restarted entry has a new id.
 pub type EntryId = SmolStr;
-/// Names a model.
+/// Name of a model.
 pub type ModelId = SmolStr;
-/// One attempt to run a call on one upstream; drawn at random.
+/// Id of an attempt to run a call on an upstream; a random number.
 pub type AttemptId = u64;
 /// Index of a shard of programs, below [`SHARDS`].
 pub type ShardId = u16;
@@ -30,14 +30,15 @@
 /// A count of model tokens.
 pub type Tokens = u64;
 
-/// Number of shards that programs hash to. Fixed for the life of a deployment: at 380 entries
-/// each keeps about eleven, so that one entry's failure spreads over many successors.
+/// Number of shards over which programs are hashed. Fixed for the lifetime of a deployment: with 380
+/// entries, each keeps about eleven shards, so that the load of a failed entry spreads over many
+/// successors.
 pub const SHARDS: ShardId = 4096;
 
 /// Longest accepted program id or idempotency key, in bytes.
 pub const MAX_NAME: usize = 128;
 
-/// The shard that keeps `program`.
+/// The shard to which `program` belongs.
 pub fn shard_of(program: &str) -> ShardId {
     let hash = xxh3::xxh3_64(program.as_bytes());
     let shard = hash % u64::from(SHARDS);
--- a/fw-base/src/lib.rs
+++ b/fw-base/src/lib.rs
@@ -1,4 +1,4 @@
-//! Ids, error kinds, digests and chat messages that every other crate shares.
+//! Ids, error kinds, digests and chat messages shared by all other crates.
 //!
 //! ```
 //! use fw_base::error::{self, Ran};
--- a/fw-base/tests/base/chat_messages.rs
+++ b/fw-base/tests/base/chat_messages.rs
@@ -1,4 +1,4 @@
-//! Canonical messages and parsing of requests.
+//! Canonical form of messages and parsing of requests.
 
 use fw_base::chat;
 use fw_base::digest;
--- a/fw-base/tests/base/error_order.rs
+++ b/fw-base/tests/base/error_order.rs
@@ -5,8 +5,8 @@
 use fw_base::error;
 use googletest::prelude::*;
 
-// A lookup ran at a service that crashed; its retry found no upstream. "Not run" would be untrue:
-// the first try may have run.
+// A call crashed its upstream, and the retry was refused because no upstream was left. Reporting "not
+// run" would be false: the first attempt may have run.
 #[gtest]
 fn a_refused_retry_does_not_hide_a_run() {
     let crashed = error::Error::new(error::Kind::UpstreamCrashed, "crashed");
--- a/fw-base/tests/base/error_table.rs
+++ b/fw-base/tests/base/error_table.rs
@@ -1,4 +1,4 @@
-//! The table from error kind to answer.
+//! The table that maps error kinds to answers.
 
 use std::collections::HashSet;
 
--- a/fw-base/tests/base/main.rs
+++ b/fw-base/tests/base/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the shared types.
+//! Tests of the types shared by all crates.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod chat_messages;
--- a/fw-base/tests/base/shard_hash.rs
+++ b/fw-base/tests/base/shard_hash.rs
@@ -1,4 +1,4 @@
-//! Programs spread over shards, and names are checked.
+//! Distribution of programs over shards, and validation of names.
 
 use fw_base::id;
 use googletest::prelude::*;
--- a/fw-follow/src/lib.rs
+++ b/fw-follow/src/lib.rs
@@ -1,14 +1,15 @@
-//! Follows what lies in the platform's store: reads it whole, then what changes.
+//! Replicates the platform's store: reads a snapshot, then the changes after it.
 //!
 //! *Load pattern:* dozens of upstreams write a heartbeat a second, so a watch that returns at the
-//! first event returns many times a second, and each call is paid for; the store is away, slow or
-//! deaf to single machines for seconds; it drops its history; an answer is lost, and the
-//! connection on which it was lost stays silent.
+//! first event returns many times a second, and each call is billed; for seconds at a time the store
+//! is unavailable, slow or not responding to single machines; it drops its history; an answer is
+//! lost, and the connection on which it was lost delivers nothing more.
 //!
-//! *Rule:* one watch in each [`Options::interval`] brings all that has changed since the last. A call
-//! that fails or takes too long means doubt: the next one is made on a fresh connection after a
-//! pause that grows, and once one succeeds after doubt everything is read whole. While somebody waits
-//! for a read ([`Schedule::wanted`]), there is no pause, and one that is late is asked again.
+//! *Rule:* one long poll per [`Options::interval`] returns all changes since the previous one. After a
+//! call that fails or times out, the next one is made on a fresh connection after an exponential
+//! back-off, and the first that succeeds reads a full snapshot. While a caller waits for a read
+//! ([`Schedule::wait_urgent`]), reads follow each other after [`Options::urgent_interval`], and one that
+//! exceeds [`Options::urgent_timeout`] is dropped with its connection and repeated.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -17,41 +18,41 @@
 use snafu::Snafu;
 use tokio::time::Instant;
 
-/// Revision of the store.
+/// A revision of the store.
 pub type Revision = u64;
 
-/// Why a read brought nothing.
+/// Why a read failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The store does not answer, or refuses.
+    /// The store does not answer, or refuses the call.
     #[snafu(display("the platform's store does not answer: {message}"))]
     Unavailable {
-        /// What the client saw.
+        /// The client's error.
         message: String,
     },
-    /// The changes asked for are no longer kept.
+    /// The requested changes are no longer in the store's history.
     #[snafu(display("the store no longer keeps changes from revision {after} on"))]
     HistoryGone {
-        /// The revision asked from.
+        /// The revision after which changes were requested.
         after: Revision,
     },
 }
 
-/// What was read, and the revision that it reflects.
+/// The result of a read, and the revision that it reflects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Read<C> {
-    /// The changes, oldest first; for a whole read one for each thing that is there.
+    /// The changes, oldest first; for a snapshot, one for each item in the store.
     pub changes: Vec<C>,
     /// The store's revision.
     pub as_of: Revision,
 }
 
-/// A part of the store, decoded.
+/// A part of the store, read and decoded into changes.
 pub trait Source: Send + Sync + 'static {
     /// One change.
     type Change: Send;
 
-    /// Reads all that is there.
+    /// Reads a snapshot of all items.
     fn read_all(&self) -> BoxFuture<'_, Result<Read<Self::Change>, Error>>;
     /// Waits up to `wait` for changes after `after`.
     fn read_changes(
@@ -61,12 +62,12 @@
     ) -> BoxFuture<'_, Result<Read<Self::Change>, Error>>;
 }
 
-/// A read that is due.
+/// How to make the read that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Due {
-    /// Revision up to which all is known by other ways, so that nothing before it is read.
+    /// Revision up to which all changes were received by other means; only later ones are read.
     pub received_revision: Revision,
-    /// Whether somebody waits for it, so that it does not wait for a change.
+    /// Whether a caller waits for the read, so that it returns without waiting for a change.
     pub is_urgent: bool,
 }
 
@@ -75,19 +76,20 @@
     /// Waits until the next read is due.
     fn wait_due(&self) -> impl Future<Output = Due> + Send;
 
-    /// Ready while somebody waits for a read.
+    /// Ready while a caller waits for a read.
     fn wait_urgent(&self) -> impl Future<Output = ()> + Send {
         std::future::pending()
     }
 
-    /// A read has failed.
+    /// Called when a read has failed.
     fn read_failed(&self) {}
 
-    /// A read that somebody waits for is not answered in time, and is asked again.
+    /// Called when a read for which a caller waits is late and will be repeated.
     fn read_unanswered(&self) {}
 }
 
-/// Reads are due when the revision is told up to which all is known by other ways.
+/// A function whose future yields [`Due::received_revision`] once the next read is due. No read is
+/// urgent.
 impl<F, T> Schedule for F
 where
     F: Fn() -> T + Send + Sync,
@@ -101,50 +103,50 @@
     }
 }
 
-/// What the follower tells.
+/// A change of the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event<C> {
-    /// All that is there.
+    /// The full state of the store.
     Snapshot {
-        /// One change for each thing.
+        /// One change for each item.
         changes: Vec<C>,
         /// The store's revision.
         as_of: Revision,
     },
-    /// What has changed since.
+    /// The changes since the previous event.
     Update {
         /// The changes, oldest first.
         changes: Vec<C>,
         /// The store's revision.
         as_of: Revision,
     },
-    /// The store does not answer.
+    /// The store does not answer; reported once per outage.
     Unavailable,
 }
 
-/// How the store is followed.
+/// Intervals and time-outs of reads.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Time between two reads.
+    /// Time from the start of one read to the start of the next.
     pub interval: Duration,
-    /// How long one read waits for a change. Short, so that a lost answer is noticed soon.
+    /// How long one read waits for a change. Short, so that a lost answer is detected soon.
     pub long_poll: Duration,
-    /// Longest pause after a failure; doubled up to `max_backoff`.
+    /// Longest pause after the first failure; doubled with each further one, up to `max_backoff`.
     pub initial_backoff: Duration,
-    /// Longest pause after a failure.
+    /// Longest pause after any failure.
     pub max_backoff: Duration,
-    /// How long a read may take that somebody waits for, before it is asked again.
+    /// How long a read for which a caller waits may take before it is repeated.
     pub urgent_timeout: Duration,
-    /// Longest time until the last of them is asked again.
+    /// Longest time before the last of several late reads is repeated.
     pub last_urgent_timeout: Duration,
-    /// Time between two reads while somebody waits for one.
+    /// Time from the start of one read to the start of the next while a caller waits for one.
     pub urgent_interval: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            // A configuration must be in force within 2 s, wherever it has to be passed on to.
+            // A configuration must be in force within 2 s, including its relay to other instances.
             interval: Duration::from_millis(450),
             long_poll: Duration::from_millis(450),
             initial_backoff: Duration::from_millis(250),
@@ -156,7 +158,7 @@
     }
 }
 
-/// Follows `source` for ever by `schedule`, and hands each event to `apply`.
+/// Follows `source` by `schedule` and passes each event to `apply`; never returns.
 pub async fn follow<A: Source>(
     source: A,
     opts: Options,
@@ -168,7 +170,7 @@
         let due = schedule.wait_due().await;
         follower.start_read(due);
         let outcome = tokio::select! {
-            // After a standstill both may be ready.
+            // After the process was suspended both may be ready; the read takes precedence.
             biased;
             read = follower.read(&source, due) => Some(read),
             () = follower.wait_late(&schedule) => None,
@@ -196,20 +198,21 @@
     }
 }
 
-/// Reads in a row that are asked again while somebody waits for them.
+/// Late reads in a row that are repeated after [`Options::urgent_timeout`]. One more is repeated after
+/// [`Options::last_urgent_timeout`]; further ones are left to finish.
 const MAX_URGENT_RETRIES: u32 = 3;
 
-/// A time between a half of `most` and `most`.
+/// A random time between half of `max` and `max`.
 fn jitter(max: Duration) -> Duration {
     max.mul_f64(rand::random_range(0.5..=1.0))
 }
 
 struct Follower {
     opts: Options,
-    /// Revision of the last read; `None` means that everything has to be read.
+    /// Revision of the last read; `None` if the next read has to be a snapshot.
     revision: Option<Revision>,
     failures: u32,
-    /// Reads in a row that were late and asked again.
+    /// Reads in a row that were late and are repeated.
     late_reads: u32,
     started_at: Instant,
 }
@@ -243,10 +246,11 @@
         }
     }
 
-    /// Ready when the read is late, and somebody waits for it.
+    /// Ready when the read is late and a caller waits for it.
     ///
-    /// Whoever waits gives up after a few, at all followers in the same moment. The read that is under way then is
-    /// asked again after a time drawn by each, so that they do not all hang when the store returns.
+    /// Callers give up after a few late reads, at all followers at the same time. The read in flight by
+    /// then is repeated after a random time, so that the followers' reads do not all hang when the store
+    /// recovers.
     async fn wait_late(&self, schedule: &impl Schedule) {
         match self.late_reads.cmp(&MAX_URGENT_RETRIES) {
             Ordering::Less => {
@@ -258,7 +262,7 @@
         }
     }
 
-    /// The read under way is dropped, and its connection with it.
+    /// Counts a late read, which is dropped together with its connection.
     fn record_late(&mut self) {
         self.late_reads += 1;
         metrics::counter!("fw_follow_late_total").increment(1);
@@ -288,7 +292,7 @@
 
     fn record_failure<C>(&mut self, err: &Error) -> Option<Event<C>> {
         self.failures += 1;
-        // What was written meanwhile may have been dropped from the history.
+        // Changes made during the outage may have been dropped from the history.
         self.revision = None;
         metrics::counter!("fw_follow_failures_total").increment(1);
         if self.failures > 1 {
@@ -298,11 +302,11 @@
         Some(Event::Unavailable)
     }
 
-    /// Waits between two reads; not for long while somebody waits for one.
+    /// Waits until the next read may start; for a shorter time while a caller waits for one.
     async fn pause(&self, schedule: &impl Schedule) {
         let scheduled_at = if self.failures > 0 {
             let backoff = self.opts.initial_backoff * (1 << (self.failures - 1).min(8));
-            // Followers that fail together would all pause when the store returns.
+            // Jitter: followers that fail together would otherwise all be paused when the store recovers.
             Instant::now() + jitter(backoff.min(self.opts.max_backoff))
         } else if self.revision.is_some() {
             self.started_at + self.opts.interval
--- a/fw-follow/tests/follow/main.rs
+++ b/fw-follow/tests/follow/main.rs
@@ -1,4 +1,4 @@
-//! Following the store.
+//! Tests of the follower of the store.
 
 mod store_outage;
 mod urgent_reads;
--- a/fw-follow/tests/follow/store_outage.rs
+++ b/fw-follow/tests/follow/store_outage.rs
@@ -1,4 +1,4 @@
-//! What is events while the store is away, and after.
+//! Events during an outage of the store and after it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -74,7 +74,7 @@
     events
 }
 
-// Guards against changes of an outage that are never read, as the history may have been dropped.
+// Guards against changes made during an outage that are never read because the history was dropped.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn all_is_read_once_the_store_is_back() {
@@ -99,7 +99,7 @@
     expect_that!(later.is_empty(), eq(false));
     let is_update = |(_, event): &(Duration, Event<_>)| matches!(event, Event::Update { .. });
     expect_that!(later.iter().all(|entry| is_update(entry)), eq(true));
-    // One word of the outage, however long it lasts.
+    // One event per outage, however long it lasts.
     let outages = events
         .iter()
         .filter(|(_, event)| *event == Event::Unavailable)
@@ -113,7 +113,7 @@
     let source = FakeSource::default();
     let events = start(&source);
     tokio::time::sleep(Duration::from_secs(9)).await;
-    // A call each 0.9 s, however much changes.
+    // One call per 0.9 s, however many changes there are.
     expect_that!(*source.calls.lock(), le(12));
     *source.history_gone.lock() = true;
     let before = events.lock().len();
--- a/fw-follow/tests/follow/urgent_reads.rs
+++ b/fw-follow/tests/follow/urgent_reads.rs
@@ -1,4 +1,4 @@
-//! Reads that somebody waits for.
+//! Reads for which a caller waits.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -12,7 +12,7 @@
 
 type Answer = std::result::Result<Read<()>, Error>;
 
-/// A store whose watches wait as long as they are told, or hang.
+/// A store whose long polls wait for the requested time, or hang.
 #[derive(Clone, Default)]
 struct FakeSource {
     hangs: Arc<AtomicBool>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reads are wanted while the value is true.
+/// Reads are urgent while the value is true.
 #[derive(Clone)]
 struct SwitchedSchedule(watch::Receiver<bool>);
 
@@ -62,7 +62,7 @@
 
     async fn wait_urgent(&self) {
         let mut rx = self.0.clone();
-        // It ends with the test.
+        // An error means that the sender was dropped at the end of the test.
         let _ = rx.wait_for(|urgent| *urgent).await;
     }
 }
@@ -84,7 +84,7 @@
     tx
 }
 
-// Guards against a call that waits through the pause between two reads, or until something changes.
+// Guards against a call that waits for the whole interval between two reads, or until a change.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn are_made_at_once() {
@@ -100,7 +100,7 @@
     }
 }
 
-// Guards against a call that waits for an answer which never comes.
+// Guards against a call that waits for an answer that never arrives.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn are_repeated_when_they_hang() {
@@ -116,7 +116,7 @@
     expect_that!(source.reads.load(Ordering::Relaxed), gt(before));
 }
 
-// Guards against a store that is asked without a pause for as long as calls wait.
+// Guards against reads without a pause for as long as calls wait.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn are_paced() {
--- a/fw-http/src/lib.rs
+++ b/fw-http/src/lib.rs
@@ -1,6 +1,6 @@
 //! A pooled HTTP client with a timeout on every call, over hyper-util.
 //!
-//! Used towards the platform, the upstreams and, from the command line, towards an entry.
+//! Used for calls to the platform, to upstreams and, from the command line, to an entry.
 
 pub mod socket;
 
@@ -18,18 +18,18 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// How a client treats its connections and answers.
+/// Time-outs and limits of a client.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Longest wait for a TCP connection.
     pub connect_timeout: Duration,
-    /// Longest wait from sending a request to the head of its answer.
+    /// Longest wait from sending a request to receiving the response head.
     pub head_timeout: Duration,
-    /// Longest wait for the whole body of an answer that is collected.
+    /// Longest wait for the whole body of a collected response.
     pub body_timeout: Duration,
     /// How long an idle connection is kept.
     pub idle_timeout: Duration,
-    /// Most bytes of an answer that is collected.
+    /// Maximum body size of a collected response, in bytes.
     pub max_body: usize,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Why a call brought no answer.
+/// Why a call failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
@@ -54,7 +54,7 @@
     Connect {
         /// The address called.
         uri: String,
-        /// What the connector saw.
+        /// The connector's error.
         source: legacy::Error,
     },
     /// The connection failed after bytes may have been sent.
@@ -62,10 +62,10 @@
     Call {
         /// The address called.
         uri: String,
-        /// What the client saw.
+        /// The client's error.
         source: legacy::Error,
     },
-    /// The answer did not come in time.
+    /// The answer did not arrive in time.
     #[snafu(display("{uri} did not answer within {after:?}"))]
     Timeout {
         /// The address called.
@@ -73,28 +73,28 @@
         /// The timeout that passed.
         after: Duration,
     },
-    /// The answer's body broke off or was too large.
+    /// The response body was truncated or too large.
     #[snafu(display("cannot read the answer's body: {source}"))]
     Body {
-        /// What the reader saw.
+        /// The error of the body reader.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
     /// The request could not be built.
     #[snafu(display("cannot build the request: {source}"))]
     Build {
-        /// Which part was wrong.
+        /// The invalid part.
         source: http::Error,
     },
-    /// The request's body could not be written as JSON.
+    /// The request body could not be serialized as JSON.
     #[snafu(display("cannot write the request as JSON: {source}"))]
     Json {
-        /// What the serializer saw.
+        /// The serializer's error.
         source: serde_json::Error,
     },
 }
 
 impl Error {
-    /// Whether the called server cannot have seen any byte of the request.
+    /// Whether no byte of the request can have reached the server.
     pub fn is_unsent(&self) -> bool {
         matches!(
             self,
@@ -103,7 +103,7 @@
     }
 }
 
-/// A collected answer.
+/// A response whose body has been read completely.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The status.
@@ -127,24 +127,24 @@
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(opts.connect_timeout));
         connector.set_nodelay(true);
-        // A pooled connection that went silent must not take calls until each has timed out.
+        // Without probes, each call over a dead pooled connection would wait for its time-out.
         connector.set_keepalive(Some(socket::KEEPALIVE_INTERVAL));
         connector.set_keepalive_interval(Some(socket::KEEPALIVE_INTERVAL));
         connector.set_keepalive_retries(Some(socket::KEEPALIVE_RETRIES));
         let pool = legacy::Client::builder(rt::TokioExecutor::new())
             .pool_timer(rt::TokioTimer::new())
             .pool_idle_timeout(opts.idle_timeout)
-            // A request must reach the wire at most once: the caller decides on retries.
+            // A request is sent at most once; the caller decides on retries.
             .retry_canceled_requests(false)
             .build(connector);
         Self { pool, opts }
     }
 
-    /// Sends `req` and returns as soon as the head of the answer is there.
+    /// Sends `req` and returns once the response head has arrived.
     ///
     /// # Errors
     ///
-    /// [`Error::is_unsent`] tells whether the server may have seen the request.
+    /// [`Error::is_unsent`] is false if the server may have received the request.
     pub async fn stream(
         &self,
         req: http::Request<Full<Bytes>>,
@@ -159,11 +159,11 @@
         }
     }
 
-    /// Sends `req` and collects the whole answer.
+    /// Sends `req` and collects the response.
     ///
     /// # Errors
     ///
-    /// As [`Client::stream`], and when the body breaks off, is late or too large.
+    /// As [`Client::stream`], and when the body is truncated, late or too large.
     pub async fn call(&self, req: http::Request<Full<Bytes>>) -> Result<Answer, Error> {
         let uri = req.uri().to_string();
         let (head, body) = self.stream(req).await?.into_parts();
@@ -181,7 +181,7 @@
         })
     }
 
-    /// Posts `value` as JSON and collects the answer.
+    /// Posts `value` as JSON and collects the response.
     ///
     /// # Errors
     ///
@@ -195,7 +195,7 @@
             .await
     }
 
-    /// Gets `uri` and collects the answer.
+    /// Gets `uri` and collects the response.
     ///
     /// # Errors
     ///
@@ -212,11 +212,11 @@
     }
 }
 
-/// A request that carries `value` as JSON.
+/// A request with `value` as its JSON body.
 ///
 /// # Errors
 ///
-/// When `uri` is no URI, or `value` cannot be written as JSON.
+/// When `uri` is not a valid URI, or `value` cannot be serialized as JSON.
 pub fn json_request<T: serde::Serialize>(
     method: http::Method,
     uri: &str,
--- a/fw-http/src/socket.rs
+++ b/fw-http/src/socket.rs
@@ -1,23 +1,23 @@
-//! Options of TCP sockets.
+//! TCP socket options that detect dead connections.
 
 use std::io;
 use std::time::Duration;
 
-/// Silence after which the other end is probed, and the pause between probes. A connection may go
-/// silent for good, without a reset, while new ones work; only unanswered probes show it.
+/// Idle time after which keep-alive probes are sent, and the time between probes. A connection may stop
+/// delivering data permanently, without a reset, while new ones work; only unanswered probes detect this.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unanswered probes after which a connection fails.
+/// Number of unanswered probes after which a connection fails.
 pub const KEEPALIVE_RETRIES: u32 = 2;
-/// How long sent bytes may stay unacknowledged before the connection fails. An instance without
-/// power is known by that; a busy one acknowledges bytes whether it answers or not.
+/// Time for which sent bytes may stay unacknowledged before the connection fails. This detects an
+/// instance without power; a busy one acknowledges bytes even when it does not answer.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Makes a connection that has gone silent fail within three seconds, and sends small messages at
-/// once.
+/// Sets the options by which a dead connection fails within three seconds, and disables Nagle's
+/// algorithm so that small messages are sent at once.
 ///
 /// # Errors
 ///
-/// When the system refuses an option.
+/// When the operating system rejects an option.
 pub fn set_options(socket: &socket2::SockRef<'_>) -> io::Result<()> {
     let probes = socket2::TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
--- a/fw-store/src/client.rs
+++ b/fw-store/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the store: which endpoint is tried, how often, and what is counted.
+//! Calls to the store: choice of endpoints, retries and metrics.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -18,10 +18,10 @@
 use crate::kv;
 use crate::watch;
 
-/// Counter of calls, with labels `op` and `outcome`.
+/// Counter of calls by `op` and `outcome`.
 pub const CALLS_TOTAL: &str = "fw_store_calls_total";
 
-/// Fewest tries of a read, so that one silent connection does not fail it.
+/// Minimum number of tries of a read, so that one dead connection does not fail it.
 const MIN_READ_TRIES: usize = 2;
 
 const RANGE: &str = "/v3/kv/range";
@@ -31,18 +31,18 @@
 const LEASE_REVOKE: &str = "/v3/lease/revoke";
 pub(crate) const WATCH: &str = "/v3/watch";
 
-/// How the store is reached.
+/// Endpoints and time-outs.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Base URIs such as `http://127.0.0.1:2379`; a bare `ip:port` is taken as HTTP.
+    /// Base URIs such as `http://127.0.0.1:2379`; a bare `ip:port` means HTTP.
     pub endpoints: Vec<String>,
     /// Longest wait for the answer to one try. A read is tried on each endpoint, at least twice;
-    /// a write goes on to the next endpoint only if nothing of it was sent.
+    /// a write is tried on the next endpoint only if no byte of it was sent.
     pub timeout: Duration,
-    /// Longest silence on a watch before its connection is given up. Must exceed the interval of
-    /// the store's progress notifications, or idle watches are opened anew each time.
+    /// Time without data after which the connection of a watch is replaced. Must exceed the interval
+    /// of the store's progress notifications, or idle watches are reopened each time.
     pub watch_idle_timeout: Duration,
-    /// Pause before a failed watch is opened again.
+    /// Pause before a failed watch is reopened.
     pub watch_backoff: Duration,
 }
 
@@ -71,7 +71,7 @@
     first: AtomicUsize,
 }
 
-/// Whether a call may be sent again after its answer was lost.
+/// Whether a call may be sent again after its answer was lost: a read may, a write may not.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CallKind {
     Read,
@@ -91,7 +91,7 @@
         Self { shared }
     }
 
-    /// How the store is reached.
+    /// The endpoints and time-outs.
     pub fn options(&self) -> &Options {
         &self.shared.opts
     }
@@ -107,11 +107,11 @@
         read.await?.decode()
     }
 
-    /// Runs a transaction; one that can write, at most once.
+    /// Runs a transaction. One that can write is sent at most once.
     ///
     /// # Errors
     ///
-    /// [`Error::may_have_applied`] tells whether it may have taken effect.
+    /// If [`Error::may_have_applied`] is true, the transaction may have taken effect.
     pub async fn txn(&self, txn: &kv::Txn) -> Result<kv::TxnOutcome> {
         let req = codec::txn(txn);
         let kind = if txn.can_write() {
@@ -123,11 +123,12 @@
         done.await?.decode()
     }
 
-    /// Asks for a lease of `ttl`, rounded up to whole seconds.
+    /// Requests a lease of `ttl`, rounded up to whole seconds.
     ///
     /// # Errors
     ///
-    /// A lease whose answer was lost lapses by itself, so the call may simply be made again.
+    /// When no endpoint grants it. A lease whose answer was lost lapses by itself, so the call can be
+    /// repeated.
     pub async fn grant(&self, ttl: Duration) -> Result<kv::Lease> {
         let secs = ttl.as_millis().div_ceil(1000).max(1);
         let req = json!({ "TTL": secs.to_string() });
@@ -144,7 +145,7 @@
     /// [`Error::LeaseGone`] when it has lapsed or was revoked.
     pub async fn keep_alive(&self, id: kv::LeaseId) -> Result<kv::Lease> {
         let req = json!({ "ID": id.to_string() });
-        // Renewing twice does no harm, hence tried like a read.
+        // Renewal is idempotent, so it is retried like a read.
         let line: codec::Line<codec::RawLease> = self
             .unary("lease_keep_alive", LEASE_KEEP_ALIVE, &req, CallKind::Read)
             .await?;
@@ -160,7 +161,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::LeaseGone`] when it has ended before.
+    /// [`Error::LeaseGone`] when it has already ended.
     pub async fn revoke(&self, id: kv::LeaseId) -> Result<()> {
         let req = json!({ "ID": id.to_string() });
         let done = self
@@ -176,14 +177,14 @@
         }
     }
 
-    /// Watches all keys that begin with `prefix`, from `from_revision` on (0: from now on).
+    /// Watches all keys that begin with `prefix`, from `from_revision` on (0 for changes from now on).
     ///
-    /// Nothing is sent before the first [`watch::Watch::next`].
+    /// The connection is opened by the first [`watch::Watch::next`].
     pub fn watch(&self, prefix: impl Into<String>, from_revision: i64) -> watch::Watch {
         watch::Watch::new(self.clone(), prefix.into(), from_revision)
     }
 
-    /// Posts `req` and reads the JSON of the answer.
+    /// Posts `req` and decodes the JSON of the answer.
     async fn unary<T>(&self, op: &'static str, path: &str, req: &Value, kind: CallKind) -> Result<T>
     where
         T: for<'de> Deserialize<'de>,
@@ -213,7 +214,7 @@
         self.call_once(op, path, req).await
     }
 
-    /// One try on the endpoint whose turn it is.
+    /// One try on the current endpoint.
     async fn call_once(&self, op: &'static str, path: &str, req: &Value) -> Result<bytes::Bytes> {
         let (index, uri) = self.endpoint(path);
         let pool = self.shared.pool.read().clone();
@@ -232,7 +233,7 @@
         result
     }
 
-    /// Opens a streamed answer.
+    /// Opens a streamed response.
     pub(crate) async fn open(
         &self,
         path: &str,
@@ -256,23 +257,22 @@
         (index, format!("{base}{path}"))
     }
 
-    /// Turns to the next endpoint, and to fresh connections where the old ones are suspect.
+    /// Switches to the next endpoint, and to a new pool if an answer was lost.
     ///
-    /// A connection that went silent looks idle and sound, and every call on it times out while
-    /// new connections work. After one lost answer the whole pool is replaced, so that at most one
-    /// call finds out the hard way.
+    /// A dead connection looks idle and healthy, and every call over it times out while new connections
+    /// work. After one lost answer the whole pool is replaced, so that at most one call pays its time-out.
     fn record_failure(&self, index: usize, err: &Error) {
         let endpoints = self.shared.opts.endpoints.len().max(1);
         let next = (index + 1) % endpoints;
         let first = &self.shared.first;
-        // Only the first of several failures on one endpoint moves on.
+        // Of several concurrent failures on one endpoint, only the first switches.
         let _ = first.compare_exchange(index, next, Ordering::Relaxed, Ordering::Relaxed);
         if matches!(err, Error::AnswerLost { .. }) {
             self.renew_connections();
         }
     }
 
-    /// Lets every later call use a new connection.
+    /// Replaces the connection pool, so that all later calls use new connections.
     pub(crate) fn renew_connections(&self) {
         *self.shared.pool.write() = new_pool(&self.shared.opts);
     }
--- a/fw-store/src/codec.rs
+++ b/fw-store/src/codec.rs
@@ -1,4 +1,4 @@
-//! The gateway's JSON: base64 for bytes, strings for 64-bit numbers, zero values left out.
+//! Codec of the gateway's JSON: bytes as base64, 64-bit integers as strings, zero values omitted.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -11,10 +11,10 @@
 use crate::error::Result;
 use crate::kv;
 
-/// Key that, as the end of a range, means "no end", and as its start "the first key".
+/// As the end of a range: no upper bound. As its start: the first key.
 const UNBOUNDED: &[u8] = b"\0";
 
-/// A 64-bit number, written as a string.
+/// A 64-bit integer, encoded as a string or a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Int(pub i64);
 
@@ -40,10 +40,10 @@
 }
 
 impl Header {
-    /// The store's revision, which every answer has.
+    /// The store's revision, which every valid answer contains.
     ///
-    /// A body such as `{}`, which something between the two ends may answer, would otherwise read
-    /// as "no such keys" or "the comparison failed", as the gateway leaves out zero values.
+    /// As the gateway omits zero values, a body such as `{}` from a proxy would otherwise decode as "no
+    /// such keys" or "the comparison failed".
     pub fn revision(&self) -> Result<i64> {
         match self.revision.0 {
             revision @ 1.. => Ok(revision),
@@ -102,14 +102,14 @@
     pub ttl: Int,
 }
 
-/// One line of a streamed answer.
+/// One line of a streamed response.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Line<T> {
     pub result: Option<T>,
     pub error: Option<RawError>,
 }
 
-/// An error, as the gateway writes it in unary answers and in streams.
+/// An error, as encoded by the gateway in unary and streamed responses.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct RawError {
@@ -132,7 +132,7 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct RawEvent {
-    /// `PUT` is the zero value and left out.
+    /// `PUT` is the zero value and omitted.
     #[serde(rename = "type")]
     pub kind: String,
     pub kv: RawKv,
@@ -193,7 +193,7 @@
     }
 }
 
-/// Reads the JSON of an answer.
+/// Decodes the JSON of an answer.
 pub(crate) fn parse<T: for<'de> Deserialize<'de>>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body).map_err(|err| malformed("body", &err))
 }
@@ -212,7 +212,7 @@
     STANDARD.encode(bytes)
 }
 
-/// First and, for a prefix, end key of a range, in base64.
+/// Start key of a range and, for a prefix, its exclusive end, in base64.
 fn bounds(key: &str, prefix: bool) -> (String, Option<String>) {
     if !prefix {
         return (encode_bytes(key.as_bytes()), None);
@@ -225,7 +225,7 @@
     (encode_bytes(start), Some(encode_bytes(&prefix_end(key))))
 }
 
-/// The first key after all that begin with `prefix`.
+/// The first key after all keys that begin with `prefix`.
 fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
--- a/fw-store/src/error.rs
+++ b/fw-store/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a call to the store brought no answer, and whether it may have taken effect.
+//! Errors of calls to the store, and whether a failed call may have taken effect.
 
 use fw_base::error;
 use fw_base::id;
@@ -6,25 +6,25 @@
 
 use crate::kv;
 
-/// gRPC status codes with which the store refuses a call before it applies it: invalid argument,
+/// gRPC status codes with which the store rejects a call before it applies it: invalid argument,
 /// not found, already exists, permission denied, resource exhausted, failed precondition, out of
-/// range, unimplemented, unauthenticated. Every other code leaves the outcome open.
+/// range, unimplemented, unauthenticated. With any other code the outcome is unknown.
 const CODES_NOT_APPLIED: [u32; 9] = [3, 5, 6, 7, 8, 9, 11, 12, 16];
 
 /// A failed call.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// No endpoint could be reached; nothing was sent.
+    /// No endpoint could be reached, and nothing was sent.
     #[snafu(display("the store cannot be reached: {source}"))]
     Unreachable {
-        /// What the last endpoint tried gave.
+        /// The error of the last endpoint tried.
         source: fw_http::Error,
     },
     /// The call was sent and its answer did not arrive.
     #[snafu(display("the store's answer was lost: {source}"))]
     AnswerLost {
-        /// How it was lost.
+        /// The error of the connection.
         source: fw_http::Error,
     },
     /// The store answered with an error.
@@ -34,17 +34,17 @@
         status: u16,
         /// gRPC status code, or 0 if the answer had none.
         code: u32,
-        /// The store's words.
+        /// The store's error message.
         message: String,
     },
     /// The answer does not have the expected shape.
     #[snafu(display("the store's answer is malformed: {reason}"))]
     Malformed {
-        /// Which part.
+        /// The malformed part and its error.
         reason: String,
     },
-    /// Events that the watch still needs were compacted away: read the whole prefix again and
-    /// watch from there.
+    /// Events that the watch has not delivered were compacted: read the whole prefix again and
+    /// watch from its revision.
     #[snafu(display("revisions before {revision} were compacted; read the prefix again"))]
     Compacted {
         /// The oldest revision that can still be watched.
@@ -56,22 +56,22 @@
         /// Its id.
         id: kv::LeaseId,
     },
-    /// The watch was closed by the store or broke off; the next call opens it again.
+    /// The watch was closed by the store or its connection failed; the next call reopens it.
     #[snafu(display("the watch ended: {reason}"))]
     WatchEnded {
-        /// Why.
+        /// The cause.
         reason: String,
     },
 }
 
-/// What a call returns.
+/// The result of a call to the store.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
     /// Whether a write may have taken effect although it failed.
     ///
-    /// If so, the caller must read back and compare before it writes again: a blind repeat could
-    /// apply twice, or fail its own comparison and look like a conflict.
+    /// If so, the caller must read back and compare before it writes again: a blind retry could apply
+    /// the write twice, or fail its comparison because of the first write and look like a conflict.
     pub fn may_have_applied(&self) -> bool {
         match self {
             Self::AnswerLost { .. } | Self::Malformed { .. } => true,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The kind told to callers and operators.
+    /// The kind reported to callers and operators.
     pub fn kind(&self) -> error::Kind {
         match self {
             Self::Malformed { .. } => error::Kind::Internal,
--- a/fw-store/src/kv.rs
+++ b/fw-store/src/kv.rs
@@ -1,8 +1,8 @@
-//! What is read from and written to the store.
+//! Requests to the store and their replies.
 
 use fw_base::id;
 
-/// Id of a lease, given out by the store; 0 stands for none.
+/// Id of a lease, assigned by the store; 0 for none.
 pub type LeaseId = i64;
 
 /// One key with its value and revisions.
@@ -10,7 +10,7 @@
 pub struct Kv {
     /// The key.
     pub key: String,
-    /// The value; empty in the event of a deletion.
+    /// The value; empty in a deletion event.
     pub value: Vec<u8>,
     /// Revision at which the key was last created.
     pub create_revision: id::Revision,
@@ -29,14 +29,14 @@
     pub key: String,
     /// Whether `key` is a prefix.
     pub prefix: bool,
-    /// Most keys to return; 0 for all.
+    /// Maximum number of keys to return; 0 for all.
     pub limit: i64,
-    /// Revision to read at; 0 for the newest.
+    /// Revision to read at; 0 for the latest.
     pub revision: id::Revision,
 }
 
 impl Range {
-    /// The newest value of one key.
+    /// Reads the latest value of one key.
     pub fn one(key: impl Into<String>) -> Self {
         Self {
             key: key.into(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The newest values of all keys that begin with `key`.
+    /// Reads the latest values of all keys that begin with `key`.
     pub fn prefix(key: impl Into<String>) -> Self {
         Self {
             key: key.into(),
@@ -54,14 +54,14 @@
     }
 }
 
-/// What a [`Range`] found.
+/// The reply to a [`Range`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RangeReply {
     /// The keys in ascending order.
     pub kvs: Vec<Kv>,
-    /// Revision of the store when it answered.
+    /// Revision of the store at the time of the reply.
     pub revision: id::Revision,
-    /// Whether `limit` left keys out.
+    /// Whether there are more keys than `limit`.
     pub more: bool,
 }
 
@@ -129,48 +129,48 @@
     }
 }
 
-/// A transaction: `then` if all of `compares` hold, else `otherwise`; all at one revision.
+/// A transaction: runs `then` if all of `compares` hold, otherwise `otherwise`, atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
     /// The conditions.
     pub compares: Vec<Compare>,
     /// The steps if every condition holds.
     pub then: Vec<Op>,
-    /// The steps if one does not.
+    /// The steps if a condition does not hold.
     pub otherwise: Vec<Op>,
 }
 
 impl Txn {
-    /// Whether any step of it writes or deletes.
+    /// Whether any step writes or deletes.
     pub fn can_write(&self) -> bool {
         let mut steps = self.then.iter().chain(&self.otherwise);
         steps.any(|op| !matches!(op, Op::Get(_)))
     }
 }
 
-/// The answer to one [`Op`].
+/// The reply to one [`Op`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// The key was written.
     Put,
     /// Keys were deleted.
     Deleted {
-        /// How many.
+        /// The number of deleted keys.
         count: i64,
     },
     /// Keys were read.
     Range(RangeReply),
 }
 
-/// What a [`Txn`] did.
+/// The outcome of a [`Txn`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TxnOutcome {
-    /// Whether the conditions held, so that `then` was taken.
+    /// Whether all conditions held and `then` was run.
     pub succeeded: bool,
     /// Revision of the store after the transaction. For a transaction that wrote, the revision
     /// of its writes.
     pub revision: id::Revision,
-    /// One answer for each step taken, in order.
+    /// One reply for each step that was run, in order.
     pub responses: Vec<Reply>,
 }
 
@@ -190,6 +190,6 @@
 pub struct Lease {
     /// Its id.
     pub id: LeaseId,
-    /// Time from the store's answer until it lapses unless renewed.
+    /// Time from the store's reply until the lease lapses unless renewed.
     pub ttl: std::time::Duration,
 }
--- a/fw-store/src/lib.rs
+++ b/fw-store/src/lib.rs
@@ -1,8 +1,8 @@
 //! Client of the platform's key-value service over the etcd v3 HTTP/JSON gateway.
 //!
 //! Reads, compare-and-swap transactions, leases and watches. The client never repeats a write
-//! whose answer was lost: [`error::Error::may_have_applied`] tells the caller that it has to read
-//! back first.
+//! whose answer was lost: if [`error::Error::may_have_applied`] is true, the caller has to read back
+//! before it retries.
 //!
 //! ```
 //! use fw_store::kv::{Compare, Op, Txn};
--- a/fw-store/src/watch.rs
+++ b/fw-store/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches of a key prefix that outlive their connections.
+//! Watches of a key prefix that reconnect after failures.
 
 use std::time::Duration;
 
@@ -21,24 +21,24 @@
 use crate::error::Result;
 use crate::kv;
 
-/// Longest line of a watch's answer, in bytes; longer ones are taken for garbage.
+/// Maximum length of a line in the response to a watch, in bytes; longer ones end the connection.
 const MAX_LINE: usize = 64 << 20;
 
-/// What happened to a key.
+/// Kind of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// It was written.
+    /// The key was written.
     Put,
-    /// It was deleted, or its lease lapsed.
+    /// The key was deleted, or its lease lapsed.
     Delete,
 }
 
 /// One change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// What happened.
+    /// The kind of change.
     pub kind: EventKind,
-    /// The key after the change; for a deletion only key and `mod_revision` are set.
+    /// The key after the change; for a deletion only `key` and `mod_revision` are set.
     pub kv: kv::Kv,
 }
 
@@ -47,24 +47,24 @@
 pub struct Batch {
     /// Every change of the prefix up to this revision has been delivered.
     pub revision: id::Revision,
-    /// The changes in order; empty for a progress notification.
+    /// The changes, oldest first; empty for a progress notification.
     pub events: Vec<Event>,
 }
 
-/// A watch of a key prefix. It opens its connection on the first [`Watch::next`], and again from
-/// the last revision seen when the connection breaks or falls silent.
+/// A watch of a key prefix. The first [`Watch::next`] opens its connection. When the connection fails
+/// or stops delivering data, it is reopened from the last revision seen.
 pub struct Watch {
     client: client::Client,
     prefix: String,
-    /// First revision not yet delivered; 0 until the first answer if it is to start from now.
+    /// First revision not yet delivered; 0 until the first message if the watch starts from now.
     next_revision: id::Revision,
-    /// When all changes up to `next_revision` were last known to be delivered.
+    /// Time of the last message with changes or progress.
     last_update_at: Instant,
     state: State,
 }
 
-/// Where a watch stands. Kept outside of the future of [`Watch::next`], so that a caller that
-/// drops it again and again, as `select!` does, still gets to a connection and to its silence.
+/// State of a watch's connection. Stored outside of the future of [`Watch::next`], so that a caller that
+/// drops the future repeatedly, as `select!` does, still connects and still detects a dead connection.
 enum State {
     Closed { retry_at: Option<Instant> },
     Opening(BoxFuture<'static, Result<Connection>>),
@@ -74,7 +74,7 @@
 struct Connection {
     body: Incoming,
     buf: BytesMut,
-    /// Bytes of `buf` known to hold no end of line.
+    /// Number of bytes at the start of `buf` that contain no end of line.
     scanned: usize,
     last_received_at: Instant,
 }
@@ -90,15 +90,15 @@
         }
     }
 
-    /// The next changes or progress.
+    /// Waits for the next changes or progress notification.
     ///
-    /// Dropping the future loses nothing.
+    /// Cancel-safe: dropping the future loses no changes.
     ///
     /// # Errors
     ///
-    /// After [`Error::Compacted`] the watch cannot go on: read the prefix and start a new one.
-    /// After any other error, which only tells that the store is away, the next call goes on from
-    /// the last revision seen, after [`client::Options::watch_backoff`].
+    /// After [`Error::Compacted`] the watch cannot continue: read the prefix and start a new one.
+    /// Any other error only means that the store is unavailable: the next call continues from the last
+    /// revision seen, after [`client::Options::watch_backoff`].
     pub async fn next(&mut self) -> Result<Batch> {
         let result = self.advance().await;
         if result.is_err() {
@@ -109,16 +109,15 @@
         result
     }
 
-    /// Time since the store last told of changes, or that there were none. What is followed may have
-    /// changed since.
+    /// Time since the last message with changes or progress. The watched keys may have changed since.
     ///
-    /// A watch that cannot be opened tries again for ever, with more to be told each time. What it
-    /// follows is to be read anew once this age is too great for its use.
+    /// A watch that cannot be opened retries indefinitely, and its backlog grows with each attempt. The
+    /// caller should read the prefix again once this age is too great for its use.
     pub fn age(&self) -> Duration {
         self.last_update_at.elapsed()
     }
 
-    /// The watch as a stream; it ends after [`Error::Compacted`].
+    /// The watch as a stream that ends after [`Error::Compacted`].
     pub fn into_stream(self) -> impl Stream<Item = Result<Batch>> + Send {
         stream::unfold(Some(self), |watch| async {
             let mut watch = watch?;
@@ -167,7 +166,7 @@
         .boxed()
     }
 
-    /// Turns a message into a batch; `None` for the confirmation of a new watch.
+    /// Converts a message into a batch; `None` for the confirmation of a new watch.
     fn handle_message(&mut self, message: codec::RawWatch) -> Result<Option<Batch>> {
         let compacted = message.compact_revision.0;
         if compacted > 0 {
@@ -179,7 +178,7 @@
         }
         let revision = message.header.revision()?;
         if message.created && message.events.is_empty() {
-            // Earlier changes may still be on their way, unless the watch starts from now.
+            // Unless the watch starts from now, changes up to this revision may still follow.
             if self.next_revision == 0 {
                 self.next_revision = revision + 1;
             }
@@ -188,7 +187,8 @@
         let events = message.events.into_iter().map(decode_event);
         let events = events.collect::<Result<Vec<_>>>()?;
         let newest = events.iter().map(|event| event.kv.mod_revision).max();
-        // A message with changes vouches for these only; one without, for everything before it.
+        // A message with changes covers the revisions up to the newest of them; one without, all
+        // revisions up to its own.
         let revision = newest.unwrap_or(revision);
         let before = self.next_revision;
         self.next_revision = before.max(revision + 1);
@@ -200,11 +200,11 @@
 }
 
 impl Connection {
-    /// The next message, or an error if the connection ended or stayed silent for too long.
+    /// The next message, or an error if the connection ended or delivered no data for `idle_timeout`.
     ///
-    /// A connection that something between the two ends has forgotten stays open and delivers
-    /// nothing, so changes would go unseen for good. The store notifies of its progress even
-    /// when nothing changes, hence a silent connection is a lost one.
+    /// A connection whose state a middlebox has dropped stays open and delivers nothing, so changes would
+    /// never be seen. The store sends progress notifications even when nothing changes, so a connection
+    /// without data is dead.
     async fn next_message(&mut self, idle_timeout: Duration) -> Result<codec::RawWatch> {
         let deadline = self.last_received_at + idle_timeout;
         match tokio::time::timeout_at(deadline, self.next_line()).await {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Takes the next line that is not blank from the buffer.
+    /// Removes the next non-blank line from the buffer.
     fn take_line(&mut self) -> Option<BytesMut> {
         loop {
             let rest = &self.buf[self.scanned..];
--- a/fw-store/tests/store/bad_answers.rs
+++ b/fw-store/tests/store/bad_answers.rs
@@ -1,4 +1,4 @@
-//! What the client makes of endpoints that fail or answer garbage.
+//! Endpoints that fail or answer with invalid bodies.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -16,7 +16,7 @@
 
 use crate::connect;
 
-/// Generated answers in each property test; each is a call over a socket.
+/// Number of generated answers per property test; each is a call over a socket.
 const CASES: u32 = 200;
 
 /// Seed of the generated answers.
@@ -32,7 +32,7 @@
 #[gtest]
 #[tokio::test]
 async fn nothing_applied_when_no_endpoint_listens() {
-    // A port that was free a moment ago.
+    // A port on which nothing listens any more.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     drop(listener);
@@ -66,9 +66,9 @@
 #[gtest]
 #[tokio::test]
 async fn empty_object_is_no_answer() {
-    // Something between the two ends answers every call with `{}`. The gateway leaves out zero
-    // values, so this would read as an empty store: records would vanish, and a writer would
-    // take its write for refused although it may have been made.
+    // A proxy answers every call with `{}`. As the gateway omits zero values, this would decode as an
+    // empty store: records would disappear, and a writer would treat its write as rejected although it
+    // may have been applied.
     let endpoint = FixedEndpoint::default();
     let client = endpoint.start().await;
     endpoint.set_body("{}");
@@ -83,7 +83,7 @@
     expect_true!(matches!(renewed, Err(Error::Malformed { .. })));
 }
 
-/// JSON of any shape, with a preference for the gateway's names and forms.
+/// JSON of any shape, biased towards the gateway's names and formats.
 fn any_answer() -> impl Strategy<Value = Value> + Clone {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -138,7 +138,7 @@
     })
 }
 
-/// Bodies that are nearly what the gateway answers, and others.
+/// Arbitrary bodies, and bodies that resemble the gateway's answers.
 fn any_body() -> impl Strategy<Value = Vec<u8>> {
     let with_header = any_answer().prop_map(|mut answer| {
         if let Value::Object(map) = &mut answer {
@@ -157,7 +157,7 @@
     ]
 }
 
-/// Runs `check` with many bodies.
+/// Runs `check` with [`CASES`] generated bodies.
 fn for_all_bodies(check: impl AsyncFn(&FixedEndpoint, &client::Client) -> bool) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
--- a/fw-store/tests/store/lease_life.rs
+++ b/fw-store/tests/store/lease_life.rs
@@ -1,4 +1,4 @@
-//! Leases: granted, renewed, lapsed and revoked.
+//! Grant, renewal, lapse and revocation of leases.
 
 use std::time::Duration;
 
@@ -47,8 +47,8 @@
 #[gtest]
 #[tokio::test]
 async fn renewal_survives_a_lost_answer() {
-    // A holder whose renewal took effect but whose answer was lost would give up work that it
-    // still holds. Renewing is idempotent, so the client asks once more at once.
+    // A holder whose renewal took effect but whose answer was lost would give up work that it still
+    // holds. Renewal is idempotent, so the client retries at once.
     let store = start().await;
     let client = connect(store.endpoints());
     let lease = client.grant(Duration::from_secs(9)).await.unwrap();
--- a/fw-store/tests/store/lost_answers.rs
+++ b/fw-store/tests/store/lost_answers.rs
@@ -1,4 +1,4 @@
-//! Outages, lost answers and endpoints that fail one by one.
+//! Outages, lost answers and failures of single endpoints.
 
 use fw_fake::store;
 use fw_store::kv;
@@ -17,8 +17,8 @@
 #[gtest]
 #[tokio::test]
 async fn write_is_not_repeated_after_a_lost_answer() {
-    // The store applies a write, then the answer is lost. A client that sends it again on its own
-    // writes twice, which its caller can neither see nor undo. It must fail as "may have applied".
+    // The store applies a write, then the answer is lost. A client that retried by itself would write
+    // twice, which its caller could neither detect nor undo. The call must fail as "may have applied".
     let store = start().await;
     let client = connect(store.endpoints());
     store.faults(0, |faults| faults.lose_answers = 1);
@@ -47,8 +47,8 @@
 #[gtest]
 #[tokio::test]
 async fn read_goes_on_to_the_next_endpoint() {
-    // One of two endpoints hangs. Reads must not fail for as long as it does, nor must every
-    // read pay its timeout: after the first, the client stays with the endpoint that answers.
+    // One of two endpoints hangs. Reads must not fail meanwhile, and not every read may wait for the
+    // time-out: after the first, the client stays with the endpoint that answers.
     let opts = store::Options {
         ports: 2,
         ..store::Options::default()
@@ -61,6 +61,6 @@
         let found = client.range(&kv::Range::one("/a")).await.unwrap();
         expect_that!(found.kvs, len(eq(1)));
     }
-    // Three that succeeded, and one that hung.
+    // Three reads that succeeded and one that hung.
     expect_eq!(store.counts().reads, 4);
 }
--- a/fw-store/tests/store/main.rs
+++ b/fw-store/tests/store/main.rs
@@ -13,7 +13,7 @@
 use fw_fake::store;
 use fw_store::client;
 
-/// Timeout of one try; long against loopback, short against a test.
+/// Timeout of one try: long for a call over loopback, short for a test.
 const TIMEOUT: Duration = Duration::from_millis(300);
 
 async fn start() -> store::Store {
--- a/fw-store/tests/store/silent_connections.rs
+++ b/fw-store/tests/store/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Pooled connections that something between the two ends has forgotten.
+//! Pooled connections whose state a middlebox has dropped.
 
 use fw_fake::relay;
 use fw_store::kv;
@@ -7,21 +7,21 @@
 use crate::connect;
 use crate::start;
 
-/// Connections that are idle in the pool when they all fall silent.
+/// Number of idle connections in the pool when all of them stop delivering data.
 const IDLE: usize = 8;
 
 #[gtest]
 #[tokio::test]
 async fn one_timeout_clears_the_pool() {
-    // All pooled connections fall silent while idle. Each looks sound, so every call that takes
-    // one waits for its timeout: with a pool of any size the store seems down for minutes,
-    // although new connections work. One call may find out; the others must not.
+    // All pooled connections die while idle. Each still looks healthy, so every call over one of them
+    // waits for its time-out, and the store seems unavailable for minutes although new connections work.
+    // Only one call may pay its time-out.
     let store = start().await;
     let relay = relay::Relay::start(store.endpoint(0).parse().unwrap())
         .await
         .unwrap();
     let client = connect(vec![relay.addr().to_string()]);
-    // Answers that take a while make the calls overlap, each on a connection of its own.
+    // Delayed answers make the calls overlap, so that each uses its own connection.
     store.faults(0, |faults| {
         faults.delay = std::time::Duration::from_millis(50)
     });
--- a/fw-store/tests/store/watch_events.rs
+++ b/fw-store/tests/store/watch_events.rs
@@ -1,4 +1,4 @@
-//! Watches through breaks, silence and compaction.
+//! Watches across lost and dead connections, outages and compaction.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use crate::connect;
 use crate::start;
 
-/// Most batches and errors to look through for an event.
+/// Maximum number of batches and errors to skip while waiting for an event.
 const MAX_STEPS: usize = 200;
 
 /// Longest wait for one step, so that a watch that never wakes fails its test.
 const STEP: Duration = Duration::from_secs(20);
 
-/// The next batch that has events, past progress and passing errors.
+/// The next batch with events; skips progress notifications and transient errors.
 async fn next_events(watch: &mut watch::Watch) -> watch::Batch {
     for _ in 0..MAX_STEPS {
         let step = tokio::time::timeout(STEP, watch.next()).await;
@@ -58,9 +58,9 @@
 #[gtest]
 #[tokio::test]
 async fn silent_connection_is_replaced_without_loss() {
-    // A record is changed, but one entry goes on with the old one for ever: the connection of its
-    // watch is still open, yet something in between has forgotten it, so no event arrives. The
-    // watch must notice the silence, connect anew and still see every change once.
+    // A middlebox drops the state of a watch's connection, which stays open but delivers no events, so an
+    // entry would use an old record forever. The watch must detect this, reconnect and still deliver
+    // every change once.
     let store = start().await;
     let mut watch = connect(store.endpoints()).watch("/a/", 1);
     store.put("/a/1", "one");
@@ -75,8 +75,8 @@
 #[gtest]
 #[tokio::test]
 async fn silence_is_detected_for_a_caller_that_polls() {
-    // As before, but the caller waits in a `select!` whose other arm wins often, so that each
-    // call of `next` is dropped long before the silence is over.
+    // As above, but the caller waits in a `select!` whose other branch often completes first, so that each
+    // future of `next` is dropped long before the idle time-out.
     let store = start().await;
     let mut watch = connect(store.endpoints()).watch("/a/", 1);
     store.put("/a/1", "one");
@@ -131,7 +131,7 @@
     expect_true!(matches!(err, Error::Compacted { revision: r } if r == revision));
 }
 
-// Guards against a stand-in that tells a watch of its whole history at once.
+// Guards against a stand-in that sends the whole history of a watch in one message.
 #[gtest]
 #[tokio::test]
 async fn history_comes_in_parts() {
--- a/fw-wire/src/attempt.rs
+++ b/fw-wire/src/attempt.rs
@@ -1,4 +1,4 @@
-//! The answer of an attempt as it grows, read by offset.
+//! Streaming of an attempt's answer, read by offset.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Asks for the events of an attempt from `offset` on.
+/// Requests the events of an attempt from `offset` on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Read {
     /// The attempt.
     pub attempt: id::AttemptId,
-    /// Index of the first event wanted; the first event of an attempt is 0.
+    /// Index of the first requested event; the first event of an attempt is 0.
     pub offset: u32,
     /// How long to wait for an event if there is none yet.
     pub wait: Duration,
-    /// How long to wait for further events once there is one, so that they share an answer.
+    /// How long to wait for further events once there is one, so that they share a reply.
     #[serde(default)]
     pub gather: Duration,
 }
@@ -26,45 +26,45 @@
 /// One streamed chunk: the JSON text of an OpenAI `chat.completion.chunk`.
 pub type Event = Arc<str>;
 
-/// The events from the offset asked for, and how the attempt stands after them.
+/// The events from the requested offset on, and the state of the attempt after them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReadReply {
-    /// Events from the offset on; empty if the wait passed without one.
+    /// Events from the offset on; empty if the wait ended without one.
     pub events: Vec<Event>,
     /// State of the attempt after `events`.
     pub state: State,
 }
 
-/// How an attempt stands.
+/// State of an attempt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum State {
-    /// Waits at the side for its release into the engine.
+    /// Waiting at the side for its release into the engine.
     Queued,
-    /// Runs in the engine.
+    /// Running in the engine.
     Running,
-    /// Ended whole; no event follows those already given.
+    /// Completed; no event follows those already returned.
     Done(Box<Finish>),
     /// Ended with an error.
     Failed(error::Error),
-    /// The turn goes on under another attempt, whose events start anew at 0. Only keepers say so.
+    /// The turn continues under another attempt, whose events start at 0 again. Only keepers return this.
     Moved(id::AttemptId),
-    /// The receiver knows no such attempt (any more).
+    /// The receiver has no such attempt, or no longer has it.
     Unknown,
 }
 
 impl State {
-    /// Whether no event follows any more.
+    /// Whether no further event follows.
     pub fn is_final(&self) -> bool {
         !matches!(self, Self::Queued | Self::Running)
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Finish {
-    /// The assistant's message, as it enters the history.
+    /// The assistant's message, as appended to the history.
     pub message: chat::Message,
-    /// Why generation ended, in OpenAI's words: `stop`, `length`, `tool_calls`.
+    /// Why generation ended, by OpenAI's values: `stop`, `length`, `tool_calls`.
     pub finish_reason: String,
     /// Token counts.
     pub usage: chat::Usage,
@@ -72,6 +72,6 @@
     pub queued: Duration,
     /// Time from release into the engine to its first token.
     pub first_token: Duration,
-    /// Time from release into the engine to the end.
+    /// Time from release into the engine to completion.
     pub ran: Duration,
 }
--- a/fw-wire/src/buffer.rs
+++ b/fw-wire/src/buffer.rs
@@ -1,7 +1,7 @@
-//! The events of one attempt while it grows, with any number of readers.
+//! Append-only buffer of an attempt's events, with any number of readers.
 //!
-//! Readers ask by offset, so one whose connection went silent loses nothing, and two readers of one
-//! attempt never take events from each other.
+//! Readers read by offset, so a reader whose connection is dead loses no events when it resumes over a
+//! new one, and readers of the same attempt do not consume each other's events.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
@@ -28,7 +28,7 @@
 }
 
 impl Buffer {
-    /// A buffer without events, of an attempt that waits.
+    /// A buffer without events, of a queued attempt.
     pub fn new() -> Self {
         Self {
             inner: Mutex::new(Inner {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Appends events and notes that the attempt runs. Without effect after its end.
+    /// Appends events and marks the attempt as running. Has no effect after the attempt has ended.
     pub fn push(&self, events: impl IntoIterator<Item = attempt::Event>) {
         self.update(|inner| {
             inner.events.extend(events);
@@ -48,12 +48,12 @@
         });
     }
 
-    /// Notes that the attempt was released into the engine.
+    /// Marks the attempt as released into the engine.
     pub fn mark_running(&self) {
         self.update(|inner| inner.state = attempt::State::Running);
     }
 
-    /// Ends the attempt whole.
+    /// Completes the attempt.
     pub fn finish(&self, finish: attempt::Finish) {
         self.end(attempt::State::Done(Box::new(finish)));
     }
@@ -63,17 +63,17 @@
         self.end(attempt::State::Failed(err));
     }
 
-    /// Ends the attempt with `state`. The first end stands; later ones are without effect.
+    /// Ends the attempt with `state`. Only the first call has an effect.
     pub fn end(&self, state: attempt::State) {
         self.update(|inner| inner.state = state);
     }
 
-    /// How the attempt stands.
+    /// State of the attempt.
     pub fn state(&self) -> attempt::State {
         self.inner.lock().state.clone()
     }
 
-    /// How many events there are.
+    /// Number of events.
     pub fn len(&self) -> usize {
         self.inner.lock().events.len()
     }
@@ -83,14 +83,14 @@
         self.len() == 0
     }
 
-    /// How many events have been handed to some reader.
+    /// Number of events that at least one reader has received.
     pub fn delivered(&self) -> u32 {
         self.delivered.load(Ordering::Acquire)
     }
 
-    /// The events from `offset` on, waiting up to `wait` if there is none and the attempt goes on.
+    /// The events from `offset` on. Waits up to `wait` if there is none and the attempt has not ended.
     ///
-    /// An offset beyond the events waits for the end only.
+    /// With an offset beyond the last event, this waits for the end of the attempt.
     pub async fn read(&self, offset: u32, wait: Duration) -> attempt::ReadReply {
         let mut version = self.version.subscribe();
         let deadline = tokio::time::Instant::now() + wait;
@@ -107,14 +107,14 @@
         }
     }
 
-    /// As [`Buffer::read`], but once there is an event, further ones are waited for up to `gather`,
-    /// unless the attempt ends before.
+    /// Like [`Buffer::read`], but after the first event waits up to `gather` for further ones, unless the
+    /// attempt ends before.
     pub async fn gather(&self, req: &attempt::Read) -> attempt::ReadReply {
         let reply = self.read(req.offset, req.wait).await;
         if reply.events.is_empty() || reply.state.is_final() || req.gather.is_zero() {
             return reply;
         }
-        // An offset beyond the events waits for the end only.
+        // An offset beyond the last event waits for the end of the attempt.
         self.read(u32::MAX, req.gather).await;
         self.current_reply(req.offset)
     }
--- a/fw-wire/src/lib.rs
+++ b/fw-wire/src/lib.rs
@@ -1,10 +1,10 @@
-//! Messages and tarpc services between the system's own processes.
+//! Messages and tarpc services between the system's processes.
 //!
-//! JSON codec: processes of different versions talk to each other during every rolling restart, so
-//! fields added later carry `#[serde(default)]` and unknown ones are ignored.
+//! The codec is JSON. Processes of different versions communicate during every rolling restart, so
+//! fields added later have `#[serde(default)]` and unknown fields are ignored.
 //!
 //! Answers are read by offset with a long poll ([`attempt::Read`]), not pushed: a reader whose
-//! connection went silent reads on from its offset over a new one, and nothing is sent again.
+//! connection is dead resumes from its offset over a new one, and no call is sent again.
 
 pub mod attempt;
 pub mod buffer;
--- a/fw-wire/src/peer.rs
+++ b/fw-wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! What entries ask of each other.
+//! The tarpc service between entries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,35 +13,35 @@
 use crate::attempt;
 use crate::side;
 
-/// Calls that an entry answers to other entries.
+/// Calls from other entries that an entry serves.
 #[tarpc::service]
 pub trait Peer {
-    /// Hands a turn to the program's keeper. The same turn again attaches to its attempt.
+    /// Submits a turn to the program's keeper. A repeated submission attaches to the turn's attempt.
     async fn submit(req: Submit) -> SubmitReply;
     /// Reads the events of a turn that the keeper runs.
     async fn read(req: attempt::Read) -> attempt::ReadReply;
-    /// The caller of an attempt went away.
+    /// Reports that the caller of an attempt has disconnected.
     async fn detach(attempt: id::AttemptId);
-    /// What the keeper knows of a program.
+    /// The state of a program at its keeper.
     async fn program(req: Query) -> QueryReply;
     /// Ends a program.
     async fn end(req: Query) -> QueryReply;
-    /// Claims, or settles, a call that may run at most once.
+    /// Claims or settles a call that may run at most once.
     async fn claim(req: Claim) -> ClaimReply;
-    /// Takes over a turn whose answer its caller has, and which its keeper could not make durable
-    /// before it lost the shard; false if the receiver does not keep the shard, lacks a turn before
-    /// it, or could not store it.
+    /// Recovers a turn whose answer was delivered to its caller, but which its former keeper could not
+    /// make durable before it lost the shard. False if the receiver does not keep the shard, lacks an
+    /// earlier turn, or could not store it.
     async fn recover(held: side::Held) -> bool;
-    /// The turns of shards that the sender has taken, whose answers the receiver gave out and the
-    /// store may lack.
+    /// Turns of shards that the sender has acquired, whose answers the receiver delivered to callers and
+    /// which the store may lack.
     async fn held(req: HeldQuery) -> side::HeldReply;
-    /// How the entry stands.
+    /// Exchanges the status of both entries.
     async fn status(from: PeerStatus) -> PeerStatus;
     /// The set of records in force, if newer than `than`.
     async fn records(than: id::Revision) -> Option<side::Records>;
 }
 
-/// How the caller gave the history of a turn.
+/// Form in which the caller sent the history of a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum History {
     /// The messages begin with the committed history.
@@ -50,32 +50,32 @@
     Delta,
 }
 
-/// A turn on its way to the keeper.
+/// A turn submitted to the program's keeper.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Submit {
-    /// The entry that took the call.
+    /// The entry that received the call.
     pub from: id::EntryId,
-    /// Revision of the records in force there.
+    /// Revision of the records in force at that entry.
     pub revision: id::Revision,
     /// The program.
     pub program: id::ProgramId,
-    /// The program was made up for this call and ends with it.
+    /// Whether the program was created for this call and ends with it.
     pub single: bool,
-    /// The program that this one is a sub-agent of, whose budget it shares.
+    /// The parent program, if this one is its sub-agent; they share a budget.
     pub parent: Option<id::ProgramId>,
-    /// The turn, if the caller named it.
+    /// The turn, if the caller gave it.
     pub turn: Option<id::Turn>,
-    /// Digest of the committed history, if the caller named it.
+    /// Digest of the committed history, if the caller gave it.
     pub base: Option<digest::Digest>,
-    /// How `messages` are to be read.
+    /// Whether `messages` include the committed history.
     pub history: History,
     /// The messages.
     pub messages: Vec<chat::Message>,
     /// The model.
     pub model: id::ModelId,
-    /// Most tokens to generate, if the caller set a bound.
+    /// Maximum number of tokens to generate, if the caller set one.
     pub max_tokens: Option<id::Tokens>,
-    /// The caller's other fields: a JSON object as text.
+    /// The other fields of the caller's request: a JSON object as text.
     pub params: Arc<str>,
     /// Time left until the caller's deadline.
     pub deadline: Duration,
@@ -83,10 +83,10 @@
     pub team: id::TeamId,
 }
 
-/// What became of a submitted turn.
+/// Reply to [`Submit`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum SubmitReply {
-    /// Accepted, attached or replayed: read it by its attempt.
+    /// Accepted, attached or replayed; the answer is read by its attempt.
     Accepted {
         /// The attempt to read.
         attempt: id::AttemptId,
@@ -99,18 +99,18 @@
     Refused(error::Error),
 }
 
-/// Asks after a program.
+/// Requests the state of a program.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Query {
     /// The program.
     pub program: id::ProgramId,
-    /// The team that asks.
+    /// The requesting team.
     pub team: id::TeamId,
-    /// Whether the answer is to hold the whole history.
+    /// Whether to include the history in the reply.
     pub with_history: bool,
 }
 
-/// What the keeper knows of a program.
+/// Reply to [`Query`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum QueryReply {
     /// The program.
@@ -121,72 +121,72 @@
     Refused(error::Error),
 }
 
-/// A program as its keeper sees it.
+/// State of a program at its keeper.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Program {
     /// The program.
     pub program: id::ProgramId,
     /// `idle`, `running` or `ended`.
     pub status: String,
-    /// Committed turns.
+    /// Number of committed turns.
     pub turn: id::Turn,
     /// Digest of the committed history.
     pub digest: digest::Digest,
-    /// Tokens spent, prompt and completion.
+    /// Tokens used, prompt and completion.
     pub tokens: id::Tokens,
-    /// Tokens that the budget still allows; absent if it sets no bound.
+    /// Tokens left in the budget; absent if it sets no bound.
     pub tokens_left: Option<id::Tokens>,
     /// The team.
     pub team: id::TeamId,
-    /// The committed messages, if asked for.
+    /// The committed messages, if requested.
     pub history: Vec<chat::Message>,
 }
 
-/// Asks to make, or settles, a claim on an idempotency key.
+/// Opens or settles a claim on an idempotency key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Claim {
-    /// The team; keys of different teams never meet.
+    /// The team, which is the namespace of its keys.
     pub team: id::TeamId,
     /// The caller's `Idempotency-Key`.
     pub key: String,
     /// Fingerprint of the call: method, path and body.
     pub fingerprint: digest::Digest,
-    /// What is asked.
+    /// The step to take.
     pub step: ClaimStep,
 }
 
-/// A step in the life of a claim.
+/// A transition of a claim.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ClaimStep {
     /// Make the claim durable, before the call is sent.
     Open,
-    /// The call did not run: the key is free again.
+    /// The call did not run; the key can be used again.
     NotRun,
     /// The call was answered.
     Done(StoredAnswer),
-    /// The call was sent, and what became of it will not be known.
+    /// The call was sent, and its outcome is unknown.
     Unknown,
 }
 
-/// An answer kept for replay under its idempotency key.
+/// An answer stored for replay under its idempotency key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// The `content-type` header.
     pub content_type: String,
-    /// The body, base64; empty if it was too large to keep.
+    /// The body in base64; empty if it was too large to store.
     pub body: String,
-    /// Whether the body was too large to keep.
+    /// Whether the body was too large to store.
     pub truncated: bool,
 }
 
-/// What became of a claim.
+/// Reply to [`Claim`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The claim is durable: send the call, once.
+    /// The claim is durable; the call may be sent once.
     Granted,
-    /// It ran before; this was the answer.
+    /// The call has already run, with this answer.
     Replay(StoredAnswer),
     /// The outcome is recorded.
     Settled,
@@ -196,7 +196,7 @@
     Refused(error::Error),
 }
 
-/// How an entry stands.
+/// Status of an entry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerStatus {
     /// The entry.
@@ -205,29 +205,29 @@
     pub place: id::PlaceId,
     /// Revision of the records in force.
     pub revision: id::Revision,
-    /// Lowest revision in force among the sides that it heartbeats.
+    /// Lowest revision in force at the sides to which it sends heartbeats.
     pub sides_revision: id::Revision,
-    /// Sides that it heartbeats.
+    /// Number of sides to which it sends heartbeats.
     pub sides: u32,
-    /// Shards kept.
+    /// Number of shards that it keeps.
     pub shards: u32,
-    /// Programs under way.
+    /// Number of active programs.
     pub programs: u32,
-    /// Time since the platform's store answered it last.
+    /// Time since the platform's store last answered it.
     #[serde(default)]
     pub store_silent: Duration,
-    /// It is shutting down.
+    /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// Asks an entry for the turns that it holds of shards which the sender has taken.
+/// Requests the turns that an entry holds of shards acquired by the sender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HeldQuery {
     /// The shards, with the sender's fencing numbers.
     pub shards: Vec<(id::ShardId, id::Fence)>,
-    /// Place of the last turn that an earlier reply brought.
+    /// Position of the last turn in the previous reply.
     pub after: Option<HeldCursor>,
 }
 
-/// Place of a held turn among those that an entry holds.
+/// Position of a turn in the order in which an entry returns its held turns.
 pub type HeldCursor = (id::Turn, id::AttemptId);
--- a/fw-wire/src/side.rs
+++ b/fw-wire/src/side.rs
@@ -1,4 +1,4 @@
-//! What entries ask of sides.
+//! The tarpc service that sides offer to entries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,34 +12,35 @@
 
 use crate::attempt;
 
-/// Calls that a side answers.
+/// Calls from entries that a side serves.
 #[tarpc::service]
 pub trait Side {
-    /// Heartbeat of an entry: renews its sessions, learns load, health and cache changes.
+    /// Renews the entry's sessions; returns load, health and cache changes.
     async fn heartbeat(req: Heartbeat) -> HeartbeatReply;
-    /// Gives the side a newer set of records.
+    /// Sends a newer set of records to the side; returns the revision in force there.
     async fn records(req: Records) -> id::Revision;
-    /// Starts a turn. The same attempt again is accepted without effect.
+    /// Starts a turn. Repeating the call for the same attempt has no effect.
     async fn start(req: Start) -> StartReply;
     /// Reads an attempt's events.
     async fn read(req: attempt::Read) -> attempt::ReadReply;
-    /// Cancels an attempt; false if it is not known.
+    /// Cancels an attempt; false if the side does not have it.
     async fn cancel(attempt: id::AttemptId) -> bool;
-    /// Forgets a finished attempt, which is durable now.
+    /// Drops a finished attempt that has become durable.
     async fn forget(attempt: id::AttemptId);
-    /// Finished turns that no keeper has made durable, of shards that the sender keeps now.
+    /// Finished turns of the sender's shards that no keeper has made durable.
     async fn held(req: HeldQuery) -> HeldReply;
-    /// Frees the engine memory of programs that ended or moved away.
+    /// Frees the KV cache of programs that ended or moved to another upstream.
     async fn release(req: Release);
 }
 
-/// Leaves fields with their usual value out of messages. Heartbeats are most of what control sends:
-/// in an idle fleet nearly all of their fields are usual.
+/// Whether a field can be omitted from a message because it has its default value. Heartbeats are most
+/// of the control traffic, and in an idle fleet nearly all of their fields have default values.
 fn is_default<T: Default + PartialEq>(value: &T) -> bool {
     *value == T::default()
 }
 
-/// Times of load reports as whole microseconds: a third of the bytes of seconds and nanoseconds.
+/// Codec of the times in load reports: whole microseconds, which take a third of the bytes of seconds
+/// and nanoseconds.
 mod micros {
     use std::time::Duration;
 
@@ -56,34 +57,35 @@
     }
 }
 
-/// A heartbeat.
+/// A heartbeat of an entry.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The entry.
     #[serde(default, skip_serializing_if = "is_default")]
     pub from: id::EntryId,
-    /// Revision of the records in force there.
+    /// Revision of the records in force at the entry.
     #[serde(default, skip_serializing_if = "is_default")]
     pub revision: id::Revision,
-    /// Shards kept by the entry in which it knows of sessions at this side, with the fencing number
-    /// of each. The side frees the sessions of shards that no heartbeat renews.
+    /// Shards kept by the entry that have sessions at this side as far as it knows, with the fencing
+    /// number of each. The side frees the sessions of shards that no heartbeat renews.
     #[serde(default, skip_serializing_if = "is_default")]
     pub shards: Vec<(id::ShardId, id::Fence)>,
     /// Sequence number of the last cache change received from this side; 0 for none.
     #[serde(default, skip_serializing_if = "is_default")]
     pub cache_seen: u64,
-    /// The incarnation that the entry knows; the side leaves out who it is if that is still right.
+    /// The side's incarnation as last received; if it has not changed, the side omits its identity from
+    /// the reply.
     #[serde(default, skip_serializing_if = "is_default")]
     pub known: u64,
-    /// Which of the programs that the side asked after ([`HeartbeatReply::asked`]) are gone.
+    /// Programs queried by the side ([`HeartbeatReply::asked`]) that no longer exist.
     #[serde(default, skip_serializing_if = "is_default")]
     pub gone: Vec<id::ProgramId>,
 }
 
-/// What the side says of itself.
+/// The side's identity and state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The upstream beside the side; empty, as are service and place, if the entry knows them.
+    /// The side's upstream; empty, like service and place, if the entry has received them already.
     #[serde(default, skip_serializing_if = "is_default")]
     pub upstream: id::UpstreamId,
     /// Its service.
@@ -92,49 +94,49 @@
     /// Its place.
     #[serde(default, skip_serializing_if = "is_default")]
     pub place: id::PlaceId,
-    /// Drawn at random when the side started: another number means that attempts were lost.
+    /// A random number drawn when the side starts; a change means that its attempts were lost.
     #[serde(default, skip_serializing_if = "is_default")]
     pub incarnation: u64,
     /// Revision of the records in force at the side.
     #[serde(default, skip_serializing_if = "is_default")]
     pub revision: id::Revision,
-    /// The upstream is leaving and gets no new work.
+    /// Whether the upstream is leaving and gets no new work.
     #[serde(default, skip_serializing_if = "is_default")]
     pub leaving: bool,
-    /// The upstream does not answer.
+    /// Whether the upstream does not respond.
     #[serde(default, skip_serializing_if = "is_default")]
     pub down: bool,
-    /// How busy it is.
+    /// The upstream's load.
     #[serde(default, skip_serializing_if = "is_default")]
     pub load: Load,
-    /// Sequence number after `cache`.
+    /// Sequence number after the changes in `cache`.
     #[serde(default, skip_serializing_if = "is_default")]
     pub cache_seq: u64,
-    /// `cache` starts anew: forget what was known of this side's cache.
+    /// Whether to discard all earlier cache changes of this side before those in `cache` are applied.
     #[serde(default, skip_serializing_if = "is_default")]
     pub cache_reset: bool,
     /// Cache changes since [`Heartbeat::cache_seen`].
     #[serde(default, skip_serializing_if = "is_default")]
     pub cache: Vec<CacheChange>,
-    /// Idle programs of the sender's shards: does the keeper still know them?
+    /// Idle programs of the sender's shards, of which the side asks whether they still exist.
     #[serde(default, skip_serializing_if = "is_default")]
     pub asked: Vec<id::ProgramId>,
-    /// Shards with sessions or held answers here that this heartbeat did not renew. Their keeper, if it is the
-    /// sender, renews them from now on: it may have taken them over without knowing of sessions.
+    /// Shards with sessions or held answers at this side that the heartbeat did not renew. If the sender
+    /// keeps them, it renews them from now on: it may have taken them over without learning of their sessions.
     #[serde(default, skip_serializing_if = "is_default")]
     pub unrenewed: Vec<id::ShardId>,
 }
 
-/// How busy an upstream is.
+/// Load of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Attempts waiting in the side's queue.
+    /// Number of attempts in the side's queue.
     #[serde(default, skip_serializing_if = "is_default")]
     pub queued: u32,
-    /// Attempts in the engine.
+    /// Number of attempts in the engine.
     #[serde(default, skip_serializing_if = "is_default")]
     pub running: u32,
-    /// Prompt tokens that wait for prefill, in the queue and in the engine.
+    /// Prompt tokens waiting for prefill, in the queue and in the engine.
     #[serde(default, skip_serializing_if = "is_default")]
     pub prefill: id::Tokens,
     /// Time from arrival at the side to release into the engine, smoothed.
@@ -143,38 +145,38 @@
     /// Time between tokens of one stream, smoothed.
     #[serde(default, skip_serializing_if = "is_default", with = "micros")]
     pub step: Duration,
-    /// Prefill speed in tokens a second, smoothed; 0 if not known yet.
+    /// Prefill speed in tokens per second, smoothed; 0 if unknown.
     #[serde(default, skip_serializing_if = "is_default")]
     pub prefill_rate: u64,
-    /// Tokens of engine cache in use.
+    /// KV cache in use, in tokens.
     #[serde(default, skip_serializing_if = "is_default")]
     pub cache_used: id::Tokens,
-    /// Tokens of engine cache there are; 0 if not known.
+    /// Size of the KV cache, in tokens; 0 if unknown.
     #[serde(default, skip_serializing_if = "is_default")]
     pub cache_size: id::Tokens,
-    /// Most attempts that the engine runs together; 0 if not known.
+    /// Maximum number of attempts that the engine runs concurrently; 0 if unknown.
     #[serde(default, skip_serializing_if = "is_default")]
     pub batch: u32,
-    /// Age of the engine's own report.
+    /// Age of the engine's load report.
     #[serde(default, skip_serializing_if = "is_default", with = "micros")]
     pub age: Duration,
 }
 
-/// A change of what an engine's cache holds of a program.
+/// A change of a program's cached prefix in an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CacheChange {
     /// The program.
     pub program: id::ProgramId,
-    /// Tokens of its history held from now on; 0 for none.
+    /// Length of the cached prefix after the change, in tokens; 0 for none.
     pub tokens: id::Tokens,
 }
 
-/// A set of records, newer than the receiver's.
+/// A set of records that is newer than the receiver's.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Records {
     /// Store revision of the set.
     pub revision: id::Revision,
-    /// The whole set as `fw-record` writes it: JSON text.
+    /// The whole set, as the JSON text that `fw-record` writes.
     pub set: Arc<str>,
 }
 
@@ -183,9 +185,9 @@
 pub struct Start {
     /// The keeper.
     pub from: id::EntryId,
-    /// Revision of the records that the keeper acted on.
+    /// Revision of the records in force at the keeper.
     pub revision: id::Revision,
-    /// The attempt, drawn at random by the keeper.
+    /// The attempt; a random number drawn by the keeper.
     pub attempt: id::AttemptId,
     /// The program.
     pub program: id::ProgramId,
@@ -197,51 +199,52 @@
     pub turn: id::Turn,
     /// The model.
     pub model: id::ModelId,
-    /// Digest of the history that `messages` follow; the side must hold it, unless it is empty.
+    /// Digest of the history before `messages`; the side must hold that history, unless it is empty.
     pub base: digest::Digest,
     /// The messages after `base`.
     pub messages: Vec<chat::Message>,
     /// Digest of the whole prompt: `base` extended by `messages`.
     pub digest: digest::Digest,
-    /// Digest of the history before the turn, whether the side holds that or not.
+    /// Digest of the committed history before the turn, whether or not the side holds that history.
     #[serde(default)]
     pub committed: digest::Digest,
-    /// How many messages, at the end of the prompt, the turn adds to that history.
+    /// Number of messages at the end of the prompt that the turn adds to that history.
     #[serde(default)]
     pub added: u32,
-    /// The caller's other fields: a JSON object as text.
+    /// The other fields of the caller's request: a JSON object as text.
     pub params: Arc<str>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: id::Tokens,
     /// Time left until the caller's deadline.
     pub deadline: Duration,
     /// The team, for fair sharing.
     pub team: id::TeamId,
-    /// The team's share relative to others; 1.0 is usual.
+    /// The team's share relative to others; the default is 1.0.
     pub share: f64,
-    /// Engine time that the program has attained so far.
+    /// Engine time that the program has used so far.
     pub attained: Duration,
-    /// Estimate of the prompt's tokens.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: id::Tokens,
-    /// The program ends with this turn and is kept nowhere.
+    /// Whether the program ends with this turn and is not stored.
     #[serde(default)]
     pub single: bool,
-    /// Runs alone in the engine: it is suspected of having crashed another upstream.
+    /// Whether the turn runs alone in the engine, because it is suspected of having crashed another
+    /// upstream.
     pub alone: bool,
 }
 
-/// Whether a turn was started.
+/// Reply to [`Start`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StartReply {
-    /// Queued or running; read it by its attempt.
+    /// Queued or running; the answer is read by the attempt.
     Accepted,
-    /// The side does not hold `base`; send the whole history.
+    /// The side does not hold the history of `base`; the whole history has to be sent.
     NeedHistory,
-    /// Not accepted; it did not run.
+    /// Not accepted; the turn did not run.
     Refused(error::Error),
 }
 
-/// Asks for held turns.
+/// Requests held turns.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HeldQuery {
     /// Shards that the sender keeps, with the fencing number of each.
@@ -253,14 +256,14 @@
 pub struct HeldReply {
     /// The turns.
     pub turns: Vec<Held>,
-    /// There are more, to be asked for when these are forgotten.
+    /// Whether there are more, to be requested once these have been dropped.
     pub more: bool,
 }
 
-/// A turn that was answered under an earlier keeper and is not known to be in the journal.
+/// A turn that was answered under an earlier keeper and may be missing from the journal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Held {
-    /// The attempt, to be forgotten once the turn is durable or known to be obsolete.
+    /// The attempt, to be dropped once the turn is durable or obsolete.
     pub attempt: id::AttemptId,
     /// The program.
     pub program: id::ProgramId,
@@ -270,19 +273,19 @@
     pub turn: id::Turn,
     /// The model.
     pub model: id::ModelId,
-    /// The caller's other fields.
+    /// The other fields of the caller's request.
     pub params: Arc<str>,
-    /// Digest of the history before it.
+    /// Digest of the history before the turn.
     pub base: digest::Digest,
-    /// The messages that it adds.
+    /// The messages that the turn adds.
     pub messages: Vec<chat::Message>,
     /// The answer.
     pub finish: attempt::Finish,
 }
 
-/// Frees engine memory.
+/// Frees the KV cache of programs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Release {
-    /// The sender's shard and fencing number are checked for each program.
+    /// The programs, each with the sender's fencing number for its shard, which the side checks.
     pub programs: Vec<(id::ProgramId, id::Fence)>,
 }
--- a/fw-wire/src/transport.rs
+++ b/fw-wire/src/transport.rs
@@ -18,11 +18,11 @@
 use crate::peer;
 use crate::side;
 
-/// Largest message, in bytes: a history of 750,000 tokens is about 4 MB of text, and JSON escapes
+/// Maximum message size, in bytes. A history of 750,000 tokens is about 4 MB of text, and JSON escapes
 /// may double it.
 pub const MAX_FRAME: usize = 32 << 20;
 
-/// A client, and whether its connection is open.
+/// A client and the state of its connection.
 #[derive(Clone, Debug)]
 pub struct Connected<C> {
     /// The client to call.
@@ -31,8 +31,7 @@
 }
 
 impl<C> Connected<C> {
-    /// Whether the connection has not ended, as far as is known here. A call over one that has ended
-    /// is not sent.
+    /// Whether the connection is not known to have ended. A call over one that has ended is not sent.
     pub fn is_open(&self) -> bool {
         !self.dispatch.is_finished()
     }
@@ -82,14 +81,14 @@
     Ok(Connected::spawn(new))
 }
 
-/// Sends small messages without delay. Otherwise the second of two waits until the peer has
-/// acknowledged the first, which takes it up to 40 ms.
+/// Disables Nagle's algorithm. Otherwise the second of two small messages waits until the peer has
+/// acknowledged the first, which takes up to 40 ms.
 fn set_nodelay(socket: &TcpStream) {
-    // It fails only on a socket that is closed already, which the next message will show.
+    // This fails only on a closed socket, which the next message detects.
     let _ = socket.set_nodelay(true);
 }
 
-/// A context whose deadline lies `timeout` from now.
+/// A context whose deadline is `timeout` from now.
 pub fn context(timeout: Duration) -> tarpc::context::Context {
     let mut cx = tarpc::context::current();
     cx.deadline = std::time::Instant::now() + timeout;
@@ -104,17 +103,17 @@
     Json<ClientMessage<Req>, Response<Resp>>,
 >;
 
-/// A connection from an entry to a side, as the side sees it.
+/// The server end of a connection from an entry to a side.
 pub type SideTransport = Framed<side::SideRequest, side::SideResponse>;
 
-/// A connection from an entry to another, as the called one sees it.
+/// The server end of a connection from one entry to another.
 pub type PeerTransport = Framed<peer::PeerRequest, peer::PeerResponse>;
 
-/// Accepts connections on `listener` and runs `handle` for every one, until the returned future is
-/// dropped, which also ends the connections.
+/// Accepts connections on `listener` and runs `handle` for each, until the returned future is dropped,
+/// which also closes the connections.
 ///
-/// `handle` builds its channel itself, because a service's futures are known to be `Send` only where
-/// the service's type is:
+/// `handle` builds its channel itself, because the compiler can prove that a service's futures are
+/// `Send` only where the service's type is known:
 ///
 /// ```ignore
 /// transport::accept(listener, |connection: transport::SideTransport| {
@@ -137,7 +136,7 @@
     incoming.config_mut().max_frame_length(MAX_FRAME);
     let mut connections = JoinSet::new();
     while let Some(accepted) = incoming.next().await {
-        // A peer that closes before it is accepted costs that connection only.
+        // A peer that closes its connection before it is accepted does not affect the others.
         let Ok(transport) = accepted else { continue };
         set_nodelay(transport.get_ref());
         connections.spawn(handle(transport));
--- a/fw-wire/tests/wire/buffer_reads.rs
+++ b/fw-wire/tests/wire/buffer_reads.rs
@@ -1,4 +1,4 @@
-//! Readers of a growing answer.
+//! Readers of an attempt's buffer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,8 +27,8 @@
     expect_that!(buf.delivered(), eq(2));
 }
 
-// A caller's connection goes silent after the first event; it reads on over a new one.
-// The events that came meanwhile must all be there, in order, once.
+// A caller's connection is dead after the first event, and it resumes over a new one. It must receive
+// all events added in the meantime once and in order.
 #[gtest]
 #[tokio::test]
 async fn resuming_from_an_offset_loses_nothing() {
@@ -60,8 +60,8 @@
     expect_that!(reply.events, is_empty());
 }
 
-// The engine's answer arrives after the attempt was given up and its caller was told so.
-// A late event or end must not change what the caller was told.
+// The engine's answer arrives after the attempt has failed and the failure was reported to its caller.
+// A late event or end must not change the reported outcome.
 #[gtest]
 #[tokio::test]
 async fn the_first_end_stands() {
@@ -74,8 +74,8 @@
     expect_true!(matches!(reply.state, attempt::State::Failed(_)));
 }
 
-// A stream's tokens come every few milliseconds. A reader that gathers gets those that came
-// meanwhile in one answer, none twice; the end is not held back.
+// A stream has a token every few milliseconds. A reader that gathers must receive the events added
+// in the meantime in one reply and once each, and the end of the attempt without delay.
 #[gtest]
 #[tokio::test]
 async fn gathered_events_share_a_reply() {
--- a/fw-wire/tests/wire/main.rs
+++ b/fw-wire/tests/wire/main.rs
@@ -1,4 +1,4 @@
-//! Tests of messages and of the buffer behind long polls.
+//! Tests of the messages and of the buffer that serves long polls.
 
 mod buffer_reads;
 mod message_forms;
--- a/fw-wire/tests/wire/message_forms.rs
+++ b/fw-wire/tests/wire/message_forms.rs
@@ -1,4 +1,4 @@
-//! Messages of other versions, and hostile ones.
+//! Messages of other versions and invalid messages.
 
 use fw_wire::attempt;
 use fw_wire::peer;
@@ -6,8 +6,8 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-// During a rolling restart a newer side sends a field that an older entry does not know.
-// The heartbeat must still be read, or the entry would take the side for dead.
+// During a rolling restart a newer side sends a field that an older entry does not have. The entry must
+// still decode the heartbeat, or it would treat the side as failed.
 #[gtest]
 fn unknown_fields_are_ignored() {
     let reply = side::HeartbeatReply::default();
@@ -17,8 +17,8 @@
     expect_that!(read, ok(anything()));
 }
 
-// Heartbeats go to thousands of sides, most of them idle: one that spelled out every field would
-// cost a node more than all of its control may. What is usual is left out and read back as usual.
+// Heartbeats go to thousands of sides, most of them idle. With every field written out, they would
+// exceed a node's limit for all control traffic. Default values are omitted and decoded as defaults.
 #[gtest]
 fn a_default_heartbeat_is_small_and_reads_back() {
     let reply = side::HeartbeatReply {
