--- a/fw-wire/src/peer.rs
+++ b/fw-wire/src/peer.rs
@@ -211,7 +211,7 @@
     pub sides: u32,
     /// Number of shards that it keeps.
     pub shards: u32,
-    /// Number of active programs.
+    /// Number of programs with a turn in progress.
     pub programs: u32,
     /// Time since the platform's store last answered it.
     #[serde(default)]
