--- a/fw-follow/src/lib.rs
+++ b/fw-follow/src/lib.rs
@@ -31,7 +31,7 @@
         message: String,
     },
     /// The requested changes are no longer in the store's history.
-    #[snafu(display("the store no longer keeps changes from revision {after} on"))]
+    #[snafu(display("the store's history no longer contains the changes after revision {after}"))]
     HistoryGone {
         /// The revision after which changes were requested.
         after: Revision,
@@ -267,10 +267,7 @@
         self.late_reads += 1;
         metrics::counter!("fw_follow_late_total").increment(1);
         let ms = self.started_at.elapsed().as_millis() as u64;
-        tracing::info!(
-            ms,
-            "a read of the platform's store is late; it is asked again"
-        );
+        tracing::info!(ms, "a read of the platform's store is late; retrying");
     }
 
     fn record_success<C>(&mut self, read: Read<C>) -> Event<C> {
@@ -286,7 +283,10 @@
     }
 
     fn record_history_gone(&mut self, after: Revision) {
-        tracing::info!(after, "the store dropped its history; all is read again");
+        tracing::info!(
+            after,
+            "the store no longer has the requested history; reading a snapshot"
+        );
         self.revision = None;
     }
 
--- a/fw-http/src/lib.rs
+++ b/fw-http/src/lib.rs
@@ -74,7 +74,7 @@
         after: Duration,
     },
     /// The response body was truncated or too large.
-    #[snafu(display("cannot read the answer's body: {source}"))]
+    #[snafu(display("cannot read the response body: {source}"))]
     Body {
         /// The error of the body reader.
         source: Box<dyn std::error::Error + Send + Sync>,
@@ -86,7 +86,7 @@
         source: http::Error,
     },
     /// The request body could not be serialized as JSON.
-    #[snafu(display("cannot write the request as JSON: {source}"))]
+    #[snafu(display("cannot serialize the request as JSON: {source}"))]
     Json {
         /// The serializer's error.
         source: serde_json::Error,
--- a/fw-store/src/codec.rs
+++ b/fw-store/src/codec.rs
@@ -177,7 +177,7 @@
         if self.response_put.is_some() {
             return Ok(kv::Reply::Put);
         }
-        Err(malformed("responses", &"a step without an answer"))
+        Err(malformed("responses", &"a step without a response"))
     }
 }
 
--- a/fw-store/src/watch.rs
+++ b/fw-store/src/watch.rs
@@ -209,7 +209,7 @@
         let deadline = self.last_received_at + idle_timeout;
         match tokio::time::timeout_at(deadline, self.next_line()).await {
             Ok(line) => line,
-            Err(_) => watch_ended("its connection fell silent"),
+            Err(_) => watch_ended("no data arrived on its connection within the idle timeout"),
         }
     }
 
@@ -219,7 +219,7 @@
                 return decode_line(&line);
             }
             if self.buf.len() > MAX_LINE {
-                return watch_ended("a line is too long");
+                return watch_ended("a line of the response is longer than 64 MiB");
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => self.push(frame),
