--- a/fw-keep/src/claim.rs
+++ b/fw-keep/src/claim.rs
@@ -68,7 +68,7 @@
 
 /// What an existing claim means for the same key sent again.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Again {
+pub enum Duplicate {
     /// The call ran; this was its answer.
     Replay(Answer),
     /// It must not run.
@@ -85,9 +85,14 @@
         }
     }
 
-    /// Answers a call under a key that is claimed already. An open claim older than `patience` is
+    /// Answers a call under a key that is claimed already. An open claim older than `open_timeout` is
     /// taken to have lost its holder.
-    pub fn again(&self, fingerprint: Digest, patience: Duration, now: Duration) -> Again {
+    pub fn answer_duplicate(
+        &self,
+        fingerprint: Digest,
+        open_timeout: Duration,
+        now: Duration,
+    ) -> Duplicate {
         if fingerprint != self.fingerprint {
             return refused(
                 Kind::KeyReused,
@@ -95,9 +100,9 @@
             );
         }
         match &self.state {
-            State::Done(answer) => Again::Replay(answer.clone()),
+            State::Done(answer) => Duplicate::Replay(answer.clone()),
             State::Unknown => may_have_run(),
-            State::Open if now.saturating_sub(self.since) > patience => may_have_run(),
+            State::Open if now.saturating_sub(self.since) > open_timeout => may_have_run(),
             State::Opening | State::Open => refused(
                 Kind::KeyInUse,
                 "a call under this `Idempotency-Key` is under way; ask again for its answer",
@@ -106,14 +111,14 @@
     }
 
     /// Notes that the claim is durable.
-    pub fn opened(&mut self, now: Duration) {
+    pub fn mark_open(&mut self, now: Duration) {
         if self.state == State::Opening {
             self.enter(State::Open, now);
         }
     }
 
     /// Notes the call's answer. A first answer stands: a late duplicate doesn't replace it.
-    pub fn done(&mut self, answer: Answer, now: Duration) -> bool {
+    pub fn record_answer(&mut self, answer: Answer, now: Duration) -> bool {
         if matches!(self.state, State::Done(_)) {
             return false;
         }
@@ -127,7 +132,7 @@
     }
 
     /// Notes that the holder is gone: whoever takes over can't know whether the call was sent.
-    pub fn orphan(&mut self) {
+    pub fn mark_orphaned(&mut self) {
         if self.is_unsettled() {
             self.state = State::Unknown;
         }
@@ -139,7 +144,7 @@
     }
 }
 
-fn may_have_run() -> Again {
+fn may_have_run() -> Duplicate {
     refused(
         Kind::MayHaveRun,
         "a call under this `Idempotency-Key` was sent and its outcome is not known; look at its \
@@ -147,6 +152,6 @@
     )
 }
 
-fn refused(kind: Kind, message: &str) -> Again {
-    Again::Refused(error::Error::new(kind, message))
+fn refused(kind: Kind, message: &str) -> Duplicate {
+    Duplicate::Refused(error::Error::new(kind, message))
 }
--- a/fw-keep/src/commit.rs
+++ b/fw-keep/src/commit.rs
@@ -138,7 +138,7 @@
     }
 
     /// Reports what came of the step.
-    pub fn on(&mut self, reply: Reply) {
+    pub fn handle_reply(&mut self, reply: Reply) {
         match (self.state, reply) {
             (_, Reply::NotSent) | (State::Doubt, Reply::Unknown) => (),
             (State::Ready, Reply::Unknown) => self.state = State::Doubt,
@@ -203,7 +203,7 @@
         for sent in std::mem::take(&mut self.sent) {
             let job = &mut self.jobs[sent.job];
             let last = job.parts.drain(..sent.parts).next_back();
-            job.before = last.map(|part| part.head);
+            job.expected_head = last.map(|part| part.head);
         }
         let (done, left) = self.jobs.drain(..).partition(|job| job.parts.is_empty());
         self.jobs = left;
@@ -230,7 +230,7 @@
         for index in sent.into_iter().rev() {
             let job = &self.jobs[index];
             let seen = seen(kvs, job);
-            let same_head = seen.head == job.before.as_deref();
+            let same_head = seen.head == job.expected_head.as_deref();
             let shard = job.shard;
             match (seen.owner, same_head) {
                 (owner, true) if owner == job.fence => (),
@@ -271,7 +271,7 @@
 
 fn compares(job: &Job) -> [kv::Compare; 2] {
     let head_key = job.head_key.clone();
-    let head = match &job.before {
+    let head = match &job.expected_head {
         Some(before) => kv::Compare::Value(head_key, before.clone()),
         None => kv::Compare::CreateRevision(head_key, 0),
     };
--- a/fw-keep/src/journal/replay.rs
+++ b/fw-keep/src/journal/replay.rs
@@ -122,20 +122,20 @@
     fn guess_head(&self) -> Head {
         let keys = self.values.keys();
         let generation = keys.clone().map(|(g, _)| *g).min().unwrap_or(1);
-        let drafted = keys.clone().map(|(g, _)| *g).max().unwrap_or(1);
+        let highest_generation = keys.clone().map(|(g, _)| *g).max().unwrap_or(1);
         let of_it = keys.filter(|(g, _)| *g == generation);
-        let next = of_it.map(|(_, seq)| seq + 1).max().unwrap_or(0);
+        let next_seq = of_it.map(|(_, seq)| seq + 1).max().unwrap_or(0);
         Head {
             generation,
-            next,
-            drafted,
-            damaged_before: Some(next),
+            next_seq,
+            highest_generation,
+            damaged_before: Some(next_seq),
             ..self.empty_head()
         }
     }
 
     fn segments(&mut self, head: &Head) {
-        for seq in 0..head.next {
+        for seq in 0..head.next_seq {
             if head.damaged_before == Some(seq) {
                 self.lost_head();
             }
@@ -145,7 +145,7 @@
                 Err(corrupt) => self.damage(corrupt),
             }
         }
-        if head.damaged_before == Some(head.next) {
+        if head.damaged_before == Some(head.next_seq) {
             self.lost_head();
         }
         self.beyond(head);
@@ -225,7 +225,7 @@
         let item = match postcard::from_bytes::<Vec<Entry>>(&bytes) {
             Ok(entries) if first.snapshot => Item::Snapshot(entries),
             Ok(entries) => Item::Group(entries),
-            Err(err) => Item::Damage(Corrupt::Form {
+            Err(err) => Item::Damage(Corrupt::Format {
                 key,
                 reason: err.to_string(),
             }),
--- a/fw-keep/src/journal/segment.rs
+++ b/fw-keep/src/journal/segment.rs
@@ -7,10 +7,10 @@
 use snafu::Snafu;
 use snafu::ensure;
 
-const SEGMENT_MARK: &[u8; 4] = b"fwj1";
-const HEAD_MARK: &[u8; 4] = b"fwh1";
-const MARK_LEN: usize = 4;
-const SUM_LEN: usize = 32;
+const SEGMENT_MAGIC: &[u8; 4] = b"fwj1";
+const HEAD_MAGIC: &[u8; 4] = b"fwh1";
+const MAGIC_LEN: usize = 4;
+const CHECKSUM_LEN: usize = 32;
 
 /// A random number that names one group of entries and one attempt to write it. After a write
 /// whose answer was lost, it tells our own value from another's.
@@ -48,9 +48,9 @@
     /// The generation in force.
     pub generation: u64,
     /// Sequence number of its next segment.
-    pub next: u64,
+    pub next_seq: u64,
     /// The highest generation ever begun; above `generation` while a snapshot is being written.
-    pub drafted: u64,
+    pub highest_generation: u64,
     /// Names the group written last.
     pub nonce: Nonce,
     /// The part of that group written last.
@@ -58,7 +58,7 @@
     /// Bytes of the generation's segments.
     pub bytes: u64,
     /// Bytes of the snapshot that the generation begins with.
-    pub base_bytes: u64,
+    pub snapshot_bytes: u64,
     /// Sequence numbers before which damage was found that can't be seen any more.
     pub damaged_before: Option<u64>,
 }
@@ -77,7 +77,7 @@
     },
     /// The value is whole and of another kind or version.
     #[snafu(display("`{key}` has an unknown form: {reason}"))]
-    Form {
+    Format {
         /// The key.
         key: String,
         /// What is unknown.
@@ -102,7 +102,7 @@
 impl Segment {
     /// The value to store.
     pub fn encode(&self) -> Vec<u8> {
-        encode(SEGMENT_MARK, self)
+        encode(SEGMENT_MAGIC, self)
     }
 
     /// Reads the value of `key`, and checks that it belongs there.
@@ -117,7 +117,7 @@
         seq: u64,
         value: &[u8],
     ) -> Result<Self, Corrupt> {
-        let segment: Self = decode(SEGMENT_MARK, key, value)?;
+        let segment: Self = decode(SEGMENT_MAGIC, key, value)?;
         let place = (segment.shard, segment.generation, segment.seq);
         ensure!(
             place == (shard, generation, seq),
@@ -140,7 +140,7 @@
 impl Head {
     /// The value to store.
     pub fn encode(&self) -> Vec<u8> {
-        encode(HEAD_MARK, self)
+        encode(HEAD_MAGIC, self)
     }
 
     /// Reads the value of `key`, and checks that it belongs there.
@@ -149,7 +149,7 @@
     ///
     /// Any [`Corrupt`] but `Missing`.
     pub fn decode(key: &str, shard: id::ShardId, value: &[u8]) -> Result<Self, Corrupt> {
-        let head: Self = decode(HEAD_MARK, key, value)?;
+        let head: Self = decode(HEAD_MAGIC, key, value)?;
         ensure!(
             head.shard == shard,
             ForeignSnafu {
@@ -161,8 +161,8 @@
     }
 }
 
-fn encode<T: Serialize>(mark: &[u8; MARK_LEN], content: &T) -> Vec<u8> {
-    let mut buf = mark.to_vec();
+fn encode<T: Serialize>(magic: &[u8; MAGIC_LEN], content: &T) -> Vec<u8> {
+    let mut buf = magic.to_vec();
     let body = postcard::to_stdvec(content).expect("plain data encodes into memory");
     buf.extend_from_slice(&body);
     let sum = blake3::hash(&buf);
@@ -171,33 +171,33 @@
 }
 
 fn decode<T: DeserializeOwned>(
-    mark: &[u8; MARK_LEN],
+    magic: &[u8; MAGIC_LEN],
     key: &str,
     value: &[u8],
 ) -> Result<T, Corrupt> {
     let len = value.len();
-    ensure!(len >= MARK_LEN + SUM_LEN, TornSnafu { key, len });
-    let (content, sum) = value.split_at(len - SUM_LEN);
+    ensure!(len >= MAGIC_LEN + CHECKSUM_LEN, TornSnafu { key, len });
+    let (content, sum) = value.split_at(len - CHECKSUM_LEN);
     ensure!(
         blake3::hash(content).as_bytes() == sum,
         TornSnafu { key, len }
     );
-    let (found, body) = content.split_at(MARK_LEN);
+    let (found, body) = content.split_at(MAGIC_LEN);
     ensure!(
-        found == mark,
-        FormSnafu {
+        found == magic,
+        FormatSnafu {
             key,
             reason: format!("its mark is {}", found.escape_ascii()),
         }
     );
-    let form = |err: postcard::Error| Corrupt::Form {
+    let form = |err: postcard::Error| Corrupt::Format {
         key: key.to_owned(),
         reason: err.to_string(),
     };
     let (content, rest) = postcard::take_from_bytes(body).map_err(form)?;
     ensure!(
         rest.is_empty(),
-        FormSnafu {
+        FormatSnafu {
             key,
             reason: format!("{} bytes follow its content", rest.len()),
         }
--- a/fw-keep/src/journal/writer.rs
+++ b/fw-keep/src/journal/writer.rs
@@ -62,7 +62,7 @@
     /// Key of the head.
     pub head_key: String,
     /// Value of the head before the next part; `None` for a journal without one.
-    pub before: Option<Vec<u8>>,
+    pub expected_head: Option<Vec<u8>>,
     /// What is still to be written; never empty when handed out.
     pub parts: VecDeque<Part>,
 }
@@ -120,22 +120,26 @@
         if head.damaged_before.is_some() {
             return false;
         }
-        let since = head.bytes.saturating_sub(head.base_bytes);
-        let large = since > self.opts.min_bytes.max(head.base_bytes * self.opts.growth);
-        large || head.next > self.opts.max_segments
+        let since = head.bytes.saturating_sub(head.snapshot_bytes);
+        let large = since
+            > self
+                .opts
+                .min_bytes
+                .max(head.snapshot_bytes * self.opts.growth);
+        large || head.next_seq > self.opts.max_segments
     }
 
     /// Plans a group that follows what was planned before.
     pub fn append(&mut self, entries: &[Entry], nonce: Nonce) -> Job {
         self.head.generation = self.head.generation.max(1);
-        self.head.drafted = self.head.drafted.max(1);
+        self.head.highest_generation = self.head.highest_generation.max(1);
         let generation = self.head.generation;
-        let first = self.head.next;
+        let first = self.head.next_seq;
         let segments = self.split(entries, nonce, generation, first, false);
         let mut parts = VecDeque::new();
         for segment in segments {
             let value = segment.encode();
-            self.head.next = segment.seq + 1;
+            self.head.next_seq = segment.seq + 1;
             self.head.bytes += value.len() as u64;
             parts.push_back(self.part(&segment, value, Vec::new()));
         }
@@ -146,8 +150,8 @@
     /// last part is written, in the same transaction.
     pub fn snapshot(&mut self, entries: &[Entry], nonce: Nonce) -> Job {
         let old = self.head.generation;
-        let generation = self.head.drafted + 1;
-        self.head.drafted = generation;
+        let generation = self.head.highest_generation + 1;
+        self.head.highest_generation = generation;
         let segments = self.split(entries, nonce, generation, 0, true);
         let count = segments.len() as u64;
         let mut bytes = 0;
@@ -159,9 +163,9 @@
             let mut delete = Vec::new();
             if is_last {
                 self.head.generation = generation;
-                self.head.next = count;
+                self.head.next_seq = count;
                 self.head.bytes = bytes;
-                self.head.base_bytes = bytes;
+                self.head.snapshot_bytes = bytes;
                 let superseded = old.max(1)..generation;
                 delete = superseded.map(|g| self.generation_prefix(g)).collect();
             }
@@ -210,13 +214,13 @@
 
     fn job(&mut self, parts: VecDeque<Part>) -> Job {
         let last = parts.back().map(|part| part.head.clone());
-        let before = std::mem::replace(&mut self.stored, last);
+        let expected_head = std::mem::replace(&mut self.stored, last);
         Job {
             shard: self.shard,
             fence: self.fence,
             owner_key: keys::owner(&self.root, self.shard),
             head_key: keys::head(&self.root, self.shard),
-            before,
+            expected_head,
             parts,
         }
     }
--- a/fw-keep/src/keeper/flush.rs
+++ b/fw-keep/src/keeper/flush.rs
@@ -104,13 +104,13 @@
         let nonce = rand::random();
         let job = if kept.writer.is_snapshot_due() {
             let batch = kept.shard.take_snapshot();
-            group.end_positions.insert(shard, batch.upto);
+            group.end_positions.insert(shard, batch.last_position);
             kept.writer.snapshot(&batch.entries, nonce)
         } else {
             let Some(batch) = kept.shard.take_batch() else {
                 continue;
             };
-            group.end_positions.insert(shard, batch.upto);
+            group.end_positions.insert(shard, batch.last_position);
             kept.writer.append(&batch.entries, nonce)
         };
         group.jobs.push(job);
@@ -143,7 +143,7 @@
         };
         let reply = send(inner, &txn).await;
         let failed = !matches!(reply, Reply::Answer(_));
-        commit.on(reply);
+        commit.handle_reply(reply);
         for verdict in commit.take_verdicts() {
             apply_verdict(inner, verdict, end_positions, &mut lapsed);
         }
@@ -215,7 +215,7 @@
         wait_for_lease(inner).await;
         let requests = undecided.iter().map(|job| acquire::Request {
             shard: job.shard,
-            head: Some(job.before.clone()),
+            head: Some(job.expected_head.clone()),
         });
         let epoch = inner.ownership_epoch();
         let lease = *inner.lease.borrow();
--- a/fw-keep/src/keeper/load.rs
+++ b/fw-keep/src/keeper/load.rs
@@ -137,8 +137,8 @@
 async fn read_large(inner: &Inner, unloaded: &UnloadedShard) -> Option<Vec<kv::Kv>> {
     let head = &unloaded.decoded_head;
     let mut kvs = Vec::new();
-    for first in (0..head.next).step_by(SEGMENTS_PER_READ as usize) {
-        let last = (first + SEGMENTS_PER_READ).min(head.next);
+    for first in (0..head.next_seq).step_by(SEGMENTS_PER_READ as usize) {
+        let last = (first + SEGMENTS_PER_READ).min(head.next_seq);
         let reads = (first..last).map(|seq| {
             let key = keys::segment(&inner.opts.root, unloaded.shard, head.generation, seq);
             kv::Op::get(key)
--- a/fw-keep/src/keeper/membership.rs
+++ b/fw-keep/src/keeper/membership.rs
@@ -229,7 +229,7 @@
         let Some(kept) = slot.serving() else {
             return false;
         };
-        if !kept.shard.is_quiet() {
+        if !kept.shard.is_idle() {
             return false;
         }
         kept.is_leaving = true;
--- a/fw-keep/src/keeper/mod.rs
+++ b/fw-keep/src/keeper/mod.rs
@@ -396,8 +396,10 @@
             return ClaimResult::NotKeeper;
         };
         match changed.value {
-            shard::ClaimOutcome::Again(claim::Again::Replay(answer)) => ClaimResult::Replay(answer),
-            shard::ClaimOutcome::Again(claim::Again::Refused(err)) => refuse(err),
+            shard::ClaimOutcome::Duplicate(claim::Duplicate::Replay(answer)) => {
+                ClaimResult::Replay(answer)
+            }
+            shard::ClaimOutcome::Duplicate(claim::Duplicate::Refused(err)) => refuse(err),
             shard::ClaimOutcome::Opening { .. } => {
                 let durable = self.wait_durable(changed.ticket).await;
                 self.finish_claim(shard, key, fingerprint, durable)
@@ -467,7 +469,7 @@
                     Kind::StoreUnavailable,
                     "the claim on `Idempotency-Key` could not be stored; send the call again",
                 )
-                .with_retry_after(shard::STORE_RETRY),
+                .with_retry_after(shard::STORE_RETRY_AFTER),
             ),
         }
     }
--- a/fw-keep/src/keeper/slot.rs
+++ b/fw-keep/src/keeper/slot.rs
@@ -74,7 +74,7 @@
 
     /// Records that changes up to `position` are durable.
     pub(super) fn mark_durable(&mut self, position: shard::Position) {
-        self.shard.durable(position);
+        self.shard.mark_durable(position);
         self.durable_position.send_replace(position);
     }
 }
--- a/fw-keep/src/ledger.rs
+++ b/fw-keep/src/ledger.rs
@@ -35,7 +35,7 @@
 
 /// What one turn wants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Want {
+pub struct Request {
     /// Estimate of the prompt's tokens.
     pub prompt: id::Tokens,
     /// Most tokens to generate, if the caller set a bound.
@@ -87,13 +87,13 @@
     pub fn reserve(
         &mut self,
         attempt: id::AttemptId,
-        want: Want,
+        request: Request,
         limits: &Limits,
     ) -> Result<Grant, error::Error> {
         self.check_turns(limits)?;
         let time = self.time_left(limits)?;
-        let completion = self.completion(want, limits)?;
-        let tokens = want.prompt.saturating_add(completion.unwrap_or(0));
+        let completion = self.completion(request, limits)?;
+        let tokens = request.prompt.saturating_add(completion.unwrap_or(0));
         let amount = Amount {
             turns: 1,
             tokens,
@@ -145,19 +145,23 @@
         Ok(Some(left))
     }
 
-    fn completion(&self, want: Want, limits: &Limits) -> Result<Option<id::Tokens>, error::Error> {
+    fn completion(
+        &self,
+        request: Request,
+        limits: &Limits,
+    ) -> Result<Option<id::Tokens>, error::Error> {
         let Some(left) = self.tokens_left(limits) else {
-            return Ok(want.completion);
+            return Ok(request.completion);
         };
-        let room = left.saturating_sub(want.prompt);
+        let room = left.saturating_sub(request.prompt);
         if room == 0 {
-            let prompt = want.prompt;
+            let prompt = request.prompt;
             return Err(exhausted(format!(
                 "the program's budget has {left} tokens left and the prompt takes about {prompt}; \
                  end it and start another"
             )));
         }
-        Ok(Some(want.completion.map_or(room, |most| most.min(room))))
+        Ok(Some(request.completion.map_or(room, |most| most.min(room))))
     }
 }
 
--- a/fw-keep/src/program/mod.rs
+++ b/fw-keep/src/program/mod.rs
@@ -78,7 +78,7 @@
     state: State,
     ledger: ledger::Ledger,
     limits: ledger::Limits,
-    touched: Duration,
+    last_used_at: Duration,
 }
 
 /// Where the messages of a request stand relative to the committed history.
@@ -99,7 +99,7 @@
             state: State::Idle,
             ledger: ledger::Ledger::default(),
             limits: ledger::Limits::default(),
-            touched: now,
+            last_used_at: now,
         }
     }
 
@@ -158,8 +158,8 @@
     }
 
     /// When it was last used, as the caller's `now` of that time.
-    pub fn touched(&self) -> Duration {
-        self.touched
+    pub fn last_used_at(&self) -> Duration {
+        self.last_used_at
     }
 
     /// Asks for a turn.
@@ -223,7 +223,7 @@
             },
         };
         self.ledger.settle(attempt, used);
-        self.touched = now;
+        self.last_used_at = now;
         Some(used)
     }
 
@@ -234,7 +234,7 @@
             self.ledger.settle(attempt, ledger::Amount::default());
         }
         self.state = State::Ended;
-        self.touched = now;
+        self.last_used_at = now;
         attempt
     }
 
@@ -246,10 +246,10 @@
     pub fn reserve(
         &mut self,
         attempt: id::AttemptId,
-        want: ledger::Want,
+        request: ledger::Request,
     ) -> Result<ledger::Grant, error::Error> {
         self.check_alive()?;
-        self.ledger.reserve(attempt, want, &self.limits)
+        self.ledger.reserve(attempt, request, &self.limits)
     }
 
     /// Adds what was spent without a turn.
@@ -303,7 +303,7 @@
         self.digest = turn.committed.prompt.extend(&turn.committed.answer.message);
         self.last = Some(turn.committed.clone());
         self.ledger.charge(turn.spent);
-        self.touched = now;
+        self.last_used_at = now;
     }
 
     /// Puts together a program that a snapshot describes.
@@ -318,7 +318,7 @@
             state: if ended { State::Ended } else { State::Idle },
             ledger: ledger::Ledger::new(saved.spent),
             limits: ledger::Limits::default(),
-            touched: saved.touched,
+            last_used_at: saved.last_used_at,
         }
     }
 
@@ -331,7 +331,7 @@
             last: self.last.clone(),
             spent: self.ledger.spent(),
             ended: self.state == State::Ended,
-            touched: self.touched,
+            last_used_at: self.last_used_at,
         }
     }
 
@@ -375,7 +375,7 @@
     fn try_begin(&mut self, begin: Begin, now: Duration) -> Result<Outcome, error::Error> {
         self.check_team(&begin.team)?;
         self.check_alive()?;
-        self.touched = now;
+        self.last_used_at = now;
         match self.place(&begin)? {
             Place::Last => self.replay(&begin),
             Place::Next(messages) => self.next(begin, messages, now),
@@ -516,11 +516,11 @@
         }
         self.limits = begin.limits;
         let prompt_tokens = self.estimate(&messages);
-        let want = ledger::Want {
+        let request = ledger::Request {
             prompt: prompt_tokens,
             completion: begin.max_tokens,
         };
-        let grant = self.ledger.reserve(begin.attempt, want, &begin.limits)?;
+        let grant = self.ledger.reserve(begin.attempt, request, &begin.limits)?;
         let turn = self.turn() + 1;
         self.state = State::Running(Box::new(Running {
             attempt: begin.attempt,
--- a/fw-keep/src/program/turn.rs
+++ b/fw-keep/src/program/turn.rs
@@ -185,5 +185,5 @@
     /// Whether it was ended.
     pub ended: bool,
     /// When it was last used.
-    pub touched: Duration,
+    pub last_used_at: Duration,
 }
--- a/fw-keep/src/shard/load.rs
+++ b/fw-keep/src/shard/load.rs
@@ -28,7 +28,10 @@
         for item in items {
             shard.replay(item);
         }
-        shard.claims.values_mut().for_each(claim::Claim::orphan);
+        shard
+            .claims
+            .values_mut()
+            .for_each(claim::Claim::mark_orphaned);
         shard
     }
 
@@ -115,7 +118,7 @@
             }
             Entry::Done { key, answer, at } => {
                 if let Some(claim) = self.claims.get_mut(&key) {
-                    claim.done(answer, at);
+                    claim.record_answer(answer, at);
                 }
             }
             Entry::Free { key } => {
--- a/fw-keep/src/shard/mod.rs
+++ b/fw-keep/src/shard/mod.rs
@@ -33,7 +33,7 @@
         position: Position,
     },
     /// The key was used before.
-    Again(claim::Again),
+    Duplicate(claim::Duplicate),
 }
 
 /// A turn that was finished.
@@ -64,7 +64,7 @@
     /// The changes, in order; never none.
     pub entries: Vec<Entry>,
     /// Position of the last one.
-    pub upto: Position,
+    pub last_position: Position,
     /// Whether the entries are the whole shard rather than changes.
     pub snapshot: bool,
 }
@@ -89,7 +89,7 @@
 pub(crate) const MAX_PENDING: usize = 16_384;
 
 /// When to ask again after a refusal for want of the store.
-pub(crate) const STORE_RETRY: Duration = Duration::from_secs(2);
+pub(crate) const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Shard {
     /// An empty shard.
@@ -156,7 +156,7 @@
     }
 
     /// Whether nothing would be cut off by handing it over: no turn and no claim is under way.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let running = |known: &Program| known.status() == program::Status::Running;
         let open = |claim: &claim::Claim| {
             matches!(claim.state, claim::State::Opening | claim::State::Open)
@@ -322,10 +322,10 @@
         &mut self,
         program: &id::ProgramId,
         attempt: id::AttemptId,
-        want: ledger::Want,
+        request: ledger::Request,
     ) -> Result<ledger::Grant, error::Error> {
         let known = self.programs.get_mut(program).ok_or_else(unknown)?;
-        known.reserve(attempt, want)
+        known.reserve(attempt, request)
     }
 
     /// Replaces a sub-agent's reservation by what it used.
@@ -350,11 +350,11 @@
         now: Duration,
     ) -> ClaimOutcome {
         if let Some(claim) = self.claims.get(key) {
-            let patience = self.retention.patience;
-            return ClaimOutcome::Again(claim.again(fingerprint, patience, now));
+            let open_timeout = self.retention.open_claim;
+            return ClaimOutcome::Duplicate(claim.answer_duplicate(fingerprint, open_timeout, now));
         }
         if let Err(err) = self.check_claims() {
-            return ClaimOutcome::Again(claim::Again::Refused(err));
+            return ClaimOutcome::Duplicate(claim::Duplicate::Refused(err));
         }
         let claim = claim::Claim::new(fingerprint, now);
         self.claims.insert(key.clone(), claim);
@@ -371,7 +371,7 @@
         let Some(claim) = self.claims.get_mut(key) else {
             return false;
         };
-        claim.opened(now);
+        claim.mark_open(now);
         claim.state == claim::State::Open
     }
 
@@ -391,7 +391,7 @@
         if let Some(claim) = self.claims.get_mut(key)
             && claim.fingerprint == fingerprint
         {
-            claim.orphan();
+            claim.mark_orphaned();
         }
     }
 
@@ -404,7 +404,7 @@
         now: Duration,
     ) -> Option<Position> {
         let claim = self.claims.get_mut(key)?;
-        if claim.fingerprint != fingerprint || !claim.done(answer.clone(), now) {
+        if claim.fingerprint != fingerprint || !claim.record_answer(answer.clone(), now) {
             return None;
         }
         Some(self.push(Entry::Done {
@@ -422,7 +422,7 @@
         Some(Batch {
             shard: self.id,
             entries: self.pending.drain(..).collect(),
-            upto: self.last,
+            last_position: self.last,
             snapshot: false,
         })
     }
@@ -433,13 +433,13 @@
         Batch {
             shard: self.id,
             entries: self.snapshot(),
-            upto: self.last,
+            last_position: self.last,
             snapshot: true,
         }
     }
 
     /// Notes that all changes up to `position` are in the store.
-    pub fn durable(&mut self, position: Position) {
+    pub fn mark_durable(&mut self, position: Position) {
         self.durable = self.durable.max(position);
     }
 
@@ -472,7 +472,7 @@
             Kind::StoreUnavailable,
             format!("{waiting} changes wait for the store already; send the call again later"),
         )
-        .with_retry_after(STORE_RETRY))
+        .with_retry_after(STORE_RETRY_AFTER))
     }
 
     /// All that is committed, as the entries of a snapshot.
--- a/fw-keep/src/shard/sweep.rs
+++ b/fw-keep/src/shard/sweep.rs
@@ -18,7 +18,7 @@
     /// From a claim's last change.
     pub claim: Duration,
     /// After this time without outcome a claim's holder is taken to be gone.
-    pub patience: Duration,
+    pub open_claim: Duration,
 }
 
 impl Default for Retention {
@@ -28,7 +28,7 @@
             ended: HOUR,
             idle: 24 * HOUR,
             claim: 24 * HOUR,
-            patience: HOUR / 12,
+            open_claim: HOUR / 12,
         }
     }
 }
@@ -43,7 +43,7 @@
     fn sweep_programs(&mut self, now: Duration) {
         let retention = self.retention;
         let is_over = |known: &Program| {
-            let age = now.saturating_sub(known.touched());
+            let age = now.saturating_sub(known.last_used_at());
             match known.status() {
                 program::Status::Running => false,
                 program::Status::Ended => age > retention.ended,
--- a/fw-keep/tests/keep/claim_steps.rs
+++ b/fw-keep/tests/keep/claim_steps.rs
@@ -4,8 +4,8 @@
 
 use fw_base::error::Kind;
 use fw_keep::claim;
-use fw_keep::claim::Again;
 use fw_keep::claim::Answer;
+use fw_keep::claim::Duplicate;
 use fw_keep::journal::replay;
 use fw_keep::shard::ClaimOutcome;
 use fw_keep::shard::Shard;
@@ -28,8 +28,8 @@
 
 fn refusal(outcome: ClaimOutcome) -> Option<Kind> {
     match outcome {
-        ClaimOutcome::Again(Again::Refused(err)) => Some(err.kind),
-        ClaimOutcome::Opening { .. } | ClaimOutcome::Again(Again::Replay(_)) => None,
+        ClaimOutcome::Duplicate(Duplicate::Refused(err)) => Some(err.kind),
+        ClaimOutcome::Opening { .. } | ClaimOutcome::Duplicate(Duplicate::Replay(_)) => None,
     }
 }
 
@@ -84,7 +84,7 @@
     let mut next = take_over(&mut shard);
     expect_that!(
         open(&mut next),
-        eq(&ClaimOutcome::Again(Again::Replay(ok_answer())))
+        eq(&ClaimOutcome::Duplicate(Duplicate::Replay(ok_answer())))
     );
 }
 
@@ -102,7 +102,7 @@
     );
     expect_that!(
         open(&mut next),
-        eq(&ClaimOutcome::Again(Again::Replay(ok_answer())))
+        eq(&ClaimOutcome::Duplicate(Duplicate::Replay(ok_answer())))
     );
 }
 
@@ -122,7 +122,7 @@
     expect_that!(shard.claim_not_run(&key, body), none());
     expect_that!(
         open(&mut shard),
-        eq(&ClaimOutcome::Again(Again::Replay(ok_answer())))
+        eq(&ClaimOutcome::Duplicate(Duplicate::Replay(ok_answer())))
     );
 }
 
--- a/fw-keep/tests/keep/commit_answers.rs
+++ b/fw-keep/tests/keep/commit_answers.rs
@@ -81,7 +81,7 @@
                 Step::Write(txn) | Step::Read(txn) => txn,
             };
             let answer = self.store.txn(&txn).unwrap();
-            commit.on(Reply::Answer(answer));
+            commit.handle_reply(Reply::Answer(answer));
         }
         panic!("the commit does not end");
     }
@@ -110,7 +110,7 @@
     let mut holder = holder(50);
     let mut commit = commit(holder.jobs(1, 3));
     let answer = holder.write(&commit);
-    commit.on(Reply::Answer(answer));
+    commit.handle_reply(Reply::Answer(answer));
     expect_that!(commit.step(), eq(&Step::Done));
     expect_that!(commit.take_verdicts().len(), eq(50));
 }
@@ -135,7 +135,7 @@
         };
         assert!(txn.then.len() <= 120 && txn.otherwise.len() <= 128 && txn.compares.len() <= 128);
         let answer = holder.store.txn(&txn).unwrap();
-        commit.on(Reply::Answer(answer));
+        commit.handle_reply(Reply::Answer(answer));
     }
     expect_that!(commit.take_verdicts().len(), eq(200));
 }
@@ -147,15 +147,15 @@
     let mut holder = holder(3);
     let mut commit = commit(holder.jobs(1, 3));
     holder.write(&commit);
-    commit.on(Reply::Unknown);
+    commit.handle_reply(Reply::Unknown);
     expect_that!(commit.step(), pat!(Step::Read(anything())));
-    commit.on(Reply::Unknown);
+    commit.handle_reply(Reply::Unknown);
     let verdicts = holder.run(&mut commit);
     expect_that!(
         verdicts,
         unordered_elements_are![eq(&committed(0)), eq(&committed(1)), eq(&committed(2))]
     );
-    expect_that!(holder.head(0).next, eq(1));
+    expect_that!(holder.head(0).next_seq, eq(1));
 }
 
 /// The answer was lost and the store had not taken the group: it is written again, once.
@@ -163,7 +163,7 @@
 fn a_lost_call_is_made_again() {
     let mut holder = holder(1);
     let mut commit = commit(holder.jobs(1, 3));
-    commit.on(Reply::Unknown);
+    commit.handle_reply(Reply::Unknown);
     let verdicts = holder.run(&mut commit);
     expect_that!(verdicts, elements_are![eq(&committed(0))]);
 }
@@ -178,13 +178,13 @@
     let Step::Write(delayed) = first.step() else {
         panic!("nothing to write");
     };
-    first.on(Reply::Unknown);
+    first.handle_reply(Reply::Unknown);
     holder.run(&mut first);
     let mut second = commit(holder.jobs(2, 3));
     holder.run(&mut second);
     let arrived = holder.store.txn(&delayed).unwrap();
     expect_that!(arrived.succeeded, eq(false));
-    expect_that!(holder.head(0).next, eq(2));
+    expect_that!(holder.head(0).next_seq, eq(2));
 }
 
 /// As before, and a snapshot has deleted the first group's segment meanwhile, so that "the segment
@@ -196,7 +196,7 @@
     let Step::Write(delayed) = first.step() else {
         panic!("nothing to write");
     };
-    first.on(Reply::Unknown);
+    first.handle_reply(Reply::Unknown);
     holder.run(&mut first);
     let job = holder.writers[0].snapshot(&entries(1), 2);
     holder.run(&mut commit(vec![job]));
@@ -214,12 +214,12 @@
     let Step::Write(delayed) = commit.step() else {
         panic!("nothing to write");
     };
-    commit.on(Reply::Unknown);
+    commit.handle_reply(Reply::Unknown);
     let Step::Read(look) = commit.step() else {
         panic!("nothing to read");
     };
     let seen = holder.store.txn(&look).unwrap();
-    commit.on(Reply::Answer(seen));
+    commit.handle_reply(Reply::Answer(seen));
     holder.store.txn(&delayed).unwrap();
     let verdicts = holder.run(&mut commit);
     expect_that!(verdicts, elements_are![eq(&committed(0))]);
--- a/fw-keep/tests/keep/journal_replay.rs
+++ b/fw-keep/tests/keep/journal_replay.rs
@@ -111,7 +111,7 @@
             };
             let answer = self.store.txn(&txn).unwrap();
             assert!(answer.succeeded);
-            commit.on(Reply::Answer(answer));
+            commit.handle_reply(Reply::Answer(answer));
         }
     }
 
@@ -184,7 +184,7 @@
     journal.turn("p", 1, &large);
     journal.commit();
     journal.take_over(small());
-    expect_that!(journal.read().head.next, gt(15));
+    expect_that!(journal.read().head.next_seq, gt(15));
     let history = journal.shard.program(&"p".into()).unwrap().history();
     expect_that!(history[0], eq(&Message::text("user", &large)));
 }
@@ -358,7 +358,8 @@
     let claimed = journal
         .shard
         .open_claim(&fleet::key("k"), fleet::fingerprint("b"), NOW);
-    let fw_keep::shard::ClaimOutcome::Again(fw_keep::claim::Again::Refused(err)) = claimed else {
+    let fw_keep::shard::ClaimOutcome::Duplicate(fw_keep::claim::Duplicate::Refused(err)) = claimed
+    else {
         panic!("{claimed:?}");
     };
     expect_that!(err.kind, eq(Kind::JournalCorrupt));
--- a/fw-keep/tests/keep/program_budget.rs
+++ b/fw-keep/tests/keep/program_budget.rs
@@ -7,7 +7,7 @@
 use fw_keep::ledger::Amount;
 use fw_keep::ledger::Ledger;
 use fw_keep::ledger::Limits;
-use fw_keep::ledger::Want;
+use fw_keep::ledger::Request;
 use fw_keep::program::Begin;
 use fw_keep::program::Outcome;
 use fw_keep::program::Program;
@@ -25,8 +25,8 @@
     }
 }
 
-fn want(prompt: u64, completion: u64) -> Want {
-    Want {
+fn request(prompt: u64, completion: u64) -> Request {
+    Request {
         prompt,
         completion: Some(completion),
     }
@@ -38,7 +38,7 @@
 fn concurrent_sub_agents_share_one_budget() {
     let mut ledger = Ledger::default();
     let limits = limits(100, 1_000);
-    let grants = (1..=5).map(|attempt| ledger.reserve(attempt, want(100, 300), &limits));
+    let grants = (1..=5).map(|attempt| ledger.reserve(attempt, request(100, 300), &limits));
     let granted: Vec<u64> = grants
         .flatten()
         .filter_map(|grant| grant.completion)
@@ -52,7 +52,7 @@
 fn what_was_not_used_comes_back() {
     let mut ledger = Ledger::default();
     let limits = limits(10, 1_000);
-    ledger.reserve(1, want(100, 900), &limits).unwrap();
+    ledger.reserve(1, request(100, 900), &limits).unwrap();
     expect_that!(ledger.tokens_left(&limits), some(eq(0)));
     let used = Amount {
         turns: 1,
@@ -72,9 +72,9 @@
         tokens: None,
         time: Some(Duration::from_secs(10)),
     };
-    let grant = ledger.reserve(1, want(1, 1), &limits).unwrap();
+    let grant = ledger.reserve(1, request(1, 1), &limits).unwrap();
     expect_that!(grant.time, some(eq(Duration::from_secs(10))));
-    let second = ledger.reserve(2, want(1, 1), &limits);
+    let second = ledger.reserve(2, request(1, 1), &limits);
     expect_that!(
         second.map_err(|err| err.kind),
         err(eq(Kind::BudgetExhausted))
@@ -84,7 +84,7 @@
         time: Duration::from_secs(10),
         ..Amount::default()
     });
-    let late = ledger.reserve(3, want(1, 1), &limits);
+    let late = ledger.reserve(3, request(1, 1), &limits);
     expect_that!(late.map_err(|err| err.kind), err(eq(Kind::BudgetExhausted)));
 }
 
--- a/fw-keep/tests/keep/segment_codec.rs
+++ b/fw-keep/tests/keep/segment_codec.rs
@@ -105,11 +105,11 @@
     let head = prop_oneof![
         Just(None),
         vec(any::<u8>(), 0..64).prop_map(Some),
-        (0..4_u64, 0..9_u64).prop_map(|(generation, next)| {
+        (0..4_u64, 0..9_u64).prop_map(|(generation, next_seq)| {
             let head = Head {
                 shard: 3,
                 generation,
-                next,
+                next_seq,
                 ..Head::default()
             };
             Some(head.encode())
@@ -137,5 +137,5 @@
     let found = Head::decode("key", 3, &head.encode());
     expect_that!(found, err(pat!(Corrupt::Foreign { .. })));
     let found = Head::decode("key", 3, &value);
-    expect_that!(found, err(pat!(Corrupt::Form { .. })));
+    expect_that!(found, err(pat!(Corrupt::Format { .. })));
 }
--- a/fw-keep/tests/keep/shard_lock.rs
+++ b/fw-keep/tests/keep/shard_lock.rs
@@ -41,7 +41,7 @@
         let mut shard = shared.shards[place].lock().unwrap();
         if let Some(batch) = shard.take_batch() {
             written += batch.entries.len();
-            shard.durable(batch.upto);
+            shard.mark_durable(batch.last_position);
         }
     }
     written
--- a/fw-keep/tests/keep/whole_model.rs
+++ b/fw-keep/tests/keep/whole_model.rs
@@ -382,11 +382,11 @@
             }
             let job = if snapshot {
                 let batch = kept.shard.take_snapshot();
-                me.upto.insert(*shard, batch.upto);
+                me.upto.insert(*shard, batch.last_position);
                 kept.writer.snapshot(&batch.entries, nonce)
             } else {
                 let batch = kept.shard.take_batch().unwrap();
-                me.upto.insert(*shard, batch.upto);
+                me.upto.insert(*shard, batch.last_position);
                 kept.writer.append(&batch.entries, nonce)
             };
             jobs.push(job);
@@ -418,7 +418,7 @@
             }
             Delivery::NotSent => Reply::NotSent,
         };
-        commit.on(reply);
+        commit.handle_reply(reply);
         let verdicts = commit.take_verdicts();
         if commit.step() != Step::Done {
             self.holders[holder].commit = Some(commit);
@@ -446,7 +446,7 @@
         let Some(kept) = me.kept.get_mut(&shard) else {
             return;
         };
-        kept.shard.durable(upto);
+        kept.shard.mark_durable(upto);
         let later = kept.turns.split_off(&(upto + 1));
         let reported = self.reported.turns.entry(shard).or_default();
         for (number, digest) in std::mem::replace(&mut kept.turns, later)
@@ -484,7 +484,7 @@
         let mut jobs = Vec::new();
         for job in std::mem::take(&mut self.holders[holder].lapsed) {
             let shard = job.shard;
-            match self.create_owner_key(holder, shard, Some(job.before.clone())) {
+            match self.create_owner_key(holder, shard, Some(job.expected_head.clone())) {
                 Some(fence) => {
                     let kept = self.holders[holder].kept.get_mut(&shard).unwrap();
                     kept.writer.set_fence(fence);
