--- a/fw-keep/examples/recovery.rs
+++ b/fw-keep/examples/recovery.rs
@@ -29,15 +29,15 @@
 const ENTRIES: usize = 4;
 const SHARDS: u16 = 64;
 const TURNS: u32 = 8;
-const WINDOW: Duration = Duration::from_millis(50);
+const COMMIT_WINDOW: Duration = Duration::from_millis(50);
 /// How long the store takes for each call.
 const STORE_DELAY: Duration = Duration::from_millis(2);
 /// How long an engine takes for a turn: between these bounds.
-const ENGINE: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(200));
+const ENGINE_TIME: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(200));
 /// How long each load lasts.
-const SPAN: Duration = Duration::from_secs(4);
+const LOAD_DURATION: Duration = Duration::from_secs(4);
 /// Turns a second, all entries together.
-const LOADS: [u32; 4] = [25, 100, 400, 1_600];
+const TURN_RATES: [u32; 4] = [25, 100, 400, 1_600];
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
@@ -47,25 +47,25 @@
 }
 
 /// Programs finished under one load, and what they waited.
-struct Load {
+struct LoadResult {
     turns: u32,
     wait: Histogram<u64>,
 }
 
 #[tokio::main]
 async fn main() -> Result<(), Failure> {
-    let wanted: Vec<String> = std::env::args().skip(1).collect();
-    let is_wanted = |part: &str| wanted.is_empty() || wanted.iter().any(|arg| arg == part);
-    if is_wanted("calls") {
-        calls().await?;
+    let selected: Vec<String> = std::env::args().skip(1).collect();
+    let is_selected = |part: &str| selected.is_empty() || selected.iter().any(|arg| arg == part);
+    if is_selected("calls") {
+        measure_calls().await?;
     }
-    if is_wanted("death") {
+    if is_selected("death") {
         for ttl in [1, 3] {
-            death(Duration::from_secs(ttl)).await?;
+            measure_death(Duration::from_secs(ttl)).await?;
         }
     }
-    if is_wanted("outage") {
-        outage(Duration::from_secs(10)).await?;
+    if is_selected("outage") {
+        measure_outage(Duration::from_secs(10)).await?;
     }
     Ok(())
 }
@@ -85,19 +85,19 @@
                 root: ROOT.into(),
                 shards: SHARDS,
                 ttl,
-                window: WINDOW,
+                window: COMMIT_WINDOW,
                 ..keeper::Options::default()
             };
             Keeper::open(client(&store, port), opts)
         };
         let keepers: Vec<Keeper> = (0..ENTRIES).map(open).collect();
         let fleet = Self { store, keepers };
-        fleet.until_shared(ENTRIES).await;
+        fleet.wait_balanced(ENTRIES).await;
         Ok(fleet)
     }
 
     /// Waits until `entries` of the keepers share all shards evenly.
-    async fn until_shared(&self, entries: usize) {
+    async fn wait_balanced(&self, entries: usize) {
         let share = usize::from(SHARDS) / entries;
         loop {
             let kept = self.keepers.iter().map(|keeper| keeper.shards().len());
@@ -110,8 +110,8 @@
 
     fn keeper_of(&self, program: &str) -> Option<&Keeper> {
         let shard = self.keepers[0].shard_of(program);
-        let is_mine = |keeper: &&Keeper| keeper.owner(shard) == Owner::Local;
-        self.keepers.iter().find(is_mine)
+        let is_keeper = |keeper: &&Keeper| keeper.owner(shard) == Owner::Local;
+        self.keepers.iter().find(is_keeper)
     }
 }
 
@@ -124,7 +124,7 @@
 }
 
 /// Runs a turn in memory; `None` if the program's shard has no such turn to run here.
-fn turn(keeper: &Keeper, name: &str, number: u32) -> Option<keeper::Ticket> {
+fn run_turn(keeper: &Keeper, name: &str, number: u32) -> Option<keeper::Ticket> {
     let begin = program::Begin {
         team: "team".into(),
         turn: Some(number),
@@ -163,9 +163,9 @@
 
 /// Programs of [`TURNS`] turns arrive so that `rate` turns a second run, each after the last
 /// became durable.
-async fn load(fleet: &Arc<Fleet>, rate: u32, is_grouped: bool) -> Result<Load, Failure> {
-    let programs = rate * SPAN.as_secs() as u32 / TURNS;
-    let gap = SPAN / programs.max(1);
+async fn run_load(fleet: &Arc<Fleet>, rate: u32, is_grouped: bool) -> Result<LoadResult, Failure> {
+    let programs = rate * LOAD_DURATION.as_secs() as u32 / TURNS;
+    let gap = LOAD_DURATION / programs.max(1);
     let mut running = JoinSet::new();
     for number in 0..programs {
         let name = format!("r{rate}-{is_grouped}-{number}");
@@ -179,7 +179,7 @@
         });
         tokio::time::sleep(gap).await;
     }
-    let mut load = Load {
+    let mut load = LoadResult {
         turns: 0,
         wait: histogram(),
     };
@@ -193,21 +193,21 @@
 }
 
 /// The engine's time for one turn, the same in each run.
-async fn engine(name: &str, number: u32) {
+async fn run_engine(name: &str, number: u32) {
     let digest = Digest::of_bytes(format!("{name}/{number}").as_bytes());
     let share = f64::from(digest.as_bytes()[0]) / f64::from(u8::MAX);
-    tokio::time::sleep(ENGINE.0 + (ENGINE.1 - ENGINE.0).mul_f64(share)).await;
+    tokio::time::sleep(ENGINE_TIME.0 + (ENGINE_TIME.1 - ENGINE_TIME.0).mul_f64(share)).await;
 }
 
 async fn grouped_program(fleet: &Fleet, name: &str) -> Vec<Duration> {
     let mut waits = Vec::new();
     for number in 1..=TURNS {
-        engine(name, number).await;
+        run_engine(name, number).await;
         let Some(keeper) = fleet.keeper_of(name) else {
             break;
         };
         let begun = Instant::now();
-        let Some(ticket) = turn(keeper, name, number) else {
+        let Some(ticket) = run_turn(keeper, name, number) else {
             break;
         };
         if keeper.wait_durable(ticket).await.is_ok() {
@@ -226,7 +226,7 @@
     let fence = fleet.store.get(&owner).map_or(0, |kv| kv.create_revision);
     let mut waits = Vec::new();
     for number in 1..=TURNS {
-        engine(name, number).await;
+        run_engine(name, number).await;
         let begun = Instant::now();
         let value = Digest::of_bytes(name.as_bytes()).to_string().repeat(45);
         let txn = kv::Txn {
@@ -245,19 +245,19 @@
     counts.reads + counts.writes + counts.leases + counts.watches
 }
 
-async fn calls() -> Result<(), Failure> {
+async fn measure_calls() -> Result<(), Failure> {
     println!(
-        "Store calls: {ENTRIES} entries, {SHARDS} shards, window {WINDOW:?}, store {STORE_DELAY:?} a call, programs of {TURNS} turns"
+        "Store calls: {ENTRIES} entries, {SHARDS} shards, window {COMMIT_WINDOW:?}, store {STORE_DELAY:?} a call, programs of {TURNS} turns"
     );
     println!(
         "| turns/s | commit | turns | store calls | writes | calls a turn | calls a program | wait p50 ms | p99 ms |"
     );
     println!("|---|---|---|---|---|---|---|---|---|");
     let fleet = Arc::new(Fleet::start(Duration::from_secs(3)).await?);
-    for rate in LOADS {
+    for rate in TURN_RATES {
         for is_grouped in [true, false] {
             let before = fleet.store.counts();
-            let load = load(&fleet, rate, is_grouped).await?;
+            let load = run_load(&fleet, rate, is_grouped).await?;
             let after = fleet.store.counts();
             let calls = calls_of(after) - calls_of(before);
             let per_turn = calls as f64 / f64::from(load.turns.max(1));
@@ -276,14 +276,14 @@
 }
 
 /// Programs with one durable turn.
-async fn programs(fleet: &Fleet, count: usize) -> Vec<String> {
+async fn start_programs(fleet: &Fleet, count: usize) -> Vec<String> {
     let mut names = Vec::new();
     for number in 0..count {
         let name = format!("d{number}");
         let Some(keeper) = fleet.keeper_of(&name) else {
             continue;
         };
-        let Some(ticket) = turn(keeper, &name, 1) else {
+        let Some(ticket) = run_turn(keeper, &name, 1) else {
             continue;
         };
         if keeper.wait_durable(ticket).await.is_ok() {
@@ -304,7 +304,9 @@
         let fleet = Arc::clone(fleet);
         running.spawn(async move {
             loop {
-                let ticket = fleet.keepers[1..].iter().find_map(|k| turn(k, &name, 2));
+                let ticket = fleet.keepers[1..]
+                    .iter()
+                    .find_map(|k| run_turn(k, &name, 2));
                 if ticket.is_some() {
                     return since.elapsed();
                 }
@@ -322,15 +324,15 @@
 /// Rounds of a death, each with a fleet of its own.
 const ROUNDS: usize = 4;
 
-async fn death(ttl: Duration) -> Result<(), Failure> {
+async fn measure_death(ttl: Duration) -> Result<(), Failure> {
     for is_graceful in [false, true] {
         let mut all = histogram();
         for _ in 0..ROUNDS {
             let fleet = Arc::new(Fleet::start(ttl).await?);
-            let names = programs(&fleet, 128).await;
+            let names = start_programs(&fleet, 128).await;
             let victim = &fleet.keepers[0];
-            let is_hit = |name: &String| victim.owner(victim.shard_of(name)) == Owner::Local;
-            let hit: Vec<String> = names.into_iter().filter(is_hit).collect();
+            let is_affected = |name: &String| victim.owner(victim.shard_of(name)) == Owner::Local;
+            let affected: Vec<String> = names.into_iter().filter(is_affected).collect();
             let since = Instant::now();
             if is_graceful {
                 let victim = victim.clone();
@@ -341,7 +343,7 @@
                     .store
                     .faults(0, |faults| faults.outage = Some(Outage::Hang));
             }
-            all.add(next_turns(&fleet, hit, since).await?)?;
+            all.add(next_turns(&fleet, affected, since).await?)?;
         }
         let ratio = |quantile| millis(&all, quantile) / 1_000.0 / ttl.as_secs_f64();
         println!(
@@ -362,16 +364,16 @@
 }
 
 /// Turns that run in memory while the store is away, and the time until all are stored after it.
-async fn outage(span: Duration) -> Result<(), Failure> {
+async fn measure_outage(span: Duration) -> Result<(), Failure> {
     let fleet = Arc::new(Fleet::start(Duration::from_secs(3)).await?);
-    let names = programs(&fleet, 256).await;
+    let names = start_programs(&fleet, 256).await;
     fleet.store.set_outage(Some(Outage::Hang));
     let gap = span / 10;
     let mut ran = 0;
     for number in 2..12 {
         for name in &names {
             let keeper = fleet.keeper_of(name);
-            ran += usize::from(keeper.is_some_and(|k| turn(k, name, number).is_some()));
+            ran += usize::from(keeper.is_some_and(|k| run_turn(k, name, number).is_some()));
         }
         tokio::time::sleep(gap).await;
     }
--- a/fw-keep/src/commit.rs
+++ b/fw-keep/src/commit.rs
@@ -82,7 +82,7 @@
 
 /// What a transaction carries of one job.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentParts {
     job: usize,
     parts: usize,
 }
@@ -92,11 +92,11 @@
     /// The next write is not sent yet, or is known not to have taken effect.
     Ready,
     /// A write's answer was lost.
-    Doubt,
+    Unconfirmed,
 }
 
 /// How a shard stands in the store.
-struct Seen<'a> {
+struct StoredState<'a> {
     owner: id::Revision,
     head: Option<&'a [u8]>,
 }
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 pub struct Commit {
     jobs: Vec<Job>,
-    sent: Vec<Sent>,
+    sent: Vec<SentParts>,
     state: State,
     verdicts: Vec<Verdict>,
     opts: Options,
@@ -121,7 +121,7 @@
             verdicts: Vec::new(),
             opts,
         };
-        commit.plan();
+        commit.plan_txn();
         commit
     }
 
@@ -129,9 +129,9 @@
     pub fn step(&self) -> Step {
         match self.state {
             _ if self.jobs.is_empty() => Step::Done,
-            State::Ready => Step::Write(self.write()),
-            State::Doubt => Step::Read(kv::Txn {
-                then: self.reads(),
+            State::Ready => Step::Write(self.write_txn()),
+            State::Unconfirmed => Step::Read(kv::Txn {
+                then: self.read_ops(),
                 ..kv::Txn::default()
             }),
         }
@@ -140,13 +140,13 @@
     /// Reports what came of the step.
     pub fn handle_reply(&mut self, reply: Reply) {
         match (self.state, reply) {
-            (_, Reply::NotSent) | (State::Doubt, Reply::Unknown) => (),
-            (State::Ready, Reply::Unknown) => self.state = State::Doubt,
-            (State::Ready, Reply::Answer(outcome)) if outcome.succeeded => self.applied(),
+            (_, Reply::NotSent) | (State::Unconfirmed, Reply::Unknown) => (),
+            (State::Ready, Reply::Unknown) => self.state = State::Unconfirmed,
+            (State::Ready, Reply::Answer(outcome)) if outcome.succeeded => self.record_applied(),
             // A refused write may be the repetition of one that took effect after we had looked.
-            (State::Ready | State::Doubt, Reply::Answer(outcome)) => {
+            (State::Ready | State::Unconfirmed, Reply::Answer(outcome)) => {
                 self.state = State::Ready;
-                self.judge(&outcome.into_kvs());
+                self.resolve(&outcome.into_kvs());
             }
         }
     }
@@ -157,22 +157,22 @@
     }
 
     /// Chooses what the next transaction carries.
-    fn plan(&mut self) {
+    fn plan_txn(&mut self) {
         self.sent.clear();
         let mut ops = 0;
         let mut bytes = 0;
         for (index, job) in self.jobs.iter().enumerate() {
-            let parts = fitting(job, &mut ops, &mut bytes, &self.opts, self.sent.is_empty());
+            let parts = fitting_parts(job, &mut ops, &mut bytes, &self.opts, self.sent.is_empty());
             if parts == 0 {
                 break;
             }
-            self.sent.push(Sent { job: index, parts });
+            self.sent.push(SentParts { job: index, parts });
         }
     }
 
-    fn write(&self) -> kv::Txn {
+    fn write_txn(&self) -> kv::Txn {
         let mut txn = kv::Txn {
-            otherwise: self.reads(),
+            otherwise: self.read_ops(),
             ..kv::Txn::default()
         };
         for sent in &self.sent {
@@ -182,57 +182,60 @@
                 txn.then.push(kv::Op::put(&part.key, part.value.clone()));
                 txn.then.extend(deletes(part));
             }
-            txn.then.push(kv::Op::put(&job.head_key, self.after(sent)));
+            txn.then
+                .push(kv::Op::put(&job.head_key, self.head_after(sent)));
         }
         txn
     }
 
-    fn reads(&self) -> Vec<kv::Op> {
+    fn read_ops(&self) -> Vec<kv::Op> {
         let jobs = self.sent.iter().map(|sent| &self.jobs[sent.job]);
         let keys = jobs.flat_map(|job| [&job.owner_key, &job.head_key]);
         keys.map(kv::Op::get).collect()
     }
 
-    fn after(&self, sent: &Sent) -> &[u8] {
+    fn head_after(&self, sent: &SentParts) -> &[u8] {
         let part = &self.jobs[sent.job].parts[sent.parts - 1];
         &part.head
     }
 
     /// Everything that was sent is in the store.
-    fn applied(&mut self) {
+    fn record_applied(&mut self) {
         for sent in std::mem::take(&mut self.sent) {
             let job = &mut self.jobs[sent.job];
             let last = job.parts.drain(..sent.parts).next_back();
             job.expected_head = last.map(|part| part.head);
         }
-        let (done, left) = self.jobs.drain(..).partition(|job| job.parts.is_empty());
-        self.jobs = left;
+        let (done, remaining) = self.jobs.drain(..).partition(|job| job.parts.is_empty());
+        self.jobs = remaining;
         let done: Vec<Job> = done;
         let committed = done
             .iter()
             .map(|job| Verdict::Committed { shard: job.shard });
         self.verdicts.extend(committed);
-        self.plan();
+        self.plan_txn();
     }
 
     /// Tells from what the store holds whether the last write took effect.
     ///
     /// The write was one transaction: where one head is ours, all of it took effect. Where none
     /// is, it did not and, if a condition has come to fail since, never will: revisions only grow.
-    fn judge(&mut self, kvs: &[kv::Kv]) {
-        let ours = |sent: &Sent| seen(kvs, &self.jobs[sent.job]).head == Some(self.after(sent));
-        if self.sent.iter().any(ours) {
-            self.applied();
+    fn resolve(&mut self, kvs: &[kv::Kv]) {
+        let is_applied = |sent: &SentParts| {
+            stored_state(kvs, &self.jobs[sent.job]).head == Some(self.head_after(sent))
+        };
+        if self.sent.iter().any(is_applied) {
+            self.record_applied();
             return;
         }
         let mut verdicts = Vec::new();
         let sent: Vec<usize> = self.sent.iter().map(|sent| sent.job).collect();
         for index in sent.into_iter().rev() {
             let job = &self.jobs[index];
-            let seen = seen(kvs, job);
-            let same_head = seen.head == job.expected_head.as_deref();
+            let stored = stored_state(kvs, job);
+            let same_head = stored.head == job.expected_head.as_deref();
             let shard = job.shard;
-            match (seen.owner, same_head) {
+            match (stored.owner, same_head) {
                 (owner, true) if owner == job.fence => (),
                 (0, true) => verdicts.push(Verdict::Lapsed(self.jobs.remove(index))),
                 (owner, false) if owner == job.fence => {
@@ -246,21 +249,27 @@
             }
         }
         self.verdicts.extend(verdicts);
-        self.plan();
+        self.plan_txn();
     }
 }
 
 /// Number of the job's next parts that still fit a transaction, which they are added to. The very
 /// first part always fits: it is bounded by the size of a segment.
-fn fitting(job: &Job, ops: &mut usize, bytes: &mut usize, opts: &Options, is_first: bool) -> usize {
+fn fitting_parts(
+    job: &Job,
+    ops: &mut usize,
+    bytes: &mut usize,
+    opts: &Options,
+    is_first: bool,
+) -> usize {
     let mut count = 0;
     for part in &job.parts {
         let head_op = usize::from(count == 0);
         let more_ops = *ops + 1 + part.delete.len() + head_op;
         let more_bytes = *bytes + part.value.len();
-        let must_go = is_first && count == 0;
+        let is_required = is_first && count == 0;
         let fits = more_ops <= opts.max_ops && more_bytes <= opts.max_bytes;
-        if !must_go && !fits {
+        if !is_required && !fits {
             break;
         }
         (*ops, *bytes) = (more_ops, more_bytes);
@@ -288,9 +297,9 @@
     })
 }
 
-fn seen<'a>(kvs: &'a [kv::Kv], job: &Job) -> Seen<'a> {
+fn stored_state<'a>(kvs: &'a [kv::Kv], job: &Job) -> StoredState<'a> {
     let find = |key: &str| kvs.iter().find(|kv| kv.key == key);
-    Seen {
+    StoredState {
         owner: find(&job.owner_key).map_or(0, |kv| kv.create_revision),
         head: find(&job.head_key).map(|kv| kv.value.as_slice()),
     }
--- a/fw-keep/src/journal/replay.rs
+++ b/fw-keep/src/journal/replay.rs
@@ -50,8 +50,8 @@
     values: Vec<(String, Vec<u8>)>,
 ) -> Replayed {
     let mut reader = Reader::new(root, shard, values);
-    let head = reader.head(stored_head.as_deref());
-    reader.segments(&head);
+    let head = reader.read_head(stored_head.as_deref());
+    reader.read_segments(&head);
     reader.finish_group(None);
     Replayed {
         items: reader.items,
@@ -74,11 +74,11 @@
 impl<'a> Reader<'a> {
     fn new(root: &'a str, shard: id::ShardId, values: Vec<(String, Vec<u8>)>) -> Self {
         let mut items = Vec::new();
-        let mut placed = BTreeMap::new();
+        let mut by_position = BTreeMap::new();
         for (key, value) in values {
             match keys::parse_segment(&key) {
-                Some(place) => {
-                    placed.insert(place, value);
+                Some(position) => {
+                    by_position.insert(position, value);
                 }
                 None => items.push(Item::Damage(Corrupt::Foreign {
                     key,
@@ -89,7 +89,7 @@
         Self {
             root,
             shard,
-            values: placed,
+            values: by_position,
             items,
             group: Vec::new(),
             fence: 0,
@@ -97,7 +97,7 @@
         }
     }
 
-    fn head(&mut self, stored: Option<&[u8]>) -> Head {
+    fn read_head(&mut self, stored: Option<&[u8]>) -> Head {
         let key = keys::head(self.root, self.shard);
         let result = match stored {
             None if self.values.is_empty() => return self.empty_head(),
@@ -106,7 +106,7 @@
         };
         result.unwrap_or_else(|corrupt| {
             self.items.push(Item::Damage(corrupt));
-            self.guess_head()
+            self.reconstruct_head()
         })
     }
 
@@ -119,12 +119,12 @@
 
     /// A head for segments whose own is lost. The lowest generation is the one in force: those
     /// before it are deleted when it comes into force, and a higher one is an unfinished snapshot.
-    fn guess_head(&self) -> Head {
+    fn reconstruct_head(&self) -> Head {
         let keys = self.values.keys();
         let generation = keys.clone().map(|(g, _)| *g).min().unwrap_or(1);
         let highest_generation = keys.clone().map(|(g, _)| *g).max().unwrap_or(1);
-        let of_it = keys.filter(|(g, _)| *g == generation);
-        let next_seq = of_it.map(|(_, seq)| seq + 1).max().unwrap_or(0);
+        let in_generation = keys.filter(|(g, _)| *g == generation);
+        let next_seq = in_generation.map(|(_, seq)| seq + 1).max().unwrap_or(0);
         Head {
             generation,
             next_seq,
@@ -134,30 +134,30 @@
         }
     }
 
-    fn segments(&mut self, head: &Head) {
+    fn read_segments(&mut self, head: &Head) {
         for seq in 0..head.next_seq {
             if head.damaged_before == Some(seq) {
-                self.lost_head();
+                self.report_lost_head();
             }
             let key = keys::segment(self.root, self.shard, head.generation, seq);
-            match self.segment(&key, head.generation, seq) {
-                Ok(segment) => self.accept(&key, segment),
-                Err(corrupt) => self.damage(corrupt),
+            match self.take_segment(&key, head.generation, seq) {
+                Ok(segment) => self.accept_segment(&key, segment),
+                Err(corrupt) => self.report_damage(corrupt),
             }
         }
         if head.damaged_before == Some(head.next_seq) {
-            self.lost_head();
+            self.report_lost_head();
         }
-        self.beyond(head);
+        self.check_beyond_end(head);
     }
 
     /// A head that was lost and written anew can't tell whether segments were lost with it.
-    fn lost_head(&mut self) {
+    fn report_lost_head(&mut self) {
         let key = keys::head(self.root, self.shard);
-        self.damage(Corrupt::Missing { key });
+        self.report_damage(Corrupt::Missing { key });
     }
 
-    fn segment(&mut self, key: &str, generation: u64, seq: u64) -> Result<Segment, Corrupt> {
+    fn take_segment(&mut self, key: &str, generation: u64, seq: u64) -> Result<Segment, Corrupt> {
         let value = self.values.remove(&(generation, seq));
         let value = value.ok_or_else(|| Corrupt::Missing {
             key: key.to_owned(),
@@ -165,10 +165,10 @@
         Segment::decode(key, self.shard, generation, seq, &value)
     }
 
-    fn accept(&mut self, key: &str, segment: Segment) {
+    fn accept_segment(&mut self, key: &str, segment: Segment) {
         if segment.fence < self.fence {
             let (found, newest) = (segment.fence, self.fence);
-            self.damage(Corrupt::Foreign {
+            self.report_damage(Corrupt::Foreign {
                 key: key.to_owned(),
                 reason: format!("its fencing number {found} follows {newest}"),
             });
@@ -184,7 +184,7 @@
         self.fence = segment.fence;
         let expected = self.group.len();
         if segment.part as usize != expected {
-            self.damage(Corrupt::Foreign {
+            self.report_damage(Corrupt::Foreign {
                 key: key.to_owned(),
                 reason: format!("it is part {} where part {expected} belongs", segment.part),
             });
@@ -233,18 +233,18 @@
         self.items.push(item);
     }
 
-    fn damage(&mut self, corrupt: Corrupt) {
+    fn report_damage(&mut self, corrupt: Corrupt) {
         self.group.clear();
         self.items.push(Item::Damage(corrupt));
     }
 
     /// Segments of the generation in force that lie beyond its end were not written by a holder.
-    fn beyond(&mut self, head: &Head) {
-        let left = self.values.keys().find(|(g, _)| *g <= head.generation);
-        let Some((generation, seq)) = left.copied() else {
+    fn check_beyond_end(&mut self, head: &Head) {
+        let extra = self.values.keys().find(|(g, _)| *g <= head.generation);
+        let Some((generation, seq)) = extra.copied() else {
             return;
         };
-        self.damage(Corrupt::Foreign {
+        self.report_damage(Corrupt::Foreign {
             key: keys::segment(self.root, self.shard, generation, seq),
             reason: "the journal's head does not reach it".to_owned(),
         });
--- a/fw-keep/src/journal/segment.rs
+++ b/fw-keep/src/journal/segment.rs
@@ -118,12 +118,12 @@
         value: &[u8],
     ) -> Result<Self, Corrupt> {
         let segment: Self = decode(SEGMENT_MAGIC, key, value)?;
-        let place = (segment.shard, segment.generation, segment.seq);
+        let position = (segment.shard, segment.generation, segment.seq);
         ensure!(
-            place == (shard, generation, seq),
+            position == (shard, generation, seq),
             ForeignSnafu {
                 key,
-                reason: format!("it says shard, generation and number {place:?}"),
+                reason: format!("it says shard, generation and number {position:?}"),
             }
         );
         ensure!(
@@ -165,8 +165,8 @@
     let mut buf = magic.to_vec();
     let body = postcard::to_stdvec(content).expect("plain data encodes into memory");
     buf.extend_from_slice(&body);
-    let sum = blake3::hash(&buf);
-    buf.extend_from_slice(sum.as_bytes());
+    let checksum = blake3::hash(&buf);
+    buf.extend_from_slice(checksum.as_bytes());
     buf
 }
 
@@ -177,9 +177,9 @@
 ) -> Result<T, Corrupt> {
     let len = value.len();
     ensure!(len >= MAGIC_LEN + CHECKSUM_LEN, TornSnafu { key, len });
-    let (content, sum) = value.split_at(len - CHECKSUM_LEN);
+    let (content, checksum) = value.split_at(len - CHECKSUM_LEN);
     ensure!(
-        blake3::hash(content).as_bytes() == sum,
+        blake3::hash(content).as_bytes() == checksum,
         TornSnafu { key, len }
     );
     let (found, body) = content.split_at(MAGIC_LEN);
@@ -190,11 +190,11 @@
             reason: format!("its mark is {}", found.escape_ascii()),
         }
     );
-    let form = |err: postcard::Error| Corrupt::Format {
+    let invalid_format = |err: postcard::Error| Corrupt::Format {
         key: key.to_owned(),
         reason: err.to_string(),
     };
-    let (content, rest) = postcard::take_from_bytes(body).map_err(form)?;
+    let (content, rest) = postcard::take_from_bytes(body).map_err(invalid_format)?;
     ensure!(
         rest.is_empty(),
         FormatSnafu {
--- a/fw-keep/src/journal/writer.rs
+++ b/fw-keep/src/journal/writer.rs
@@ -120,13 +120,13 @@
         if head.damaged_before.is_some() {
             return false;
         }
-        let since = head.bytes.saturating_sub(head.snapshot_bytes);
-        let large = since
+        let bytes_since = head.bytes.saturating_sub(head.snapshot_bytes);
+        let is_large = bytes_since
             > self
                 .opts
                 .min_bytes
                 .max(head.snapshot_bytes * self.opts.growth);
-        large || head.next_seq > self.opts.max_segments
+        is_large || head.next_seq > self.opts.max_segments
     }
 
     /// Plans a group that follows what was planned before.
@@ -134,22 +134,22 @@
         self.head.generation = self.head.generation.max(1);
         self.head.highest_generation = self.head.highest_generation.max(1);
         let generation = self.head.generation;
-        let first = self.head.next_seq;
-        let segments = self.split(entries, nonce, generation, first, false);
+        let first_seq = self.head.next_seq;
+        let segments = self.split(entries, nonce, generation, first_seq, false);
         let mut parts = VecDeque::new();
         for segment in segments {
             let value = segment.encode();
             self.head.next_seq = segment.seq + 1;
             self.head.bytes += value.len() as u64;
-            parts.push_back(self.part(&segment, value, Vec::new()));
+            parts.push_back(self.plan_part(&segment, value, Vec::new()));
         }
-        self.job(parts)
+        self.plan_job(parts)
     }
 
     /// Plans a snapshot: a generation of its own that takes the place of the one before when its
     /// last part is written, in the same transaction.
     pub fn snapshot(&mut self, entries: &[Entry], nonce: Nonce) -> Job {
-        let old = self.head.generation;
+        let old_generation = self.head.generation;
         let generation = self.head.highest_generation + 1;
         self.head.highest_generation = generation;
         let segments = self.split(entries, nonce, generation, 0, true);
@@ -166,12 +166,12 @@
                 self.head.next_seq = count;
                 self.head.bytes = bytes;
                 self.head.snapshot_bytes = bytes;
-                let superseded = old.max(1)..generation;
+                let superseded = old_generation.max(1)..generation;
                 delete = superseded.map(|g| self.generation_prefix(g)).collect();
             }
-            parts.push_back(self.part(&segment, value, delete));
+            parts.push_back(self.plan_part(&segment, value, delete));
         }
-        self.job(parts)
+        self.plan_job(parts)
     }
 
     fn split(
@@ -179,7 +179,7 @@
         entries: &[Entry],
         nonce: Nonce,
         generation: u64,
-        first: u64,
+        first_seq: u64,
         snapshot: bool,
     ) -> Vec<Segment> {
         let encoded = postcard::to_stdvec(entries).expect("plain data encodes into memory");
@@ -189,7 +189,7 @@
         let segments = numbered.map(|(part, chunk)| Segment {
             shard: self.shard,
             generation,
-            seq: first + u64::from(part),
+            seq: first_seq + u64::from(part),
             fence: self.fence,
             nonce,
             part,
@@ -200,7 +200,7 @@
         segments.collect()
     }
 
-    fn part(&mut self, segment: &Segment, value: Vec<u8>, delete: Vec<String>) -> Part {
+    fn plan_part(&mut self, segment: &Segment, value: Vec<u8>, delete: Vec<String>) -> Part {
         self.head.shard = self.shard;
         self.head.nonce = segment.nonce;
         self.head.part = segment.part;
@@ -212,7 +212,7 @@
         }
     }
 
-    fn job(&mut self, parts: VecDeque<Part>) -> Job {
+    fn plan_job(&mut self, parts: VecDeque<Part>) -> Job {
         let last = parts.back().map(|part| part.head.clone());
         let expected_head = std::mem::replace(&mut self.stored, last);
         Job {
--- a/fw-keep/src/ledger.rs
+++ b/fw-keep/src/ledger.rs
@@ -74,9 +74,9 @@
 
     /// Tokens neither spent nor reserved; `None` if `limits` sets no bound.
     pub fn tokens_left(&self, limits: &Limits) -> Option<id::Tokens> {
-        let held: id::Tokens = self.reserved.values().map(|amount| amount.tokens).sum();
-        let used = self.spent.tokens.saturating_add(held);
-        limits.tokens.map(|most| most.saturating_sub(used))
+        let reserved: id::Tokens = self.reserved.values().map(|amount| amount.tokens).sum();
+        let used = self.spent.tokens.saturating_add(reserved);
+        limits.tokens.map(|limit| limit.saturating_sub(used))
     }
 
     /// Sets aside what the turn of `attempt` may use at most.
@@ -92,7 +92,7 @@
     ) -> Result<Grant, error::Error> {
         self.check_turns(limits)?;
         let time = self.time_left(limits)?;
-        let completion = self.completion(request, limits)?;
+        let completion = self.allowed_completion(request, limits)?;
         let tokens = request.prompt.saturating_add(completion.unwrap_or(0));
         let amount = Amount {
             turns: 1,
@@ -122,30 +122,30 @@
     }
 
     fn check_turns(&self, limits: &Limits) -> Result<(), error::Error> {
-        let held: u32 = self.reserved.values().map(|amount| amount.turns).sum();
-        let used = self.spent.turns.saturating_add(held);
+        let reserved: u32 = self.reserved.values().map(|amount| amount.turns).sum();
+        let used = self.spent.turns.saturating_add(reserved);
         match limits.turns {
-            Some(most) if used >= most => Err(exhausted(format!(
-                "the program's budget of {most} turns is spent; end it and start another"
+            Some(limit) if used >= limit => Err(exhausted(format!(
+                "the program's budget of {limit} turns is spent; end it and start another"
             ))),
             _ => Ok(()),
         }
     }
 
     fn time_left(&self, limits: &Limits) -> Result<Option<Duration>, error::Error> {
-        let Some(most) = limits.time else {
+        let Some(limit) = limits.time else {
             return Ok(None);
         };
-        let left = most.saturating_sub(self.spent.time);
+        let left = limit.saturating_sub(self.spent.time);
         if left.is_zero() {
             return Err(exhausted(format!(
-                "the program's budget of {most:?} of running time is spent; end it and start another"
+                "the program's budget of {limit:?} of running time is spent; end it and start another"
             )));
         }
         Ok(Some(left))
     }
 
-    fn completion(
+    fn allowed_completion(
         &self,
         request: Request,
         limits: &Limits,
@@ -153,15 +153,19 @@
         let Some(left) = self.tokens_left(limits) else {
             return Ok(request.completion);
         };
-        let room = left.saturating_sub(request.prompt);
-        if room == 0 {
+        let available = left.saturating_sub(request.prompt);
+        if available == 0 {
             let prompt = request.prompt;
             return Err(exhausted(format!(
                 "the program's budget has {left} tokens left and the prompt takes about {prompt}; \
                  end it and start another"
             )));
         }
-        Ok(Some(request.completion.map_or(room, |most| most.min(room))))
+        Ok(Some(
+            request
+                .completion
+                .map_or(available, |limit| limit.min(available)),
+        ))
     }
 }
 
--- a/fw-keep/src/program/mod.rs
+++ b/fw-keep/src/program/mod.rs
@@ -82,9 +82,9 @@
 }
 
 /// Where the messages of a request stand relative to the committed history.
-enum Place {
-    Next(Vec<chat::Message>),
-    Last,
+enum RequestKind {
+    NextTurn(Vec<chat::Message>),
+    Repetition,
 }
 
 impl Program {
@@ -248,7 +248,7 @@
         attempt: id::AttemptId,
         request: ledger::Request,
     ) -> Result<ledger::Grant, error::Error> {
-        self.check_alive()?;
+        self.check_not_ended()?;
         self.ledger.reserve(attempt, request, &self.limits)
     }
 
@@ -269,7 +269,7 @@
 
     /// The turn that was answered under an earlier keeper, if it continues the history and nothing
     /// is under way.
-    pub(crate) fn resume(&self, held: Held) -> Option<Turn> {
+    pub(crate) fn recover_turn(&self, held: Held) -> Option<Turn> {
         let is_next = held.turn == self.turn() + 1 && held.team == self.team;
         // Digests chain over all messages: an equal one means the very same history.
         let continues = held.base == self.digest;
@@ -352,7 +352,7 @@
         }
     }
 
-    fn check_alive(&self) -> Result<(), error::Error> {
+    fn check_not_ended(&self) -> Result<(), error::Error> {
         match self.state {
             State::Ended => Err(error::Error::new(
                 Kind::ProgramEnded,
@@ -374,29 +374,33 @@
 
     fn try_begin(&mut self, begin: Begin, now: Duration) -> Result<Outcome, error::Error> {
         self.check_team(&begin.team)?;
-        self.check_alive()?;
+        self.check_not_ended()?;
         self.last_used_at = now;
-        match self.place(&begin)? {
-            Place::Last => self.replay(&begin),
-            Place::Next(messages) => self.next(begin, messages, now),
+        match self.classify(&begin)? {
+            RequestKind::Repetition => self.replay(&begin),
+            RequestKind::NextTurn(messages) => self.start_next(begin, messages, now),
         }
     }
 
     /// Tells a repetition of the last committed turn from the next one.
-    fn place(&self, begin: &Begin) -> Result<Place, error::Error> {
+    fn classify(&self, begin: &Begin) -> Result<RequestKind, error::Error> {
         if let Some(turn) = begin.turn {
-            return self.place_numbered(begin, turn);
+            return self.classify_numbered(begin, turn);
         }
         match begin.history {
-            History::Full => self.place_full(begin),
-            History::Delta => self.place_delta(begin),
+            History::Full => self.classify_full(begin),
+            History::Delta => self.classify_delta(begin),
         }
     }
 
-    fn place_numbered(&self, begin: &Begin, turn: id::Turn) -> Result<Place, error::Error> {
+    fn classify_numbered(
+        &self,
+        begin: &Begin,
+        turn: id::Turn,
+    ) -> Result<RequestKind, error::Error> {
         let committed = self.turn();
         if turn == committed && turn > 0 {
-            return Ok(Place::Last);
+            return Ok(RequestKind::Repetition);
         }
         if turn != committed + 1 {
             let next = committed + 1;
@@ -406,27 +410,27 @@
             ));
         }
         match begin.history {
-            History::Full => self.after_history(begin).map(Place::Next),
+            History::Full => self.strip_history(begin).map(RequestKind::NextTurn),
             History::Delta => {
                 self.check_base(begin)?;
-                Ok(Place::Next(begin.messages.clone()))
+                Ok(RequestKind::NextTurn(begin.messages.clone()))
             }
         }
     }
 
     /// A client library that knows nothing of turns repeats a call by sending the same messages.
-    fn place_full(&self, begin: &Begin) -> Result<Place, error::Error> {
+    fn classify_full(&self, begin: &Begin) -> Result<RequestKind, error::Error> {
         if self.repeats_last(begin) {
-            return Ok(Place::Last);
+            return Ok(RequestKind::Repetition);
         }
-        self.after_history(begin).map(Place::Next)
+        self.strip_history(begin).map(RequestKind::NextTurn)
     }
 
     /// Messages alone don't tell a repetition from a next turn that says the same again.
-    fn place_delta(&self, begin: &Begin) -> Result<Place, error::Error> {
+    fn classify_delta(&self, begin: &Begin) -> Result<RequestKind, error::Error> {
         let Some(base) = begin.base else {
             if self.turn() == 0 {
-                return Ok(Place::Next(begin.messages.clone()));
+                return Ok(RequestKind::NextTurn(begin.messages.clone()));
             }
             return Err(error::Error::new(
                 Kind::BadRequest,
@@ -435,10 +439,10 @@
         };
         let repeats = |last: &Committed| last.base == base;
         if base != self.digest && self.last.as_ref().is_some_and(repeats) {
-            return Ok(Place::Last);
+            return Ok(RequestKind::Repetition);
         }
         self.check_base(begin)?;
-        Ok(Place::Next(begin.messages.clone()))
+        Ok(RequestKind::NextTurn(begin.messages.clone()))
     }
 
     fn repeats_last(&self, begin: &Begin) -> bool {
@@ -452,18 +456,18 @@
 
     /// The messages after the committed history, which the request must begin with. The digest
     /// covers every message in order, so a history of another program can't pass for this one's.
-    fn after_history(&self, begin: &Begin) -> Result<Vec<chat::Message>, error::Error> {
-        let held = self.history.len();
-        let Some((before, after)) = begin.messages.split_at_checked(held) else {
+    fn strip_history(&self, begin: &Begin) -> Result<Vec<chat::Message>, error::Error> {
+        let committed = self.history.len();
+        let Some((before, after)) = begin.messages.split_at_checked(committed) else {
             let sent = begin.messages.len();
             return Err(mismatch(format!(
-                "the committed history has {held} messages, and the request only {sent}; send all \
+                "the committed history has {committed} messages, and the request only {sent}; send all \
                  of it, or `x-history: delta`"
             )));
         };
         if Digest::EMPTY.extend_all(before) != self.digest {
             return Err(mismatch(format!(
-                "the first {held} messages differ from the committed history; read it at \
+                "the first {committed} messages differ from the committed history; read it at \
                  GET /v1/programs/{{id}}"
             )));
         }
@@ -483,14 +487,14 @@
 
     fn replay(&self, begin: &Begin) -> Result<Outcome, error::Error> {
         let Some(last) = &self.last else {
-            return Err(changed(0));
+            return Err(turn_changed(0));
         };
         let prompt = match begin.history {
             History::Full => Digest::EMPTY.extend_all(&begin.messages),
             History::Delta => last.base.extend_all(&begin.messages),
         };
         if prompt != last.prompt || begin.params != last.params {
-            return Err(changed(last.turn));
+            return Err(turn_changed(last.turn));
         }
         Ok(Outcome::Replay {
             attempt: last.attempt,
@@ -499,7 +503,7 @@
         })
     }
 
-    fn next(
+    fn start_next(
         &mut self,
         begin: Begin,
         messages: Vec<chat::Message>,
@@ -515,7 +519,7 @@
             return running.attach(prompt, begin.params);
         }
         self.limits = begin.limits;
-        let prompt_tokens = self.estimate(&messages);
+        let prompt_tokens = self.estimate_prompt(&messages);
         let request = ledger::Request {
             prompt: prompt_tokens,
             completion: begin.max_tokens,
@@ -542,19 +546,19 @@
         }))
     }
 
-    fn estimate(&self, messages: &[chat::Message]) -> id::Tokens {
-        let held = self.last.as_ref().map_or(0, |last| {
+    fn estimate_prompt(&self, messages: &[chat::Message]) -> id::Tokens {
+        let counted = self.last.as_ref().map_or(0, |last| {
             last.answer.usage.prompt + last.answer.usage.completion
         });
         let added: u64 = messages.iter().map(|m| m.as_str().len() as u64).sum();
-        held + added.div_ceil(BYTES_PER_TOKEN)
+        counted + added.div_ceil(BYTES_PER_TOKEN)
     }
 }
 
 impl Running {
     fn attach(&self, prompt: Digest, params: Digest) -> Result<Outcome, error::Error> {
         if prompt != self.prompt || params != self.params {
-            return Err(changed(self.turn));
+            return Err(turn_changed(self.turn));
         }
         Ok(Outcome::Attach {
             attempt: self.attempt,
@@ -567,7 +571,7 @@
     error::Error::new(Kind::HistoryMismatch, message)
 }
 
-fn changed(turn: id::Turn) -> error::Error {
+fn turn_changed(turn: id::Turn) -> error::Error {
     error::Error::new(
         Kind::TurnChanged,
         format!("turn {turn} was sent before with another body; send it unchanged or go on"),
--- a/fw-keep/src/shard/load.rs
+++ b/fw-keep/src/shard/load.rs
@@ -17,7 +17,7 @@
 pub(super) struct Damage {
     pub(super) reason: String,
     /// Programs that a later turn has shown to be whole.
-    pub(super) whole: HashSet<id::ProgramId>,
+    pub(super) intact: HashSet<id::ProgramId>,
 }
 
 impl Shard {
@@ -41,14 +41,14 @@
                 self.programs.clear();
                 self.claims.clear();
                 self.damage = None;
-                self.replay_all(entries);
+                self.replay_entries(entries);
             }
-            replay::Item::Group(entries) => self.replay_all(entries),
-            replay::Item::Damage(corrupt) => self.damage_by(&corrupt.to_string()),
+            replay::Item::Group(entries) => self.replay_entries(entries),
+            replay::Item::Damage(corrupt) => self.mark_damaged(&corrupt.to_string()),
         }
     }
 
-    fn replay_all(&mut self, entries: Vec<Entry>) {
+    fn replay_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             self.replay_entry(entry);
         }
@@ -56,10 +56,10 @@
 
     /// Changes of any program or claim may be missing here, so all are in doubt. A program whose
     /// next turn continues exactly what is known of it has lost nothing.
-    fn damage_by(&mut self, reason: &str) {
+    fn mark_damaged(&mut self, reason: &str) {
         self.damage = Some(Damage {
             reason: reason.to_owned(),
-            whole: HashSet::new(),
+            intact: HashSet::new(),
         });
     }
 
@@ -70,19 +70,19 @@
         turn: &program::Turn,
         at: Duration,
     ) {
-        let known = self.programs.entry(program.clone()).or_insert(fresh);
-        if !known.continues(&turn.committed) {
+        let state = self.programs.entry(program.clone()).or_insert(fresh);
+        if !state.continues(&turn.committed) {
             let number = turn.committed.turn;
-            let had = known.turn();
-            let reason = format!("turn {number} of `{program}` does not follow its turn {had}");
+            let last = state.turn();
+            let reason = format!("turn {number} of `{program}` does not follow its turn {last}");
             if self.damage.is_none() {
-                self.damage_by(&reason);
+                self.mark_damaged(&reason);
             }
             return;
         }
-        known.apply(turn, at);
+        state.apply(turn, at);
         if let Some(damage) = &mut self.damage {
-            damage.whole.insert(program);
+            damage.intact.insert(program);
         }
     }
 
@@ -96,13 +96,13 @@
                 at,
             } => self.replay_turn(program, Program::new(team, parent, at), &turn, at),
             Entry::Charge { program, amount } => {
-                if let Some(known) = self.programs.get_mut(&program) {
-                    known.charge(amount);
+                if let Some(state) = self.programs.get_mut(&program) {
+                    state.charge(amount);
                 }
             }
             Entry::End { program, at } => {
-                if let Some(known) = self.programs.get_mut(&program) {
-                    known.end(at);
+                if let Some(state) = self.programs.get_mut(&program) {
+                    state.end(at);
                 }
             }
             Entry::Forget { program } => {
--- a/fw-keep/src/shard/mod.rs
+++ b/fw-keep/src/shard/mod.rs
@@ -157,7 +157,7 @@
 
     /// Whether nothing would be cut off by handing it over: no turn and no claim is under way.
     pub fn is_idle(&self) -> bool {
-        let running = |known: &Program| known.status() == program::Status::Running;
+        let running = |state: &Program| state.status() == program::Status::Running;
         let open = |claim: &claim::Claim| {
             matches!(claim.state, claim::State::Opening | claim::State::Open)
         };
@@ -176,13 +176,13 @@
         begin: program::Begin,
         now: Duration,
     ) -> program::Outcome {
-        if let Err(err) = self.check(program) {
+        if let Err(err) = self.check_program(program) {
             return program::Outcome::Refused(err);
         }
-        if let Some(known) = self.programs.get_mut(program) {
-            return known.begin(begin, now);
+        if let Some(state) = self.programs.get_mut(program) {
+            return state.begin(begin, now);
         }
-        if let Err(err) = check_first(&begin) {
+        if let Err(err) = check_first_turn(&begin) {
             return program::Outcome::Refused(err);
         }
         let mut fresh = Program::new(begin.team.clone(), begin.parent.clone(), now);
@@ -201,8 +201,8 @@
         answer: program::Answer,
         now: Duration,
     ) -> Option<Finished> {
-        let known = self.programs.get_mut(program)?;
-        let turn = known.finish(attempt, answer, now)?;
+        let state = self.programs.get_mut(program)?;
+        let turn = state.finish(attempt, answer, now)?;
         let committed = turn.committed.clone();
         let position = self.push_turn(program, turn, now);
         Some(Finished {
@@ -222,17 +222,17 @@
         now: Duration,
     ) -> Recovered {
         let fresh = Program::new(held.team.clone(), None, now);
-        let known = self.programs.get(program).unwrap_or(&fresh);
-        let is_next = known.turn() + 1 == held.turn;
-        let runs = known.status() == program::Status::Running;
-        if known.turn() + 1 < held.turn || (is_next && runs) {
+        let state = self.programs.get(program).unwrap_or(&fresh);
+        let is_next = state.turn() + 1 == held.turn;
+        let runs = state.status() == program::Status::Running;
+        if state.turn() + 1 < held.turn || (is_next && runs) {
             return Recovered::Gap;
         }
-        let Some(turn) = known.resume(held) else {
+        let Some(turn) = state.recover_turn(held) else {
             return Recovered::Obsolete;
         };
-        let known = self.programs.entry(program.clone()).or_insert(fresh);
-        known.apply(&turn, now);
+        let state = self.programs.entry(program.clone()).or_insert(fresh);
+        state.apply(&turn, now);
         self.push_turn(program, turn, now);
         Recovered::Applied
     }
@@ -244,12 +244,12 @@
         turn: program::Turn,
         now: Duration,
     ) -> Position {
-        let known = self.programs.get(program);
-        let known = known.expect("the turn was applied to the program");
+        let state = self.programs.get(program);
+        let state = state.expect("the turn was applied to the program");
         let entry = Entry::Turn {
             program: program.clone(),
-            team: known.team().clone(),
-            parent: known.parent().cloned(),
+            team: state.team().clone(),
+            parent: state.parent().cloned(),
             turn: Box::new(turn),
             at: now,
         };
@@ -264,18 +264,18 @@
         ran: error::Ran,
         now: Duration,
     ) -> bool {
-        let Some(known) = self.programs.get_mut(program) else {
+        let Some(state) = self.programs.get_mut(program) else {
             return false;
         };
-        let Some(amount) = known.fail(attempt, ran, now) else {
+        let Some(amount) = state.fail(attempt, ran, now) else {
             return false;
         };
         // A program without a committed turn is not in the journal, hence nothing to charge.
-        if known.turn() == 0 && amount == ledger::Amount::default() {
+        if state.turn() == 0 && amount == ledger::Amount::default() {
             self.programs.remove(program);
             return true;
         }
-        if known.turn() > 0 {
+        if state.turn() > 0 {
             self.push_charge(program, amount);
         }
         true
@@ -292,18 +292,18 @@
         team: &id::TeamId,
         now: Duration,
     ) -> Result<Option<id::AttemptId>, error::Error> {
-        let known = self.programs.get_mut(program).ok_or_else(unknown)?;
-        if known.team() != team {
+        let state = self.programs.get_mut(program).ok_or_else(unknown_program)?;
+        if state.team() != team {
             return Err(error::Error::new(
                 Kind::ForeignProgram,
                 "the program belongs to another team",
             ));
         }
-        if known.status() == program::Status::Ended {
+        if state.status() == program::Status::Ended {
             return Ok(None);
         }
-        let attempt = known.end(now);
-        let in_journal = known.turn() > 0;
+        let attempt = state.end(now);
+        let in_journal = state.turn() > 0;
         if in_journal {
             self.push(Entry::End {
                 program: program.clone(),
@@ -324,8 +324,8 @@
         attempt: id::AttemptId,
         request: ledger::Request,
     ) -> Result<ledger::Grant, error::Error> {
-        let known = self.programs.get_mut(program).ok_or_else(unknown)?;
-        known.reserve(attempt, request)
+        let state = self.programs.get_mut(program).ok_or_else(unknown_program)?;
+        state.reserve(attempt, request)
     }
 
     /// Replaces a sub-agent's reservation by what it used.
@@ -335,10 +335,10 @@
         attempt: id::AttemptId,
         used: ledger::Amount,
     ) {
-        let Some(known) = self.programs.get_mut(program) else {
+        let Some(state) = self.programs.get_mut(program) else {
             return;
         };
-        known.settle(attempt, used);
+        state.settle(attempt, used);
         self.push_charge(program, used);
     }
 
@@ -445,10 +445,12 @@
 
     /// A program that a damaged journal leaves in doubt is refused rather than run on a history
     /// that may lack turns; so is an unknown one, which the damaged part may have held.
-    fn check(&self, program: &id::ProgramId) -> Result<(), error::Error> {
+    fn check_program(&self, program: &id::ProgramId) -> Result<(), error::Error> {
         self.check_room()?;
         match &self.damage {
-            Some(damage) if !damage.whole.contains(program) => Err(corrupt(&damage.reason)),
+            Some(damage) if !damage.intact.contains(program) => {
+                Err(journal_corrupt(&damage.reason))
+            }
             _ => Ok(()),
         }
     }
@@ -457,7 +459,7 @@
     fn check_claims(&self) -> Result<(), error::Error> {
         self.check_room()?;
         match &self.damage {
-            Some(damage) => Err(corrupt(&damage.reason)),
+            Some(damage) => Err(journal_corrupt(&damage.reason)),
             None => Ok(()),
         }
     }
@@ -478,9 +480,9 @@
     /// All that is committed, as the entries of a snapshot.
     fn snapshot(&self) -> Vec<Entry> {
         let programs = self.programs.iter().filter(|(_, p)| p.turn() > 0);
-        let programs = programs.map(|(program, known)| Entry::Program {
+        let programs = programs.map(|(program, state)| Entry::Program {
             program: program.clone(),
-            saved: Box::new(known.save()),
+            saved: Box::new(state.save()),
         });
         let claims = self.claims.iter().map(|(key, claim)| Entry::Kept {
             key: key.clone(),
@@ -507,23 +509,23 @@
 
 /// A program that is not known begins with its first turn; any later one means that its history
 /// was kept elsewhere or is over, and a made-up empty history must not take its place.
-fn check_first(begin: &program::Begin) -> Result<(), error::Error> {
+fn check_first_turn(begin: &program::Begin) -> Result<(), error::Error> {
     let later_turn = begin.turn.is_some_and(|turn| turn > 1);
     let later_base = begin.base.is_some_and(|base| base != Digest::EMPTY);
     if later_turn || later_base {
-        return Err(unknown());
+        return Err(unknown_program());
     }
     Ok(())
 }
 
-fn corrupt(reason: &str) -> error::Error {
+fn journal_corrupt(reason: &str) -> error::Error {
     error::Error::new(
         Kind::JournalCorrupt,
         format!("the program's journal is damaged: {reason}; ask the operator to restore it"),
     )
 }
 
-fn unknown() -> error::Error {
+fn unknown_program() -> error::Error {
     error::Error::new(
         Kind::UnknownProgram,
         "no such program; its retention may be over: start another with its first turn",
--- a/fw-keep/src/shard/sweep.rs
+++ b/fw-keep/src/shard/sweep.rs
@@ -42,28 +42,28 @@
 
     fn sweep_programs(&mut self, now: Duration) {
         let retention = self.retention;
-        let is_over = |known: &Program| {
-            let age = now.saturating_sub(known.last_used_at());
-            match known.status() {
+        let is_expired = |state: &Program| {
+            let age = now.saturating_sub(state.last_used_at());
+            match state.status() {
                 program::Status::Running => false,
                 program::Status::Ended => age > retention.ended,
                 program::Status::Idle => age > retention.idle,
             }
         };
-        let over = self.programs.iter().filter(|(_, known)| is_over(known));
-        let over: Vec<_> = over.map(|(program, _)| program.clone()).collect();
-        for program in over {
+        let expired = self.programs.iter().filter(|(_, state)| is_expired(state));
+        let expired: Vec<_> = expired.map(|(program, _)| program.clone()).collect();
+        for program in expired {
             self.programs.remove(&program);
             self.push(Entry::Forget { program });
         }
     }
 
     fn sweep_claims(&mut self, now: Duration) {
-        let keep = self.retention.claim;
-        let is_over = |claim: &claim::Claim| now.saturating_sub(claim.since) > keep;
-        let over = self.claims.iter().filter(|(_, claim)| is_over(claim));
-        let over: Vec<_> = over.map(|(key, _)| key.clone()).collect();
-        for key in over {
+        let retention = self.retention.claim;
+        let is_expired = |claim: &claim::Claim| now.saturating_sub(claim.since) > retention;
+        let expired = self.claims.iter().filter(|(_, claim)| is_expired(claim));
+        let expired: Vec<_> = expired.map(|(key, _)| key.clone()).collect();
+        for key in expired {
             self.claims.remove(&key);
             self.push(Entry::Free { key });
         }
--- a/fw-keep/tests/keep/claim_steps.rs
+++ b/fw-keep/tests/keep/claim_steps.rs
@@ -91,7 +91,7 @@
 /// The keeper died while another entry ran the call. That entry brings the outcome to the new
 /// keeper, which knows the claim as one with an unknown outcome.
 #[gtest]
-fn an_outcome_that_comes_after_take_over_is_kept() {
+fn an_outcome_reported_after_take_over_is_recorded() {
     let mut shard = Shard::new(1);
     open(&mut shard);
     let mut next = take_over(&mut shard);
@@ -127,13 +127,13 @@
 }
 
 #[gtest]
-fn another_body_under_the_same_key_is_refused_and_settles_nothing() {
+fn another_body_under_the_same_key_is_refused_and_changes_nothing() {
     let mut shard = Shard::new(1);
     open(&mut shard);
     let key = fleet::key("k");
     let other = fleet::fingerprint("other");
-    let again = shard.open_claim(&key, other, NOW);
-    expect_that!(refusal(again), some(eq(Kind::KeyReused)));
+    let duplicate = shard.open_claim(&key, other, NOW);
+    expect_that!(refusal(duplicate), some(eq(Kind::KeyReused)));
     expect_that!(shard.claim_not_run(&key, other), none());
     expect_that!(shard.claim_done(&key, other, ok_answer(), NOW), none());
 }
@@ -141,18 +141,18 @@
 /// The entry that was granted the claim is gone, and its keeper lives. The key would stay "in use"
 /// for good, and the shop would ask again and again.
 #[gtest]
-fn an_open_claim_is_given_up_after_a_while_and_never_run() {
+fn an_open_claim_times_out_and_is_never_run() {
     let mut shard = Shard::new(1);
     open(&mut shard);
     shard.claim_opened(&fleet::key("k"), NOW);
     expect_that!(refusal(open(&mut shard)), some(eq(Kind::KeyInUse)));
     let later = NOW + Duration::from_secs(3_600);
-    let again = shard.open_claim(&fleet::key("k"), fleet::fingerprint("body"), later);
-    expect_that!(refusal(again), some(eq(Kind::MayHaveRun)));
+    let duplicate = shard.open_claim(&fleet::key("k"), fleet::fingerprint("body"), later);
+    expect_that!(refusal(duplicate), some(eq(Kind::MayHaveRun)));
 }
 
 #[gtest]
-fn keys_of_different_teams_never_meet() {
+fn keys_of_different_teams_are_separate() {
     let mut shard = Shard::new(1);
     open(&mut shard);
     let other = claim::Key {
--- a/fw-keep/tests/keep/commit_answers.rs
+++ b/fw-keep/tests/keep/commit_answers.rs
@@ -25,13 +25,13 @@
 }
 
 fn entries(count: usize) -> Vec<Entry> {
-    let forget = |n| Entry::Forget {
+    let entry = |n| Entry::Forget {
         program: format!("p{n}").into(),
     };
-    (0..count).map(forget).collect()
+    (0..count).map(entry).collect()
 }
 
-fn own(store: &mut Memory, shard: u16, lease: kv::LeaseId) -> i64 {
+fn acquire(store: &mut Memory, shard: u16, lease: kv::LeaseId) -> i64 {
     let txn = kv::Txn {
         then: vec![kv::Op::Put {
             key: keys::owner(ROOT, shard),
@@ -48,7 +48,7 @@
         let mut store = Memory::new();
         let lease = store.grant();
         let writers = (0..shards).map(|shard| {
-            let fence = own(&mut store, shard, lease);
+            let fence = acquire(&mut store, shard, lease);
             Writer::new(ROOT, shard, fence, Head::default(), None, opts)
         });
         let writers = writers.collect();
@@ -160,7 +160,7 @@
 
 /// The answer was lost and the store had not taken the group: it is written again, once.
 #[gtest]
-fn a_lost_call_is_made_again() {
+fn a_write_that_was_not_applied_is_sent_again() {
     let mut holder = holder(1);
     let mut commit = commit(holder.jobs(1, 3));
     commit.handle_reply(Reply::Unknown);
@@ -182,8 +182,8 @@
     holder.run(&mut first);
     let mut second = commit(holder.jobs(2, 3));
     holder.run(&mut second);
-    let arrived = holder.store.txn(&delayed).unwrap();
-    expect_that!(arrived.succeeded, eq(false));
+    let late = holder.store.txn(&delayed).unwrap();
+    expect_that!(late.succeeded, eq(false));
     expect_that!(holder.head(0).next_seq, eq(2));
 }
 
@@ -208,18 +208,18 @@
 /// The delayed copy arrives between the look and the repetition, whose conditions then fail. That
 /// failure means success, and the holder must not give its shard up for it.
 #[gtest]
-fn a_copy_that_arrives_before_the_repetition_counts() {
+fn a_delayed_copy_applied_before_the_retry_counts() {
     let mut holder = holder(1);
     let mut commit = commit(holder.jobs(1, 3));
     let Step::Write(delayed) = commit.step() else {
         panic!("nothing to write");
     };
     commit.handle_reply(Reply::Unknown);
-    let Step::Read(look) = commit.step() else {
+    let Step::Read(read) = commit.step() else {
         panic!("nothing to read");
     };
-    let seen = holder.store.txn(&look).unwrap();
-    commit.handle_reply(Reply::Answer(seen));
+    let stored = holder.store.txn(&read).unwrap();
+    commit.handle_reply(Reply::Answer(stored));
     holder.store.txn(&delayed).unwrap();
     let verdicts = holder.run(&mut commit);
     expect_that!(verdicts, elements_are![eq(&committed(0))]);
@@ -231,13 +231,13 @@
 fn a_stale_holder_loses_its_shard_and_keeps_the_others() {
     let mut holder = holder(3);
     let jobs = holder.jobs(1, 3);
-    let gone = kv::Txn {
+    let delete_owner = kv::Txn {
         then: vec![kv::Op::delete(keys::owner(ROOT, 1))],
         ..kv::Txn::default()
     };
-    holder.store.txn(&gone).unwrap();
+    holder.store.txn(&delete_owner).unwrap();
     let lease = holder.store.grant();
-    own(&mut holder.store, 1, lease);
+    acquire(&mut holder.store, 1, lease);
     let verdicts = holder.run(&mut commit(jobs));
     expect_that!(
         verdicts,
@@ -251,7 +251,7 @@
 }
 
 #[gtest]
-fn a_lapsed_holder_may_take_its_shard_again_and_go_on() {
+fn a_lapsed_holder_may_reacquire_its_shard_and_continue() {
     let mut holder = holder(1);
     let jobs = holder.jobs(1, 3);
     let (store, lease) = (&mut holder.store, holder.lease);
@@ -261,25 +261,25 @@
         panic!("{verdicts:?}");
     };
     let lease = holder.store.grant();
-    let fence = own(&mut holder.store, 0, lease);
-    let again = Job {
+    let fence = acquire(&mut holder.store, 0, lease);
+    let retry = Job {
         fence,
         ..job.clone()
     };
-    let verdicts = holder.run(&mut commit(vec![again]));
+    let verdicts = holder.run(&mut commit(vec![retry]));
     expect_that!(verdicts, elements_are![eq(&committed(0))]);
 }
 
 /// Something that holds no shard has written to a journal. Going on would bury it.
 #[gtest]
-fn a_head_changed_by_a_stranger_is_reported() {
+fn a_head_changed_by_a_foreign_writer_is_reported() {
     let mut holder = holder(1);
     let jobs = holder.jobs(1, 3);
-    let strange = kv::Txn {
+    let foreign = kv::Txn {
         then: vec![kv::Op::put(keys::head(ROOT, 0), b"strange".to_vec())],
         ..kv::Txn::default()
     };
-    holder.store.txn(&strange).unwrap();
+    holder.store.txn(&foreign).unwrap();
     let verdicts = holder.run(&mut commit(jobs));
     expect_that!(verdicts, elements_are![eq(&Verdict::Foreign { shard: 0 })]);
 }
--- a/fw-keep/tests/keep/journal_replay.rs
+++ b/fw-keep/tests/keep/journal_replay.rs
@@ -146,7 +146,7 @@
     fn turns(&self, program: &str) -> Option<u32> {
         self.shard
             .program(&program.into())
-            .map(|known| known.turn())
+            .map(|program| program.turn())
     }
 
     fn damage(&self) -> Vec<Corrupt> {
@@ -159,7 +159,7 @@
     }
 }
 
-fn small() -> writer::Options {
+fn small_segments() -> writer::Options {
     writer::Options {
         max_payload: 512,
         ..writer::Options::default()
@@ -178,12 +178,12 @@
 }
 
 #[gtest]
-fn a_large_turn_is_split_and_read_back_whole() {
-    let mut journal = Journal::new(small());
+fn a_large_turn_is_split_and_read_back() {
+    let mut journal = Journal::new(small_segments());
     let large = "x".repeat(10_000);
     journal.turn("p", 1, &large);
     journal.commit();
-    journal.take_over(small());
+    journal.take_over(small_segments());
     expect_that!(journal.read().head.next_seq, gt(15));
     let history = journal.shard.program(&"p".into()).unwrap().history();
     expect_that!(history[0], eq(&Message::text("user", &large)));
@@ -192,27 +192,27 @@
 /// The holder dies between two parts of a large group. The group was never durable, nobody was
 /// told so, and it must neither count nor be taken for damage.
 #[gtest]
-fn a_group_that_was_not_finished_is_left_out() {
-    let mut journal = Journal::new(small());
+fn an_unfinished_group_is_skipped() {
+    let mut journal = Journal::new(small_segments());
     journal.turn("p", 1, "ask");
     journal.commit();
     journal.turn("p", 2, &"x".repeat(10_000));
     let job = journal.job();
     journal.write(job, 3);
-    journal.take_over(small());
+    journal.take_over(small_segments());
     expect_that!(journal.turns("p"), some(eq(1)));
     expect_that!(journal.read().unfinished, eq(1));
     expect_that!(journal.damage(), is_empty());
     journal.turn("p", 2, "again");
     journal.commit();
-    journal.take_over(small());
+    journal.take_over(small_segments());
     expect_that!(journal.turns("p"), some(eq(2)));
     expect_that!(journal.damage(), is_empty());
 }
 
 #[gtest]
-fn a_snapshot_replaces_what_came_before() {
-    let mut journal = Journal::new(small());
+fn a_snapshot_replaces_earlier_entries() {
+    let mut journal = Journal::new(small_segments());
     for number in 1..=5 {
         journal.turn("p", number, "ask");
         journal.commit();
@@ -222,7 +222,7 @@
     expect_that!(journal.store.get(&segment(1, 0)), none());
     journal.turn("q", 1, "ask");
     journal.commit();
-    journal.take_over(small());
+    journal.take_over(small_segments());
     expect_that!(
         journal.shard.program(&"p".into()).unwrap().digest(),
         eq(before)
@@ -233,22 +233,22 @@
 /// The holder dies in the middle of a snapshot of several segments. The journal before it is still
 /// the one in force, and the next snapshot clears the rest of the unfinished one away.
 #[gtest]
-fn an_unfinished_snapshot_changes_nothing() {
-    let mut journal = Journal::new(small());
+fn an_unfinished_snapshot_has_no_effect() {
+    let mut journal = Journal::new(small_segments());
     journal.turn("p", 1, &"x".repeat(5_000));
     journal.commit();
     journal.snapshot(2);
-    journal.take_over(small());
+    journal.take_over(small_segments());
     expect_that!(journal.turns("p"), some(eq(1)));
     expect_that!(journal.damage(), is_empty());
     journal.snapshot(usize::MAX);
-    journal.take_over(small());
+    journal.take_over(small_segments());
     expect_that!(journal.turns("p"), some(eq(1)));
     expect_that!(journal.store.get(&segment(2, 0)), none());
 }
 
 #[gtest]
-fn a_snapshot_is_due_in_proportion_to_what_was_written() {
+fn snapshots_are_due_in_proportion_to_written_segments() {
     let opts = writer::Options {
         max_segments: 10,
         ..writer::Options::default()
@@ -270,9 +270,9 @@
 /// What the damaged segment held is not known: maybe a turn of any program. Those that a later
 /// turn proves whole go on; the others and unknown ones get a clear error, no made-up history.
 #[gtest]
-fn damage_refuses_all_programs_that_it_may_concern() {
+fn damage_refuses_all_programs_that_it_may_affect() {
     for damage in ["torn", "missing", "foreign"] {
-        let mut journal = Journal::new(small());
+        let mut journal = Journal::new(small_segments());
         for (program, number) in [
             ("whole", 1),
             ("hit", 1),
@@ -293,7 +293,7 @@
             }
         }
         expect_that!(journal.damage().len(), eq(1), "{damage}");
-        journal.take_over(small());
+        journal.take_over(small_segments());
         let mut begin = |program: &str, number| {
             let begin = fleet::delta(number, "next", 9);
             kind(journal.shard.begin(&program.into(), begin, NOW))
@@ -310,8 +310,8 @@
 }
 
 #[gtest]
-fn segments_missing_at_the_end_are_noticed() {
-    let mut journal = Journal::new(small());
+fn missing_segments_at_the_end_are_detected() {
+    let mut journal = Journal::new(small_segments());
     for number in 1..=3 {
         journal.turn("p", number, "ask");
         journal.commit();
@@ -324,14 +324,14 @@
 /// The head is lost, and the next holder writes a new one. Later holders must still see that
 /// something may be missing, though every value in the store is whole by then.
 #[gtest]
-fn a_lost_head_is_remembered_after_it_was_written_anew() {
-    let mut journal = Journal::new(small());
+fn a_lost_head_is_still_reported_after_it_is_rewritten() {
+    let mut journal = Journal::new(small_segments());
     for number in 1..=2 {
         journal.turn("p", number, "ask");
         journal.commit();
     }
     journal.put(&keys::head(ROOT, 0), b"gone");
-    journal.take_over(small());
+    journal.take_over(small_segments());
     expect_that!(journal.shard.damage(), some(anything()));
     // Nothing can be begun in doubt, so a budget's charge stands for any later change.
     journal.shard.settle(
@@ -343,18 +343,18 @@
         },
     );
     journal.commit();
-    journal.take_over(small());
+    journal.take_over(small_segments());
     expect_that!(journal.shard.damage(), some(anything()));
     expect_that!(journal.turns("p"), some(eq(2)));
 }
 
 #[gtest]
 fn a_damaged_shard_grants_no_claims() {
-    let mut journal = Journal::new(small());
+    let mut journal = Journal::new(small_segments());
     journal.turn("p", 1, "ask");
     journal.commit();
     journal.put(&segment(1, 0), b"torn");
-    journal.take_over(small());
+    journal.take_over(small_segments());
     let claimed = journal
         .shard
         .open_claim(&fleet::key("k"), fleet::fingerprint("b"), NOW);
@@ -366,8 +366,8 @@
 }
 
 #[gtest]
-fn what_outlived_its_retention_is_deleted_from_the_journal() {
-    let mut journal = Journal::new(small());
+fn expired_programs_are_deleted_from_the_journal() {
+    let mut journal = Journal::new(small_segments());
     for program in ["ended", "idle", "used"] {
         journal.turn(program, 1, "ask");
     }
@@ -381,20 +381,20 @@
     expect_that!(journal.turns("ended"), none());
     expect_that!(journal.turns("idle"), some(eq(1)));
     journal.commit();
-    journal.take_over(small());
+    journal.take_over(small_segments());
     expect_that!(journal.turns("ended"), none());
     journal.shard.sweep(NOW + Duration::from_secs(25 * 3_600));
     expect_that!(journal.turns("idle"), none());
     journal.snapshot(usize::MAX);
-    journal.take_over(small());
+    journal.take_over(small_segments());
     expect_that!(journal.shard.programs().count(), eq(0));
 }
 
 /// A segment of a holder that had lost the shard stands after one of its successor. No holder could
 /// have written it, so it is not applied, and what it may have pushed out is in doubt.
 #[gtest]
-fn a_segment_of_an_older_holder_is_foreign() {
-    let mut journal = Journal::new(small());
+fn a_segment_of_an_earlier_holder_is_foreign() {
+    let mut journal = Journal::new(small_segments());
     journal.turn("p", 1, "ask");
     journal.commit();
     let fence = journal.writer.fence();
--- a/fw-keep/tests/keep/memory_store.rs
+++ b/fw-keep/tests/keep/memory_store.rs
@@ -11,20 +11,20 @@
 #[derive(Debug)]
 pub struct Memory {
     mvcc: Mvcc,
-    zero: Instant,
+    start: Instant,
 }
 
 impl Memory {
     pub fn new() -> Self {
         Self {
             mvcc: Mvcc::default(),
-            zero: Instant::now(),
+            start: Instant::now(),
         }
     }
 
     /// A lease that lasts until it is revoked.
     pub fn grant(&mut self) -> kv::LeaseId {
-        self.mvcc.grant(Duration::from_secs(1), self.zero)
+        self.mvcc.grant(Duration::from_secs(1), self.start)
     }
 
     pub fn revoke(&mut self, lease: kv::LeaseId) {
--- a/fw-keep/tests/keep/program_budget.rs
+++ b/fw-keep/tests/keep/program_budget.rs
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn what_was_not_used_comes_back() {
+fn an_unused_reservation_is_returned() {
     let mut ledger = Ledger::default();
     let limits = limits(10, 1_000);
     ledger.reserve(1, request(100, 900), &limits).unwrap();
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn turns_and_time_are_bounded_too() {
+fn turns_and_time_are_bounded() {
     let mut ledger = Ledger::default();
     let limits = Limits {
         turns: Some(1),
--- a/fw-keep/tests/keep/program_turns.rs
+++ b/fw-keep/tests/keep/program_turns.rs
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn a_full_history_runs_only_what_is_new() {
+fn a_full_history_runs_only_its_new_messages() {
     let mut program = program(2);
     let base = program.digest();
     let outcome = program.begin(full(history_and(2, "ask 3"), 7), NOW);
@@ -80,13 +80,13 @@
 /// A client library repeats a call after a timeout. It knows nothing of turns and sends the same
 /// messages again, while the first call still runs and once more after it was answered.
 #[gtest]
-fn the_same_messages_again_attach_and_then_replay() {
+fn repeated_messages_attach_and_then_replay() {
     let mut program = program(1);
     let prompt = history_and(1, "ask 2");
     program.begin(full(prompt.clone(), 7), NOW);
-    let again = program.begin(full(prompt.clone(), 8), NOW);
+    let repeated = program.begin(full(prompt.clone(), 8), NOW);
     expect_that!(
-        again,
+        repeated,
         eq(&Outcome::Attach {
             attempt: 7,
             turn: 2
@@ -104,12 +104,12 @@
 }
 
 #[gtest]
-fn a_numbered_turn_again_attaches_and_then_replays() {
+fn a_repeated_numbered_turn_attaches_and_then_replays() {
     let mut program = program(1);
     program.begin(fleet::delta(2, "ask 2", 7), NOW);
-    let again = program.begin(fleet::delta(2, "ask 2", 8), NOW);
+    let repeated = program.begin(fleet::delta(2, "ask 2", 8), NOW);
     expect_that!(
-        again,
+        repeated,
         eq(&Outcome::Attach {
             attempt: 7,
             turn: 2
@@ -189,7 +189,7 @@
 /// answer does not arrive. Nothing tells the repetition from a second turn, so it is refused
 /// rather than run twice.
 #[gtest]
-fn new_messages_alone_need_a_turn_after_the_first() {
+fn a_delta_after_the_first_turn_needs_a_turn_or_base() {
     let mut program = Program::new("team".into(), None, NOW);
     let bare = |attempt| Begin {
         turn: None,
@@ -201,13 +201,13 @@
         kind(program.begin(bare(8), NOW)),
         some(eq(Kind::BadRequest))
     );
-    let based = |base| Begin {
+    let with_base = |base| Begin {
         base: Some(base),
         ..bare(8)
     };
-    let replay = program.begin(based(Digest::EMPTY), NOW);
+    let replay = program.begin(with_base(Digest::EMPTY), NOW);
     expect_that!(replay, pat!(Outcome::Replay { turn: eq(&1), .. }));
-    let next = program.begin(based(program.digest()), NOW);
+    let next = program.begin(with_base(program.digest()), NOW);
     expect_that!(next, pat!(Outcome::Run(anything())));
 }
 
@@ -220,8 +220,8 @@
     program.begin(fleet::delta(2, "ask 2", 7), NOW);
     expect_that!(program.fail(7, error::Ran::Maybe, NOW), some(anything()));
     expect_that!(program.digest(), eq(before));
-    let again = program.begin(fleet::delta(2, "ask 2", 8), NOW);
-    expect_that!(again, pat!(Outcome::Run(anything())));
+    let repeated = program.begin(fleet::delta(2, "ask 2", 8), NOW);
+    expect_that!(repeated, pat!(Outcome::Run(anything())));
     expect_that!(program.finish(7, fleet::answer("late"), NOW), none());
     expect_that!(program.fail(7, error::Ran::No, NOW), none());
     let finished = program.finish(8, fleet::answer("answer 2"), NOW);
@@ -239,7 +239,7 @@
 }
 
 #[gtest]
-fn what_is_saved_restores_to_the_same_program() {
+fn a_saved_program_restores_to_the_same_state() {
     let program = program(3);
     let restored = Program::restore(program.save());
     expect_that!(restored.digest(), eq(program.digest()));
--- a/fw-keep/tests/keep/segment_codec.rs
+++ b/fw-keep/tests/keep/segment_codec.rs
@@ -58,10 +58,10 @@
 
 #[gtest]
 fn any_changed_or_cut_value_is_torn() {
-    let whole = segment(vec![1; 100]).encode();
-    let damage = (0..whole.len(), 1..=255_u8, any::<bool>());
+    let encoded = segment(vec![1; 100]).encode();
+    let damage = (0..encoded.len(), 1..=255_u8, any::<bool>());
     let is_torn = |(at, flip, cut): (usize, u8, bool)| {
-        let mut value = whole.clone();
+        let mut value = encoded.clone();
         if cut {
             value.truncate(at);
         } else {
@@ -77,9 +77,9 @@
 /// Bytes with a right checksum around them, as an older or hostile writer would leave: the decoder
 /// must neither panic nor allocate what a length field claims.
 #[gtest]
-fn garbage_with_a_right_checksum_is_refused() {
-    let refused = |(mark, body): (bool, Vec<u8>)| {
-        let mut value = if mark {
+fn garbage_with_a_valid_checksum_is_refused() {
+    let refused = |(valid_magic, body): (bool, Vec<u8>)| {
+        let mut value = if valid_magic {
             b"fwj1".to_vec()
         } else {
             b"fwj9".to_vec()
@@ -87,7 +87,7 @@
         value.extend(body);
         let sum = blake3::hash(&value);
         value.extend_from_slice(sum.as_bytes());
-        prop_assert!(decode(&value).is_err() || mark);
+        prop_assert!(decode(&value).is_err() || valid_magic);
         let _ = Head::decode("key", 3, &value);
         Ok(())
     };
@@ -116,15 +116,15 @@
         }),
     ];
     let journal = (head, vec((key, value), 0..6));
-    let reads = |(head, values): Values| {
+    let read_journal = |(head, values): Values| {
         replay::read("/t/", 3, head, values);
         Ok(())
     };
-    runner().run(&journal, reads).unwrap();
+    runner().run(&journal, read_journal).unwrap();
 }
 
 #[gtest]
-fn a_value_of_another_place_is_foreign() {
+fn a_value_of_another_key_is_foreign() {
     let value = segment(vec![1]).encode();
     for (shard, generation, seq) in [(4, 1, 5), (3, 2, 5), (3, 1, 6)] {
         let found = Segment::decode("key", shard, generation, seq, &value);
--- a/fw-keep/tests/keep/shard_lock.rs
+++ b/fw-keep/tests/keep/shard_lock.rs
@@ -25,20 +25,20 @@
 }
 
 /// A request changes the shard under its lock and only then marks it, outside of that lock.
-fn change(shared: &Shared, place: usize, claim: u64) {
+fn change(shared: &Shared, index: usize, claim: u64) {
     let key = fleet::key(&format!("k{claim}"));
-    let mut shard = shared.shards[place].lock().unwrap();
+    let mut shard = shared.shards[index].lock().unwrap();
     shard.open_claim(&key, fleet::fingerprint("body"), NOW);
     drop(shard);
-    shared.dirty.lock().unwrap().insert(place);
+    shared.dirty.lock().unwrap().insert(index);
 }
 
 /// The flush takes all marks first and the shards' changes after.
 fn flush(shared: &Shared) -> usize {
     let dirty = std::mem::take(&mut *shared.dirty.lock().unwrap());
     let mut written = 0;
-    for place in dirty {
-        let mut shard = shared.shards[place].lock().unwrap();
+    for index in dirty {
+        let mut shard = shared.shards[index].lock().unwrap();
         if let Some(batch) = shard.take_batch() {
             written += batch.entries.len();
             shard.mark_durable(batch.last_position);
@@ -50,7 +50,7 @@
 /// A change comes in while the flush is between the marks and the shard. If its mark were taken
 /// away without it, its caller would wait for a commit that never comes.
 #[test]
-fn no_change_is_left_behind_without_a_mark() {
+fn every_change_is_flushed_or_leaves_its_shard_dirty() {
     let run = || {
         let shared = Arc::new(Shared {
             shards: [Mutex::new(Shard::new(0)), Mutex::new(Shard::new(1))],
