--- a/fw-keep/examples/recovery.rs
+++ b/fw-keep/examples/recovery.rs
@@ -1,4 +1,5 @@
-//! Measures what keeping programs costs the store, and how long a death interrupts them.
+//! Measures the store calls that journaling programs takes, and how long a keeper's crash or an
+//! outage of the store interrupts them.
 //!
 //! ```text
 //! cargo run --release -p fw-keep --example recovery [calls|death|outage]...
@@ -30,13 +31,13 @@
 const SHARDS: u16 = 64;
 const TURNS: u32 = 8;
 const COMMIT_WINDOW: Duration = Duration::from_millis(50);
-/// How long the store takes for each call.
+/// Delay of each store call.
 const STORE_DELAY: Duration = Duration::from_millis(2);
-/// How long an engine takes for a turn: between these bounds.
+/// Minimum and maximum time that an engine takes for a turn.
 const ENGINE_TIME: (Duration, Duration) = (Duration::from_millis(40), Duration::from_millis(200));
-/// How long each load lasts.
+/// Duration of each load.
 const LOAD_DURATION: Duration = Duration::from_secs(4);
-/// Turns a second, all entries together.
+/// Turns per second, all entries together.
 const TURN_RATES: [u32; 4] = [25, 100, 400, 1_600];
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
@@ -46,7 +47,7 @@
     keepers: Vec<Keeper>,
 }
 
-/// Programs finished under one load, and what they waited.
+/// Turns finished under one load, and the time that each waited until it was durable.
 struct LoadResult {
     turns: u32,
     wait: Histogram<u64>,
@@ -123,7 +124,8 @@
     })
 }
 
-/// Runs a turn in memory; `None` if the program's shard has no such turn to run here.
+/// Runs a turn in memory; `None` if this keeper does not hold the program's shard, or refuses the
+/// turn.
 fn run_turn(keeper: &Keeper, name: &str, number: u32) -> Option<keeper::Ticket> {
     let begin = program::Begin {
         team: "team".into(),
@@ -161,8 +163,8 @@
     wait.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
-/// Programs of [`TURNS`] turns arrive so that `rate` turns a second run, each after the last
-/// became durable.
+/// Starts programs of [`TURNS`] turns at a rate that gives `rate` turns per second. A program's
+/// turn starts when its previous one is durable.
 async fn run_load(fleet: &Arc<Fleet>, rate: u32, is_grouped: bool) -> Result<LoadResult, Failure> {
     let programs = rate * LOAD_DURATION.as_secs() as u32 / TURNS;
     let gap = LOAD_DURATION / programs.max(1);
@@ -192,7 +194,7 @@
     Ok(load)
 }
 
-/// The engine's time for one turn, the same in each run.
+/// Sleeps for the engine's time of one turn, which is the same in each run.
 async fn run_engine(name: &str, number: u32) {
     let digest = Digest::of_bytes(format!("{name}/{number}").as_bytes());
     let share = f64::from(digest.as_bytes()[0]) / f64::from(u8::MAX);
@@ -217,7 +219,7 @@
     waits
 }
 
-/// The baseline: a transaction of its own for each turn, under the same conditions.
+/// The baseline: one transaction per turn, under the same conditions.
 async fn single_program(fleet: &Fleet, name: &str) -> Vec<Duration> {
     let shard = fleet.keepers[0].shard_of(name);
     let port = usize::from(shard) % ENTRIES;
@@ -275,7 +277,7 @@
     Ok(())
 }
 
-/// Programs with one durable turn.
+/// Starts programs and commits one turn of each; returns the names of those whose turn is durable.
 async fn start_programs(fleet: &Fleet, count: usize) -> Vec<String> {
     let mut names = Vec::new();
     for number in 0..count {
@@ -293,7 +295,7 @@
     names
 }
 
-/// Time from `since` to the second turn of each program, run by whoever keeps it by then.
+/// Times from `since` until the second turn of each program runs at its new keeper.
 async fn next_turns(
     fleet: &Arc<Fleet>,
     names: Vec<String>,
@@ -321,7 +323,7 @@
     Ok(times)
 }
 
-/// Rounds of a death, each with a fleet of its own.
+/// Rounds of a measured crash, each with a new fleet.
 const ROUNDS: usize = 4;
 
 async fn measure_death(ttl: Duration) -> Result<(), Failure> {
@@ -363,7 +365,8 @@
     Ok(())
 }
 
-/// Turns that run in memory while the store is away, and the time until all are stored after it.
+/// Runs turns in memory during an outage of the store, and measures the time until all are stored
+/// after it.
 async fn measure_outage(span: Duration) -> Result<(), Failure> {
     let fleet = Arc::new(Fleet::start(Duration::from_secs(3)).await?);
     let names = start_programs(&fleet, 256).await;
--- a/fw-keep/src/claim.rs
+++ b/fw-keep/src/claim.rs
@@ -1,7 +1,8 @@
-//! The life cycle of one idempotency key: a call under it runs at most once.
+//! State machine of one idempotency key: a call under it runs at most once.
 //!
-//! The claim is durable before the call is sent, so whoever takes over the shard finds it. A claim
-//! found without an outcome is never run again: nobody can tell whether the call was sent.
+//! The claim is durable before the call is sent, so a keeper that takes over the shard finds it in
+//! the journal. A claim without a recorded outcome is never run again, because it is unknown
+//! whether the call was sent.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// Names a claim; keys of different teams never meet.
+/// Identifies a claim. Equal keys of different teams are different claims.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The team.
@@ -23,7 +24,7 @@
 }
 
 impl Key {
-    /// The text whose hash says which shard keeps the claim.
+    /// The text whose hash determines the claim's shard.
     pub fn shard_name(&self) -> String {
         format!("{}/{}", self.team, self.key)
     }
@@ -42,16 +43,16 @@
     pub truncated: bool,
 }
 
-/// What is known of the call.
+/// State of a claimed call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// The claim is on its way to the store; the call was not sent.
+    /// The claim is not durable yet; the call was not sent.
     Opening,
     /// The claim is durable; the call may have been sent.
     Open,
     /// The call was answered.
     Done(Answer),
-    /// The call may have been sent, by a holder that is gone.
+    /// The call may have been sent, and its outcome was not recorded.
     Unknown,
 }
 
@@ -60,18 +61,18 @@
 pub struct Claim {
     /// Fingerprint of the call: method, path and body.
     pub fingerprint: Digest,
-    /// What is known of the call.
+    /// State of the call.
     pub state: State,
-    /// When the state was entered.
+    /// Time at which the state was entered.
     pub since: Duration,
 }
 
-/// What an existing claim means for the same key sent again.
+/// Answer to a call whose key is already claimed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Duplicate {
-    /// The call ran; this was its answer.
+    /// The call ran and had this answer.
     Replay(Answer),
-    /// It must not run.
+    /// The call must not run.
     Refused(error::Error),
 }
 
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Answers a call under a key that is claimed already. An open claim older than `open_timeout` is
-    /// taken to have lost its holder.
+    /// Answers a call whose key is already claimed. The holder of a claim that has been open for
+    /// longer than `open_timeout` is presumed to have failed.
     pub fn answer_duplicate(
         &self,
         fingerprint: Digest,
@@ -110,14 +111,14 @@
         }
     }
 
-    /// Notes that the claim is durable.
+    /// Records that the claim is durable.
     pub fn mark_open(&mut self, now: Duration) {
         if self.state == State::Opening {
             self.enter(State::Open, now);
         }
     }
 
-    /// Notes the call's answer. A first answer stands: a late duplicate doesn't replace it.
+    /// Records the call's answer. The first answer stands: a late duplicate doesn't replace it.
     pub fn record_answer(&mut self, answer: Answer, now: Duration) -> bool {
         if matches!(self.state, State::Done(_)) {
             return false;
@@ -126,12 +127,13 @@
         true
     }
 
-    /// Whether "it did not run" may still free the key.
+    /// Whether the key may still be released by a report that the call did not run.
     pub fn is_unsettled(&self) -> bool {
         !matches!(self.state, State::Done(_))
     }
 
-    /// Notes that the holder is gone: whoever takes over can't know whether the call was sent.
+    /// Records that the claim's holder failed. Its successor can't determine whether the call was
+    /// sent.
     pub fn mark_orphaned(&mut self) {
         if self.is_unsettled() {
             self.state = State::Unknown;
@@ -147,7 +149,7 @@
 fn may_have_run() -> Duplicate {
     refused(
         Kind::MayHaveRun,
-        "a call under this `Idempotency-Key` was sent and its outcome is not known; look at its \
+        "a call under this `Idempotency-Key` was sent and its outcome is not known; check its \
          effect before you send it under a new key",
     )
 }
--- a/fw-keep/src/commit.rs
+++ b/fw-keep/src/commit.rs
@@ -1,15 +1,16 @@
-//! Writes groups of many shards to the store, whatever happens to the answers.
+//! Group commit: writes the pending journal groups of many shards to the store, and determines the
+//! outcome of each group also when answers are lost.
 //!
 //! One transaction carries the groups of many shards, so that the number of store calls follows
 //! the number of entries and the commit window, not the number of turns. Two conditions guard
 //! each shard:
 //!
 //! * The keeper's key still has the revision of our acquisition. A holder that was paused past its
-//!   lease finds its transaction refused, whether or not it knows that the lease lapsed.
-//! * The journal's head is the one that our group follows. A transaction that was delayed on its
-//!   way, and whose answer was given up, can't be applied after a later one.
+//!   lease has its transaction refused, whether or not it has noticed that the lease lapsed.
+//! * The journal's head is the one that our group follows. A transaction that was delayed in the
+//!   network, and whose answer is no longer awaited, can't be applied after a later one.
 //!
-//! When an answer is lost, the head is read back: it names the group written last.
+//! When an answer is lost, the head is read back: it identifies the group written last.
 
 use fw_base::id;
 use fw_store::kv;
@@ -20,9 +21,9 @@
 /// Bounds of one transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Most steps; etcd refuses more than 128.
+    /// Maximum number of operations; etcd refuses more than 128.
     pub max_ops: usize,
-    /// Most bytes of values; etcd refuses requests above 1.5 MB.
+    /// Maximum bytes of values; etcd refuses requests above 1.5 MB.
     pub max_bytes: usize,
 }
 
@@ -35,18 +36,18 @@
     }
 }
 
-/// What to do next.
+/// The next action of the caller of a [`Commit`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Send this write, and report what came of it.
+    /// Send this write, and report its result.
     Write(kv::Txn),
-    /// The last write's answer was lost: send this read, and report what it found.
+    /// The last write's answer was lost: send this read, and report its result.
     Read(kv::Txn),
     /// All groups have a [`Verdict`].
     Done,
 }
 
-/// What came of a [`Step`].
+/// The result of a [`Step`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// The store answered.
@@ -57,7 +58,7 @@
     Unknown,
 }
 
-/// What became of a shard's group.
+/// The outcome of a shard's group.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// It is in the store.
@@ -65,22 +66,23 @@
         /// The shard.
         shard: id::ShardId,
     },
-    /// Our lease lapsed and nobody has taken the shard since; what is left of the group may be
-    /// written once the shard is acquired again.
+    /// Our lease lapsed and no keeper has acquired the shard since. The remaining parts of the
+    /// group may be written once the shard is acquired again.
     Lapsed(Job),
-    /// The shard has another keeper. Whether the group is in the store is for that one to say.
+    /// The shard has another keeper, which finds out from the journal whether the group was
+    /// written.
     Lost {
         /// The shard.
         shard: id::ShardId,
     },
-    /// The journal was changed by someone who does not hold the shard.
+    /// The journal was changed by a writer that does not hold the shard.
     Foreign {
         /// The shard.
         shard: id::ShardId,
     },
 }
 
-/// What a transaction carries of one job.
+/// The part of one job that the transaction in flight carries.
 #[derive(Clone, Debug)]
 struct SentParts {
     job: usize,
@@ -89,13 +91,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The next write is not sent yet, or is known not to have taken effect.
+    /// The next write has not been sent, or did not take effect.
     Ready,
-    /// A write's answer was lost.
+    /// A write's answer was lost, so whether it took effect is unknown.
     Unconfirmed,
 }
 
-/// How a shard stands in the store.
+/// The owner and head of a shard as read from the store.
 struct StoredState<'a> {
     owner: id::Revision,
     head: Option<&'a [u8]>,
@@ -125,7 +127,7 @@
         commit
     }
 
-    /// What to do next.
+    /// The next action.
     pub fn step(&self) -> Step {
         match self.state {
             _ if self.jobs.is_empty() => Step::Done,
@@ -137,13 +139,13 @@
         }
     }
 
-    /// Reports what came of the step.
+    /// Processes the result of the last step.
     pub fn handle_reply(&mut self, reply: Reply) {
         match (self.state, reply) {
             (_, Reply::NotSent) | (State::Unconfirmed, Reply::Unknown) => (),
             (State::Ready, Reply::Unknown) => self.state = State::Unconfirmed,
             (State::Ready, Reply::Answer(outcome)) if outcome.succeeded => self.record_applied(),
-            // A refused write may be the repetition of one that took effect after we had looked.
+            // A refused write may be a retry of one that took effect after our read.
             (State::Ready | State::Unconfirmed, Reply::Answer(outcome)) => {
                 self.state = State::Ready;
                 self.resolve(&outcome.into_kvs());
@@ -156,7 +158,7 @@
         std::mem::take(&mut self.verdicts)
     }
 
-    /// Chooses what the next transaction carries.
+    /// Chooses the parts that the next transaction carries.
     fn plan_txn(&mut self) {
         self.sent.clear();
         let mut ops = 0;
@@ -199,7 +201,7 @@
         &part.head
     }
 
-    /// Everything that was sent is in the store.
+    /// Removes the parts that were sent, which are in the store.
     fn record_applied(&mut self) {
         for sent in std::mem::take(&mut self.sent) {
             let job = &mut self.jobs[sent.job];
@@ -216,10 +218,11 @@
         self.plan_txn();
     }
 
-    /// Tells from what the store holds whether the last write took effect.
+    /// Determines from the values read whether the last write took effect.
     ///
-    /// The write was one transaction: where one head is ours, all of it took effect. Where none
-    /// is, it did not and, if a condition has come to fail since, never will: revisions only grow.
+    /// The write was one transaction: if one head is ours, all of it took effect. If none is, it
+    /// did not take effect. If in addition one of its conditions no longer holds, it never will,
+    /// because revisions only grow.
     fn resolve(&mut self, kvs: &[kv::Kv]) {
         let is_applied = |sent: &SentParts| {
             stored_state(kvs, &self.jobs[sent.job]).head == Some(self.head_after(sent))
@@ -253,8 +256,8 @@
     }
 }
 
-/// Number of the job's next parts that still fit a transaction, which they are added to. The very
-/// first part always fits: it is bounded by the size of a segment.
+/// Number of the job's next parts that still fit into the transaction; adds them to `ops` and
+/// `bytes`. The first part of a transaction always fits: it is bounded by the size of a segment.
 fn fitting_parts(
     job: &Job,
     ops: &mut usize,
--- a/fw-keep/src/journal/keys.rs
+++ b/fw-keep/src/journal/keys.rs
@@ -1,9 +1,9 @@
-//! Names of the keys in the store.
+//! Layout of the keys in the store.
 //!
 //! ```text
-//! {root}live/entry/{entry}                          address of a live entry, bound to its lease
-//! {root}live/shard/{shard}                          keeper of a shard, bound to its lease
-//! {root}journal/{shard}/head                        where the shard's journal ends
+//! {root}live/entry/{entry}                          address of a live entry, attached to its lease
+//! {root}live/shard/{shard}                          keeper of a shard, attached to its lease
+//! {root}journal/{shard}/head                        end of the shard's journal
 //! {root}journal/{shard}/seg/{generation}/{seq}      a segment
 //! ```
 
@@ -44,14 +44,14 @@
     format!("{root}journal/{shard:05}/seg/{generation:016}/{seq:016}")
 }
 
-/// Generation and sequence number that end a segment's key.
+/// Parses the generation and the sequence number at the end of a segment's key.
 pub fn parse_segment(key: &str) -> Option<(u64, u64)> {
     let (rest, seq) = key.rsplit_once('/')?;
     let (_, generation) = rest.rsplit_once('/')?;
     Some((generation.parse().ok()?, seq.parse().ok()?))
 }
 
-/// What a key below [`live`] stands for.
+/// A parsed key below [`live`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Live<'a> {
     /// A live entry.
@@ -60,7 +60,7 @@
     Shard(id::ShardId),
 }
 
-/// Reads a key below [`live`]; `None` for one of another make.
+/// Parses a key below [`live`]; `None` if its form is unknown.
 pub fn parse_live<'a>(root: &str, key: &'a str) -> Option<Live<'a>> {
     let rest = key.strip_prefix(root)?.strip_prefix("live/")?;
     if let Some(entry) = rest.strip_prefix("entry/") {
--- a/fw-keep/src/journal/mod.rs
+++ b/fw-keep/src/journal/mod.rs
@@ -1,7 +1,7 @@
-//! What a shard writes to the store.
+//! Journal of a shard in the store.
 //!
-//! A shard's journal is a sequence of segments, each one value in the store. [`Entry`] values are
-//! encoded into groups, a group into one segment or, if it is large, several.
+//! A journal is a sequence of segments, each of which is one value in the store. [`Entry`] values
+//! are encoded in groups; a group takes one segment or, if it is large, several.
 
 pub mod keys;
 pub mod replay;
@@ -22,7 +22,7 @@
 /// One change of a shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A turn was finished. The first one of a program also makes it known.
+    /// A turn was committed. The first turn of a program also creates it.
     Turn {
         /// The program.
         program: id::ProgramId,
@@ -32,21 +32,21 @@
         parent: Option<id::ProgramId>,
         /// The turn.
         turn: Box<program::Turn>,
-        /// When it was finished.
+        /// Time at which it was committed.
         at: Duration,
     },
     /// Budget was spent without a turn.
     Charge {
         /// The program.
         program: id::ProgramId,
-        /// What was spent.
+        /// The amount spent.
         amount: ledger::Amount,
     },
     /// A program was ended.
     End {
         /// The program.
         program: id::ProgramId,
-        /// When.
+        /// Time at which it was ended.
         at: Duration,
     },
     /// A program's retention is over.
@@ -60,7 +60,7 @@
         key: claim::Key,
         /// Fingerprint of the call.
         fingerprint: Digest,
-        /// When.
+        /// Time at which it was made.
         at: Duration,
     },
     /// A claimed call was answered.
@@ -69,22 +69,22 @@
         key: claim::Key,
         /// The answer.
         answer: claim::Answer,
-        /// When.
+        /// Time at which it was answered.
         at: Duration,
     },
-    /// A claim is void: its call did not run, or its retention is over.
+    /// A claim was deleted: its call did not run, or its retention is over.
     Free {
         /// The key.
         key: claim::Key,
     },
-    /// The whole of a program, in a snapshot.
+    /// The state of a program, in a snapshot.
     Program {
         /// The program.
         program: id::ProgramId,
-        /// All that is committed of it.
+        /// Its committed state.
         saved: Box<program::Saved>,
     },
-    /// The whole of a claim, in a snapshot.
+    /// The state of a claim, in a snapshot.
     Kept {
         /// The key.
         key: claim::Key,
--- a/fw-keep/src/journal/replay.rs
+++ b/fw-keep/src/journal/replay.rs
@@ -1,4 +1,4 @@
-//! Reads a shard's journal back.
+//! Journal reader: reads a shard's journal back and reports damage.
 
 use std::collections::BTreeMap;
 
@@ -10,32 +10,33 @@
 use crate::journal::segment::Head;
 use crate::journal::segment::Segment;
 
-/// One step of a replay.
+/// One item of a replay.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
-    /// A whole snapshot: it replaces all that came before.
+    /// A complete snapshot, which replaces all earlier items.
     Snapshot(Vec<Entry>),
-    /// A whole group.
+    /// A complete group.
     Group(Vec<Entry>),
-    /// Something is wrong here: changes of any program may be missing at this point.
+    /// Damage: changes of any program may be missing at this point.
     Damage(Corrupt),
 }
 
-/// What a journal holds.
+/// The content of a journal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Replayed {
-    /// The steps, in order.
+    /// The items, in order.
     pub items: Vec<Item>,
-    /// The head to go on from.
+    /// The head from which to continue.
     pub head: Head,
-    /// The head's value in the store, whole or not.
+    /// The head's value in the store, valid or not.
     pub stored_head: Option<Vec<u8>>,
-    /// Groups at the end of a holder's time that were not written whole, hence never durable.
+    /// Number of groups that a holder did not write completely before it lost the shard, so that
+    /// they were never durable.
     pub unfinished: usize,
 }
 
 impl Replayed {
-    /// Whether anything is wrong.
+    /// Whether the journal is damaged.
     pub fn is_damaged(&self) -> bool {
         let is_damage = |item: &Item| matches!(item, Item::Damage(_));
         self.items.iter().any(is_damage)
@@ -117,8 +118,9 @@
         }
     }
 
-    /// A head for segments whose own is lost. The lowest generation is the one in force: those
-    /// before it are deleted when it comes into force, and a higher one is an unfinished snapshot.
+    /// Reconstructs a lost head from the segments. The lowest generation is the current one:
+    /// earlier ones are deleted when it becomes current, and a higher one is an unfinished
+    /// snapshot.
     fn reconstruct_head(&self) -> Head {
         let keys = self.values.keys();
         let generation = keys.clone().map(|(g, _)| *g).min().unwrap_or(1);
@@ -151,7 +153,7 @@
         self.check_beyond_end(head);
     }
 
-    /// A head that was lost and written anew can't tell whether segments were lost with it.
+    /// Reports a head that was lost and replaced, as segments may have been lost with it.
     fn report_lost_head(&mut self) {
         let key = keys::head(self.root, self.shard);
         self.report_damage(Corrupt::Missing { key });
@@ -197,8 +199,8 @@
         }
     }
 
-    /// Decodes the group read so far. A group without its last part was never durable if its
-    /// holder stopped there: nothing follows, or a newer holder does.
+    /// Decodes the group read so far. A group without its last part was never durable if its holder
+    /// stopped there, that is, if no segment or one of a newer holder follows.
     fn finish_group(&mut self, next_fence: Option<id::Fence>) {
         let group = std::mem::take(&mut self.group);
         let Some(first) = group.first() else {
@@ -238,7 +240,8 @@
         self.items.push(Item::Damage(corrupt));
     }
 
-    /// Segments of the generation in force that lie beyond its end were not written by a holder.
+    /// Reports a segment of the current or an earlier generation that the head does not cover: no
+    /// holder writes such segments.
     fn check_beyond_end(&mut self, head: &Head) {
         let extra = self.values.keys().find(|(g, _)| *g <= head.generation);
         let Some((generation, seq)) = extra.copied() else {
--- a/fw-keep/src/journal/segment.rs
+++ b/fw-keep/src/journal/segment.rs
@@ -1,4 +1,4 @@
-//! Form of one value in the store: a mark of kind and version, the content, and a checksum.
+//! Encoding of segments and heads: magic bytes for kind and version, the content, and a checksum.
 
 use fw_base::id;
 use serde::Deserialize;
@@ -12,8 +12,8 @@
 const MAGIC_LEN: usize = 4;
 const CHECKSUM_LEN: usize = 32;
 
-/// A random number that names one group of entries and one attempt to write it. After a write
-/// whose answer was lost, it tells our own value from another's.
+/// A random number that identifies one group of entries and one attempt to write it. After a write
+/// whose answer was lost, it distinguishes our own value from that of another writer.
 pub type Nonce = u64;
 
 /// One segment: a part of an encoded group.
@@ -21,13 +21,13 @@
 pub struct Segment {
     /// The shard.
     pub shard: id::ShardId,
-    /// Number of the snapshot that the segment follows.
+    /// Number of the snapshot that the segment is part of or follows.
     pub generation: u64,
     /// Position within the generation; the first is 0.
     pub seq: u64,
-    /// Fencing number of the holder that encoded it.
+    /// Fencing token of the holder that encoded it.
     pub fence: id::Fence,
-    /// Names the group.
+    /// Identifies the group.
     pub nonce: Nonce,
     /// Position within the group; the first is 0.
     pub part: u32,
@@ -39,35 +39,36 @@
     pub payload: Vec<u8>,
 }
 
-/// Where a shard's journal ends. Written together with every segment, so that a segment that is
-/// missing at the end is noticed.
+/// The end of a shard's journal. Written together with every segment, so that a missing segment at
+/// the end is detected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The shard.
     pub shard: id::ShardId,
-    /// The generation in force.
+    /// The current generation.
     pub generation: u64,
-    /// Sequence number of its next segment.
+    /// Sequence number of that generation's next segment.
     pub next_seq: u64,
-    /// The highest generation ever begun; above `generation` while a snapshot is being written.
+    /// The highest generation ever started; above `generation` while a snapshot is being written.
     pub highest_generation: u64,
-    /// Names the group written last.
+    /// Identifies the group written last.
     pub nonce: Nonce,
     /// The part of that group written last.
     pub part: u32,
     /// Bytes of the generation's segments.
     pub bytes: u64,
-    /// Bytes of the snapshot that the generation begins with.
+    /// Bytes of the snapshot at the start of the generation.
     pub snapshot_bytes: u64,
-    /// Sequence numbers before which damage was found that can't be seen any more.
+    /// Sequence number below which segments may have been lost. Set when a lost head is replaced,
+    /// since the new head no longer shows the damage.
     pub damaged_before: Option<u64>,
 }
 
-/// Why a value in the store is not what it should be.
+/// Why a value in the store cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum Corrupt {
-    /// The checksum does not match: cut off or changed.
+    /// The checksum does not match: the value is truncated or was changed.
     #[snafu(display("`{key}` is torn: its checksum does not match its {len} bytes"))]
     Torn {
         /// The key.
@@ -75,23 +76,23 @@
         /// Length of the value.
         len: usize,
     },
-    /// The value is whole and of another kind or version.
+    /// The checksum matches, but the kind or version is unknown.
     #[snafu(display("`{key}` has an unknown form: {reason}"))]
     Format {
         /// The key.
         key: String,
-        /// What is unknown.
+        /// Description of the mismatch.
         reason: String,
     },
-    /// The value is whole and belongs elsewhere.
+    /// The checksum matches, but the value does not belong to this key.
     #[snafu(display("`{key}` is foreign: {reason}"))]
     Foreign {
         /// The key.
         key: String,
-        /// What does not fit.
+        /// Description of the mismatch.
         reason: String,
     },
-    /// The value should be there.
+    /// The value is expected, but the key does not exist.
     #[snafu(display("`{key}` is missing"))]
     Missing {
         /// The key.
@@ -105,11 +106,11 @@
         encode(SEGMENT_MAGIC, self)
     }
 
-    /// Reads the value of `key`, and checks that it belongs there.
+    /// Decodes the value of `key`, and checks that it belongs there.
     ///
     /// # Errors
     ///
-    /// Any [`Corrupt`] but `Missing`.
+    /// Any [`Corrupt`] except `Missing`.
     pub fn decode(
         key: &str,
         shard: id::ShardId,
@@ -143,11 +144,11 @@
         encode(HEAD_MAGIC, self)
     }
 
-    /// Reads the value of `key`, and checks that it belongs there.
+    /// Decodes the value of `key`, and checks that it belongs there.
     ///
     /// # Errors
     ///
-    /// Any [`Corrupt`] but `Missing`.
+    /// Any [`Corrupt`] except `Missing`.
     pub fn decode(key: &str, shard: id::ShardId, value: &[u8]) -> Result<Self, Corrupt> {
         let head: Self = decode(HEAD_MAGIC, key, value)?;
         ensure!(
--- a/fw-keep/src/journal/writer.rs
+++ b/fw-keep/src/journal/writer.rs
@@ -1,4 +1,4 @@
-//! Encodes groups of entries into segments and plans where they go.
+//! Journal writer: encodes groups of entries into segments and assigns their keys.
 
 use std::collections::VecDeque;
 
@@ -11,18 +11,18 @@
 use crate::journal::segment::Nonce;
 use crate::journal::segment::Segment;
 
-/// Bounds of a journal.
+/// Limits of a journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Most payload bytes of one segment. The store holds values up to a megabyte; the rest is
-    /// room for the segment's own fields.
+    /// Maximum payload bytes of one segment. The store holds values of up to one megabyte; the rest
+    /// is for the segment's other fields.
     pub max_payload: usize,
-    /// Segments after the snapshot from which on a new one is due.
+    /// Number of a generation's segments above which a new snapshot is due.
     pub max_segments: u64,
-    /// A new snapshot is due once the segments after the last hold more than this many times its
-    /// bytes, so that what is rewritten stays in proportion to what is written.
+    /// A new snapshot is due once the segments after the last one hold more than this many times
+    /// its bytes, so that the bytes rewritten stay in proportion to the bytes written.
     pub growth: u64,
-    /// No snapshot is due for size alone below this many bytes.
+    /// Bytes of segments after the last snapshot up to which their size alone makes none due.
     pub min_bytes: u64,
 }
 
@@ -37,50 +37,50 @@
     }
 }
 
-/// One segment to write and the head after it.
+/// One segment to write, and the journal's head after that write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
     /// Key of the segment.
     pub key: String,
     /// Value of the segment.
     pub value: Vec<u8>,
-    /// Value of the head once this part is written.
+    /// Value of the head after this part is written.
     pub head: Vec<u8>,
-    /// Prefixes of generations that this part supersedes.
+    /// Key prefixes of the generations that this part supersedes.
     pub delete: Vec<String>,
 }
 
-/// A group of one shard on its way to the store.
+/// A group of one shard that is to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
     /// The shard.
     pub shard: id::ShardId,
-    /// Fencing number under which it is written.
+    /// Fencing token under which it is written.
     pub fence: id::Fence,
     /// Key of the shard's keeper.
     pub owner_key: String,
     /// Key of the head.
     pub head_key: String,
-    /// Value of the head before the next part; `None` for a journal without one.
+    /// Expected value of the head before the next part; `None` for a journal without a head.
     pub expected_head: Option<Vec<u8>>,
-    /// What is still to be written; never empty when handed out.
+    /// The parts still to be written; not empty in a new job.
     pub parts: VecDeque<Part>,
 }
 
-/// Writes one shard's journal.
+/// Plans the writes of one shard's journal.
 #[derive(Clone, Debug)]
 pub struct Writer {
     root: SmolStr,
     shard: id::ShardId,
     fence: id::Fence,
     head: Head,
-    /// Value of the head in the store once all jobs are done.
+    /// Value of the head in the store after all jobs so far.
     stored: Option<Vec<u8>>,
     opts: Options,
 }
 
 impl Writer {
-    /// A writer that goes on after `head`, whose value in the store is `stored`.
+    /// A writer that continues after `head`, whose value in the store is `stored`.
     pub fn new(
         root: &str,
         shard: id::ShardId,
@@ -99,17 +99,17 @@
         }
     }
 
-    /// The fencing number.
+    /// The fencing token.
     pub fn fence(&self) -> id::Fence {
         self.fence
     }
 
-    /// Goes on under another fencing number, after the shard was acquired again.
+    /// Continues under another fencing token, after the shard was acquired again.
     pub fn set_fence(&mut self, fence: id::Fence) {
         self.fence = fence;
     }
 
-    /// Value of the head in the store once all jobs are done.
+    /// Value of the head in the store after all jobs so far.
     pub fn stored_head(&self) -> Option<&[u8]> {
         self.stored.as_deref()
     }
@@ -129,7 +129,7 @@
         is_large || head.next_seq > self.opts.max_segments
     }
 
-    /// Plans a group that follows what was planned before.
+    /// Plans the write of a group after those planned before.
     pub fn append(&mut self, entries: &[Entry], nonce: Nonce) -> Job {
         self.head.generation = self.head.generation.max(1);
         self.head.highest_generation = self.head.highest_generation.max(1);
@@ -146,8 +146,8 @@
         self.plan_job(parts)
     }
 
-    /// Plans a snapshot: a generation of its own that takes the place of the one before when its
-    /// last part is written, in the same transaction.
+    /// Plans the write of a snapshot: a new generation, which replaces the current one in the same
+    /// transaction that writes its last part.
     pub fn snapshot(&mut self, entries: &[Entry], nonce: Nonce) -> Job {
         let old_generation = self.head.generation;
         let generation = self.head.highest_generation + 1;
--- a/fw-keep/src/ledger.rs
+++ b/fw-keep/src/ledger.rs
@@ -1,7 +1,7 @@
-//! What a program spends of its budget: reserved before a turn runs, settled after it.
+//! Budget accounting of one program: an amount is reserved before a turn runs and settled after it.
 //!
-//! Without reservations, sub-agents that run at the same time would each see the whole rest of
-//! their parent's budget and spend it together several times over.
+//! Without reservations, sub-agents that run at the same time would each see all that remains of
+//! their parent's budget, and together would spend it several times over.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,47 +11,47 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Bounds of a budget; `None` sets no bound.
+/// Limits of a budget; `None` sets no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Most turns.
+    /// Maximum number of turns.
     pub turns: Option<u32>,
-    /// Most tokens, prompt and completion of all turns together.
+    /// Maximum tokens, prompt and completion of all turns together.
     pub tokens: Option<id::Tokens>,
-    /// Most time with a turn under way.
+    /// Maximum time during which a turn is running.
     pub time: Option<Duration>,
 }
 
-/// An amount spent, or about to be.
+/// An amount spent or reserved.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Amount {
     /// Turns.
     pub turns: u32,
     /// Tokens, prompt and completion.
     pub tokens: id::Tokens,
-    /// Time with a turn under way.
+    /// Time during which a turn was running.
     pub time: Duration,
 }
 
-/// What one turn wants.
+/// The amount that one turn asks to reserve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Request {
     /// Estimate of the prompt's tokens.
     pub prompt: id::Tokens,
-    /// Most tokens to generate, if the caller set a bound.
+    /// Maximum tokens to generate, if the caller set a limit.
     pub completion: Option<id::Tokens>,
 }
 
-/// What one turn may use.
+/// The amount that one turn may use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Grant {
-    /// Most tokens to generate; `None` if neither caller nor budget sets a bound.
+    /// Maximum tokens to generate; `None` if neither caller nor budget sets a limit.
     pub completion: Option<id::Tokens>,
     /// Time that the budget leaves for the turn.
     pub time: Option<Duration>,
 }
 
-/// Spent amounts of one program, and what its running turns have reserved.
+/// The amounts that one program has spent and that its running turns have reserved.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
     spent: Amount,
@@ -59,7 +59,7 @@
 }
 
 impl Ledger {
-    /// A ledger that starts with `spent`.
+    /// A ledger with `spent` already spent and nothing reserved.
     pub fn new(spent: Amount) -> Self {
         Self {
             spent,
@@ -67,19 +67,19 @@
         }
     }
 
-    /// What was spent for good.
+    /// The amount spent, without reservations.
     pub fn spent(&self) -> Amount {
         self.spent
     }
 
-    /// Tokens neither spent nor reserved; `None` if `limits` sets no bound.
+    /// Tokens neither spent nor reserved; `None` if `limits` sets no limit.
     pub fn tokens_left(&self, limits: &Limits) -> Option<id::Tokens> {
         let reserved: id::Tokens = self.reserved.values().map(|amount| amount.tokens).sum();
         let used = self.spent.tokens.saturating_add(reserved);
         limits.tokens.map(|limit| limit.saturating_sub(used))
     }
 
-    /// Sets aside what the turn of `attempt` may use at most.
+    /// Reserves the most that the turn of `attempt` may use.
     ///
     /// # Errors
     ///
@@ -103,7 +103,7 @@
         Ok(Grant { completion, time })
     }
 
-    /// Replaces the reservation of `attempt` by what it used.
+    /// Replaces the reservation of `attempt` by the amount that it used.
     pub fn settle(&mut self, attempt: id::AttemptId, used: Amount) {
         self.reserved.remove(&attempt);
         self.charge(used);
@@ -114,7 +114,7 @@
         self.reserved.get(&attempt).copied().unwrap_or_default()
     }
 
-    /// Adds `used` to what was spent.
+    /// Adds `used` to the amount spent.
     pub fn charge(&mut self, used: Amount) {
         self.spent.turns = self.spent.turns.saturating_add(used.turns);
         self.spent.tokens = self.spent.tokens.saturating_add(used.tokens);
--- a/fw-keep/src/program/mod.rs
+++ b/fw-keep/src/program/mod.rs
@@ -1,7 +1,7 @@
-//! The life cycle of one program: idle, running, idle again, and at last ended.
+//! State machine of one program: idle, running and ended.
 //!
-//! A turn enters the history when it is finished, never before, so that whatever happens to an
-//! attempt leaves the history as it was.
+//! A turn enters the history only when it is finished, so that a failed attempt leaves the history
+//! unchanged.
 
 mod turn;
 
@@ -24,22 +24,22 @@
 pub use crate::program::turn::Saved;
 pub use crate::program::turn::Turn;
 
-/// Bytes of message text for one token, for estimates before an engine has counted.
+/// Assumed bytes of message text per token, for estimates before an engine has counted the tokens.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// How a program stands.
+/// Status of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// No turn is under way.
+    /// No turn is running.
     Idle,
-    /// A turn is under way.
+    /// A turn is running.
     Running,
-    /// It takes no further turn.
+    /// The program was ended and accepts no further turn.
     Ended,
 }
 
 impl Status {
-    /// The word for it towards callers.
+    /// The status's name in the API.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Idle => "idle",
@@ -49,7 +49,7 @@
     }
 }
 
-/// The turn under way.
+/// The running turn.
 #[derive(Clone, Debug, PartialEq)]
 struct Running {
     attempt: id::AttemptId,
@@ -81,7 +81,7 @@
     last_used_at: Duration,
 }
 
-/// Where the messages of a request stand relative to the committed history.
+/// Whether a request is for the next turn or repeats the last committed one.
 enum RequestKind {
     NextTurn(Vec<chat::Message>),
     Repetition,
@@ -113,7 +113,7 @@
         self.parent.as_ref()
     }
 
-    /// How it stands.
+    /// Its status.
     pub fn status(&self) -> Status {
         match self.state {
             State::Idle => Status::Idle,
@@ -142,27 +142,27 @@
         self.last.as_ref()
     }
 
-    /// The attempt under way.
+    /// The running attempt.
     pub fn attempt(&self) -> Option<id::AttemptId> {
         self.running().map(|running| running.attempt)
     }
 
-    /// What it spent and has reserved.
+    /// The amounts that it has spent and reserved.
     pub fn ledger(&self) -> &ledger::Ledger {
         &self.ledger
     }
 
-    /// Tokens that the budget still allows; `None` if it sets no bound.
+    /// Tokens that the budget has left; `None` if it sets no limit.
     pub fn tokens_left(&self) -> Option<id::Tokens> {
         self.ledger.tokens_left(&self.limits)
     }
 
-    /// When it was last used, as the caller's `now` of that time.
+    /// Time of its last use, as the `now` that was passed then.
     pub fn last_used_at(&self) -> Duration {
         self.last_used_at
     }
 
-    /// Asks for a turn.
+    /// Requests a turn.
     pub fn begin(&mut self, begin: Begin, now: Duration) -> Outcome {
         match self.try_begin(begin, now) {
             Ok(outcome) => outcome,
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Commits the turn of `attempt`; `None` if that attempt is not the one under way, which is
-    /// so for late and crossed answers.
+    /// Commits the turn of `attempt`; `None` if that attempt is not the running one, as with
+    /// answers that arrive late or out of order.
     pub fn finish(
         &mut self,
         attempt: id::AttemptId,
@@ -201,11 +201,12 @@
         Some(turn)
     }
 
-    /// Gives up the turn of `attempt`, which may then be asked for again under the same number.
-    /// Returns what it is charged; `None` if that attempt is not the one under way.
+    /// Abandons the turn of `attempt`, which may then be requested again under the same number.
+    /// Returns the amount charged; `None` if that attempt is not the running one.
     ///
-    /// An attempt that may have run is charged all that it had reserved: the true amount is not
-    /// known, and a program that could make its turns fail would otherwise spend without bound.
+    /// An attempt that may have run is charged all the tokens that it had reserved: the true amount
+    /// is unknown, and a program that could make its turns fail would otherwise spend without
+    /// limit.
     pub fn fail(
         &mut self,
         attempt: id::AttemptId,
@@ -227,7 +228,7 @@
         Some(used)
     }
 
-    /// Ends the program and returns the attempt to cancel, if a turn is under way.
+    /// Ends the program and returns the attempt to cancel, if a turn is running.
     pub fn end(&mut self, now: Duration) -> Option<id::AttemptId> {
         let attempt = self.attempt();
         if let Some(attempt) = attempt {
@@ -238,7 +239,7 @@
         attempt
     }
 
-    /// Sets aside budget for a sub-agent's attempt.
+    /// Reserves budget for a sub-agent's attempt.
     ///
     /// # Errors
     ///
@@ -252,26 +253,26 @@
         self.ledger.reserve(attempt, request, &self.limits)
     }
 
-    /// Adds what was spent without a turn.
+    /// Adds an amount that was spent without a committed turn.
     pub fn charge(&mut self, used: ledger::Amount) {
         self.ledger.charge(used);
     }
 
-    /// Replaces a sub-agent's reservation by what it used.
+    /// Replaces a sub-agent's reservation by the amount that it used.
     pub fn settle(&mut self, attempt: id::AttemptId, used: ledger::Amount) {
         self.ledger.settle(attempt, used);
     }
 
-    /// Whether `turn` continues this program exactly where it stands.
+    /// Whether `turn` is the next turn and follows exactly the committed history.
     pub fn continues(&self, turn: &Committed) -> bool {
         turn.turn == self.turn() + 1 && turn.base == self.digest
     }
 
-    /// The turn that was answered under an earlier keeper, if it continues the history and nothing
-    /// is under way.
+    /// The turn that was answered under an earlier keeper, if it continues the history and no turn
+    /// is running.
     pub(crate) fn recover_turn(&self, held: Held) -> Option<Turn> {
         let is_next = held.turn == self.turn() + 1 && held.team == self.team;
-        // Digests chain over all messages: an equal one means the very same history.
+        // Digests are chained over all messages: equal digests mean equal histories.
         let continues = held.base == self.digest;
         if !is_next || !continues || self.status() != Status::Idle {
             return None;
@@ -306,7 +307,7 @@
         self.last_used_at = now;
     }
 
-    /// Puts together a program that a snapshot describes.
+    /// Restores a program from a snapshot.
     pub fn restore(saved: Saved) -> Self {
         let ended = saved.ended;
         Self {
@@ -322,7 +323,7 @@
         }
     }
 
-    /// What a snapshot keeps of the program: all that is committed, nothing that is under way.
+    /// The program's state for a snapshot: all that is committed, without a running turn.
     pub fn save(&self) -> Saved {
         Saved {
             team: self.team.clone(),
@@ -382,7 +383,7 @@
         }
     }
 
-    /// Tells a repetition of the last committed turn from the next one.
+    /// Distinguishes a repetition of the last committed turn from the next turn.
     fn classify(&self, begin: &Begin) -> Result<RequestKind, error::Error> {
         if let Some(turn) = begin.turn {
             return self.classify_numbered(begin, turn);
@@ -418,7 +419,7 @@
         }
     }
 
-    /// A client library that knows nothing of turns repeats a call by sending the same messages.
+    /// A client library without support for turns retries a call by sending the same messages.
     fn classify_full(&self, begin: &Begin) -> Result<RequestKind, error::Error> {
         if self.repeats_last(begin) {
             return Ok(RequestKind::Repetition);
@@ -426,7 +427,7 @@
         self.strip_history(begin).map(RequestKind::NextTurn)
     }
 
-    /// Messages alone don't tell a repetition from a next turn that says the same again.
+    /// Messages alone don't distinguish a repetition from a next turn with the same messages.
     fn classify_delta(&self, begin: &Begin) -> Result<RequestKind, error::Error> {
         let Some(base) = begin.base else {
             if self.turn() == 0 {
@@ -454,15 +455,15 @@
         same_len && Digest::EMPTY.extend_all(&begin.messages) == last.prompt
     }
 
-    /// The messages after the committed history, which the request must begin with. The digest
-    /// covers every message in order, so a history of another program can't pass for this one's.
+    /// The messages after the committed history, with which the request must begin. The digest
+    /// covers every message in order, so the history of another program is not accepted.
     fn strip_history(&self, begin: &Begin) -> Result<Vec<chat::Message>, error::Error> {
         let committed = self.history.len();
         let Some((before, after)) = begin.messages.split_at_checked(committed) else {
             let sent = begin.messages.len();
             return Err(mismatch(format!(
-                "the committed history has {committed} messages, and the request only {sent}; send all \
-                 of it, or `x-history: delta`"
+                "the committed history has {committed} messages, and the request only {sent}; send \
+                 all of it, or `x-history: delta`"
             )));
         };
         if Digest::EMPTY.extend_all(before) != self.digest {
--- a/fw-keep/src/program/turn.rs
+++ b/fw-keep/src/program/turn.rs
@@ -1,4 +1,4 @@
-//! A turn as it is asked for, run and committed.
+//! The forms of a turn: requested, running, committed and saved in a snapshot.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use crate::ledger;
 
-/// How the messages of a turn are to be read.
+/// How the messages of a turn relate to the committed history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum History {
     /// They begin with the committed history.
@@ -21,28 +21,28 @@
     Delta,
 }
 
-/// A turn that a caller asks for.
+/// A turn that a caller requests.
 #[derive(Clone, Debug)]
 pub struct Begin {
     /// The team.
     pub team: id::TeamId,
     /// The program that this one is a sub-agent of.
     pub parent: Option<id::ProgramId>,
-    /// The turn, if the caller named it.
+    /// Number of the turn, if the caller gave it.
     pub turn: Option<id::Turn>,
-    /// Digest of the committed history, if the caller named it.
+    /// Digest of the committed history, if the caller gave it.
     pub base: Option<Digest>,
-    /// How `messages` are to be read.
+    /// How `messages` relate to the committed history.
     pub history: History,
     /// The messages.
     pub messages: Vec<chat::Message>,
-    /// Fingerprint of everything else that shapes the answer: model, parameters, bounds.
+    /// Fingerprint of everything else that affects the answer: model, parameters, limits.
     pub params: Digest,
-    /// The attempt to run the turn under, drawn afresh.
+    /// A new random id of the attempt that is to run the turn.
     pub attempt: id::AttemptId,
-    /// Most tokens to generate, if the caller set a bound.
+    /// Maximum tokens to generate, if the caller set a limit.
     pub max_tokens: Option<id::Tokens>,
-    /// The program's budget as of now.
+    /// The program's current budget.
     pub limits: ledger::Limits,
 }
 
@@ -63,19 +63,19 @@
     }
 }
 
-/// What became of a turn that was asked for.
+/// Outcome of a request for a turn.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// Run it.
+    /// The turn is to be run.
     Run(Run),
-    /// It runs already.
+    /// The turn is running already.
     Attach {
         /// The attempt that runs it.
         attempt: id::AttemptId,
         /// Its number.
         turn: id::Turn,
     },
-    /// It was committed before.
+    /// The turn was committed before.
     Replay {
         /// The attempt that ran it.
         attempt: id::AttemptId,
@@ -84,14 +84,14 @@
         /// Its answer.
         answer: Answer,
     },
-    /// It does not run.
+    /// The turn is refused.
     Refused(error::Error),
 }
 
 /// A turn to run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Run {
-    /// The attempt to run it under.
+    /// The attempt that is to run it.
     pub attempt: id::AttemptId,
     /// Its number.
     pub turn: id::Turn,
@@ -99,13 +99,13 @@
     pub base: Digest,
     /// The messages after that history.
     pub messages: Vec<chat::Message>,
-    /// Digest of the whole prompt.
+    /// Digest of the complete prompt.
     pub digest: Digest,
-    /// Estimate of the whole prompt's tokens.
+    /// Estimate of the tokens of the complete prompt.
     pub prompt_tokens: id::Tokens,
-    /// Most tokens to generate; `None` if neither caller nor budget sets a bound.
+    /// Maximum tokens to generate; `None` if neither caller nor budget sets a limit.
     pub max_tokens: Option<id::Tokens>,
-    /// Time that the budget leaves for the turn.
+    /// Running time that the budget has left for the turn.
     pub time_left: Option<Duration>,
 }
 
@@ -122,11 +122,11 @@
     pub base: Digest,
     /// The messages that it adds.
     pub messages: Vec<chat::Message>,
-    /// Digest of what else makes it the turn that it is.
+    /// Fingerprint of its other parameters.
     pub params: Digest,
     /// The answer.
     pub answer: Answer,
-    /// Time that it ran.
+    /// Time for which it ran.
     pub ran: Duration,
 }
 
@@ -135,13 +135,13 @@
 pub struct Answer {
     /// The assistant's message, as it enters the history.
     pub message: chat::Message,
-    /// Why generation ended, in OpenAI's words: `stop`, `length`, `tool_calls`.
+    /// Why generation ended, as a value of the OpenAI API: `stop`, `length`, `tool_calls`.
     pub finish_reason: String,
     /// Token counts.
     pub usage: chat::Usage,
 }
 
-/// A turn that was finished.
+/// A committed turn.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Committed {
     /// Its number.
@@ -158,18 +158,18 @@
     pub answer: Answer,
 }
 
-/// What a finished turn adds to the program; the shard writes it to the journal.
+/// The change that a finished turn makes to its program; the shard writes it to the journal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Turn {
     /// The turn.
     pub committed: Committed,
-    /// The messages that it added before its answer.
+    /// The new messages before its answer.
     pub messages: Vec<chat::Message>,
-    /// What it spent.
+    /// The amount that it spent.
     pub spent: ledger::Amount,
 }
 
-/// What a snapshot keeps of one program.
+/// The state of one program in a snapshot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Saved {
     /// The team.
@@ -180,10 +180,10 @@
     pub history: Vec<chat::Message>,
     /// The last committed turn.
     pub last: Option<Committed>,
-    /// What it spent.
+    /// The amount that it spent.
     pub spent: ledger::Amount,
     /// Whether it was ended.
     pub ended: bool,
-    /// When it was last used.
+    /// Time of its last use.
     pub last_used_at: Duration,
 }
--- a/fw-keep/src/shard/load.rs
+++ b/fw-keep/src/shard/load.rs
@@ -1,4 +1,4 @@
-//! Builds a shard from its journal.
+//! Restores a shard from its journal.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use crate::program::Program;
 use crate::shard::Shard;
 
-/// What a damaged journal leaves in doubt.
+/// Damage of a journal, which may have lost changes of any program or claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Damage {
     pub(super) reason: String,
-    /// Programs that a later turn has shown to be whole.
+    /// Programs that a later turn has proven to be complete.
     pub(super) intact: HashSet<id::ProgramId>,
 }
 
 impl Shard {
-    /// The shard that a journal describes. What was open under the former holder has an unknown
-    /// outcome.
+    /// Restores the shard from the items of its journal. Claims that were open under the former
+    /// holder have an unknown outcome.
     pub fn load(id: id::ShardId, items: Vec<replay::Item>) -> Self {
         let mut shard = Self::new(id);
         for item in items {
@@ -54,8 +54,9 @@
         }
     }
 
-    /// Changes of any program or claim may be missing here, so all are in doubt. A program whose
-    /// next turn continues exactly what is known of it has lost nothing.
+    /// Marks all programs and claims as possibly incomplete, as changes of any of them may be
+    /// missing at this point. A program whose next turn follows exactly its restored history has
+    /// lost nothing.
     fn mark_damaged(&mut self, reason: &str) {
         self.damage = Some(Damage {
             reason: reason.to_owned(),
--- a/fw-keep/src/shard/mod.rs
+++ b/fw-keep/src/shard/mod.rs
@@ -1,4 +1,4 @@
-//! The programs and claims of one shard, in memory, and what of them is not yet durable.
+//! The programs and claims of one shard in memory, and their changes that are not durable yet.
 
 mod load;
 mod sweep;
@@ -24,48 +24,48 @@
 /// A change is durable once the shard's durable position has reached it.
 pub type Position = u64;
 
-/// What became of a claim that was asked for.
+/// Outcome of a request for a claim.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimOutcome {
     /// The key is free: the call may be sent once `position` is durable.
     Opening {
-        /// Where the claim stands in the journal.
+        /// Position of the claim among the shard's changes.
         position: Position,
     },
     /// The key was used before.
     Duplicate(claim::Duplicate),
 }
 
-/// A turn that was finished.
+/// A turn that was committed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finished {
     /// The turn.
     pub committed: program::Committed,
-    /// Where it stands in the journal.
+    /// Its position among the shard's changes.
     pub position: Position,
 }
 
-/// What became of a turn that was held outside of the journal.
+/// Outcome of the recovery of a turn that was held outside the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recovered {
-    /// It is committed now.
+    /// It was committed.
     Applied,
     /// It is in the journal already, or does not continue the history.
     Obsolete,
-    /// A turn before it is missing, or the turn is under way here: to be asked for again.
+    /// An earlier turn is missing, or the turn is running here: to be retried later.
     Gap,
 }
 
-/// Changes on their way to the store.
+/// Changes to be written to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
     /// The shard.
     pub shard: id::ShardId,
-    /// The changes, in order; never none.
+    /// The changes, in order; never empty.
     pub entries: Vec<Entry>,
     /// Position of the last one.
     pub last_position: Position,
-    /// Whether the entries are the whole shard rather than changes.
+    /// Whether the entries are a snapshot of the shard rather than changes.
     pub snapshot: bool,
 }
 
@@ -84,11 +84,11 @@
     damage: Option<Damage>,
 }
 
-/// Most changes that wait for the store before new turns and claims are refused. At 42 turns a
-/// second over eleven shards, an hour's outage of the store fits.
+/// Maximum number of changes that wait for the store; beyond it, new turns and claims are refused.
+/// Holds the changes of an hour's outage of the store at 42 turns per second over eleven shards.
 pub(crate) const MAX_PENDING: usize = 16_384;
 
-/// When to ask again after a refusal for want of the store.
+/// Time after which a call that was refused because the store is unavailable may be retried.
 pub(crate) const STORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Shard {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The same shard with another bound on changes that wait for the store.
+    /// The same shard with another limit on changes that wait for the store.
     pub fn with_max_pending(self, max_pending: usize) -> Self {
         Self {
             max_pending,
@@ -150,12 +150,12 @@
         self.last
     }
 
-    /// Why some of its programs can't be served, if its journal is damaged.
+    /// Description of the damage that makes some programs unavailable, if its journal is damaged.
     pub fn damage(&self) -> Option<&str> {
         self.damage.as_ref().map(|damage| damage.reason.as_str())
     }
 
-    /// Whether nothing would be cut off by handing it over: no turn and no claim is under way.
+    /// Whether no turn is running and no claim is open, so that a handover interrupts nothing.
     pub fn is_idle(&self) -> bool {
         let running = |state: &Program| state.status() == program::Status::Running;
         let open = |claim: &claim::Claim| {
@@ -164,12 +164,12 @@
         !self.programs.values().any(running) && !self.claims.values().any(open)
     }
 
-    /// Number of changes not handed out yet.
+    /// Number of changes not taken by [`Shard::take_batch`] yet.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Asks for a turn; a program not known yet comes into being with its first.
+    /// Requests a turn; the first turn of an unknown program creates it.
     pub fn begin(
         &mut self,
         program: &id::ProgramId,
@@ -193,7 +193,7 @@
         outcome
     }
 
-    /// Commits the turn of `attempt`; `None` if that attempt is not under way.
+    /// Commits the turn of `attempt`; `None` if that attempt is not running.
     pub fn finish(
         &mut self,
         program: &id::ProgramId,
@@ -213,8 +213,8 @@
 
     /// Commits a turn that was answered under an earlier keeper and did not reach the journal.
     ///
-    /// The answer may have been given to its caller: another one for the same turn would not fit
-    /// what the caller holds.
+    /// The answer may have reached its caller: another answer to the same turn would contradict the
+    /// caller's history.
     pub fn recover(
         &mut self,
         program: &id::ProgramId,
@@ -237,7 +237,7 @@
         Recovered::Applied
     }
 
-    /// Enters a turn of a known program into the journal.
+    /// Adds a turn of an existing program to the pending changes.
     fn push_turn(
         &mut self,
         program: &id::ProgramId,
@@ -256,7 +256,7 @@
         self.push(entry)
     }
 
-    /// Gives up the turn of `attempt`; false if that attempt is not under way.
+    /// Abandons the turn of `attempt`; false if that attempt is not running.
     pub fn fail(
         &mut self,
         program: &id::ProgramId,
@@ -270,7 +270,7 @@
         let Some(amount) = state.fail(attempt, ran, now) else {
             return false;
         };
-        // A program without a committed turn is not in the journal, hence nothing to charge.
+        // A program without a committed turn is not in the journal, so there is nothing to charge.
         if state.turn() == 0 && amount == ledger::Amount::default() {
             self.programs.remove(program);
             return true;
@@ -281,7 +281,7 @@
         true
     }
 
-    /// Ends a program. Returns the attempt to cancel, if a turn is under way.
+    /// Ends a program. Returns the attempt to cancel, if a turn is running.
     ///
     /// # Errors
     ///
@@ -313,7 +313,8 @@
         Ok(attempt)
     }
 
-    /// Sets aside budget of `program` for a sub-agent's attempt, wherever that one is kept.
+    /// Reserves budget of `program` for a sub-agent's attempt; the sub-agent may be in another
+    /// shard.
     ///
     /// # Errors
     ///
@@ -328,7 +329,7 @@
         state.reserve(attempt, request)
     }
 
-    /// Replaces a sub-agent's reservation by what it used.
+    /// Replaces a sub-agent's reservation by the amount that it used.
     pub fn settle(
         &mut self,
         program: &id::ProgramId,
@@ -342,7 +343,7 @@
         self.push_charge(program, used);
     }
 
-    /// Asks for the one run of a call under `key`.
+    /// Claims `key` for the one run of a call.
     pub fn open_claim(
         &mut self,
         key: &claim::Key,
@@ -366,7 +367,7 @@
         ClaimOutcome::Opening { position }
     }
 
-    /// Notes that the claim is durable; true if the call may be sent now.
+    /// Records that the claim is durable; true if the call may be sent now.
     pub fn claim_opened(&mut self, key: &claim::Key, now: Duration) -> bool {
         let Some(claim) = self.claims.get_mut(key) else {
             return false;
@@ -375,7 +376,7 @@
         claim.state == claim::State::Open
     }
 
-    /// Notes that the claimed call did not run: the key is free again.
+    /// Records that the claimed call did not run, which releases the key.
     pub fn claim_not_run(&mut self, key: &claim::Key, fingerprint: Digest) -> Option<Position> {
         let claim = self.claims.get(key)?;
         if claim.fingerprint != fingerprint || !claim.is_unsettled() {
@@ -385,8 +386,8 @@
         Some(self.push(Entry::Free { key: key.clone() }))
     }
 
-    /// Notes that nobody will know what became of the claimed call. The journal has the claim as
-    /// open, which means the same to whoever reads it.
+    /// Records that the outcome of the claimed call will stay unknown. Nothing is written: the
+    /// journal has the claim as open, and a later keeper treats that as an unknown outcome.
     pub fn claim_unknown(&mut self, key: &claim::Key, fingerprint: Digest) {
         if let Some(claim) = self.claims.get_mut(key)
             && claim.fingerprint == fingerprint
@@ -395,7 +396,7 @@
         }
     }
 
-    /// Notes the answer of the claimed call.
+    /// Records the answer of the claimed call.
     pub fn claim_done(
         &mut self,
         key: &claim::Key,
@@ -414,7 +415,7 @@
         }))
     }
 
-    /// Hands out the pending changes, or none.
+    /// Takes the pending changes, if there are any.
     pub fn take_batch(&mut self) -> Option<Batch> {
         if self.pending.is_empty() {
             return None;
@@ -427,7 +428,7 @@
         })
     }
 
-    /// Hands out the whole shard in place of the pending changes, which it contains.
+    /// Takes a snapshot of the shard, which includes the pending changes and replaces them.
     pub fn take_snapshot(&mut self) -> Batch {
         self.pending.clear();
         Batch {
@@ -438,33 +439,32 @@
         }
     }
 
-    /// Notes that all changes up to `position` are in the store.
+    /// Records that all changes up to `position` are in the store.
     pub fn mark_durable(&mut self, position: Position) {
         self.durable = self.durable.max(position);
     }
 
-    /// A program that a damaged journal leaves in doubt is refused rather than run on a history
-    /// that may lack turns; so is an unknown one, which the damaged part may have held.
+    /// Refuses programs that a damaged journal may concern, rather than run them on a history that
+    /// may lack turns. Unknown programs are refused too: the damaged part may have held them.
     fn check_program(&self, program: &id::ProgramId) -> Result<(), error::Error> {
         self.check_room()?;
         match &self.damage {
-            Some(damage) if !damage.intact.contains(program) => {
-                Err(journal_corrupt(&damage.reason))
-            }
+            Some(damage) if !damage.intact.contains(program) => Err(corrupt(&damage.reason)),
             _ => Ok(()),
         }
     }
 
-    /// A key that is not known may have been claimed in the damaged part.
+    /// Refuses claims if the journal is damaged: an unknown key may have been claimed in the
+    /// damaged part.
     fn check_claims(&self) -> Result<(), error::Error> {
         self.check_room()?;
         match &self.damage {
-            Some(damage) => Err(journal_corrupt(&damage.reason)),
+            Some(damage) => Err(corrupt(&damage.reason)),
             None => Ok(()),
         }
     }
 
-    /// Changes that the store does not take are held in memory, which is bounded.
+    /// Limits the changes that are held in memory while the store is unavailable.
     fn check_room(&self) -> Result<(), error::Error> {
         let waiting = self.pending.len();
         if waiting < self.max_pending {
@@ -477,7 +477,7 @@
         .with_retry_after(STORE_RETRY_AFTER))
     }
 
-    /// All that is committed, as the entries of a snapshot.
+    /// All committed state, as the entries of a snapshot.
     fn snapshot(&self) -> Vec<Entry> {
         let programs = self.programs.iter().filter(|(_, p)| p.turn() > 0);
         let programs = programs.map(|(program, state)| Entry::Program {
@@ -507,8 +507,8 @@
     }
 }
 
-/// A program that is not known begins with its first turn; any later one means that its history
-/// was kept elsewhere or is over, and a made-up empty history must not take its place.
+/// Checks that the first request for an unknown program is for its first turn. A later turn means
+/// that its history is elsewhere or was deleted, and must not be replaced by an empty one.
 fn check_first_turn(begin: &program::Begin) -> Result<(), error::Error> {
     let later_turn = begin.turn.is_some_and(|turn| turn > 1);
     let later_base = begin.base.is_some_and(|base| base != Digest::EMPTY);
@@ -518,7 +518,7 @@
     Ok(())
 }
 
-fn journal_corrupt(reason: &str) -> error::Error {
+fn corrupt(reason: &str) -> error::Error {
     error::Error::new(
         Kind::JournalCorrupt,
         format!("the program's journal is damaged: {reason}; ask the operator to restore it"),
--- a/fw-keep/src/shard/sweep.rs
+++ b/fw-keep/src/shard/sweep.rs
@@ -1,4 +1,4 @@
-//! Forgets what was kept long enough.
+//! Deletes programs and claims whose retention is over.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use crate::program::Program;
 use crate::shard::Shard;
 
-/// How long what is finished is kept.
+/// Retention of programs and claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// From a program's end.
+    /// Time from a program's end to its deletion.
     pub ended: Duration,
-    /// From the last use of a program that was not ended.
+    /// Time from the last use of a program that was not ended to its deletion.
     pub idle: Duration,
-    /// From a claim's last change.
+    /// Time from a claim's last change to its deletion.
     pub claim: Duration,
-    /// After this time without outcome a claim's holder is taken to be gone.
+    /// Time without an outcome after which the holder of an open claim is presumed to have failed.
     pub open_claim: Duration,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Shard {
-    /// Forgets what has outlived its retention.
+    /// Deletes programs and claims whose retention is over.
     pub fn sweep(&mut self, now: Duration) {
         self.sweep_programs(now);
         self.sweep_claims(now);
--- a/fw-keep/tests/keep/claim_steps.rs
+++ b/fw-keep/tests/keep/claim_steps.rs
@@ -1,4 +1,5 @@
-//! Each point at which a claimed call's holder can die, and what the next holder answers.
+//! Idempotency claims: each point at which the holder of a claimed call can crash, and the answer
+//! of the next holder.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 
 const NOW: Duration = Duration::from_secs(1);
 
-/// What the next holder of a shard finds after the batches that became durable.
+/// The shard as the next holder loads it, after the pending batch became durable.
 fn take_over(shard: &mut Shard) -> Shard {
     let batch = shard.take_batch();
     let items = batch.map(|batch| replay::Item::Group(batch.entries));
@@ -40,8 +41,8 @@
     }
 }
 
-/// The holder dies before its claim reached the store. The call was not sent, as sending waits
-/// for that; so the next holder may run it.
+/// The holder crashes before its claim reaches the store. The call was not sent, because sending
+/// waits until the claim is durable, so the next holder may run it.
 #[gtest]
 fn a_claim_that_never_became_durable_is_free() {
     let mut shard = Shard::new(1);
@@ -50,8 +51,8 @@
     expect_that!(open(&mut next), pat!(ClaimOutcome::Opening { .. }));
 }
 
-/// The claim reached the store, its answer was lost, and the holder died: nobody knows whether
-/// the call was sent. The next holder must not run it.
+/// The claim reached the store, the store's answer was lost, and the holder crashed. It is unknown
+/// whether the call was sent, so the next holder must not run it.
 #[gtest]
 fn a_durable_claim_without_outcome_may_have_run() {
     let mut shard = Shard::new(1);
@@ -88,8 +89,8 @@
     );
 }
 
-/// The keeper died while another entry ran the call. That entry brings the outcome to the new
-/// keeper, which knows the claim as one with an unknown outcome.
+/// The keeper crashes while another entry runs the call. That entry reports the outcome to the new
+/// keeper, which holds the claim with an unknown outcome.
 #[gtest]
 fn an_outcome_reported_after_take_over_is_recorded() {
     let mut shard = Shard::new(1);
@@ -106,7 +107,7 @@
     );
 }
 
-/// Two answers arrive for one claim, the second a late duplicate, and then a claim that the call
+/// Two answers arrive for one claim, the second a late duplicate, and then a report that the call
 /// did not run. The first answer stands.
 #[gtest]
 fn the_first_answer_stands() {
@@ -138,8 +139,8 @@
     expect_that!(shard.claim_done(&key, other, ok_answer(), NOW), none());
 }
 
-/// The entry that was granted the claim is gone, and its keeper lives. The key would stay "in use"
-/// for good, and the shop would ask again and again.
+/// The entry that was granted the claim crashed, and the claim's keeper is alive. Without a timeout
+/// the key would stay in use forever, and the caller would retry without end.
 #[gtest]
 fn an_open_claim_times_out_and_is_never_run() {
     let mut shard = Shard::new(1);
--- a/fw-keep/tests/keep/commit_answers.rs
+++ b/fw-keep/tests/keep/commit_answers.rs
@@ -1,4 +1,4 @@
-//! A group commit ends right whatever happens to its answers.
+//! Group commits end with the correct verdicts when answers are lost or writes are delayed.
 
 use fw_keep::commit;
 use fw_keep::commit::Commit;
@@ -73,7 +73,7 @@
         self.store.txn(&txn).unwrap()
     }
 
-    /// Runs the commit to its end with every answer arriving.
+    /// Runs the commit to its end without losing an answer.
     fn run(&mut self, commit: &mut Commit) -> Vec<Verdict> {
         for _ in 0..100 {
             let txn = match commit.step() {
@@ -140,8 +140,8 @@
     expect_that!(commit.take_verdicts().len(), eq(200));
 }
 
-/// The store took the group and its answer was lost. Written again blindly, the group would fail
-/// its own conditions and look like one of a holder that lost its shard.
+/// The store applied the group and its answer was lost. If the group were written again without a
+/// read, it would fail its own conditions, as if the holder had lost its shard.
 #[gtest]
 fn a_lost_answer_is_resolved_by_reading_back() {
     let mut holder = holder(3);
@@ -158,7 +158,7 @@
     expect_that!(holder.head(0).next_seq, eq(1));
 }
 
-/// The answer was lost and the store had not taken the group: it is written again, once.
+/// The answer was lost and the store had not applied the group: it is written again, once.
 #[gtest]
 fn a_write_that_was_not_applied_is_sent_again() {
     let mut holder = holder(1);
@@ -168,9 +168,9 @@
     expect_that!(verdicts, elements_are![eq(&committed(0))]);
 }
 
-/// A write is slow on its way: it is given up, found not to be there, and made again. Then the
-/// first copy arrives as well, after later groups. Applied, it would set the journal's end back,
-/// and the groups after it would be lost to the next keeper.
+/// A write is delayed in the network: it times out, a read does not find it, and it is sent again.
+/// Then the first copy arrives too, after later groups. If it were applied, it would move the
+/// journal's end back, and the next keeper would lose the groups after it.
 #[gtest]
 fn a_delayed_copy_is_not_applied_after_later_groups() {
     let mut holder = holder(1);
@@ -187,8 +187,8 @@
     expect_that!(holder.head(0).next_seq, eq(2));
 }
 
-/// As before, and a snapshot has deleted the first group's segment meanwhile, so that "the segment
-/// does not exist yet" holds again for the delayed copy.
+/// As before, but a snapshot has deleted the first group's segment in the meantime, so the
+/// condition that the segment does not exist yet would hold again for the delayed copy.
 #[gtest]
 fn a_delayed_copy_is_not_applied_after_a_snapshot() {
     let mut holder = holder(1);
@@ -205,8 +205,8 @@
     expect_that!(holder.head(0).generation, eq(2));
 }
 
-/// The delayed copy arrives between the look and the repetition, whose conditions then fail. That
-/// failure means success, and the holder must not give its shard up for it.
+/// The delayed copy arrives between the read and the retry, whose conditions then fail. The group
+/// is committed all the same, and the holder must not give up its shard.
 #[gtest]
 fn a_delayed_copy_applied_before_the_retry_counts() {
     let mut holder = holder(1);
@@ -225,8 +225,8 @@
     expect_that!(verdicts, elements_are![eq(&committed(0))]);
 }
 
-/// A holder is paused past its lease; another has the shard when it wakes and writes. The shards
-/// that it still holds must not suffer from the one that it lost.
+/// A holder is paused past its lease and writes after another holder has acquired one of its
+/// shards. The commits of the shards that it still holds must not be affected.
 #[gtest]
 fn a_stale_holder_loses_its_shard_and_keeps_the_others() {
     let mut holder = holder(3);
@@ -270,7 +270,7 @@
     expect_that!(verdicts, elements_are![eq(&committed(0))]);
 }
 
-/// Something that holds no shard has written to a journal. Going on would bury it.
+/// A writer that does not hold the shard has written to its journal. Continuing would hide that.
 #[gtest]
 fn a_head_changed_by_a_foreign_writer_is_reported() {
     let mut holder = holder(1);
--- a/fw-keep/tests/keep/journal_replay.rs
+++ b/fw-keep/tests/keep/journal_replay.rs
@@ -1,4 +1,5 @@
-//! Journals are read back whole, and damage is named and kept to the programs it may concern.
+//! Journals are read back completely, and damage is reported and confined to the programs that it
+//! may affect.
 
 use std::time::Duration;
 
@@ -54,7 +55,7 @@
         journal
     }
 
-    /// Another holder acquires the shard and reads its journal.
+    /// Another holder acquires the shard and loads its journal.
     fn take_over(&mut self, opts: writer::Options) {
         let owner = keys::owner(ROOT, 0);
         let delete = kv::Txn {
@@ -189,8 +190,8 @@
     expect_that!(history[0], eq(&Message::text("user", &large)));
 }
 
-/// The holder dies between two parts of a large group. The group was never durable, nobody was
-/// told so, and it must neither count nor be taken for damage.
+/// The holder crashes between two parts of a large group. The group was never durable nor reported
+/// as durable, so it must neither be applied nor be treated as damage.
 #[gtest]
 fn an_unfinished_group_is_skipped() {
     let mut journal = Journal::new(small_segments());
@@ -230,8 +231,8 @@
     expect_that!(journal.turns("q"), some(eq(1)));
 }
 
-/// The holder dies in the middle of a snapshot of several segments. The journal before it is still
-/// the one in force, and the next snapshot clears the rest of the unfinished one away.
+/// The holder crashes in the middle of a snapshot of several segments. The generation before it is
+/// still current, and the next snapshot deletes the segments of the unfinished one.
 #[gtest]
 fn an_unfinished_snapshot_has_no_effect() {
     let mut journal = Journal::new(small_segments());
@@ -267,8 +268,9 @@
     expect_that!(due, all!(ge(3), le(4)));
 }
 
-/// What the damaged segment held is not known: maybe a turn of any program. Those that a later
-/// turn proves whole go on; the others and unknown ones get a clear error, no made-up history.
+/// A damaged segment may have held a turn of any program. Programs that a later turn proves to be
+/// complete continue; all others, unknown ones included, are refused rather than run on a history
+/// that may lack turns.
 #[gtest]
 fn damage_refuses_all_programs_that_it_may_affect() {
     for damage in ["torn", "missing", "foreign"] {
@@ -321,8 +323,8 @@
     expect_that!(journal.damage(), elements_are![eq(&missing)]);
 }
 
-/// The head is lost, and the next holder writes a new one. Later holders must still see that
-/// something may be missing, though every value in the store is whole by then.
+/// The head is lost, and the next holder writes a new one. Later holders must still report that
+/// changes may be missing, although every value in the store is valid by then.
 #[gtest]
 fn a_lost_head_is_still_reported_after_it_is_rewritten() {
     let mut journal = Journal::new(small_segments());
@@ -333,7 +335,7 @@
     journal.put(&keys::head(ROOT, 0), b"gone");
     journal.take_over(small_segments());
     expect_that!(journal.shard.damage(), some(anything()));
-    // Nothing can be begun in doubt, so a budget's charge stands for any later change.
+    // A damaged shard refuses new turns, so the later change is a charge to a budget.
     journal.shard.settle(
         &"p".into(),
         1,
@@ -390,8 +392,9 @@
     expect_that!(journal.shard.programs().count(), eq(0));
 }
 
-/// A segment of a holder that had lost the shard stands after one of its successor. No holder could
-/// have written it, so it is not applied, and what it may have pushed out is in doubt.
+/// A segment of a holder that had lost the shard follows one of its successor. No holder can write
+/// such a segment, so it is not applied, and the journal counts as damaged at this point, because
+/// the segment may have replaced another.
 #[gtest]
 fn a_segment_of_an_earlier_holder_is_foreign() {
     let mut journal = Journal::new(small_segments());
--- a/fw-keep/tests/keep/memory_store.rs
+++ b/fw-keep/tests/keep/memory_store.rs
@@ -1,4 +1,5 @@
-//! The stand-in store's state without its network, driven by the client's types.
+//! An in-memory store: the state machine of the stand-in store without its network, with the types
+//! of the store's client.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,7 +8,7 @@
 use fw_fake::store::mvcc::Mvcc;
 use fw_store::kv;
 
-/// A store whose clock is given by the test.
+/// A store whose leases end only when the test revokes them.
 #[derive(Debug)]
 pub struct Memory {
     mvcc: Mvcc,
--- a/fw-keep/tests/keep/program_budget.rs
+++ b/fw-keep/tests/keep/program_budget.rs
@@ -1,4 +1,4 @@
-//! A budget holds, also while several turns spend it at the same time.
+//! Budgets are enforced, also when several turns spend concurrently.
 
 use std::time::Duration;
 
@@ -32,8 +32,8 @@
     }
 }
 
-/// A program starts five sub-agents at once. Each looks at the budget before any has spent: without
-/// reservations all five would be let through, and the budget would be spent five times.
+/// A program starts five sub-agents at once, and each checks the budget before any of them has
+/// spent. Without reservations all five would be admitted, and the budget spent five times.
 #[gtest]
 fn concurrent_sub_agents_share_one_budget() {
     let mut ledger = Ledger::default();
@@ -88,8 +88,8 @@
     expect_that!(late.map_err(|err| err.kind), err(eq(Kind::BudgetExhausted)));
 }
 
-/// A program's turns fail again and again after they ran. Charged nothing, it could spend engine
-/// time without end; so a turn that may have run costs what it had reserved.
+/// A program's turns fail repeatedly after they ran. Without a charge it could use engine time
+/// without limit, so a turn that may have run is charged its reservation.
 #[gtest]
 fn a_turn_that_may_have_run_is_charged_and_one_that_did_not_is_not() {
     let mut program = Program::new("team".into(), None, NOW);
--- a/fw-keep/tests/keep/program_turns.rs
+++ b/fw-keep/tests/keep/program_turns.rs
@@ -1,4 +1,4 @@
-//! Turns run in order, once, on the history that they were meant for.
+//! Turns run in order, once, and only on the history for which they were sent.
 
 use std::time::Duration;
 
@@ -77,8 +77,8 @@
     expect_that!(run.digest, eq(base.extend(&user("ask 3"))));
 }
 
-/// A client library repeats a call after a timeout. It knows nothing of turns and sends the same
-/// messages again, while the first call still runs and once more after it was answered.
+/// A client library without support for turns retries a call after a timeout: it sends the same
+/// messages again while the first call still runs, and once more after it was answered.
 #[gtest]
 fn repeated_messages_attach_and_then_replay() {
     let mut program = program(1);
@@ -150,8 +150,8 @@
     expect_that!(kind(ahead), some(eq(Kind::WrongTurn)));
 }
 
-/// Two sites' conversations are swapped in a caller's cache, and one's history arrives under the
-/// other's id. Run, it would show one shop's words to another.
+/// A caller confuses two programs and sends the history of one under the id of the other. If the
+/// turn ran, it would expose one program's messages to the other's users.
 #[gtest]
 fn the_history_of_another_program_is_refused() {
     let mut program = program(2);
@@ -185,9 +185,9 @@
     );
 }
 
-/// A caller sends only its new message, names neither turn nor base, and sends it again when the
-/// answer does not arrive. Nothing tells the repetition from a second turn, so it is refused
-/// rather than run twice.
+/// A caller sends only its new message with neither turn nor base, and sends it again when the
+/// answer does not arrive. The repetition can't be distinguished from a second turn, so it is
+/// refused rather than run twice.
 #[gtest]
 fn a_delta_after_the_first_turn_needs_a_turn_or_base() {
     let mut program = Program::new("team".into(), None, NOW);
@@ -211,8 +211,8 @@
     expect_that!(next, pat!(Outcome::Run(anything())));
 }
 
-/// An upstream crashes under a turn. The turn is asked for again under its number and runs under
-/// another attempt; then the first one's answer arrives after all, late, and must not count.
+/// An upstream crashes during a turn. The turn is requested again under its number and runs as
+/// another attempt. Then the first attempt's answer arrives late and must be dropped.
 #[gtest]
 fn a_failed_turn_runs_again_and_its_late_answer_is_dropped() {
     let mut program = program(1);
@@ -248,8 +248,8 @@
     expect_that!(restored.ledger().spent(), eq(program.ledger().spent()));
 }
 
-/// A program's retention is over, or its history was lost in an outage, and its caller sends turn 5.
-/// Taken for a new program, it would run on an empty history and answer as if nothing was said.
+/// A program's retention is over, or its history was lost in an outage, and its caller sends turn
+/// 5. If it were treated as a new program, the turn would run on an empty history.
 #[gtest]
 fn an_unknown_program_begins_with_its_first_turn_only() {
     let mut shard = fw_keep::shard::Shard::new(0);
--- a/fw-keep/tests/keep/segment_codec.rs
+++ b/fw-keep/tests/keep/segment_codec.rs
@@ -1,4 +1,4 @@
-//! Segments and heads are read back as written, and anything else is named and refused.
+//! Encoding of segments and heads: round trips, and rejection of any other value with its reason.
 
 use fw_keep::journal::keys;
 use fw_keep::journal::replay;
@@ -74,8 +74,8 @@
     runner().run(&damage, is_torn).unwrap();
 }
 
-/// Bytes with a right checksum around them, as an older or hostile writer would leave: the decoder
-/// must neither panic nor allocate what a length field claims.
+/// Arbitrary bytes with a valid checksum, as an older or malicious writer could leave them: the
+/// decoder must neither panic nor allocate as much as a length field claims.
 #[gtest]
 fn garbage_with_a_valid_checksum_is_refused() {
     let refused = |(valid_magic, body): (bool, Vec<u8>)| {
--- a/fw-keep/tests/keep/shard_lock.rs
+++ b/fw-keep/tests/keep/shard_lock.rs
@@ -1,4 +1,5 @@
-//! Where threads meet at a shard's lock: requests that change it and the flush that empties it.
+//! Concurrency at a shard's lock: requests that change the shard, and the flush that takes the
+//! changes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,13 +19,13 @@
 const DEPTH: usize = 3;
 const SCHEDULES: usize = 2_000;
 
-/// What the keeper shares between its threads.
+/// State that the keeper shares between its threads.
 struct Shared {
     shards: [Mutex<Shard>; 2],
     dirty: Mutex<BTreeSet<usize>>,
 }
 
-/// A request changes the shard under its lock and only then marks it, outside of that lock.
+/// A request changes the shard under its lock and marks it as dirty afterwards, without that lock.
 fn change(shared: &Shared, index: usize, claim: u64) {
     let key = fleet::key(&format!("k{claim}"));
     let mut shard = shared.shards[index].lock().unwrap();
@@ -33,7 +34,7 @@
     shared.dirty.lock().unwrap().insert(index);
 }
 
-/// The flush takes all marks first and the shards' changes after.
+/// The flush first takes the set of dirty shards, and then the changes of each.
 fn flush(shared: &Shared) -> usize {
     let dirty = std::mem::take(&mut *shared.dirty.lock().unwrap());
     let mut written = 0;
@@ -47,8 +48,9 @@
     written
 }
 
-/// A change comes in while the flush is between the marks and the shard. If its mark were taken
-/// away without it, its caller would wait for a commit that never comes.
+/// A change arrives after the flush took the set of dirty shards and before it takes the shard's
+/// changes. If the shard's mark were cleared and the change left behind, its caller would wait
+/// forever for the commit.
 #[test]
 fn every_change_is_flushed_or_leaves_its_shard_dirty() {
     let run = || {
