--- a/fw-keep/src/journal/segment.rs
+++ b/fw-keep/src/journal/segment.rs
@@ -25,7 +25,7 @@
     pub generation: u64,
     /// Position within the generation; the first is 0.
     pub seq: u64,
-    /// Fencing token of the holder that encoded it.
+    /// Fencing number of the holder that encoded it.
     pub fence: id::Fence,
     /// Identifies the group.
     pub nonce: Nonce,
--- a/fw-keep/src/journal/writer.rs
+++ b/fw-keep/src/journal/writer.rs
@@ -55,7 +55,7 @@
 pub struct Job {
     /// The shard.
     pub shard: id::ShardId,
-    /// Fencing token under which it is written.
+    /// Fencing number under which it is written.
     pub fence: id::Fence,
     /// Key of the shard's keeper.
     pub owner_key: String,
@@ -99,12 +99,12 @@
         }
     }
 
-    /// The fencing token.
+    /// The fencing number.
     pub fn fence(&self) -> id::Fence {
         self.fence
     }
 
-    /// Continues under another fencing token, after the shard was acquired again.
+    /// Continues under another fencing number, after the shard was acquired again.
     pub fn set_fence(&mut self, fence: id::Fence) {
         self.fence = fence;
     }
