--- a/fw-keep/src/claim.rs
+++ b/fw-keep/src/claim.rs
@@ -106,7 +106,7 @@
             State::Open if now.saturating_sub(self.since) > open_timeout => may_have_run(),
             State::Opening | State::Open => refused(
                 Kind::KeyInUse,
-                "a call under this `Idempotency-Key` is under way; ask again for its answer",
+                "a call under this `Idempotency-Key` is under way; retry to get its answer",
             ),
         }
     }
--- a/fw-keep/src/journal/replay.rs
+++ b/fw-keep/src/journal/replay.rs
@@ -83,7 +83,7 @@
                 }
                 None => items.push(Item::Damage(Corrupt::Foreign {
                     key,
-                    reason: "its name is no segment's".to_owned(),
+                    reason: "its name is not that of a segment".to_owned(),
                 })),
             }
         }
@@ -172,7 +172,7 @@
             let (found, newest) = (segment.fence, self.fence);
             self.report_damage(Corrupt::Foreign {
                 key: key.to_owned(),
-                reason: format!("its fencing number {found} follows {newest}"),
+                reason: format!("its fencing number {found} follows the newer {newest}"),
             });
             return;
         }
@@ -188,7 +188,7 @@
         if segment.part as usize != expected {
             self.report_damage(Corrupt::Foreign {
                 key: key.to_owned(),
-                reason: format!("it is part {} where part {expected} belongs", segment.part),
+                reason: format!("it is part {} instead of part {expected}", segment.part),
             });
             return;
         }
@@ -210,7 +210,7 @@
         if group.len() < first.parts as usize {
             if next_fence.is_some_and(|fence| fence == first.fence) {
                 let reason = format!(
-                    "its group has {} parts less",
+                    "its group lacks {} parts",
                     first.parts as usize - group.len()
                 );
                 self.items
@@ -249,7 +249,7 @@
         };
         self.report_damage(Corrupt::Foreign {
             key: keys::segment(self.root, self.shard, generation, seq),
-            reason: "the journal's head does not reach it".to_owned(),
+            reason: "it is beyond the end given by the journal's head".to_owned(),
         });
     }
 }
--- a/fw-keep/src/journal/segment.rs
+++ b/fw-keep/src/journal/segment.rs
@@ -77,7 +77,7 @@
         len: usize,
     },
     /// The checksum matches, but the kind or version is unknown.
-    #[snafu(display("`{key}` has an unknown form: {reason}"))]
+    #[snafu(display("`{key}` has an unknown format: {reason}"))]
     Format {
         /// The key.
         key: String,
@@ -124,7 +124,7 @@
             position == (shard, generation, seq),
             ForeignSnafu {
                 key,
-                reason: format!("it says shard, generation and number {position:?}"),
+                reason: format!("it contains shard, generation and sequence number {position:?}"),
             }
         );
         ensure!(
@@ -155,7 +155,7 @@
             head.shard == shard,
             ForeignSnafu {
                 key,
-                reason: format!("it says shard {}", head.shard),
+                reason: format!("it contains shard {}", head.shard),
             }
         );
         Ok(head)
@@ -188,7 +188,7 @@
         found == magic,
         FormatSnafu {
             key,
-            reason: format!("its mark is {}", found.escape_ascii()),
+            reason: format!("its magic bytes are {}", found.escape_ascii()),
         }
     );
     let invalid_format = |err: postcard::Error| Corrupt::Format {
--- a/fw-keep/src/program/mod.rs
+++ b/fw-keep/src/program/mod.rs
@@ -462,8 +462,8 @@
         let Some((before, after)) = begin.messages.split_at_checked(committed) else {
             let sent = begin.messages.len();
             return Err(mismatch(format!(
-                "the committed history has {committed} messages, and the request only {sent}; send \
-                 all of it, or `x-history: delta`"
+                "the committed history has {committed} messages, and the request has only {sent}; \
+                 send all of it, or `x-history: delta`"
             )));
         };
         if Digest::EMPTY.extend_all(before) != self.digest {
@@ -575,6 +575,6 @@
 fn turn_changed(turn: id::Turn) -> error::Error {
     error::Error::new(
         Kind::TurnChanged,
-        format!("turn {turn} was sent before with another body; send it unchanged or go on"),
+        format!("turn {turn} was sent with another body; send it unchanged or start the next turn"),
     )
 }
--- a/fw-keep/src/shard/mod.rs
+++ b/fw-keep/src/shard/mod.rs
@@ -472,7 +472,7 @@
         }
         Err(error::Error::new(
             Kind::StoreUnavailable,
-            format!("{waiting} changes wait for the store already; send the call again later"),
+            format!("{waiting} changes already wait for the store; retry later"),
         )
         .with_retry_after(STORE_RETRY_AFTER))
     }
@@ -528,6 +528,6 @@
 fn unknown_program() -> error::Error {
     error::Error::new(
         Kind::UnknownProgram,
-        "no such program; its retention may be over: start another with its first turn",
+        "no such program; its retention may be over, so start another one with its first turn",
     )
 }
--- a/fw-keep/tests/keep/commit_answers.rs
+++ b/fw-keep/tests/keep/commit_answers.rs
@@ -83,7 +83,7 @@
             let answer = self.store.txn(&txn).unwrap();
             commit.handle_reply(Reply::Answer(answer));
         }
-        panic!("the commit does not end");
+        panic!("the commit does not finish");
     }
 
     fn head(&self, shard: u16) -> Head {
