--- a/fw-keep/src/journal/writer.rs
+++ b/fw-keep/src/journal/writer.rs
@@ -1,4 +1,4 @@
-//! Encodes groups of entries into segments and plans where they go.
+//! Journal writer: encodes groups of entries into segments and assigns their keys.
 
 use std::collections::VecDeque;
 
@@ -11,18 +11,18 @@
 use crate::journal::segment::Nonce;
 use crate::journal::segment::Segment;
 
-/// Bounds of a journal.
+/// Limits of a journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Most payload bytes of one segment. The store holds values up to a megabyte; the rest is
-    /// room for the segment's own fields.
+    /// Maximum payload bytes of one segment. The store holds values of up to one megabyte; the rest
+    /// is for the segment's other fields.
     pub max_payload: usize,
-    /// Segments after the snapshot from which on a new one is due.
+    /// Number of a generation's segments above which a new snapshot is due.
     pub max_segments: u64,
-    /// A new snapshot is due once the segments after the last hold more than this many times its
-    /// bytes, so that what is rewritten stays in proportion to what is written.
+    /// A new snapshot is due once the segments after the last one hold more than this many times
+    /// its bytes, so that the bytes rewritten stay in proportion to the bytes written.
     pub growth: u64,
-    /// No snapshot is due for size alone below this many bytes.
+    /// Bytes of segments after the last snapshot up to which their size alone makes none due.
     pub min_bytes: u64,
 }
 
@@ -37,20 +37,20 @@
     }
 }
 
-/// One segment to write and the head after it.
+/// One segment to write, and the journal's head after that write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
     /// Key of the segment.
     pub key: String,
     /// Value of the segment.
     pub value: Vec<u8>,
-    /// Value of the head once this part is written.
+    /// Value of the head after this part is written.
     pub head: Vec<u8>,
-    /// Prefixes of generations that this part supersedes.
+    /// Key prefixes of the generations that this part supersedes.
     pub delete: Vec<String>,
 }
 
-/// A group of one shard on its way to the store.
+/// A group of one shard that is to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
     /// The shard.
@@ -61,26 +61,26 @@
     pub owner_key: String,
     /// Key of the head.
     pub head_key: String,
-    /// Value of the head before the next part; `None` for a journal without one.
-    pub before: Option<Vec<u8>>,
-    /// What is still to be written; never empty when handed out.
+    /// Expected value of the head before the next part; `None` for a journal without a head.
+    pub expected_head: Option<Vec<u8>>,
+    /// The parts still to be written; not empty in a new job.
     pub parts: VecDeque<Part>,
 }
 
-/// Writes one shard's journal.
+/// Plans the writes of one shard's journal.
 #[derive(Clone, Debug)]
 pub struct Writer {
     root: SmolStr,
     shard: id::ShardId,
     fence: id::Fence,
     head: Head,
-    /// Value of the head in the store once all jobs are done.
+    /// Value of the head in the store after all jobs so far.
     stored: Option<Vec<u8>>,
     opts: Options,
 }
 
 impl Writer {
-    /// A writer that goes on after `head`, whose value in the store is `stored`.
+    /// A writer that continues after `head`, whose value in the store is `stored`.
     pub fn new(
         root: &str,
         shard: id::ShardId,
@@ -104,12 +104,12 @@
         self.fence
     }
 
-    /// Goes on under another fencing number, after the shard was acquired again.
+    /// Continues under another fencing number, after the shard was acquired again.
     pub fn set_fence(&mut self, fence: id::Fence) {
         self.fence = fence;
     }
 
-    /// Value of the head in the store once all jobs are done.
+    /// Value of the head in the store after all jobs so far.
     pub fn stored_head(&self) -> Option<&[u8]> {
         self.stored.as_deref()
     }
@@ -120,34 +120,38 @@
         if head.damaged_before.is_some() {
             return false;
         }
-        let since = head.bytes.saturating_sub(head.base_bytes);
-        let large = since > self.opts.min_bytes.max(head.base_bytes * self.opts.growth);
-        large || head.next > self.opts.max_segments
+        let bytes_since = head.bytes.saturating_sub(head.snapshot_bytes);
+        let is_large = bytes_since
+            > self
+                .opts
+                .min_bytes
+                .max(head.snapshot_bytes * self.opts.growth);
+        is_large || head.next_seq > self.opts.max_segments
     }
 
-    /// Plans a group that follows what was planned before.
+    /// Plans the write of a group after those planned before.
     pub fn append(&mut self, entries: &[Entry], nonce: Nonce) -> Job {
         self.head.generation = self.head.generation.max(1);
-        self.head.drafted = self.head.drafted.max(1);
+        self.head.highest_generation = self.head.highest_generation.max(1);
         let generation = self.head.generation;
-        let first = self.head.next;
-        let segments = self.split(entries, nonce, generation, first, false);
+        let first_seq = self.head.next_seq;
+        let segments = self.split(entries, nonce, generation, first_seq, false);
         let mut parts = VecDeque::new();
         for segment in segments {
             let value = segment.encode();
-            self.head.next = segment.seq + 1;
+            self.head.next_seq = segment.seq + 1;
             self.head.bytes += value.len() as u64;
-            parts.push_back(self.part(&segment, value, Vec::new()));
+            parts.push_back(self.plan_part(&segment, value, Vec::new()));
         }
-        self.job(parts)
+        self.plan_job(parts)
     }
 
-    /// Plans a snapshot: a generation of its own that takes the place of the one before when its
-    /// last part is written, in the same transaction.
+    /// Plans the write of a snapshot: a new generation, which replaces the current one in the same
+    /// transaction that writes its last part.
     pub fn snapshot(&mut self, entries: &[Entry], nonce: Nonce) -> Job {
-        let old = self.head.generation;
-        let generation = self.head.drafted + 1;
-        self.head.drafted = generation;
+        let old_generation = self.head.generation;
+        let generation = self.head.highest_generation + 1;
+        self.head.highest_generation = generation;
         let segments = self.split(entries, nonce, generation, 0, true);
         let count = segments.len() as u64;
         let mut bytes = 0;
@@ -159,15 +163,15 @@
             let mut delete = Vec::new();
             if is_last {
                 self.head.generation = generation;
-                self.head.next = count;
+                self.head.next_seq = count;
                 self.head.bytes = bytes;
-                self.head.base_bytes = bytes;
-                let superseded = old.max(1)..generation;
+                self.head.snapshot_bytes = bytes;
+                let superseded = old_generation.max(1)..generation;
                 delete = superseded.map(|g| self.generation_prefix(g)).collect();
             }
-            parts.push_back(self.part(&segment, value, delete));
+            parts.push_back(self.plan_part(&segment, value, delete));
         }
-        self.job(parts)
+        self.plan_job(parts)
     }
 
     fn split(
@@ -175,7 +179,7 @@
         entries: &[Entry],
         nonce: Nonce,
         generation: u64,
-        first: u64,
+        first_seq: u64,
         snapshot: bool,
     ) -> Vec<Segment> {
         let encoded = postcard::to_stdvec(entries).expect("plain data encodes into memory");
@@ -185,7 +189,7 @@
         let segments = numbered.map(|(part, chunk)| Segment {
             shard: self.shard,
             generation,
-            seq: first + u64::from(part),
+            seq: first_seq + u64::from(part),
             fence: self.fence,
             nonce,
             part,
@@ -196,7 +200,7 @@
         segments.collect()
     }
 
-    fn part(&mut self, segment: &Segment, value: Vec<u8>, delete: Vec<String>) -> Part {
+    fn plan_part(&mut self, segment: &Segment, value: Vec<u8>, delete: Vec<String>) -> Part {
         self.head.shard = self.shard;
         self.head.nonce = segment.nonce;
         self.head.part = segment.part;
@@ -208,15 +212,15 @@
         }
     }
 
-    fn job(&mut self, parts: VecDeque<Part>) -> Job {
+    fn plan_job(&mut self, parts: VecDeque<Part>) -> Job {
         let last = parts.back().map(|part| part.head.clone());
-        let before = std::mem::replace(&mut self.stored, last);
+        let expected_head = std::mem::replace(&mut self.stored, last);
         Job {
             shard: self.shard,
             fence: self.fence,
             owner_key: keys::owner(&self.root, self.shard),
             head_key: keys::head(&self.root, self.shard),
-            before,
+            expected_head,
             parts,
         }
     }
