--- a/fw-store/src/client.rs
+++ b/fw-store/src/client.rs
@@ -71,7 +71,8 @@
     first: AtomicUsize,
 }
 
-/// Whether a call may be sent again after its answer was lost: a read may, a write may not.
+/// Whether a call may be sent again after its answer was lost: a read or an idempotent call may, a
+/// write may not.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CallKind {
     Read,
