--- a/fw-keep/src/journal/replay.rs
+++ b/fw-keep/src/journal/replay.rs
@@ -1,4 +1,4 @@
-//! Reads a shard's journal back.
+//! Journal reader: reads a shard's journal back and reports damage.
 
 use std::collections::BTreeMap;
 
@@ -10,32 +10,33 @@
 use crate::journal::segment::Head;
 use crate::journal::segment::Segment;
 
-/// One step of a replay.
+/// One item of a replay.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
-    /// A whole snapshot: it replaces all that came before.
+    /// A complete snapshot, which replaces all earlier items.
     Snapshot(Vec<Entry>),
-    /// A whole group.
+    /// A complete group.
     Group(Vec<Entry>),
-    /// Something is wrong here: changes of any program may be missing at this point.
+    /// Damage: changes of any program may be missing at this point.
     Damage(Corrupt),
 }
 
-/// What a journal holds.
+/// The content of a journal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Replayed {
-    /// The steps, in order.
+    /// The items, in order.
     pub items: Vec<Item>,
-    /// The head to go on from.
+    /// The head from which to continue.
     pub head: Head,
-    /// The head's value in the store, whole or not.
+    /// The head's value in the store, valid or not.
     pub stored_head: Option<Vec<u8>>,
-    /// Groups at the end of a holder's time that were not written whole, hence never durable.
+    /// Number of groups that a holder did not write completely before it lost the shard, so that
+    /// they were never durable.
     pub unfinished: usize,
 }
 
 impl Replayed {
-    /// Whether anything is wrong.
+    /// Whether the journal is damaged.
     pub fn is_damaged(&self) -> bool {
         let is_damage = |item: &Item| matches!(item, Item::Damage(_));
         self.items.iter().any(is_damage)
@@ -50,8 +51,8 @@
     values: Vec<(String, Vec<u8>)>,
 ) -> Replayed {
     let mut reader = Reader::new(root, shard, values);
-    let head = reader.head(stored_head.as_deref());
-    reader.segments(&head);
+    let head = reader.read_head(stored_head.as_deref());
+    reader.read_segments(&head);
     reader.finish_group(None);
     Replayed {
         items: reader.items,
@@ -74,22 +75,22 @@
 impl<'a> Reader<'a> {
     fn new(root: &'a str, shard: id::ShardId, values: Vec<(String, Vec<u8>)>) -> Self {
         let mut items = Vec::new();
-        let mut placed = BTreeMap::new();
+        let mut by_position = BTreeMap::new();
         for (key, value) in values {
             match keys::parse_segment(&key) {
-                Some(place) => {
-                    placed.insert(place, value);
+                Some(position) => {
+                    by_position.insert(position, value);
                 }
                 None => items.push(Item::Damage(Corrupt::Foreign {
                     key,
-                    reason: "its name is no segment's".to_owned(),
+                    reason: "its name is not that of a segment".to_owned(),
                 })),
             }
         }
         Self {
             root,
             shard,
-            values: placed,
+            values: by_position,
             items,
             group: Vec::new(),
             fence: 0,
@@ -97,7 +98,7 @@
         }
     }
 
-    fn head(&mut self, stored: Option<&[u8]>) -> Head {
+    fn read_head(&mut self, stored: Option<&[u8]>) -> Head {
         let key = keys::head(self.root, self.shard);
         let result = match stored {
             None if self.values.is_empty() => return self.empty_head(),
@@ -106,7 +107,7 @@
         };
         result.unwrap_or_else(|corrupt| {
             self.items.push(Item::Damage(corrupt));
-            self.guess_head()
+            self.reconstruct_head()
         })
     }
 
@@ -117,47 +118,48 @@
         }
     }
 
-    /// A head for segments whose own is lost. The lowest generation is the one in force: those
-    /// before it are deleted when it comes into force, and a higher one is an unfinished snapshot.
-    fn guess_head(&self) -> Head {
+    /// Reconstructs a lost head from the segments. The lowest generation is the current one:
+    /// earlier ones are deleted when it becomes current, and a higher one is an unfinished
+    /// snapshot.
+    fn reconstruct_head(&self) -> Head {
         let keys = self.values.keys();
         let generation = keys.clone().map(|(g, _)| *g).min().unwrap_or(1);
-        let drafted = keys.clone().map(|(g, _)| *g).max().unwrap_or(1);
-        let of_it = keys.filter(|(g, _)| *g == generation);
-        let next = of_it.map(|(_, seq)| seq + 1).max().unwrap_or(0);
+        let highest_generation = keys.clone().map(|(g, _)| *g).max().unwrap_or(1);
+        let in_generation = keys.filter(|(g, _)| *g == generation);
+        let next_seq = in_generation.map(|(_, seq)| seq + 1).max().unwrap_or(0);
         Head {
             generation,
-            next,
-            drafted,
-            damaged_before: Some(next),
+            next_seq,
+            highest_generation,
+            damaged_before: Some(next_seq),
             ..self.empty_head()
         }
     }
 
-    fn segments(&mut self, head: &Head) {
-        for seq in 0..head.next {
+    fn read_segments(&mut self, head: &Head) {
+        for seq in 0..head.next_seq {
             if head.damaged_before == Some(seq) {
-                self.lost_head();
+                self.report_lost_head();
             }
             let key = keys::segment(self.root, self.shard, head.generation, seq);
-            match self.segment(&key, head.generation, seq) {
-                Ok(segment) => self.accept(&key, segment),
-                Err(corrupt) => self.damage(corrupt),
+            match self.take_segment(&key, head.generation, seq) {
+                Ok(segment) => self.accept_segment(&key, segment),
+                Err(corrupt) => self.report_damage(corrupt),
             }
         }
-        if head.damaged_before == Some(head.next) {
-            self.lost_head();
+        if head.damaged_before == Some(head.next_seq) {
+            self.report_lost_head();
         }
-        self.beyond(head);
+        self.check_beyond_end(head);
     }
 
-    /// A head that was lost and written anew can't tell whether segments were lost with it.
-    fn lost_head(&mut self) {
+    /// Reports a head that was lost and replaced, as segments may have been lost with it.
+    fn report_lost_head(&mut self) {
         let key = keys::head(self.root, self.shard);
-        self.damage(Corrupt::Missing { key });
+        self.report_damage(Corrupt::Missing { key });
     }
 
-    fn segment(&mut self, key: &str, generation: u64, seq: u64) -> Result<Segment, Corrupt> {
+    fn take_segment(&mut self, key: &str, generation: u64, seq: u64) -> Result<Segment, Corrupt> {
         let value = self.values.remove(&(generation, seq));
         let value = value.ok_or_else(|| Corrupt::Missing {
             key: key.to_owned(),
@@ -165,12 +167,12 @@
         Segment::decode(key, self.shard, generation, seq, &value)
     }
 
-    fn accept(&mut self, key: &str, segment: Segment) {
+    fn accept_segment(&mut self, key: &str, segment: Segment) {
         if segment.fence < self.fence {
             let (found, newest) = (segment.fence, self.fence);
-            self.damage(Corrupt::Foreign {
+            self.report_damage(Corrupt::Foreign {
                 key: key.to_owned(),
-                reason: format!("its fencing number {found} follows {newest}"),
+                reason: format!("its fencing number {found} follows the newer {newest}"),
             });
             return;
         }
@@ -184,9 +186,9 @@
         self.fence = segment.fence;
         let expected = self.group.len();
         if segment.part as usize != expected {
-            self.damage(Corrupt::Foreign {
+            self.report_damage(Corrupt::Foreign {
                 key: key.to_owned(),
-                reason: format!("it is part {} where part {expected} belongs", segment.part),
+                reason: format!("it is part {} instead of part {expected}", segment.part),
             });
             return;
         }
@@ -197,8 +199,8 @@
         }
     }
 
-    /// Decodes the group read so far. A group without its last part was never durable if its
-    /// holder stopped there: nothing follows, or a newer holder does.
+    /// Decodes the group read so far. A group without its last part was never durable if its holder
+    /// stopped there, that is, if no segment or one of a newer holder follows.
     fn finish_group(&mut self, next_fence: Option<id::Fence>) {
         let group = std::mem::take(&mut self.group);
         let Some(first) = group.first() else {
@@ -208,7 +210,7 @@
         if group.len() < first.parts as usize {
             if next_fence.is_some_and(|fence| fence == first.fence) {
                 let reason = format!(
-                    "its group has {} parts less",
+                    "its group lacks {} parts",
                     first.parts as usize - group.len()
                 );
                 self.items
@@ -225,7 +227,7 @@
         let item = match postcard::from_bytes::<Vec<Entry>>(&bytes) {
             Ok(entries) if first.snapshot => Item::Snapshot(entries),
             Ok(entries) => Item::Group(entries),
-            Err(err) => Item::Damage(Corrupt::Form {
+            Err(err) => Item::Damage(Corrupt::Format {
                 key,
                 reason: err.to_string(),
             }),
@@ -233,20 +235,21 @@
         self.items.push(item);
     }
 
-    fn damage(&mut self, corrupt: Corrupt) {
+    fn report_damage(&mut self, corrupt: Corrupt) {
         self.group.clear();
         self.items.push(Item::Damage(corrupt));
     }
 
-    /// Segments of the generation in force that lie beyond its end were not written by a holder.
-    fn beyond(&mut self, head: &Head) {
-        let left = self.values.keys().find(|(g, _)| *g <= head.generation);
-        let Some((generation, seq)) = left.copied() else {
+    /// Reports a segment of the current or an earlier generation that the head does not cover: no
+    /// holder writes such segments.
+    fn check_beyond_end(&mut self, head: &Head) {
+        let extra = self.values.keys().find(|(g, _)| *g <= head.generation);
+        let Some((generation, seq)) = extra.copied() else {
             return;
         };
-        self.damage(Corrupt::Foreign {
+        self.report_damage(Corrupt::Foreign {
             key: keys::segment(self.root, self.shard, generation, seq),
-            reason: "the journal's head does not reach it".to_owned(),
+            reason: "it is beyond the end given by the journal's head".to_owned(),
         });
     }
 }
--- a/fw-keep/src/journal/segment.rs
+++ b/fw-keep/src/journal/segment.rs
@@ -1,4 +1,4 @@
-//! Form of one value in the store: a mark of kind and version, the content, and a checksum.
+//! Encoding of segments and heads: magic bytes for kind and version, the content, and a checksum.
 
 use fw_base::id;
 use serde::Deserialize;
@@ -7,13 +7,13 @@
 use snafu::Snafu;
 use snafu::ensure;
 
-const SEGMENT_MARK: &[u8; 4] = b"fwj1";
-const HEAD_MARK: &[u8; 4] = b"fwh1";
-const MARK_LEN: usize = 4;
-const SUM_LEN: usize = 32;
+const SEGMENT_MAGIC: &[u8; 4] = b"fwj1";
+const HEAD_MAGIC: &[u8; 4] = b"fwh1";
+const MAGIC_LEN: usize = 4;
+const CHECKSUM_LEN: usize = 32;
 
-/// A random number that names one group of entries and one attempt to write it. After a write
-/// whose answer was lost, it tells our own value from another's.
+/// A random number that identifies one group of entries and one attempt to write it. After a write
+/// whose answer was lost, it distinguishes our own value from that of another writer.
 pub type Nonce = u64;
 
 /// One segment: a part of an encoded group.
@@ -21,13 +21,13 @@
 pub struct Segment {
     /// The shard.
     pub shard: id::ShardId,
-    /// Number of the snapshot that the segment follows.
+    /// Number of the snapshot that the segment is part of or follows.
     pub generation: u64,
     /// Position within the generation; the first is 0.
     pub seq: u64,
     /// Fencing number of the holder that encoded it.
     pub fence: id::Fence,
-    /// Names the group.
+    /// Identifies the group.
     pub nonce: Nonce,
     /// Position within the group; the first is 0.
     pub part: u32,
@@ -39,35 +39,36 @@
     pub payload: Vec<u8>,
 }
 
-/// Where a shard's journal ends. Written together with every segment, so that a segment that is
-/// missing at the end is noticed.
+/// The end of a shard's journal. Written together with every segment, so that a missing segment at
+/// the end is detected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The shard.
     pub shard: id::ShardId,
-    /// The generation in force.
+    /// The current generation.
     pub generation: u64,
-    /// Sequence number of its next segment.
-    pub next: u64,
-    /// The highest generation ever begun; above `generation` while a snapshot is being written.
-    pub drafted: u64,
-    /// Names the group written last.
+    /// Sequence number of that generation's next segment.
+    pub next_seq: u64,
+    /// The highest generation ever started; above `generation` while a snapshot is being written.
+    pub highest_generation: u64,
+    /// Identifies the group written last.
     pub nonce: Nonce,
     /// The part of that group written last.
     pub part: u32,
     /// Bytes of the generation's segments.
     pub bytes: u64,
-    /// Bytes of the snapshot that the generation begins with.
-    pub base_bytes: u64,
-    /// Sequence numbers before which damage was found that can't be seen any more.
+    /// Bytes of the snapshot at the start of the generation.
+    pub snapshot_bytes: u64,
+    /// Sequence number below which segments may have been lost. Set when a lost head is replaced,
+    /// since the new head no longer shows the damage.
     pub damaged_before: Option<u64>,
 }
 
-/// Why a value in the store is not what it should be.
+/// Why a value in the store cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum Corrupt {
-    /// The checksum does not match: cut off or changed.
+    /// The checksum does not match: the value is truncated or was changed.
     #[snafu(display("`{key}` is torn: its checksum does not match its {len} bytes"))]
     Torn {
         /// The key.
@@ -75,23 +76,23 @@
         /// Length of the value.
         len: usize,
     },
-    /// The value is whole and of another kind or version.
-    #[snafu(display("`{key}` has an unknown form: {reason}"))]
-    Form {
+    /// The checksum matches, but the kind or version is unknown.
+    #[snafu(display("`{key}` has an unknown format: {reason}"))]
+    Format {
         /// The key.
         key: String,
-        /// What is unknown.
+        /// Description of the mismatch.
         reason: String,
     },
-    /// The value is whole and belongs elsewhere.
+    /// The checksum matches, but the value does not belong to this key.
     #[snafu(display("`{key}` is foreign: {reason}"))]
     Foreign {
         /// The key.
         key: String,
-        /// What does not fit.
+        /// Description of the mismatch.
         reason: String,
     },
-    /// The value should be there.
+    /// The value is expected, but the key does not exist.
     #[snafu(display("`{key}` is missing"))]
     Missing {
         /// The key.
@@ -102,14 +103,14 @@
 impl Segment {
     /// The value to store.
     pub fn encode(&self) -> Vec<u8> {
-        encode(SEGMENT_MARK, self)
+        encode(SEGMENT_MAGIC, self)
     }
 
-    /// Reads the value of `key`, and checks that it belongs there.
+    /// Decodes the value of `key`, and checks that it belongs there.
     ///
     /// # Errors
     ///
-    /// Any [`Corrupt`] but `Missing`.
+    /// Any [`Corrupt`] except `Missing`.
     pub fn decode(
         key: &str,
         shard: id::ShardId,
@@ -117,13 +118,13 @@
         seq: u64,
         value: &[u8],
     ) -> Result<Self, Corrupt> {
-        let segment: Self = decode(SEGMENT_MARK, key, value)?;
-        let place = (segment.shard, segment.generation, segment.seq);
+        let segment: Self = decode(SEGMENT_MAGIC, key, value)?;
+        let position = (segment.shard, segment.generation, segment.seq);
         ensure!(
-            place == (shard, generation, seq),
+            position == (shard, generation, seq),
             ForeignSnafu {
                 key,
-                reason: format!("it says shard, generation and number {place:?}"),
+                reason: format!("it contains shard, generation and sequence number {position:?}"),
             }
         );
         ensure!(
@@ -140,64 +141,64 @@
 impl Head {
     /// The value to store.
     pub fn encode(&self) -> Vec<u8> {
-        encode(HEAD_MARK, self)
+        encode(HEAD_MAGIC, self)
     }
 
-    /// Reads the value of `key`, and checks that it belongs there.
+    /// Decodes the value of `key`, and checks that it belongs there.
     ///
     /// # Errors
     ///
-    /// Any [`Corrupt`] but `Missing`.
+    /// Any [`Corrupt`] except `Missing`.
     pub fn decode(key: &str, shard: id::ShardId, value: &[u8]) -> Result<Self, Corrupt> {
-        let head: Self = decode(HEAD_MARK, key, value)?;
+        let head: Self = decode(HEAD_MAGIC, key, value)?;
         ensure!(
             head.shard == shard,
             ForeignSnafu {
                 key,
-                reason: format!("it says shard {}", head.shard),
+                reason: format!("it contains shard {}", head.shard),
             }
         );
         Ok(head)
     }
 }
 
-fn encode<T: Serialize>(mark: &[u8; MARK_LEN], content: &T) -> Vec<u8> {
-    let mut buf = mark.to_vec();
+fn encode<T: Serialize>(magic: &[u8; MAGIC_LEN], content: &T) -> Vec<u8> {
+    let mut buf = magic.to_vec();
     let body = postcard::to_stdvec(content).expect("plain data encodes into memory");
     buf.extend_from_slice(&body);
-    let sum = blake3::hash(&buf);
-    buf.extend_from_slice(sum.as_bytes());
+    let checksum = blake3::hash(&buf);
+    buf.extend_from_slice(checksum.as_bytes());
     buf
 }
 
 fn decode<T: DeserializeOwned>(
-    mark: &[u8; MARK_LEN],
+    magic: &[u8; MAGIC_LEN],
     key: &str,
     value: &[u8],
 ) -> Result<T, Corrupt> {
     let len = value.len();
-    ensure!(len >= MARK_LEN + SUM_LEN, TornSnafu { key, len });
-    let (content, sum) = value.split_at(len - SUM_LEN);
+    ensure!(len >= MAGIC_LEN + CHECKSUM_LEN, TornSnafu { key, len });
+    let (content, checksum) = value.split_at(len - CHECKSUM_LEN);
     ensure!(
-        blake3::hash(content).as_bytes() == sum,
+        blake3::hash(content).as_bytes() == checksum,
         TornSnafu { key, len }
     );
-    let (found, body) = content.split_at(MARK_LEN);
+    let (found, body) = content.split_at(MAGIC_LEN);
     ensure!(
-        found == mark,
-        FormSnafu {
+        found == magic,
+        FormatSnafu {
             key,
-            reason: format!("its mark is {}", found.escape_ascii()),
+            reason: format!("its magic bytes are {}", found.escape_ascii()),
         }
     );
-    let form = |err: postcard::Error| Corrupt::Form {
+    let invalid_format = |err: postcard::Error| Corrupt::Format {
         key: key.to_owned(),
         reason: err.to_string(),
     };
-    let (content, rest) = postcard::take_from_bytes(body).map_err(form)?;
+    let (content, rest) = postcard::take_from_bytes(body).map_err(invalid_format)?;
     ensure!(
         rest.is_empty(),
-        FormSnafu {
+        FormatSnafu {
             key,
             reason: format!("{} bytes follow its content", rest.len()),
         }
--- a/fw-keep/tests/keep/memory_store.rs
+++ b/fw-keep/tests/keep/memory_store.rs
@@ -1,4 +1,5 @@
-//! The stand-in store's state without its network, driven by the client's types.
+//! An in-memory store: the state machine of the stand-in store without its network, with the types
+//! of the store's client.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,24 +8,24 @@
 use fw_fake::store::mvcc::Mvcc;
 use fw_store::kv;
 
-/// A store whose clock is given by the test.
+/// A store whose leases end only when the test revokes them.
 #[derive(Debug)]
 pub struct Memory {
     mvcc: Mvcc,
-    zero: Instant,
+    start: Instant,
 }
 
 impl Memory {
     pub fn new() -> Self {
         Self {
             mvcc: Mvcc::default(),
-            zero: Instant::now(),
+            start: Instant::now(),
         }
     }
 
     /// A lease that lasts until it is revoked.
     pub fn grant(&mut self) -> kv::LeaseId {
-        self.mvcc.grant(Duration::from_secs(1), self.zero)
+        self.mvcc.grant(Duration::from_secs(1), self.start)
     }
 
     pub fn revoke(&mut self, lease: kv::LeaseId) {
