--- a/fw-entry/src/connection/heartbeat.rs
+++ b/fw-entry/src/connection/heartbeat.rs
@@ -25,7 +25,7 @@
 pub async fn run(entry: Arc<entry::Entry>, side: Arc<sides::Side>) {
     loop {
         let interval = interval(&entry);
-        beat(&entry, &side, interval).await;
+        send_heartbeat(&entry, &side, interval).await;
         tokio::time::sleep(interval).await;
     }
 }
@@ -39,7 +39,7 @@
     upstream.heartbeat_interval.max(spread)
 }
 
-async fn beat(entry: &Arc<entry::Entry>, side: &Arc<sides::Side>, interval: Duration) {
+async fn send_heartbeat(entry: &Arc<entry::Entry>, side: &Arc<sides::Side>, interval: Duration) {
     // Before the shards are listed: one that is taken meanwhile is not in this heartbeat, and must not
     // count as told to the side.
     let sent = Instant::now();
@@ -49,36 +49,39 @@
     let call = |client: side::SideClient| async move { client.heartbeat(cx, req).await };
     match entry.sides.pool.call(addr, call).await {
         // The side that was there is gone.
-        Ok(reply) if is_someone_else(side, &reply) => missed(entry, side, true),
-        Ok(reply) => answered(entry, side, reply, sent).await,
-        Err(failure) => missed(entry, side, failure == pool::Failure::Refused),
+        Ok(reply) if is_other_upstream(side, &reply) => record_missed(entry, side, true),
+        Ok(reply) => record_answer(entry, side, reply, sent).await,
+        Err(failure) => record_missed(entry, side, failure == pool::Failure::Refused),
     }
 }
 
 /// A lagging instance list may name an address that another instance has by now. Its load, cache
 /// and health would be booked on the wrong upstream, and its work sent to the wrong service.
-fn is_someone_else(side: &sides::Side, reply: &side::HeartbeatReply) -> bool {
+fn is_other_upstream(side: &sides::Side, reply: &side::HeartbeatReply) -> bool {
     !reply.upstream.is_empty() && reply.upstream != side.instance.id
 }
 
 fn request(entry: &entry::Entry, side: &sides::Side) -> side::Heartbeat {
     let state = side.state();
     let fence = |shard: &id::ShardId| Some((*shard, entry.keeper.fence(*shard)?));
-    let gone = |program: &id::ProgramId| entry.is_gone(program);
+    let gone = |program: &id::ProgramId| entry.may_release(program);
     side::Heartbeat {
         from: entry.id.clone(),
         revision: entry.records.revision(),
-        shards: renewed(entry, &state).iter().filter_map(fence).collect(),
+        shards: shards_to_renew(entry, &state)
+            .iter()
+            .filter_map(fence)
+            .collect(),
         cache_seen: state.cache_seen,
         known: state.incarnation,
-        gone: state.asked.into_iter().filter(gone).collect(),
+        gone: state.queried_programs.into_iter().filter(gone).collect(),
     }
 }
 
 /// The shards with sessions at the side, and those taken since it was last heard. A keeper that was
 /// cut off and lost them does not know it yet: from now on the side refuses its turns, so that no
 /// answer of it can come between this keeper and the history.
-fn renewed(entry: &entry::Entry, state: &sides::State) -> BTreeSet<id::ShardId> {
+fn shards_to_renew(entry: &entry::Entry, state: &sides::State) -> BTreeSet<id::ShardId> {
     let kept = entry.keeper.shards().into_iter().map(|kept| kept.shard);
     let is_new = |shard: &id::ShardId| {
         let since = entry.keeper.kept_since(*shard);
@@ -89,7 +92,7 @@
     shards
 }
 
-fn missed(entry: &entry::Entry, side: &sides::Side, gone: bool) {
+fn record_missed(entry: &entry::Entry, side: &sides::Side, gone: bool) {
     metrics::counter!(MISSED).increment(1);
     let was_reachable = side.update(|state| {
         state.holder.missed(Instant::now(), gone);
@@ -98,33 +101,33 @@
     if was_reachable {
         info!(entry = %entry.id, upstream = %side.instance.id, "side does not answer");
     }
-    see(entry, side, health::Observation::Failed);
+    observe_health(entry, side, health::Observation::Failed);
 }
 
-async fn answered(
+async fn record_answer(
     entry: &Arc<entry::Entry>,
     side: &Arc<sides::Side>,
     reply: side::HeartbeatReply,
     sent: Instant,
 ) {
-    note_incarnation(entry, side, &reply);
-    note_load(entry, side, &reply);
-    note_cache(entry, side, &reply);
-    let seen = match (reply.leaving, reply.down) {
+    update_incarnation(entry, side, &reply);
+    update_load(entry, side, &reply);
+    update_cache(entry, side, &reply);
+    let observation = match (reply.leaving, reply.down) {
         (true, _) => health::Observation::Leaving,
         (_, true) => health::Observation::Down,
         _ => health::Observation::Answered,
     };
-    see(entry, side, seen);
-    let mine = |shard: &id::ShardId| entry.keeper.fence(*shard).is_some();
+    observe_health(entry, side, observation);
+    let is_kept_here = |shard: &id::ShardId| entry.keeper.fence(*shard).is_some();
     let (was_reachable, recovering) = side.update(|state| {
         state.revision = reply.revision;
         state.cache_seen = reply.cache_seq;
-        state.asked = reply.asked;
+        state.queried_programs = reply.asked;
         state.holder.answered(sent);
-        state.shards.retain(mine);
-        state.recovering.retain(|shard, _| mine(shard));
-        for shard in reply.unrenewed.into_iter().filter(mine) {
+        state.shards.retain(is_kept_here);
+        state.recovering.retain(|shard, _| is_kept_here(shard));
+        for shard in reply.unrenewed.into_iter().filter(is_kept_here) {
             state.shards.insert(shard);
             state.recovering.entry(shard).or_insert(0);
         }
@@ -143,7 +146,7 @@
 }
 
 /// A side that started anew lost its attempts, sessions and cache.
-fn note_incarnation(entry: &entry::Entry, side: &sides::Side, reply: &side::HeartbeatReply) {
+fn update_incarnation(entry: &entry::Entry, side: &sides::Side, reply: &side::HeartbeatReply) {
     let before = side.update(|state| {
         let before = std::mem::replace(&mut state.incarnation, reply.incarnation);
         if before != reply.incarnation {
@@ -166,7 +169,7 @@
     }
 }
 
-fn note_load(entry: &entry::Entry, side: &sides::Side, reply: &side::HeartbeatReply) {
+fn update_load(entry: &entry::Entry, side: &sides::Side, reply: &side::HeartbeatReply) {
     let load = &reply.load;
     let load = place::Load {
         queued: load.queued,
@@ -185,7 +188,7 @@
         .update_load(&side.instance.id, load, entry.now());
 }
 
-fn note_cache(entry: &entry::Entry, side: &sides::Side, reply: &side::HeartbeatReply) {
+fn update_cache(entry: &entry::Entry, side: &sides::Side, reply: &side::HeartbeatReply) {
     if !reply.cache_reset && reply.cache.is_empty() {
         return;
     }
@@ -201,11 +204,11 @@
     }
 }
 
-fn see(entry: &entry::Entry, side: &sides::Side, seen: health::Observation) {
+fn observe_health(entry: &entry::Entry, side: &sides::Side, observation: health::Observation) {
     let now = entry.now();
     let service = entry.sides.service(&side.instance.service);
     let mut service = service.lock();
-    service.health.observe(now, &side.instance.id, seen);
+    service.health.observe(now, &side.instance.id, observation);
     service.refresh(now, &side.instance.id);
 }
 
--- a/fw-entry/src/connection/recover.rs
+++ b/fw-entry/src/connection/recover.rs
@@ -29,9 +29,9 @@
 pub const RECOVERED: &str = "fw_entry_turns_recovered_total";
 
 /// What became of a turn that another process holds.
-pub(super) enum Taken {
+pub(super) enum Recovery {
     /// It is committed here, or was before; it is in the store once this change is.
-    Here(keeper::Ticket),
+    Committed(keeper::Ticket),
     /// A turn before it is missing.
     Gap,
     /// Its shard is not kept here.
@@ -42,12 +42,12 @@
 /// is missing, or the store does not take it: then the other entry goes on to hold it.
 pub async fn accept(entry: &entry::Entry, held: side::Held) -> bool {
     let shard = entry.keeper.shard_of(&held.program);
-    if entry.serving(shard).is_none() {
+    if entry.serving_fence(shard).is_none() {
         return false;
     }
-    match take(entry, "its keeper before", held) {
-        Taken::Here(ticket) => entry.keeper.wait_durable(ticket).await.is_ok(),
-        Taken::Gap | Taken::NotKept => false,
+    match commit_held(entry, "its keeper before", held) {
+        Recovery::Committed(ticket) => entry.keeper.wait_durable(ticket).await.is_ok(),
+        Recovery::Gap | Recovery::NotKept => false,
     }
 }
 
@@ -56,28 +56,28 @@
 /// # Errors
 ///
 /// When no keeper has taken it in time.
-pub async fn pass_on(entry: &Arc<entry::Entry>, held: &side::Held) -> Result<(), error::Error> {
+pub async fn forward(entry: &Arc<entry::Entry>, held: &side::Held) -> Result<(), error::Error> {
     let within = entry.settings.upstream.connect_timeout * 4 + entry.settings.keeper.commit_wait;
-    let tried = |taken: bool| match taken {
-        true => keepers::Tried::Answered(()),
-        false => keepers::Tried::NotKeeper,
+    let to_outcome = |taken: bool| match taken {
+        true => keepers::CallOutcome::Answered(()),
+        false => keepers::CallOutcome::NotKeeper,
     };
-    let here = || async { tried(accept(entry, held.clone()).await) };
-    let there = |client: peer::PeerClient| {
+    let local = || async { to_outcome(accept(entry, held.clone()).await) };
+    let remote = |client: peer::PeerClient| {
         let held = held.clone();
         async move {
             client
                 .recover(transport::context(within), held)
                 .await
-                .map(tried)
+                .map(to_outcome)
         }
     };
     let options = keepers::Options {
-        patience: entry.patience(),
+        timeout: entry.keeper_timeout(),
         idempotent: true,
     };
     let shard = entry.keeper.shard_of(&held.program);
-    keepers::call(entry, shard, options, here, there).await?;
+    keepers::call(entry, shard, options, local, remote).await?;
     Ok(())
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// What is known of `shard` and of those who may hold turns of it, in words.
-pub fn standing(entry: &entry::Entry, shard: id::ShardId) -> String {
+pub fn describe_recovery(entry: &entry::Entry, shard: id::ShardId) -> String {
     let Some(since) = entry.keeper.kept_since(shard) else {
         return format!("shard {shard} is not kept here");
     };
@@ -107,11 +107,11 @@
     let mut text = format!("shard {shard} kept for {kept:?}, {outcome:?}");
     for (what, holders) in [("side", holders.sides), ("entry", holders.entries)] {
         for holder in holders {
-            let heard = holder.last_answered.map(|heard| heard.elapsed());
-            let silent = holder.unresponsive_since.map(|silent| silent.elapsed());
-            let (gone, owes) = (holder.gone, holder.has_pending_turns);
+            let last_answered = holder.last_answered.map(|at| at.elapsed());
+            let unresponsive = holder.unresponsive_since.map(|at| at.elapsed());
+            let (gone, pending) = (holder.gone, holder.has_pending_turns);
             text.push_str(&format!(
-                "; {what} heard {heard:?} ago, silent for {silent:?}, gone {gone}, owes {owes}"
+                "; {what} heard {last_answered:?} ago, silent for {unresponsive:?}, gone {gone}, owes {pending}"
             ));
         }
     }
@@ -123,22 +123,24 @@
     let sides = sides.iter().map(|side| side.update(|s| s.holder_of(shard)));
     let entries = entry.keeper.recent_entries().into_iter();
     takeover::Holders {
-        sides_known: entry.sides.is_listed(),
+        sides_known: entry.sides.has_list(),
         sides: sides.collect(),
-        entries: entries.map(|(id, _)| entry.before.holder(&id)).collect(),
+        entries: entries
+            .map(|(id, _)| entry.predecessors.holder(&id))
+            .collect(),
     }
 }
 
 /// Commits a turn that `from` holds, or finds it committed.
-pub(super) fn take(entry: &entry::Entry, from: &str, held: side::Held) -> Taken {
+pub(super) fn commit_held(entry: &entry::Entry, from: &str, held: side::Held) -> Recovery {
     let shard = entry.keeper.shard_of(&held.program);
     let (name, turn) = (held.program.clone(), held.turn);
-    let described = describe(held);
-    let recovered = entry
-        .keeper
-        .with_shard(shard, |kept| kept.recover(&name, described, keeper::now()));
+    let turn_to_recover = to_program_held(held);
+    let recovered = entry.keeper.with_shard(shard, |kept| {
+        kept.recover(&name, turn_to_recover, keeper::now())
+    });
     let Ok(recovered) = recovered else {
-        return Taken::NotKept;
+        return Recovery::NotKept;
     };
     let outcome = match recovered.value {
         shard::Recovered::Gap => "gap",
@@ -147,18 +149,18 @@
     };
     metrics::counter!(RECOVERED, "outcome" => outcome).increment(1);
     match recovered.value {
-        shard::Recovered::Gap => return Taken::Gap,
+        shard::Recovered::Gap => return Recovery::Gap,
         shard::Recovered::Obsolete => {}
         shard::Recovered::Applied => {
             info!(entry = %entry.id, program = %name, turn, from, "turn recovered");
             let why = format!("turn {turn} from {from}");
-            entry.explain.note(&name, "recovered", why);
+            entry.explain.record(&name, "recovered", why);
         }
     }
-    Taken::Here(recovered.ticket)
+    Recovery::Committed(recovered.ticket)
 }
 
-fn describe(held: side::Held) -> program::Held {
+fn to_program_held(held: side::Held) -> program::Held {
     program::Held {
         team: held.team,
         turn: held.turn,
--- a/fw-entry/src/connection/recover_entries.rs
+++ b/fw-entry/src/connection/recover_entries.rs
@@ -25,88 +25,88 @@
 
 /// Time between two looks for shards that were taken: small beside the lease that was waited for, and
 /// long enough that the many loaded at a start are asked for together.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Pause before an entry that did not answer is asked again.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Replies asked for in one go.
 const MAX_REPLIES: usize = 64;
 
 /// The other entries as those who may have kept a shard before.
 #[derive(Debug, Default)]
-pub struct Before {
-    known: Mutex<HashMap<id::EntryId, Known>>,
+pub struct Predecessors {
+    entries: Mutex<HashMap<id::EntryId, Predecessor>>,
 }
 
 #[derive(Debug, Default)]
-struct Known {
+struct Predecessor {
     holder: takeover::Holder,
     /// A call is under way.
-    is_asked: bool,
+    is_queried: bool,
     /// When the next call may be made, after one without an answer.
-    again_at: Option<Instant>,
+    retry_at: Option<Instant>,
 }
 
-impl Before {
+impl Predecessors {
     /// An entry as one that may hold turns of taken shards.
     pub fn holder(&self, entry: &id::EntryId) -> takeover::Holder {
-        let known = self.known.lock();
-        known
+        let entries = self.entries.lock();
+        entries
             .get(entry)
-            .map(|known| known.holder)
+            .map(|predecessor| predecessor.holder)
             .unwrap_or_default()
     }
 
     /// Whether `entry` may be asked at `now`, and when the last question that it answered was sent.
-    fn is_free(&self, entry: &id::EntryId, now: Instant) -> Option<Option<Instant>> {
-        let mut known = self.known.lock();
-        let known = known.entry(entry.clone()).or_default();
-        let pauses = known.again_at.is_some_and(|at| now < at);
-        (!known.is_asked && !pauses).then_some(known.holder.last_answered)
+    fn ready_to_query(&self, entry: &id::EntryId, now: Instant) -> Option<Option<Instant>> {
+        let mut entries = self.entries.lock();
+        let predecessor = entries.entry(entry.clone()).or_default();
+        let pauses = predecessor.retry_at.is_some_and(|at| now < at);
+        (!predecessor.is_queried && !pauses).then_some(predecessor.holder.last_answered)
     }
 
-    fn begin(&self, entry: &id::EntryId) {
-        if let Some(known) = self.known.lock().get_mut(entry) {
-            known.is_asked = true;
+    fn record_query(&self, entry: &id::EntryId) {
+        if let Some(predecessor) = self.entries.lock().get_mut(entry) {
+            predecessor.is_queried = true;
         }
     }
 
-    fn answered(&self, entry: &id::EntryId, sent: Instant) {
-        if let Some(known) = self.known.lock().get_mut(entry) {
-            known.is_asked = false;
-            known.again_at = None;
-            known.holder.answered(sent);
+    fn record_answer(&self, entry: &id::EntryId, sent: Instant) {
+        if let Some(predecessor) = self.entries.lock().get_mut(entry) {
+            predecessor.is_queried = false;
+            predecessor.retry_at = None;
+            predecessor.holder.answered(sent);
         }
     }
 
-    fn missed(&self, entry: &id::EntryId, now: Instant, gone: bool) {
-        if let Some(known) = self.known.lock().get_mut(entry) {
-            known.is_asked = false;
-            known.again_at = Some(now + PAUSE);
-            known.holder.missed(now, gone);
+    fn record_failure(&self, entry: &id::EntryId, now: Instant, gone: bool) {
+        if let Some(predecessor) = self.entries.lock().get_mut(entry) {
+            predecessor.is_queried = false;
+            predecessor.retry_at = Some(now + RETRY_DELAY);
+            predecessor.holder.missed(now, gone);
         }
     }
 
     /// The call brought answers, and not all of them.
-    fn unfinished(&self, entry: &id::EntryId) {
-        if let Some(known) = self.known.lock().get_mut(entry) {
-            known.is_asked = false;
+    fn record_incomplete(&self, entry: &id::EntryId) {
+        if let Some(predecessor) = self.entries.lock().get_mut(entry) {
+            predecessor.is_queried = false;
         }
     }
 
     fn retain(&self, entries: &[(id::EntryId, SocketAddr)]) {
-        let is_known = |id: &id::EntryId| entries.iter().any(|(other, _)| other == id);
-        self.known.lock().retain(|id, _| is_known(id));
+        let is_listed = |id: &id::EntryId| entries.iter().any(|(other, _)| other == id);
+        self.entries.lock().retain(|id, _| is_listed(id));
     }
 }
 
 /// Asks the other entries whenever shards were taken, until the future is dropped.
 pub async fn run(entry: Arc<entry::Entry>) {
-    let mut asking = tokio::task::JoinSet::new();
+    let mut queries = tokio::task::JoinSet::new();
     loop {
-        tokio::time::sleep(LOOK).await;
-        while asking.try_join_next().is_some() {}
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        while queries.try_join_next().is_some() {}
         // Most of the time nothing was taken lately; in a large fleet even the list of others costs.
         let grace = takeover::Options::default().grace;
         let loaded = entry.keeper.last_loaded_at();
@@ -114,28 +114,32 @@
             continue;
         }
         let others = others(&entry);
-        entry.before.retain(&others);
+        entry.predecessors.retain(&others);
         for (other, addr) in others {
             // Before the shards are listed: one that is taken meanwhile is asked for next time.
             let sent = Instant::now();
-            let Some(heard) = entry.before.is_free(&other, sent) else {
+            let Some(last_answered) = entry.predecessors.ready_to_query(&other, sent) else {
                 continue;
             };
-            let taken = waiting(&entry, heard, sent);
+            let taken = shards_to_query(&entry, last_answered, sent);
             if taken.is_empty() {
                 continue;
             }
-            entry.before.begin(&other);
-            asking.spawn(ask(Arc::clone(&entry), other, addr, taken, sent));
+            entry.predecessors.record_query(&other);
+            queries.spawn(query(Arc::clone(&entry), other, addr, taken, sent));
         }
     }
 }
 
 /// The shards that were taken after `heard` and still wait for what others hold.
-fn waiting(entry: &entry::Entry, heard: Option<Instant>, now: Instant) -> Vec<keeper::KeptShard> {
+fn shards_to_query(
+    entry: &entry::Entry,
+    last_answered: Option<Instant>,
+    now: Instant,
+) -> Vec<keeper::KeptShard> {
     let grace = takeover::Options::default().grace;
-    let earliest = now.checked_sub(grace).or(heard);
-    entry.keeper.loaded_since(heard.max(earliest))
+    let earliest = now.checked_sub(grace).or(last_answered);
+    entry.keeper.loaded_since(last_answered.max(earliest))
 }
 
 fn others(entry: &entry::Entry) -> Vec<(id::EntryId, SocketAddr)> {
@@ -146,7 +150,7 @@
 }
 
 /// Asks `other` for what it holds of the shards `taken`, and commits it.
-async fn ask(
+async fn query(
     entry: Arc<entry::Entry>,
     other: id::EntryId,
     addr: SocketAddr,
@@ -164,21 +168,23 @@
             Ok(reply) => reply,
             Err(failure) => {
                 let gone = failure == pool::Failure::Refused;
-                return entry.before.missed(&other, Instant::now(), gone);
+                return entry
+                    .predecessors
+                    .record_failure(&other, Instant::now(), gone);
             }
         };
         let last = reply.turns.last().map(|held| (held.turn, held.attempt));
         after = last.or(after);
         for held in reply.turns {
             // A turn before it may come from a side yet. The other entry offers it again by itself.
-            let _offered_again = recover::take(&entry, &other, held);
+            let _offered_again = recover::commit_held(&entry, &other, held);
         }
         if !reply.more {
-            return entry.before.answered(&other, sent);
+            return entry.predecessors.record_answer(&other, sent);
         }
     }
     // More than can be asked for in one go: all of it is asked for anew.
-    entry.before.unfinished(&other);
+    entry.predecessors.record_incomplete(&other);
 }
 
 async fn call(
--- a/fw-entry/src/connection/recover_sides.rs
+++ b/fw-entry/src/connection/recover_sides.rs
@@ -20,32 +20,32 @@
 const MAX_TRIES: u32 = 20;
 
 /// How asking a side for the held turns of its shards went.
-struct Asked {
+struct Collected {
     /// The last reply said that there is no more.
-    is_whole: bool,
+    is_complete: bool,
     /// Shards of which a turn is missing before one that is held.
     gaps: Vec<id::ShardId>,
 }
 
 /// Asks `side` for the held turns of `shards` and commits them.
 pub async fn run(entry: Arc<entry::Entry>, side: Arc<sides::Side>, shards: Vec<id::ShardId>) {
-    let asked = ask_all(&entry, &side, &shards).await;
+    let collected = collect(&entry, &side, &shards).await;
     side.update(|state| {
         for shard in shards {
-            let has_gap = asked.gaps.contains(&shard);
-            state.note_asked(shard, !asked.is_whole, has_gap);
+            let has_gap = collected.gaps.contains(&shard);
+            state.record_collected(shard, !collected.is_complete, has_gap);
         }
     });
 }
 
-async fn ask_all(
+async fn collect(
     entry: &Arc<entry::Entry>,
     side: &Arc<sides::Side>,
     shards: &[id::ShardId],
-) -> Asked {
+) -> Collected {
     let mut gaps = Vec::new();
     for _ in 0..MAX_REPLIES {
-        let Some(reply) = ask(entry, side, shards).await else {
+        let Some(reply) = query(entry, side, shards).await else {
             break;
         };
         gaps.clear();
@@ -53,16 +53,16 @@
         let mut taken = Vec::new();
         for held in reply.turns {
             let (shard, attempt) = (entry.keeper.shard_of(&held.program), held.attempt);
-            match recover::take(entry, &side.instance.id, held) {
-                recover::Taken::Here(ticket) => taken.push((attempt, ticket)),
-                recover::Taken::Gap => gaps.push(shard),
-                recover::Taken::NotKept => {}
+            match recover::commit_held(entry, &side.instance.id, held) {
+                recover::Recovery::Committed(ticket) => taken.push((attempt, ticket)),
+                recover::Recovery::Gap => gaps.push(shard),
+                recover::Recovery::NotKept => {}
             }
         }
         let forgotten = tokio::spawn(forget(Arc::clone(entry), Arc::clone(side), taken));
         if !more || !gaps.is_empty() {
-            return Asked {
-                is_whole: true,
+            return Collected {
+                is_complete: true,
                 gaps,
             };
         }
@@ -70,8 +70,8 @@
         // same are told again.
         let _ended = forgotten.await;
     }
-    Asked {
-        is_whole: false,
+    Collected {
+        is_complete: false,
         gaps,
     }
 }
@@ -91,7 +91,7 @@
     }
 }
 
-async fn ask(
+async fn query(
     entry: &entry::Entry,
     side: &sides::Side,
     shards: &[id::ShardId],
@@ -113,7 +113,7 @@
     ///
     /// A call that brought no answer, or not all, changes nothing: the shard counted as heard when it
     /// failed, and served without the turns that the side had told of.
-    fn note_asked(&mut self, shard: id::ShardId, failed: bool, has_gap: bool) {
+    fn record_collected(&mut self, shard: id::ShardId, failed: bool, has_gap: bool) {
         let tries = self.recovering.get(&shard).copied().unwrap_or(0) + 1;
         if failed {
             return;
--- a/fw-entry/src/connection/sides.rs
+++ b/fw-entry/src/connection/sides.rs
@@ -96,7 +96,7 @@
     /// Shards of this entry with sessions there.
     pub shards: BTreeSet<id::ShardId>,
     /// Programs that the side asked after.
-    pub asked: Vec<id::ProgramId>,
+    pub queried_programs: Vec<id::ProgramId>,
     /// When it was heard, as one that may hold turns of a shard; `owes` stands in `recovering`.
     pub holder: takeover::Holder,
     /// Shards of which the side holds turns that are not in the journal, and how often it was
@@ -139,7 +139,7 @@
     options: Options,
     services: Mutex<HashMap<id::ServiceId, Arc<Mutex<Service>>>>,
     sides: Mutex<HashMap<id::UpstreamId, Arc<Side>>>,
-    is_listed: AtomicBool,
+    has_list: AtomicBool,
 }
 
 /// What a new instance list changed.
@@ -159,7 +159,7 @@
             options,
             services: Mutex::default(),
             sides: Mutex::default(),
-            is_listed: AtomicBool::new(false),
+            has_list: AtomicBool::new(false),
         }
     }
 
@@ -186,8 +186,8 @@
 
     /// Whether an instance list has come since the start: before, no side is known, and some may hold
     /// what this entry must not serve without.
-    pub fn is_listed(&self) -> bool {
-        self.is_listed.load(Ordering::Acquire)
+    pub fn has_list(&self) -> bool {
+        self.has_list.load(Ordering::Acquire)
     }
 
     /// How many sides there are.
@@ -203,7 +203,7 @@
     /// Takes over a new instance list, cut down to the instances that this entry watches.
     ///
     /// An instance that the list lacks is kept while it answers heartbeats: the list lags.
-    pub fn listed(&self, now: Duration, list: &[Instance]) -> Change {
+    pub fn update_list(&self, now: Duration, list: &[Instance]) -> Change {
         let mut change = Change::default();
         let mut sides = self.sides.lock();
         for instance in list {
@@ -229,7 +229,7 @@
             kept
         });
         drop(sides);
-        self.is_listed.store(true, Ordering::Release);
+        self.has_list.store(true, Ordering::Release);
         self.apply(now, list, &change);
         change
     }
--- a/fw-entry/src/process/admission.rs
+++ b/fw-entry/src/process/admission.rs
@@ -69,7 +69,7 @@
 
 impl Permit {
     /// Notes how long the call waited in queues.
-    pub fn queued(&mut self, delay: Duration) {
+    pub fn record_queue_delay(&mut self, delay: Duration) {
         self.queued = delay;
     }
 }
--- a/fw-entry/src/process/attempts.rs
+++ b/fw-entry/src/process/attempts.rs
@@ -18,7 +18,7 @@
 
 /// How long an ended attempt can still be read: a reader whose connection went silent notices it
 /// and is back well within this time.
-const KEPT_AFTER_END: Duration = Duration::from_secs(60);
+const ENDED_RETENTION: Duration = Duration::from_secs(60);
 
 /// The table of attempts.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     /// Cancelled when the last of them went away.
     abandoned: CancellationToken,
     /// Cancelled when the turn's program was ended.
-    ended: CancellationToken,
+    stopped: CancellationToken,
 }
 
 impl Table {
@@ -85,7 +85,7 @@
     }
 
     /// Adds the attempt `new` under which the turn of `old` goes on, with the same readers.
-    pub fn go_on(&self, old: id::AttemptId, new: id::AttemptId) -> Arc<buffer::Buffer> {
+    pub fn continue_as(&self, old: id::AttemptId, new: id::AttemptId) -> Arc<buffer::Buffer> {
         let readers = self.readers(old).unwrap_or_default();
         let buf = self.open(new);
         if let Some(slot) = self.lock(new).get_mut(&new) {
@@ -105,7 +105,7 @@
     }
 
     /// A caller that read `attempt` went away. When it was the last, whoever runs the attempt
-    /// learns it through [`Table::abandoned`].
+    /// learns it through [`Table::abandoned_token`].
     pub fn detach(&self, attempt: id::AttemptId) {
         let Some(readers) = self.readers(attempt) else {
             return;
@@ -119,18 +119,18 @@
     /// Tells whoever runs `attempt` to stop, whoever reads it.
     pub fn stop(&self, attempt: id::AttemptId) {
         if let Some(readers) = self.readers(attempt) {
-            readers.ended.cancel();
+            readers.stopped.cancel();
         }
     }
 
     /// A token that is cancelled by [`Table::stop`].
-    pub fn ended(&self, attempt: id::AttemptId) -> CancellationToken {
+    pub fn stop_token(&self, attempt: id::AttemptId) -> CancellationToken {
         let readers = self.readers(attempt).unwrap_or_default();
-        readers.ended.clone()
+        readers.stopped.clone()
     }
 
     /// A token that is cancelled once nobody reads `attempt` any more.
-    pub fn abandoned(&self, attempt: id::AttemptId) -> CancellationToken {
+    pub fn abandoned_token(&self, attempt: id::AttemptId) -> CancellationToken {
         let readers = self.readers(attempt).unwrap_or_default();
         readers.abandoned.clone()
     }
@@ -159,7 +159,7 @@
     }
 
     /// How many attempts have not ended.
-    pub fn under_way(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         let open = |shard: &Mutex<HashMap<_, Slot>>| {
             let shard = shard.lock();
             shard
@@ -191,5 +191,5 @@
         return true;
     }
     let ended = *slot.ended.get_or_insert(now);
-    now.duration_since(ended) < KEPT_AFTER_END
+    now.duration_since(ended) < ENDED_RETENTION
 }
--- a/fw-entry/src/process/entry.rs
+++ b/fw-entry/src/process/entry.rs
@@ -44,9 +44,9 @@
     /// Shards, programs and claims kept here.
     pub keeper: keeper::Keeper,
     /// Turns whose answers were given out without the store.
-    pub held: held::Held,
+    pub held: held::HeldTurns,
     /// What was heard of other entries about shards taken here.
-    pub before: recover_entries::Before,
+    pub predecessors: recover_entries::Predecessors,
     /// Events of the attempts kept here.
     pub attempts: attempts::Table,
     /// Admission of turns and plain requests.
@@ -114,7 +114,7 @@
     }
 
     /// How long to look for the keeper of a shard: a dead one's lease, and the take-over.
-    pub fn patience(&self) -> Duration {
+    pub fn keeper_timeout(&self) -> Duration {
         self.settings.keeper.lease_ttl * 2
     }
 
@@ -125,12 +125,12 @@
     /// missing in the history of the shard's new keeper.
     pub fn is_cut_off(&self, silence: Duration) -> bool {
         let ttl = self.settings.keeper.lease_ttl;
-        self.keeper.time_since_contact() > silence && self.peer_list.reach_store(ttl / 2)
+        self.keeper.time_since_contact() > silence && self.peer_list.any_reaches_store(ttl / 2)
     }
 
     /// The fencing number of `shard`, if it is kept here, all that is held of it is known, and so are
     /// the records that its turns run by.
-    pub fn serving(&self, shard: id::ShardId) -> Option<id::Fence> {
+    pub fn serving_fence(&self, shard: id::ShardId) -> Option<id::Fence> {
         if !self.records.is_loaded() {
             return None;
         }
@@ -150,12 +150,12 @@
     /// A keeper whose lease may have lapsed, without its having heard so, knows the past of programs
     /// that may have gone on elsewhere. It told callers, for good, that their next turn was out of order
     /// or their program unknown. What the caller may send again does no harm.
-    pub fn may_say(&self, shard: id::ShardId, err: &error::Error) -> bool {
+    pub fn may_refuse(&self, shard: id::ShardId, err: &error::Error) -> bool {
         err.kind.row().retry || self.keeper.is_sole_keeper_of(shard)
     }
 
     /// Whether the keeper of `program`, if this is it, knows that its engine memory may be freed.
-    pub fn is_gone(&self, program: &id::ProgramId) -> bool {
+    pub fn may_release(&self, program: &id::ProgramId) -> bool {
         let shard = self.keeper.shard_of(program);
         let gone = self.keeper.with_shard(shard, |shard| {
             let known = shard.program(program);
@@ -201,7 +201,7 @@
             sides_revision: revisions.min().unwrap_or_else(|| self.records.revision()),
             sides: u32::try_from(sides.len()).unwrap_or(u32::MAX),
             shards: u32::try_from(self.keeper.shards().len()).unwrap_or(u32::MAX),
-            programs: u32::try_from(self.attempts.under_way()).unwrap_or(u32::MAX),
+            programs: u32::try_from(self.attempts.running_count()).unwrap_or(u32::MAX),
             store_silent: self.keeper.time_since_contact(),
             leaving: self.stopping.is_cancelled(),
         }
@@ -214,7 +214,7 @@
 
 impl peer::Peer for PeerService {
     async fn submit(self, _cx: tarpc::context::Context, req: peer::Submit) -> peer::SubmitReply {
-        self.0.records.seen_elsewhere(req.revision);
+        self.0.records.observe_revision(req.revision);
         crate::turn::submit::accept(&self.0, req)
     }
 
@@ -231,15 +231,15 @@
     }
 
     async fn program(self, _cx: tarpc::context::Context, req: peer::Query) -> peer::QueryReply {
-        crate::turn::program::look(&self.0, &req)
+        crate::turn::program::query_local(&self.0, &req)
     }
 
     async fn end(self, _cx: tarpc::context::Context, req: peer::Query) -> peer::QueryReply {
-        crate::turn::program::finish(&self.0, &req).await
+        crate::turn::program::end_local(&self.0, &req).await
     }
 
     async fn claim(self, _cx: tarpc::context::Context, req: peer::Claim) -> peer::ClaimReply {
-        crate::turn::claim::take(&self.0, &req).await
+        crate::turn::claim::apply_step(&self.0, &req).await
     }
 
     async fn recover(self, _cx: tarpc::context::Context, held: side::Held) -> bool {
@@ -261,7 +261,7 @@
         _cx: tarpc::context::Context,
         from: peer::PeerStatus,
     ) -> peer::PeerStatus {
-        self.0.peer_list.heard(&self.0, from);
+        self.0.peer_list.update(&self.0, from);
         self.0.status()
     }
 
--- a/fw-entry/src/process/explain.rs
+++ b/fw-entry/src/process/explain.rs
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub struct Log {
     start: Instant,
-    most_programs: usize,
+    max_programs: usize,
     inner: Mutex<Inner>,
 }
 
@@ -42,11 +42,11 @@
 }
 
 impl Log {
-    /// An empty record that keeps the decisions of `most_programs` programs.
-    pub fn new(most_programs: usize) -> Self {
+    /// An empty record that keeps the decisions of `max_programs` programs.
+    pub fn new(max_programs: usize) -> Self {
         Self {
             start: Instant::now(),
-            most_programs,
+            max_programs,
             inner: Mutex::default(),
         }
     }
@@ -57,8 +57,8 @@
     }
 
     /// Notes a decision about `program`.
-    pub fn note(&self, program: &str, what: &'static str, why: String) {
-        if self.most_programs == 0 {
+    pub fn record(&self, program: &str, what: &'static str, why: String) {
+        if self.max_programs == 0 {
             return;
         }
         let at_ms = u64::try_from(self.now().as_millis()).unwrap_or(u64::MAX);
@@ -69,7 +69,7 @@
         };
         let mut inner = self.inner.lock();
         if !inner.programs.contains_key(program) {
-            inner.admit(program.into(), self.most_programs);
+            inner.admit(program.into(), self.max_programs);
         }
         if let Some(events) = inner.programs.get_mut(program) {
             if events.len() == PER_PROGRAM {
@@ -80,7 +80,7 @@
     }
 
     /// The decisions about `program`, oldest first; empty if none is kept.
-    pub fn of(&self, program: &str) -> Vec<Event> {
+    pub fn events(&self, program: &str) -> Vec<Event> {
         let inner = self.inner.lock();
         let events = inner.programs.get(program);
         events
@@ -90,8 +90,8 @@
 }
 
 impl Inner {
-    fn admit(&mut self, program: id::ProgramId, most: usize) {
-        if self.order.len() >= most
+    fn admit(&mut self, program: id::ProgramId, max: usize) {
+        if self.order.len() >= max
             && let Some(oldest) = self.order.pop_front()
         {
             self.programs.remove(&oldest);
--- a/fw-entry/src/process/held.rs
+++ b/fw-entry/src/process/held.rs
@@ -16,15 +16,15 @@
 
 /// The turns, in the order in which a successor can take them.
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct HeldTurns {
     turns: Mutex<BTreeMap<peer::HeldPlace, side::Held>>,
 }
 
-impl Held {
+impl HeldTurns {
     /// Adds a turn. To be called before its answer is given out.
     pub fn insert(&self, held: side::Held) {
-        let place = (held.turn, held.attempt);
-        self.turns.lock().insert(place, held);
+        let cursor = (held.turn, held.attempt);
+        self.turns.lock().insert(cursor, held);
     }
 
     /// Forgets a turn that is in the store, or with the next keeper.
@@ -41,9 +41,9 @@
         let turns = self.turns.lock();
         let mut reply = side::HeldReply::default();
         let mut bytes = 0;
-        for (place, held) in turns.iter() {
-            let is_told = after.is_some_and(|after| *place <= after);
-            if is_told || !shards.contains(&id::shard_of(&held.program)) {
+        for (cursor, held) in turns.iter() {
+            let is_reported = after.is_some_and(|after| *cursor <= after);
+            if is_reported || !shards.contains(&id::shard_of(&held.program)) {
                 continue;
             }
             let texts = held.messages.iter().map(|message| message.as_str().len());
--- a/fw-entry/src/process/keepers.rs
+++ b/fw-entry/src/process/keepers.rs
@@ -21,11 +21,11 @@
 pub const REDIRECTS: &str = "fw_entry_redirects_total";
 
 /// Pause before a keeper is looked for again.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What one try brought.
 #[derive(Debug)]
-pub enum Tried<T> {
+pub enum CallOutcome<T> {
     /// The keeper's answer.
     Answered(T),
     /// The receiver does not keep the shard.
@@ -34,18 +34,18 @@
 
 /// Where a call was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Location {
     /// At this entry.
-    Here,
+    Local,
     /// At the entry with this address.
-    At(SocketAddr),
+    Remote(SocketAddr),
 }
 
 /// A call to a keeper.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// How long to look for a keeper: a little more than a dead one's lease.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Whether the call may be sent again after it may have been received.
     pub idempotent: bool,
 }
@@ -60,15 +60,15 @@
     entry: &entry::Entry,
     shard: id::ShardId,
     options: Options,
-    here: impl Fn() -> H,
-    there: impl Fn(peer::PeerClient) -> R,
-) -> Result<(Place, T), error::Error>
+    local: impl Fn() -> H,
+    remote: impl Fn(peer::PeerClient) -> R,
+) -> Result<(Location, T), error::Error>
 where
-    H: Future<Output = Tried<T>>,
-    R: Future<Output = Result<Tried<T>, client::RpcError>>,
+    H: Future<Output = CallOutcome<T>>,
+    R: Future<Output = Result<CallOutcome<T>, client::RpcError>>,
 {
     let opts = lookup::Options {
-        timeout: options.patience.saturating_sub(PAUSE),
+        timeout: options.timeout.saturating_sub(RETRY_DELAY),
         outage_timeout: entry.settings.keeper.commit_wait,
         outage_after: entry.settings.keeper.lease_ttl * 2 / 3,
     };
@@ -76,23 +76,23 @@
     let mut received = None;
     loop {
         let miss = match entry.keeper.owner(shard) {
-            keeper::Owner::Local => match here().await {
-                Tried::Answered(answer) => return Ok((Place::Here, answer)),
-                Tried::NotKeeper => lookup::Miss::NoLongerKeeper,
+            keeper::Owner::Local => match local().await {
+                CallOutcome::Answered(answer) => return Ok((Location::Local, answer)),
+                CallOutcome::NotKeeper => lookup::Miss::NoLongerKeeper,
             },
             keeper::Owner::Remote { address, .. } => {
-                match elsewhere(entry, &address, &there).await {
-                    Ok((place, Tried::Answered(answer))) => return Ok((place, answer)),
-                    Ok((_, Tried::NotKeeper)) => lookup::Miss::NotKeeper,
+                match call_remote(entry, &address, &remote).await {
+                    Ok((location, CallOutcome::Answered(answer))) => return Ok((location, answer)),
+                    Ok((_, CallOutcome::NotKeeper)) => lookup::Miss::NotKeeper,
                     Err(pool::Failure::Refused) => lookup::Miss::ConnectionRefused,
                     Err(pool::Failure::Unsent) => lookup::Miss::Unreachable,
                     Err(pool::Failure::Broken) => {
                         let idempotent = options.idempotent;
                         tracing::warn!(entry = %entry.id, shard, %address, idempotent, "the connection to a keeper broke under a call");
                         if !idempotent {
-                            return Err(lost());
+                            return Err(keeper_lost());
                         }
-                        received = Some(lost());
+                        received = Some(keeper_lost());
                         lookup::Miss::ConnectionBroken
                     }
                 }
@@ -108,26 +108,26 @@
             return Err(entry.keeper.unavailable_error().after(received));
         }
         entry.keeper.prioritize(shard);
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
 /// The error of a call whose keeper may have received it and is gone.
-pub fn lost() -> error::Error {
+pub fn keeper_lost() -> error::Error {
     let message = "the program's keeper broke off; ask for the program's turn before sending again";
     error::Error::new(error::Kind::KeeperLost, message)
 }
 
-async fn elsewhere<T, R>(
+async fn call_remote<T, R>(
     entry: &entry::Entry,
     address: &str,
-    there: impl Fn(peer::PeerClient) -> R,
-) -> Result<(Place, Tried<T>), pool::Failure>
+    remote: impl Fn(peer::PeerClient) -> R,
+) -> Result<(Location, CallOutcome<T>), pool::Failure>
 where
-    R: Future<Output = Result<Tried<T>, client::RpcError>>,
+    R: Future<Output = Result<CallOutcome<T>, client::RpcError>>,
 {
     // An address that is none was written by no entry of ours.
     let address = address.parse().map_err(|_| pool::Failure::Unsent)?;
-    let tried = entry.peers.call(address, there).await?;
-    Ok((Place::At(address), tried))
+    let outcome = entry.peers.call(address, remote).await?;
+    Ok((Location::Remote(address), outcome))
 }
--- a/fw-entry/src/process/members.rs
+++ b/fw-entry/src/process/members.rs
@@ -20,13 +20,13 @@
 pub async fn run(entry: Arc<entry::Entry>) {
     let Some(url) = entry.settings.platform.instances.clone() else {
         info!("no instance list is set: there are no upstreams");
-        entry.sides.listed(entry.now(), &[]);
+        entry.sides.update_list(entry.now(), &[]);
         return std::future::pending().await;
     };
     let http = fw_http::Client::default();
     let mut ticks = tokio::time::interval(entry.settings.platform.poll_interval);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut beats = Heartbeats::default();
+    let mut heartbeats = Heartbeats::default();
     loop {
         ticks.tick().await;
         let list = fetch(&http, &url).await;
@@ -34,9 +34,9 @@
         metrics::counter!(FETCHES, "outcome" => outcome).increment(1);
         // Without a list the last one stands: own observations go on.
         if let Some(list) = list {
-            let watched = watched(&entry, list);
-            let change = entry.sides.listed(entry.now(), &watched);
-            beats.apply(&entry, &change);
+            let watched = select_watched(&entry, list);
+            let change = entry.sides.update_list(entry.now(), &watched);
+            heartbeats.apply(&entry, &change);
         }
     }
 }
@@ -47,7 +47,7 @@
 }
 
 /// The instances that this entry is to watch: all in a small fleet, its part in a large one.
-fn watched(entry: &entry::Entry, list: Vec<sides::Instance>) -> Vec<sides::Instance> {
+fn select_watched(entry: &entry::Entry, list: Vec<sides::Instance>) -> Vec<sides::Instance> {
     if list.len() <= entry.settings.upstream.watch_all {
         return list;
     }
@@ -56,7 +56,7 @@
         near: entry.settings.upstream.watchers_near,
         far: entry.settings.upstream.watchers_far,
     };
-    let is_mine = |instance: &sides::Instance| {
+    let is_assigned = |instance: &sides::Instance| {
         let member = subset::Member {
             id: instance.id.clone(),
             place: instance.place.clone(),
@@ -68,7 +68,7 @@
         side.is_some_and(|side| side.update(|state| !state.shards.is_empty()))
     };
     list.into_iter()
-        .filter(|one| is_mine(one) || holds(one))
+        .filter(|one| is_assigned(one) || holds(one))
         .collect()
 }
 
@@ -88,8 +88,8 @@
         }
         for side in &change.added {
             info!(upstream = %side.instance.id, place = %side.instance.place, "upstream listed");
-            let beat = heartbeat::run(Arc::clone(entry), Arc::clone(side));
-            let handle = self.tasks.spawn(beat);
+            let task = heartbeat::run(Arc::clone(entry), Arc::clone(side));
+            let handle = self.tasks.spawn(task);
             self.handles.insert(side.instance.id.clone(), handle);
         }
         while self.tasks.try_join_next().is_some() {}
--- a/fw-entry/src/process/peers.rs
+++ b/fw-entry/src/process/peers.rs
@@ -20,62 +20,65 @@
 use super::entry;
 
 /// Time between two rounds.
-const ROUND: Duration = Duration::from_millis(500);
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// For how long a status tells how things are.
-const FRESH: Duration = Duration::from_secs(3);
+const STATUS_MAX_AGE: Duration = Duration::from_secs(3);
 
-/// Entries asked in one round.
-const ASKED: usize = 2;
+/// Entries sampled in one round.
+const FANOUT: usize = 2;
 
 /// What other entries last said of themselves.
 #[derive(Debug, Default)]
 pub struct Peers {
-    known: Mutex<HashMap<id::EntryId, Heard>>,
+    statuses: Mutex<HashMap<id::EntryId, Received>>,
 }
 
 #[derive(Debug)]
-struct Heard {
+struct Received {
     at: Instant,
     status: peer::PeerStatus,
 }
 
 impl Peers {
     /// Whether some entry told a moment ago that the store answers it.
-    pub fn reach_store(&self, lately: Duration) -> bool {
-        let known = self.known.lock();
-        known.values().any(|heard| {
-            let age = heard.at.elapsed();
-            age < FRESH && heard.status.store_silent + age < lately
+    pub fn any_reaches_store(&self, within: Duration) -> bool {
+        let statuses = self.statuses.lock();
+        statuses.values().any(|received| {
+            let age = received.at.elapsed();
+            age < STATUS_MAX_AGE && received.status.store_silent + age < within
         })
     }
 
     /// An entry told its status.
-    pub fn heard(&self, entry: &entry::Entry, status: peer::PeerStatus) {
-        entry.records.seen_elsewhere(status.revision);
-        let heard = Heard {
+    pub fn update(&self, entry: &entry::Entry, status: peer::PeerStatus) {
+        entry.records.observe_revision(status.revision);
+        let received = Received {
             at: Instant::now(),
             status,
         };
-        let mut known = self.known.lock();
-        known.insert(heard.status.entry.clone(), heard);
+        let mut statuses = self.statuses.lock();
+        statuses.insert(received.status.entry.clone(), received);
     }
 
     /// What the entries that are alive last said.
     pub fn statuses(&self) -> Vec<peer::PeerStatus> {
-        let known = self.known.lock();
-        known.values().map(|heard| heard.status.clone()).collect()
+        let statuses = self.statuses.lock();
+        statuses
+            .values()
+            .map(|received| received.status.clone())
+            .collect()
     }
 
     /// This entry and the others, for [`subset`]. One whose place is not known yet counts as of
     /// this place.
     pub fn members(&self, entry: &entry::Entry) -> Vec<subset::Member> {
         let here = &entry.settings.instance.place;
-        let known = self.known.lock();
+        let statuses = self.statuses.lock();
         let place = |id: &id::EntryId| {
-            known
+            statuses
                 .get(id)
-                .map_or(here, |heard| &heard.status.place)
+                .map_or(here, |received| &received.status.place)
                 .clone()
         };
         let others = entry.keeper.entries().into_iter();
@@ -96,27 +99,27 @@
 
     fn retain(&self, alive: &[(id::EntryId, SocketAddr)]) {
         let is_alive = |id: &id::EntryId| alive.iter().any(|(other, _)| other == id);
-        self.known.lock().retain(|id, _| is_alive(id));
+        self.statuses.lock().retain(|id, _| is_alive(id));
     }
 }
 
 /// Exchanges statuses until the future is dropped.
 pub async fn run(entry: Arc<entry::Entry>) {
-    let mut ticks = tokio::time::interval(ROUND);
+    let mut ticks = tokio::time::interval(EXCHANGE_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let alive = others(&entry);
+        let alive = other_entries(&entry);
         entry.peer_list.retain(&alive);
-        let asked = alive.into_iter().sample(&mut rand::rng(), ASKED);
-        for (_, addr) in asked {
-            ask(&entry, addr).await;
+        let sampled = alive.into_iter().sample(&mut rand::rng(), FANOUT);
+        for (_, addr) in sampled {
+            exchange_status(&entry, addr).await;
         }
     }
 }
 
 /// The other live entries, as the store lists them.
-pub fn others(entry: &entry::Entry) -> Vec<(id::EntryId, SocketAddr)> {
+pub fn other_entries(entry: &entry::Entry) -> Vec<(id::EntryId, SocketAddr)> {
     let entries = entry.keeper.entries().into_iter();
     let others = entries.filter(|(id, _)| *id != entry.id);
     others
@@ -125,11 +128,11 @@
 }
 
 /// Exchanges statuses with the entry at `addr`; `None` if it does not answer.
-pub async fn ask(entry: &entry::Entry, addr: SocketAddr) -> Option<peer::PeerStatus> {
+pub async fn exchange_status(entry: &entry::Entry, addr: SocketAddr) -> Option<peer::PeerStatus> {
     let mine = entry.status();
     let cx = transport::context(entry.settings.upstream.connect_timeout);
     let call = |client: peer::PeerClient| async move { client.status(cx, mine).await };
     let status = entry.peers.call(addr, call).await.ok()?;
-    entry.peer_list.heard(entry, status.clone());
+    entry.peer_list.update(entry, status.clone());
     Some(status)
 }
--- a/fw-entry/src/process/serve.rs
+++ b/fw-entry/src/process/serve.rs
@@ -48,11 +48,11 @@
 use crate::version::watch;
 
 /// Time between two sweeps of ended attempts.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// After the stop begins, how long the entry still takes new calls while the balancer in front
 /// learns from `/readyz` that it should send none.
-const NOTICE: Duration = Duration::from_millis(500);
+const LEAVE_NOTICE: Duration = Duration::from_millis(500);
 
 /// Longest wait for the head of a plain answer; each call has a shorter timeout of its own.
 const PLAIN_HEAD_TIMEOUT: Duration = Duration::from_secs(3600);
@@ -189,7 +189,7 @@
     pub async fn stop(mut self) -> Stopped {
         info!(entry = %self.entry.id, "entry stops");
         self.entry.leaving.cancel();
-        tokio::time::sleep(NOTICE).await;
+        tokio::time::sleep(LEAVE_NOTICE).await;
         self.entry.stopping.cancel();
         self.listeners.cancel();
         let drain = self.entry.settings.shutdown.drain_timeout;
@@ -231,8 +231,8 @@
     addrs: Addresses,
     metrics: Option<PrometheusHandle>,
 ) -> entry::Entry {
-    let drawn = || format!("entry-{:016x}", rand::rng().random::<u64>()).into();
-    let id = settings.instance.id.clone().unwrap_or_else(drawn);
+    let random_id = || format!("entry-{:016x}", rand::rng().random::<u64>()).into();
+    let id = settings.instance.id.clone().unwrap_or_else(random_id);
     let advertise = settings.advertised(addrs.peers);
     let store = fw_store::Client::new(fw_store::Options {
         endpoints: settings
@@ -250,8 +250,8 @@
         records: records::InForce::default(),
         store,
         keeper,
-        held: held::Held::default(),
-        before: recover_entries::Before::default(),
+        held: held::HeldTurns::default(),
+        predecessors: recover_entries::Predecessors::default(),
         attempts: attempts::Table::new(),
         admission: admission::Admission::new(admit_options(&settings.plan)),
         poison: Mutex::new(poison::Tracker::new(poison::Options::default())),
@@ -338,7 +338,7 @@
 }
 
 async fn sweep(entry: Arc<entry::Entry>) {
-    let mut ticks = tokio::time::interval(SWEEP);
+    let mut ticks = tokio::time::interval(SWEEP_INTERVAL);
     loop {
         ticks.tick().await;
         entry.attempts.sweep(Instant::now());
--- a/fw-entry/src/request/admin.rs
+++ b/fw-entry/src/request/admin.rs
@@ -41,7 +41,7 @@
     };
     let answer = admin::handle(&entry.store, req, &write::Options::default()).await;
     if let Some(revision) = answer.body.get("revision").and_then(|value| value.as_i64()) {
-        entry.records.seen_elsewhere(revision);
+        entry.records.observe_revision(revision);
     }
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     (status, Json(answer.body)).into_response()
@@ -71,10 +71,10 @@
     Query(query): Query<InForceQuery>,
 ) -> Json<InForceReport> {
     let revision = query.revision;
-    let others = peers::others(&entry);
+    let others = peers::other_entries(&entry);
     let mut statuses = vec![(entry.id.to_string(), Some(entry.status()))];
     for (id, addr) in others {
-        statuses.push((id.to_string(), peers::ask(&entry, addr).await));
+        statuses.push((id.to_string(), peers::exchange_status(&entry, addr).await));
     }
     let mut report = InForceReport {
         revision,
@@ -145,7 +145,7 @@
         fw_keep::keeper::Owner::Remote { entry, address } => format!("{entry} at {address}"),
         fw_keep::keeper::Owner::Vacant => "nobody now".to_owned(),
     };
-    Json(json!({ "keeper": keeper, "events": entry.explain.of(&program) }))
+    Json(json!({ "keeper": keeper, "events": entry.explain.events(&program) }))
 }
 
 /// Prometheus's text format.
--- a/fw-entry/src/request/answer.rs
+++ b/fw-entry/src/request/answer.rs
@@ -26,7 +26,7 @@
 struct Fields<'a> {
     /// Same as `kind`, where OpenAI's client libraries look for it.
     #[serde(rename = "type")]
-    sort: &'static str,
+    error_type: &'static str,
     kind: &'static str,
     message: &'a str,
     ran: error::Ran,
@@ -40,7 +40,7 @@
     let row = err.kind.row();
     Body {
         error: Fields {
-            sort: row.label,
+            error_type: row.label,
             kind: row.label,
             message: &err.message,
             ran: row.ran,
@@ -50,9 +50,9 @@
 }
 
 /// The answer that tells of `err`, counted by its kind.
-pub fn refuse(err: &error::Error) -> Response {
+pub fn error_response(err: &error::Error) -> Response {
     let row = err.kind.row();
-    count(err.kind);
+    count_error(err.kind);
     let status = StatusCode::from_u16(row.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut answer = (status, Json(body(err))).into_response();
     let headers = answer.headers_mut();
@@ -64,7 +64,7 @@
 }
 
 /// Counts an error that a caller is told of.
-pub fn count(kind: error::Kind) {
+pub fn count_error(kind: error::Kind) {
     metrics::counter!(ERRORS, "kind" => kind.row().label).increment(1);
 }
 
--- a/fw-entry/src/request/chat.rs
+++ b/fw-entry/src/request/chat.rs
@@ -39,7 +39,7 @@
 ) -> Response {
     match complete(entry, &headers, body).await {
         Ok(answer) => answer,
-        Err(err) => answer::refuse(&err),
+        Err(err) => answer::error_response(&err),
     }
 }
 
@@ -69,9 +69,9 @@
     } else {
         whole(follow, &model).await?
     };
-    let known = answer.headers_mut();
-    known.insert(headers::PROGRAM, value(&program));
-    known.insert(headers::TURN, value(&turn.to_string()));
+    let response_headers = answer.headers_mut();
+    response_headers.insert(headers::PROGRAM, value(&program));
+    response_headers.insert(headers::TURN, value(&turn.to_string()));
     Ok(answer)
 }
 
@@ -86,7 +86,7 @@
     Ok(peer::Submit {
         from: entry.id.clone(),
         revision: entry.records.revision(),
-        program: program.unwrap_or_else(|| own_program(entry)),
+        program: program.unwrap_or_else(|| draw_program_id(entry)),
         single,
         parent: headers::name(headers, headers::PARENT)?,
         turn: headers::turn(headers)?,
@@ -102,13 +102,13 @@
 }
 
 /// A fresh program id, if possible one whose shard is kept here: that saves a hop.
-fn own_program(entry: &entry::Entry) -> id::ProgramId {
+fn draw_program_id(entry: &entry::Entry) -> id::ProgramId {
     const TRIES: usize = 64;
     let draw = || id::ProgramId::from(format!("one-{:016x}", rand::rng().random::<u64>()));
-    let mine =
+    let is_kept_here =
         |program: &id::ProgramId| entry.keeper.fence(entry.keeper.shard_of(program)).is_some();
     let mut drawn = (0..TRIES).map(|_| draw());
-    drawn.find(mine).unwrap_or_else(draw)
+    drawn.find(is_kept_here).unwrap_or_else(draw)
 }
 
 fn value(text: &str) -> HeaderValue {
@@ -117,7 +117,7 @@
 
 async fn whole(mut follow: follow::Follow, model: &id::ModelId) -> Result<Response, error::Error> {
     loop {
-        if let follow::News::Done(finish) = follow.next().await? {
+        if let follow::Update::Done(finish) = follow.next().await? {
             return Ok(Json(whole_body(&follow, model, &finish)).into_response());
         }
     }
@@ -172,7 +172,7 @@
         first: Some(first),
         include_usage,
         model,
-        over: false,
+        finished: false,
         _guard: guard,
     };
     let headers = [
@@ -193,10 +193,10 @@
 /// A streamed answer. The request counts as under way until its last byte was handed over.
 struct Streamed {
     follow: follow::Follow,
-    first: Option<follow::News>,
+    first: Option<follow::Update>,
     include_usage: bool,
     model: id::ModelId,
-    over: bool,
+    finished: bool,
     _guard: entry::Guard,
 }
 
@@ -209,29 +209,29 @@
     }
 
     async fn chunk(&mut self) -> Option<Bytes> {
-        if self.over {
+        if self.finished {
             return None;
         }
-        let news = match self.first.take() {
-            Some(news) => Ok(news),
+        let update = match self.first.take() {
+            Some(update) => Ok(update),
             None => self.follow.next().await,
         };
-        let text = match news {
-            Ok(follow::News::Event(event)) => data(&event),
-            Ok(follow::News::Done(finish)) => {
-                self.over = true;
-                self.last(&finish)
+        let text = match update {
+            Ok(follow::Update::Event(event)) => data(&event),
+            Ok(follow::Update::Done(finish)) => {
+                self.finished = true;
+                self.final_events(&finish)
             }
             Err(err) => {
-                self.over = true;
-                answer::count(err.kind);
+                self.finished = true;
+                answer::count_error(err.kind);
                 data(&serde_json::to_string(&answer::body(&err)).unwrap_or_default())
             }
         };
         Some(Bytes::from(text))
     }
 
-    fn last(&self, finish: &attempt::Finish) -> String {
+    fn final_events(&self, finish: &attempt::Finish) -> String {
         let mut text = String::new();
         if self.include_usage {
             let chunk = serde_json::json!({
--- a/fw-entry/src/request/follow.rs
+++ b/fw-entry/src/request/follow.rs
@@ -20,7 +20,7 @@
 pub const RESUMED: &str = "fw_entry_follows_resumed_total";
 
 /// Time beyond the wait of a read after which its connection counts as silent.
-const SLACK: Duration = Duration::from_millis(500);
+const READ_GRACE: Duration = Duration::from_millis(500);
 
 /// How a turn is followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 
 /// The next news of a turn.
 #[derive(Debug)]
-pub enum News {
+pub enum Update {
     /// An event to pass on.
     Event(attempt::Event),
     /// The whole answer; nothing follows.
@@ -45,7 +45,7 @@
     entry: Arc<entry::Entry>,
     req: peer::Submit,
     mode: Mode,
-    place: keepers::Place,
+    location: keepers::Location,
     attempt: id::AttemptId,
     first_attempt: id::AttemptId,
     turn: id::Turn,
@@ -54,7 +54,7 @@
     ready: VecDeque<attempt::Event>,
     end: Option<Box<attempt::Finish>>,
     deadline: tokio::time::Instant,
-    settled: bool,
+    finished: bool,
 }
 
 impl Follow {
@@ -69,12 +69,12 @@
         mode: Mode,
     ) -> Result<Self, error::Error> {
         let deadline = tokio::time::Instant::now() + req.deadline;
-        let accepted = submit::at_keeper(&entry, &req).await?;
+        let accepted = submit::submit_to_keeper(&entry, &req).await?;
         Ok(Self {
             entry,
             req,
             mode,
-            place: accepted.place,
+            location: accepted.location,
             attempt: accepted.attempt,
             first_attempt: accepted.attempt,
             turn: accepted.turn,
@@ -83,7 +83,7 @@
             ready: VecDeque::new(),
             end: None,
             deadline,
-            settled: false,
+            finished: false,
         })
     }
 
@@ -102,28 +102,28 @@
     /// # Errors
     ///
     /// When the turn failed, its answer cannot be continued, or the deadline passed.
-    pub async fn next(&mut self) -> Result<News, error::Error> {
+    pub async fn next(&mut self) -> Result<Update, error::Error> {
         loop {
             if let Some(event) = self.ready.pop_front() {
-                return Ok(News::Event(event));
+                return Ok(Update::Event(event));
             }
             if let Some(finish) = self.end.take() {
-                self.settled = true;
-                return Ok(News::Done(finish));
+                self.finished = true;
+                return Ok(Update::Done(finish));
             }
             if tokio::time::Instant::now() >= self.deadline {
-                return Err(overdue());
+                return Err(deadline_exceeded());
             }
             let reply = self.read().await;
-            let step = self.take(reply).await;
+            let step = self.apply(reply).await;
             if step.is_err() {
-                self.settled = true;
+                self.finished = true;
             }
             step?;
         }
     }
 
-    async fn take(&mut self, reply: Option<attempt::ReadReply>) -> Result<(), error::Error> {
+    async fn apply(&mut self, reply: Option<attempt::ReadReply>) -> Result<(), error::Error> {
         let Some(reply) = reply else {
             return self.resubmit("connection").await;
         };
@@ -155,13 +155,13 @@
             wait,
             gather: Duration::ZERO,
         };
-        let addr = match self.place {
-            keepers::Place::Here => return Some(self.entry.attempts.read(req).await),
-            keepers::Place::At(addr) => addr,
+        let addr = match self.location {
+            keepers::Location::Local => return Some(self.entry.attempts.read(req).await),
+            keepers::Location::Remote(addr) => addr,
         };
         // The second try goes over a new connection: the first may have gone silent.
         for _ in 0..2 {
-            let cx = transport::context(wait + SLACK);
+            let cx = transport::context(wait + READ_GRACE);
             let req = req.clone();
             let read = |client: peer::PeerClient| async move { client.read(cx, req).await };
             match self.entry.peers.call(addr, read).await {
@@ -181,10 +181,10 @@
         self.req.deadline = self
             .deadline
             .saturating_duration_since(tokio::time::Instant::now());
-        let accepted = submit::at_keeper(&self.entry, &self.req).await;
+        let accepted = submit::submit_to_keeper(&self.entry, &self.req).await;
         // Whatever refuses it now: it was accepted before, so it may have run.
-        let accepted = accepted.map_err(|err| err.after(Some(keepers::lost())))?;
-        self.place = accepted.place;
+        let accepted = accepted.map_err(|err| err.after(Some(keepers::keeper_lost())))?;
+        self.location = accepted.location;
         self.restart(accepted.attempt)
     }
 
@@ -200,13 +200,13 @@
     /// A caller that goes away before the end is made known to the keeper, which cancels the
     /// attempt or lets it go on, as the service's record says.
     fn drop(&mut self) {
-        if self.settled {
+        if self.finished {
             return;
         }
         let (entry, attempt) = (Arc::clone(&self.entry), self.attempt);
-        match self.place {
-            keepers::Place::Here => entry.attempts.detach(attempt),
-            keepers::Place::At(addr) => {
+        match self.location {
+            keepers::Location::Local => entry.attempts.detach(attempt),
+            keepers::Location::Remote(addr) => {
                 tokio::spawn(async move {
                     let cx = transport::context(entry.settings.upstream.read_wait);
                     let send =
@@ -219,7 +219,7 @@
     }
 }
 
-fn overdue() -> error::Error {
+fn deadline_exceeded() -> error::Error {
     let message = "the deadline passed while the turn was under way; send it again to attach to it";
     error::Error::new(error::Kind::DeadlineExceeded, message)
 }
--- a/fw-entry/src/request/once.rs
+++ b/fw-entry/src/request/once.rs
@@ -26,10 +26,10 @@
 const MAX_ANSWER: usize = 16 << 20;
 
 /// Largest answer that is kept for replay: the journal holds it, in segments below a megabyte.
-const MAX_KEPT: usize = 64 << 10;
+const MAX_REPLAYED: usize = 64 << 10;
 
 /// Upstreams tried, as long as none can have received the call.
-const TRIES: usize = 3;
+const MAX_TRIES: usize = 3;
 
 /// Header on an answer that comes from the record of an earlier run.
 const REPLAYED: &str = "x-fw-replayed";
@@ -52,9 +52,9 @@
         step,
     };
     match claim::step(entry, &claim(peer::ClaimStep::Open)).await? {
-        claim::Claimed::Replay(answer) => return replayed(&answer),
-        claim::Claimed::Granted => {}
-        claim::Claimed::Settled => return Err(unexpected()),
+        claim::StepOutcome::Replay(answer) => return replayed(&answer),
+        claim::StepOutcome::Granted => {}
+        claim::StepOutcome::Settled => return Err(unexpected()),
     }
     // From here on the call is settled even if its caller goes away meanwhile.
     let (entry, call) = (Arc::clone(entry), call.clone());
@@ -75,7 +75,7 @@
     match try_all(entry, call).await {
         Ok(answer) => {
             let done = peer::Claim {
-                step: peer::ClaimStep::Done(stored(&answer)),
+                step: peer::ClaimStep::Done(to_stored(&answer)),
                 ..claim
             };
             // If it cannot be recorded, the claim stays open and a repeat hears "may have run".
@@ -99,10 +99,10 @@
 async fn try_all(entry: &Arc<entry::Entry>, call: &send::Call) -> Result<Collected, error::Error> {
     let mut avoid = Vec::new();
     let mut last = None;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_TRIES {
         let side = send::place(entry, call, &avoid)?;
         let upstream = side.instance.id.clone();
-        match send::to(entry, call, side, send::Times::Once).await {
+        match send::deliver(entry, call, side, send::Delivery::AtMostOnce).await {
             Ok(answer) => return collect(answer).await,
             Err(err) if err.ran() == error::Ran::No => last = Some(err),
             Err(err) => return Err(err),
@@ -139,8 +139,8 @@
     })
 }
 
-fn stored(answer: &Collected) -> peer::StoredAnswer {
-    let truncated = answer.body.len() > MAX_KEPT;
+fn to_stored(answer: &Collected) -> peer::StoredAnswer {
+    let truncated = answer.body.len() > MAX_REPLAYED;
     let content_type = answer.head.headers.get(header::CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     peer::StoredAnswer {
--- a/fw-entry/src/request/plain.rs
+++ b/fw-entry/src/request/plain.rs
@@ -46,7 +46,7 @@
 ) -> Response {
     match route(entry, method, uri, headers, body).await {
         Ok(answer) => answer,
-        Err(err) => answer::refuse(&err),
+        Err(err) => answer::error_response(&err),
     }
 }
 
@@ -60,7 +60,9 @@
     let guard = entry.enter()?;
     let records = entry.records.current();
     let team = identity::team(&headers, &records)?;
-    let route = records.route_for(uri.path()).ok_or_else(|| unknown(&uri))?;
+    let route = records
+        .route_for(uri.path())
+        .ok_or_else(|| unknown_route(&uri))?;
     let body = body.map_err(|err| headers::body_error(&err, entry.settings.callers.body_limit))?;
     let deadline = headers::deadline(&headers, &entry.settings.callers)?;
     let permit = entry.admission.enter(admit::Request {
@@ -80,13 +82,13 @@
             .to_owned(),
         headers,
         body,
-        within: deadline.min(route.timeout.unwrap_or(service.timeout.plain)),
+        timeout: deadline.min(route.timeout.unwrap_or(service.timeout.plain)),
     };
     if route.is_repeatable(call.method.as_str()) {
         metrics::counter!(CALLS, "sort" => "repeatable").increment(1);
         let hedge = route.hedge.filter(|_| entry.settings.plan.hedge);
         let answer = repeat(&entry, &call, hedge).await?;
-        return Ok(pass_on(answer, (guard, permit)));
+        return Ok(forward_answer(answer, (guard, permit)));
     }
     metrics::counter!(CALLS, "sort" => "once").increment(1);
     once::call(&entry, &team, &call).await
@@ -118,7 +120,7 @@
             kind: err.kind,
             attempt: tried,
             repeatable: true,
-            time_left: call.within.saturating_sub(started.elapsed()),
+            time_left: call.timeout.saturating_sub(started.elapsed()),
             retry_after: None,
         };
         let now = entry.now();
@@ -147,14 +149,14 @@
     sent_to: &mut Vec<id::UpstreamId>,
 ) -> Result<http::Response<Incoming>, error::Error> {
     let service = entry.sides.service(&call.service);
-    let learned = service.lock().hedge.decide(admit::Lane::Plain, true);
+    let learned_delay = service.lock().hedge.decide(admit::Lane::Plain, true);
     let side = place(entry, call, sent_to)?;
-    let first = send::to(entry, call, side, send::Times::Any);
+    let first = send::deliver(entry, call, side, send::Delivery::Repeatable);
     tokio::pin!(first);
-    let Some(set) = hedge else {
+    let Some(configured_delay) = hedge else {
         return first.await;
     };
-    let delay = learned.unwrap_or(set);
+    let delay = learned_delay.unwrap_or(configured_delay);
     tokio::select! {
         answer = &mut first => return answer,
         () = tokio::time::sleep(delay) => {}
@@ -165,7 +167,7 @@
     }
     metrics::counter!(HEDGED).increment(1);
     let side = place(entry, call, sent_to)?;
-    let second = send::to(entry, call, side, send::Times::Any);
+    let second = send::deliver(entry, call, side, send::Delivery::Repeatable);
     tokio::pin!(second);
     tokio::select! {
         Ok(answer) = &mut first => Ok(answer),
@@ -186,7 +188,10 @@
 }
 
 /// Passes an answer on as it comes; `held` is let go with its last byte.
-fn pass_on(answer: http::Response<Incoming>, held: (entry::Guard, admission::Permit)) -> Response {
+fn forward_answer(
+    answer: http::Response<Incoming>,
+    held: (entry::Guard, admission::Permit),
+) -> Response {
     let (mut head, body) = answer.into_parts();
     send::drop_hop_headers(&mut head.headers);
     let body = body.map_frame(move |frame| {
@@ -196,7 +201,7 @@
     Response::from_parts(head, Body::new(body))
 }
 
-fn unknown(uri: &http::Uri) -> error::Error {
+fn unknown_route(uri: &http::Uri) -> error::Error {
     let message = format!("no route covers the path {}", uri.path());
     error::Error::new(error::Kind::UnknownRoute, message)
 }
--- a/fw-entry/src/request/program.rs
+++ b/fw-entry/src/request/program.rs
@@ -28,11 +28,11 @@
 ) -> Response {
     let query = match query(&entry, name, &headers, true) {
         Ok(query) => query,
-        Err(err) => return answer::refuse(&err),
+        Err(err) => return answer::error_response(&err),
     };
     match program::query(&entry, &query).await {
         Ok(program) => Json(body(&program)).into_response(),
-        Err(err) => answer::refuse(&err),
+        Err(err) => answer::error_response(&err),
     }
 }
 
@@ -44,11 +44,11 @@
 ) -> Response {
     let query = match query(&entry, name, &headers, false) {
         Ok(query) => query,
-        Err(err) => return answer::refuse(&err),
+        Err(err) => return answer::error_response(&err),
     };
     match program::end(&entry, &query).await {
         Ok(program) => Json(body(&program)).into_response(),
-        Err(err) => answer::refuse(&err),
+        Err(err) => answer::error_response(&err),
     }
 }
 
--- a/fw-entry/src/request/send.rs
+++ b/fw-entry/src/request/send.rs
@@ -52,16 +52,16 @@
     /// The body.
     pub body: Bytes,
     /// Longest wait for the head of the answer.
-    pub within: Duration,
+    pub timeout: Duration,
 }
 
 /// How often the call may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Times {
+pub enum Delivery {
     /// As often as is useful.
-    Any,
+    Repeatable,
     /// At most once.
-    Once,
+    AtMostOnce,
 }
 
 /// Chooses an upstream for `call`.
@@ -85,11 +85,11 @@
     };
     let options = place::Options::default();
     let chosen = place::choose(&service.view, &req, &options, &mut rand::rng());
-    let outcome = chosen.ok_or_else(|| none(entry, call))?;
+    let outcome = chosen.ok_or_else(|| no_upstream(entry, call))?;
     service.view.record_sent(&outcome.upstream, 0, entry.now());
     drop(service);
     let side = entry.sides.side(&outcome.upstream);
-    side.ok_or_else(|| none(entry, call))
+    side.ok_or_else(|| no_upstream(entry, call))
 }
 
 /// Sends `call` to the upstream beside `side`.
@@ -97,25 +97,25 @@
 /// # Errors
 ///
 /// The kind tells whether the call may have run.
-pub async fn to(
+pub async fn deliver(
     entry: &entry::Entry,
     call: &Call,
     side: Arc<sides::Side>,
-    times: Times,
+    delivery: Delivery,
 ) -> Result<http::Response<Incoming>, error::Error> {
-    let req = request(call, &side, times)?;
+    let req = request(call, &side, delivery)?;
     let started = tokio::time::Instant::now();
-    let sent = tokio::time::timeout(call.within, entry.http.stream(req)).await;
+    let sent = tokio::time::timeout(call.timeout, entry.http.stream(req)).await;
     let outcome = match sent {
-        Ok(Ok(answer)) => own_refusal(answer),
+        Ok(Ok(answer)) => check_refusal(answer),
         Ok(Err(err)) => Err(failed(&side, &err)),
-        Err(_) => Err(late(&side, call.within)),
+        Err(_) => Err(timed_out(&side, call.timeout)),
     };
-    note(entry, &side, &outcome, started.elapsed());
+    record_outcome(entry, &side, &outcome, started.elapsed());
     outcome
 }
 
-fn note(
+fn record_outcome(
     entry: &entry::Entry,
     side: &sides::Side,
     outcome: &Result<http::Response<Incoming>, error::Error>,
@@ -128,7 +128,7 @@
     service
         .view
         .record_finished(upstream, outcome.is_ok().then_some(took));
-    let seen = match outcome {
+    let observation = match outcome {
         Ok(_) => return,
         Err(err) => match err.kind {
             error::Kind::UpstreamLeaving => health::Observation::Leaving,
@@ -136,14 +136,14 @@
             _ => return,
         },
     };
-    service.health.observe(now, upstream, seen);
+    service.health.observe(now, upstream, observation);
     service.refresh(now, upstream);
 }
 
 fn request(
     call: &Call,
     side: &sides::Side,
-    times: Times,
+    delivery: Delivery,
 ) -> Result<http::Request<Full<Bytes>>, error::Error> {
     let uri = format!("http://{}{}", side.instance.http, call.path);
     let mut req = http::Request::builder()
@@ -158,10 +158,10 @@
     headers.remove(header::CONTENT_LENGTH);
     let attempt = format!("{:016x}", rand::rng().random::<u64>());
     insert(headers, ATTEMPT, &attempt);
-    let millis = u64::try_from(call.within.as_millis()).unwrap_or(u64::MAX);
+    let millis = u64::try_from(call.timeout.as_millis()).unwrap_or(u64::MAX);
     insert(headers, DEADLINE, &millis.to_string());
     headers.remove(ONCE);
-    if times == Times::Once {
+    if delivery == Delivery::AtMostOnce {
         insert(headers, ONCE, "1");
     }
     Ok(req)
@@ -181,7 +181,9 @@
 }
 
 /// Tells the side's own refusal from an upstream's answer.
-fn own_refusal(answer: http::Response<Incoming>) -> Result<http::Response<Incoming>, error::Error> {
+fn check_refusal(
+    answer: http::Response<Incoming>,
+) -> Result<http::Response<Incoming>, error::Error> {
     let Some(label) = answer.headers().get(ERROR) else {
         return Ok(answer);
     };
@@ -201,7 +203,7 @@
     error::Error::new(kind, format!("upstream {upstream}: {err}"))
 }
 
-fn late(side: &sides::Side, within: Duration) -> error::Error {
+fn timed_out(side: &sides::Side, within: Duration) -> error::Error {
     let message = format!(
         "upstream {} did not answer within {within:?}",
         side.instance.id
@@ -209,7 +211,7 @@
     error::Error::new(error::Kind::UpstreamTimeout, message)
 }
 
-fn none(entry: &entry::Entry, call: &Call) -> error::Error {
+fn no_upstream(entry: &entry::Entry, call: &Call) -> error::Error {
     let message = format!("no healthy upstream of service {} now", call.service);
     error::Error::new(error::Kind::NoUpstream, message)
         .with_retry_after(entry.settings.upstream.heartbeat_interval * 2)
--- a/fw-entry/src/request/splice.rs
+++ b/fw-entry/src/request/splice.rs
@@ -39,7 +39,7 @@
 
 impl Splice {
     /// Whether anything was delivered.
-    pub fn is_untouched(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.delivered.is_empty()
     }
 
@@ -49,7 +49,7 @@
     ///
     /// When a tool call was delivered in part: two runs cannot be compared then.
     pub fn restart(&mut self) -> Result<(), error::Error> {
-        if self.is_untouched() {
+        if self.is_empty() {
             return Ok(());
         }
         let mut text = String::new();
--- a/fw-entry/src/turn/claim.rs
+++ b/fw-entry/src/turn/claim.rs
@@ -19,7 +19,7 @@
 
 /// An answer to a step of a claim.
 #[derive(Clone, Debug)]
-pub enum Claimed {
+pub enum StepOutcome {
     /// The claim is durable: send the call, once.
     Granted,
     /// It ran before; this was the answer.
@@ -28,7 +28,7 @@
     Settled,
 }
 
-type Reply = Result<Claimed, error::Error>;
+type Reply = Result<StepOutcome, error::Error>;
 
 /// Takes a step of a claim at its keeper, wherever that is.
 ///
@@ -37,24 +37,24 @@
 /// When the claim is not granted; the kind says whether a call under the key ran.
 pub async fn step(entry: &Arc<entry::Entry>, req: &peer::Claim) -> Reply {
     let within = entry.settings.keeper.commit_wait * 2;
-    let here = || async { tried(take(entry, req).await) };
-    let there = |client: peer::PeerClient| {
+    let local = || async { to_outcome(apply_step(entry, req).await) };
+    let remote = |client: peer::PeerClient| {
         let req = req.clone();
         async move {
             client
                 .claim(transport::context(within), req)
                 .await
-                .map(tried)
+                .map(to_outcome)
         }
     };
     let options = keepers::Options {
-        patience: entry.patience(),
+        timeout: entry.keeper_timeout(),
         // An open that was received but whose answer was lost finds the key in use: it is not
         // granted twice. To be told "in use" for one's own claim is safe, if unkind.
         idempotent: !matches!(req.step, peer::ClaimStep::Open),
     };
     let shard = entry.keeper.shard_of(&key(req).shard_name());
-    let (_place, reply) = keepers::call(entry, shard, options, here, there)
+    let (_location, reply) = keepers::call(entry, shard, options, local, remote)
         .await
         .map_err(|err| not_sent(req, err))?;
     reply
@@ -71,13 +71,13 @@
     }
 }
 
-fn tried(reply: peer::ClaimReply) -> keepers::Tried<Reply> {
-    keepers::Tried::Answered(match reply {
-        peer::ClaimReply::Granted => Ok(Claimed::Granted),
-        peer::ClaimReply::Replay(answer) => Ok(Claimed::Replay(answer)),
-        peer::ClaimReply::Settled => Ok(Claimed::Settled),
+fn to_outcome(reply: peer::ClaimReply) -> keepers::CallOutcome<Reply> {
+    keepers::CallOutcome::Answered(match reply {
+        peer::ClaimReply::Granted => Ok(StepOutcome::Granted),
+        peer::ClaimReply::Replay(answer) => Ok(StepOutcome::Replay(answer)),
+        peer::ClaimReply::Settled => Ok(StepOutcome::Settled),
         peer::ClaimReply::Refused(err) => Err(err),
-        peer::ClaimReply::NotKeeper => return keepers::Tried::NotKeeper,
+        peer::ClaimReply::NotKeeper => return keepers::CallOutcome::NotKeeper,
     })
 }
 
@@ -89,7 +89,7 @@
 }
 
 /// Takes a step of a claim at its keeper.
-pub async fn take(entry: &entry::Entry, req: &peer::Claim) -> peer::ClaimReply {
+pub async fn apply_step(entry: &entry::Entry, req: &peer::Claim) -> peer::ClaimReply {
     let (step, reply) = match &req.step {
         peer::ClaimStep::Open => ("open", open(entry, req).await),
         peer::ClaimStep::NotRun => {
@@ -101,7 +101,12 @@
             ("unknown", reply)
         }
         peer::ClaimStep::Done(answer) => {
-            let reply = settle(entry, req, keeper::Settlement::Done(kept(answer))).await;
+            let reply = settle(
+                entry,
+                req,
+                keeper::Settlement::Done(to_claim_answer(answer)),
+            )
+            .await;
             ("done", reply)
         }
     };
@@ -145,7 +150,7 @@
     peer::ClaimReply::Settled
 }
 
-fn kept(answer: &peer::StoredAnswer) -> claim::Answer {
+fn to_claim_answer(answer: &peer::StoredAnswer) -> claim::Answer {
     claim::Answer {
         status: answer.status,
         content_type: answer.content_type.clone(),
--- a/fw-entry/src/turn/commit.rs
+++ b/fw-entry/src/turn/commit.rs
@@ -18,7 +18,7 @@
 
 /// How long a turn is offered to the next keeper of its shard. Longer than the store's outages are
 /// known to be; a turn that no keeper has taken by then continues no history that it has.
-const OFFERED_FOR: Duration = Duration::from_secs(120);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(120);
 
 impl run::Task {
     pub(super) async fn commit(self, buf: &Arc<buffer::Buffer>, finish: attempt::Finish) {
@@ -42,7 +42,7 @@
             finished.ok_or_else(|| self.not_under_way(shard))
         });
         match finished {
-            Err(_) => buf.fail(run::lost()),
+            Err(_) => buf.fail(run::keeper_changed()),
             Ok(keeper::Changed {
                 value: Err(err), ..
             }) => buf.fail(err),
@@ -55,10 +55,10 @@
         let program = shard.program(&self.req.program);
         let has_ended = program.is_some_and(|known| known.status() == program::Status::Ended);
         match has_ended {
-            true => run::ended(),
+            true => run::program_ended(),
             // The shard was lost and loaded anew meanwhile. To say that the program was ended would be
             // untrue, and its caller would not send the turn again.
-            false => run::lost(),
+            false => run::keeper_changed(),
         }
     }
 
@@ -80,16 +80,16 @@
             }
             let alone = self.entry.is_cut_off(Duration::ZERO);
             if !held && !alone && self.is_held_by_side().await {
-                held = self.give_out(buf, &finish, ticket);
+                held = self.release_answer(buf, &finish, ticket);
             }
             durable = self.entry.keeper.wait_durable(ticket).await;
         }
         if durable.is_err() {
             self.explain("fenced", "another entry keeps the program now".to_owned());
             // Without effect on a caller that has the answer already.
-            buf.fail(run::lost());
+            buf.fail(run::keeper_changed());
             if held {
-                self.pass_on(finish).await;
+                self.forward_to_keeper(finish).await;
             }
             return;
         }
@@ -102,7 +102,7 @@
     /// Gives the answer out although the store does not have it; false if the shard has another keeper
     /// already. That one may have asked this entry what it gave out a moment ago, and is asked by the
     /// caller next: it would not know the turn.
-    fn give_out(
+    fn release_answer(
         &self,
         buf: &buffer::Buffer,
         finish: &attempt::Finish,
@@ -120,11 +120,11 @@
 
     /// Offers the turn to the shard's next keeper until that has stored it. The side that held the
     /// answer as well may be gone by now.
-    async fn pass_on(&self, finish: attempt::Finish) {
+    async fn forward_to_keeper(&self, finish: attempt::Finish) {
         let held = self.held(finish);
-        let until = tokio::time::Instant::now() + OFFERED_FOR;
+        let until = tokio::time::Instant::now() + HANDOVER_TIMEOUT;
         while tokio::time::Instant::now() < until {
-            let taken = recover::pass_on(&self.entry, &held).await;
+            let taken = recover::forward(&self.entry, &held).await;
             if taken.is_ok() {
                 self.explain("passed on", format!("turn {}", self.run.turn));
                 break;
@@ -180,7 +180,7 @@
     };
     match durable {
         Ok(()) => buf.finish(finish),
-        Err(_) => buf.fail(run::lost()),
+        Err(_) => buf.fail(run::keeper_changed()),
     }
 }
 
--- a/fw-entry/src/turn/plan.rs
+++ b/fw-entry/src/turn/plan.rs
@@ -52,7 +52,7 @@
     ) -> Result<Self, error::Error> {
         let records = entry.records.current();
         let service = records.service_for_model(&req.model);
-        let service = service.ok_or_else(|| unknown(&req.model, &records))?;
+        let service = service.ok_or_else(|| unknown_model(&req.model, &records))?;
         let budget = records.budget_for(&service.name, &req.team);
         Ok(Self {
             shard,
@@ -63,7 +63,7 @@
                 tokens: budget.and_then(|budget| budget.tokens),
                 time: budget.and_then(|budget| budget.time),
             },
-            max_tokens: tokens(req, service),
+            max_tokens: token_limit(req, service),
             share: records::share_of(&records, &req.team),
             cancel_when_gone: service.on_gone == service::OnGone::Cancel,
             place: place::Options {
@@ -78,12 +78,12 @@
 }
 
 /// What the caller asked for, within the service's bounds.
-fn tokens(req: &peer::Submit, service: &service::Service) -> id::Tokens {
-    let asked = req.max_tokens.unwrap_or(service.tokens.default);
-    asked.min(service.tokens.max)
+fn token_limit(req: &peer::Submit, service: &service::Service) -> id::Tokens {
+    let requested = req.max_tokens.unwrap_or(service.tokens.default);
+    requested.min(service.tokens.max)
 }
 
-fn unknown(model: &id::ModelId, records: &set::Set) -> error::Error {
+fn unknown_model(model: &id::ModelId, records: &set::Set) -> error::Error {
     let mut models: Vec<_> = records.models().map(id::ModelId::as_str).collect();
     models.sort_unstable();
     let message = match models.is_empty() {
--- a/fw-entry/src/turn/program.rs
+++ b/fw-entry/src/turn/program.rs
@@ -20,21 +20,21 @@
 /// When there is no such program for the team, or no keeper is found in time.
 pub async fn query(entry: &Arc<entry::Entry>, req: &peer::Query) -> Reply {
     let within = entry.settings.upstream.connect_timeout * 4;
-    let here = || {
-        let reply = look(entry, req);
-        async move { tried(reply) }
+    let local = || {
+        let reply = query_local(entry, req);
+        async move { to_outcome(reply) }
     };
-    let there = |client: peer::PeerClient| {
+    let remote = |client: peer::PeerClient| {
         let req = req.clone();
         async move {
             client
                 .program(transport::context(within), req)
                 .await
-                .map(tried)
+                .map(to_outcome)
         }
     };
     let shard = entry.keeper.shard_of(&req.program);
-    let (_place, reply) = keepers::call(entry, shard, options(entry), here, there).await?;
+    let (_location, reply) = keepers::call(entry, shard, options(entry), local, remote).await?;
     reply
 }
 
@@ -45,42 +45,47 @@
 /// As [`query`].
 pub async fn end(entry: &Arc<entry::Entry>, req: &peer::Query) -> Reply {
     let within = entry.settings.keeper.commit_wait * 2;
-    let here = || async { tried(finish(entry, req).await) };
-    let there = |client: peer::PeerClient| {
+    let local = || async { to_outcome(end_local(entry, req).await) };
+    let remote = |client: peer::PeerClient| {
         let req = req.clone();
-        async move { client.end(transport::context(within), req).await.map(tried) }
+        async move {
+            client
+                .end(transport::context(within), req)
+                .await
+                .map(to_outcome)
+        }
     };
     let shard = entry.keeper.shard_of(&req.program);
-    let (_place, reply) = keepers::call(entry, shard, options(entry), here, there).await?;
+    let (_location, reply) = keepers::call(entry, shard, options(entry), local, remote).await?;
     reply
 }
 
 fn options(entry: &entry::Entry) -> keepers::Options {
     keepers::Options {
-        patience: entry.patience(),
+        timeout: entry.keeper_timeout(),
         idempotent: true,
     }
 }
 
-fn tried(reply: peer::QueryReply) -> keepers::Tried<Reply> {
+fn to_outcome(reply: peer::QueryReply) -> keepers::CallOutcome<Reply> {
     match reply {
-        peer::QueryReply::Found(program) => keepers::Tried::Answered(Ok(program)),
-        peer::QueryReply::Refused(err) => keepers::Tried::Answered(Err(err)),
-        peer::QueryReply::NotKeeper => keepers::Tried::NotKeeper,
+        peer::QueryReply::Found(program) => keepers::CallOutcome::Answered(Ok(program)),
+        peer::QueryReply::Refused(err) => keepers::CallOutcome::Answered(Err(err)),
+        peer::QueryReply::NotKeeper => keepers::CallOutcome::NotKeeper,
     }
 }
 
 /// Answers [`query`] at the keeper.
-pub fn look(entry: &entry::Entry, req: &peer::Query) -> peer::QueryReply {
+pub fn query_local(entry: &entry::Entry, req: &peer::Query) -> peer::QueryReply {
     let shard = entry.keeper.shard_of(&req.program);
     // What may be the past of a program that went on elsewhere is no answer.
-    if entry.serving(shard).is_none() || !entry.keeper.is_sole_keeper_of(shard) {
+    if entry.serving_fence(shard).is_none() || !entry.keeper.is_sole_keeper_of(shard) {
         return peer::QueryReply::NotKeeper;
     }
     let found = entry.keeper.with_shard(shard, |shard| {
         let program = shard.program(&req.program).ok_or_else(unknown)?;
         if *program.team() != req.team {
-            return Err(foreign());
+            return Err(wrong_team());
         }
         Ok(describe(req, program))
     });
@@ -93,9 +98,9 @@
 
 /// Answers [`end`] at the keeper. The sides learn of it by their next heartbeat, which repeats
 /// until they have freed the program's engine memory.
-pub async fn finish(entry: &entry::Entry, req: &peer::Query) -> peer::QueryReply {
+pub async fn end_local(entry: &entry::Entry, req: &peer::Query) -> peer::QueryReply {
     let shard = entry.keeper.shard_of(&req.program);
-    if entry.serving(shard).is_none() {
+    if entry.serving_fence(shard).is_none() {
         return peer::QueryReply::NotKeeper;
     }
     let now = keeper::now();
@@ -106,7 +111,7 @@
         return peer::QueryReply::NotKeeper;
     };
     match ended.value {
-        Err(err) if entry.may_say(shard, &err) => return peer::QueryReply::Refused(err),
+        Err(err) if entry.may_refuse(shard, &err) => return peer::QueryReply::Refused(err),
         Err(_unsure) => return peer::QueryReply::NotKeeper,
         Ok(Some(attempt)) => entry.attempts.stop(attempt),
         Ok(None) => {}
@@ -114,7 +119,7 @@
     let stored = entry.keeper.wait_durable(ended.ticket).await;
     entry.release(&req.program).await;
     match stored {
-        Ok(()) => look(entry, req),
+        Ok(()) => query_local(entry, req),
         Err(_) => peer::QueryReply::Refused(not_stored(entry)),
     }
 }
@@ -149,7 +154,7 @@
     error::Error::new(error::Kind::UnknownProgram, message)
 }
 
-fn foreign() -> error::Error {
+fn wrong_team() -> error::Error {
     error::Error::new(
         error::Kind::ForeignProgram,
         "the program belongs to another team",
--- a/fw-entry/src/turn/run.rs
+++ b/fw-entry/src/turn/run.rs
@@ -36,9 +36,9 @@
 /// Counter of prompt tokens computed anew that some upstream had held in its cache.
 pub const WASTED: &str = "fw_entry_cache_wasted_tokens_total";
 /// Histogram of time from a turn's arrival to its release into an engine, in seconds.
-pub const QUEUED: &str = "fw_entry_queue_seconds";
+pub const QUEUE_SECONDS: &str = "fw_entry_queue_seconds";
 /// Histogram of a turn's time from its arrival to its end, in seconds.
-pub const TOOK: &str = "fw_entry_turn_seconds";
+pub const TURN_SECONDS: &str = "fw_entry_turn_seconds";
 
 /// A turn under way.
 pub struct Task {
@@ -92,25 +92,25 @@
 
     /// Runs the turn to its end, whatever that is.
     pub async fn run(mut self, mut buf: Arc<buffer::Buffer>) {
-        let abandoned = self.entry.attempts.abandoned(self.run.attempt);
-        let stopped = self.entry.attempts.ended(self.run.attempt);
+        let abandoned = self.entry.attempts.abandoned_token(self.run.attempt);
+        let stopped = self.entry.attempts.stop_token(self.run.attempt);
         let killed = self.entry.killed.clone();
         let cancels = self.plan.cancel_when_gone;
         let limit = self.time_limit();
         let outcome = tokio::select! {
-            outcome = tokio::time::timeout(limit, self.tries(&mut buf)) => {
-                outcome.unwrap_or_else(|_| Err(overdue()))
+            outcome = tokio::time::timeout(limit, self.run_tries(&mut buf)) => {
+                outcome.unwrap_or_else(|_| Err(deadline_exceeded()))
             }
             () = abandoned.cancelled(), if cancels => Err(cancelled()),
-            () = stopped.cancelled() => Err(ended()),
+            () = stopped.cancelled() => Err(program_ended()),
             () = killed.cancelled() => return,
         };
-        metrics::histogram!(TOOK).record(self.arrived.elapsed().as_secs_f64());
+        metrics::histogram!(TURN_SECONDS).record(self.arrived.elapsed().as_secs_f64());
         let killed = self.entry.killed.clone();
         let end = async {
             match outcome {
                 Ok(finish) => self.commit(&buf, finish).await,
-                Err(err) => self.give_up(&buf, err).await,
+                Err(err) => self.fail(&buf, err).await,
             }
         };
         tokio::select! {
@@ -124,7 +124,7 @@
         self.req.deadline.min(left)
     }
 
-    async fn tries(
+    async fn run_tries(
         &mut self,
         buf: &mut Arc<buffer::Buffer>,
     ) -> Result<attempt::Finish, error::Error> {
@@ -143,7 +143,7 @@
             let after = after.ok_or(err.clone())?;
             tokio::time::sleep(after).await;
             earlier = Some(err);
-            self.start_anew(buf);
+            self.reset_buffer(buf);
         }
     }
 
@@ -210,12 +210,12 @@
     }
 
     /// A further try starts its events anew: readers that hold some go over to a new buffer.
-    fn start_anew(&mut self, buf: &mut Arc<buffer::Buffer>) {
+    fn reset_buffer(&mut self, buf: &mut Arc<buffer::Buffer>) {
         if buf.is_empty() {
             return;
         }
         let next = rand::rng().random();
-        *buf = self.entry.attempts.go_on(self.reading, next);
+        *buf = self.entry.attempts.continue_as(self.reading, next);
         self.reading = next;
     }
 
@@ -234,7 +234,7 @@
             buf,
         };
         let outcome = attempt.run().await;
-        self.settle(&current, &outcome);
+        self.record_outcome(&current, &outcome);
         if let Err(err) = &outcome {
             self.current = None;
             self.avoid(&current, err);
@@ -244,8 +244,8 @@
 
     /// A further try goes elsewhere, unless it was this entry that was refused.
     fn avoid(&mut self, current: &Current, err: &error::Error) {
-        let is_ours = matches!(err.kind, error::Kind::StaleFence | error::Kind::KeeperLost);
-        if !is_ours {
+        let is_own_refusal = matches!(err.kind, error::Kind::StaleFence | error::Kind::KeeperLost);
+        if !is_own_refusal {
             self.failed_at.push(current.side.instance.id.clone());
         }
     }
@@ -343,7 +343,7 @@
             Some(program.history().to_vec())
         });
         let history = history.ok().and_then(|changed| changed.value);
-        let mut whole = history.ok_or_else(lost)?;
+        let mut whole = history.ok_or_else(keeper_changed)?;
         whole.extend_from_slice(&self.run.messages);
         Ok(whole)
     }
@@ -359,7 +359,11 @@
             .unwrap_or_default()
     }
 
-    fn settle(&mut self, current: &Current, outcome: &Result<attempt::Finish, error::Error>) {
+    fn record_outcome(
+        &mut self,
+        current: &Current,
+        outcome: &Result<attempt::Finish, error::Error>,
+    ) {
         let upstream = &current.side.instance.id;
         let service = self.entry.sides.service(&self.plan.service);
         let mut service = service.lock();
@@ -370,20 +374,20 @@
                 metrics::counter!(WASTED).increment(self.wasted(finish));
                 service.view.set_cached(&self.req.program, upstream, held);
                 self.entry.poison.lock().record_success(&self.run.digest);
-                self.permit.queued(finish.queued);
-                metrics::histogram!(QUEUED).record(finish.queued.as_secs_f64());
+                self.permit.record_queue_delay(finish.queued);
+                metrics::histogram!(QUEUE_SECONDS).record(finish.queued.as_secs_f64());
             }
             Err(err) => {
                 service.view.record_finished(upstream, None);
-                self.note_failure(&mut service, current, err);
+                self.record_failure(&mut service, current, err);
             }
         }
     }
 
-    fn note_failure(&self, service: &mut sides::Service, current: &Current, err: &error::Error) {
+    fn record_failure(&self, service: &mut sides::Service, current: &Current, err: &error::Error) {
         let now = self.entry.now();
         let upstream = &current.side.instance.id;
-        let seen = match err.kind {
+        let observation = match err.kind {
             error::Kind::UpstreamCrashed => {
                 let mut poison = self.entry.poison.lock();
                 poison.record_crash(now, upstream, self.run.digest, current.alone);
@@ -395,8 +399,8 @@
             }
             _ => None,
         };
-        if let Some(seen) = seen {
-            service.health.observe(now, upstream, seen);
+        if let Some(observation) = observation {
+            service.health.observe(now, upstream, observation);
             service.refresh(now, upstream);
         }
     }
@@ -415,10 +419,10 @@
             .saturating_sub(finish.usage.cached)
     }
 
-    async fn give_up(self, buf: &Arc<buffer::Buffer>, err: error::Error) {
+    async fn fail(self, buf: &Arc<buffer::Buffer>, err: error::Error) {
         let err = match err.kind {
             // The side saw a newer keeper of the shard: this one was paused and is fenced off.
-            error::Kind::StaleFence => lost(),
+            error::Kind::StaleFence => keeper_changed(),
             _ => err,
         };
         if err.kind == error::Kind::Internal {
@@ -438,7 +442,7 @@
     }
 
     pub(super) fn explain(&self, what: &'static str, why: String) {
-        self.entry.explain.note(&self.req.program, what, why);
+        self.entry.explain.record(&self.req.program, what, why);
     }
 
     fn no_upstream(&self) -> error::Error {
@@ -448,7 +452,7 @@
     }
 }
 
-fn overdue() -> error::Error {
+fn deadline_exceeded() -> error::Error {
     error::Error::new(
         error::Kind::DeadlineExceeded,
         "the turn took longer than its deadline",
@@ -462,14 +466,14 @@
     )
 }
 
-pub(super) fn ended() -> error::Error {
+pub(super) fn program_ended() -> error::Error {
     error::Error::new(
         error::Kind::Cancelled,
         "the program was ended while the turn was under way",
     )
 }
 
-pub(super) fn lost() -> error::Error {
+pub(super) fn keeper_changed() -> error::Error {
     let message = "the program changed its keeper while the turn was under way; send it again";
     error::Error::new(error::Kind::KeeperLost, message)
 }
--- a/fw-entry/src/turn/submit.rs
+++ b/fw-entry/src/turn/submit.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Accepted {
     /// Where it is kept.
-    pub place: keepers::Place,
+    pub location: keepers::Location,
     /// The attempt to read.
     pub attempt: id::AttemptId,
     /// Its number.
@@ -42,33 +42,33 @@
 /// # Errors
 ///
 /// When the turn is refused, or no keeper is found in time.
-pub async fn at_keeper(
+pub async fn submit_to_keeper(
     entry: &Arc<entry::Entry>,
     req: &peer::Submit,
 ) -> Result<Accepted, error::Error> {
     let within = entry.settings.upstream.connect_timeout * 4;
-    let here = || {
+    let local = || {
         let reply = accept(entry, req.clone());
-        async move { tried(reply) }
+        async move { to_outcome(reply) }
     };
-    let there = |client: peer::PeerClient| {
+    let remote = |client: peer::PeerClient| {
         let req = req.clone();
         async move {
             client
                 .submit(transport::context(within), req)
                 .await
-                .map(tried)
+                .map(to_outcome)
         }
     };
     let options = keepers::Options {
-        patience: entry.patience().min(req.deadline),
+        timeout: entry.keeper_timeout().min(req.deadline),
         idempotent: is_idempotent(req),
     };
     let shard = entry.keeper.shard_of(&req.program);
-    let (place, reply) = keepers::call(entry, shard, options, here, there).await?;
+    let (location, reply) = keepers::call(entry, shard, options, local, remote).await?;
     let (attempt, turn) = reply?;
     Ok(Accepted {
-        place,
+        location,
         attempt,
         turn,
     })
@@ -83,20 +83,20 @@
 
 type Reply = Result<(id::AttemptId, id::Turn), error::Error>;
 
-fn tried(reply: peer::SubmitReply) -> keepers::Tried<Reply> {
+fn to_outcome(reply: peer::SubmitReply) -> keepers::CallOutcome<Reply> {
     match reply {
         peer::SubmitReply::Accepted { attempt, turn } => {
-            keepers::Tried::Answered(Ok((attempt, turn)))
+            keepers::CallOutcome::Answered(Ok((attempt, turn)))
         }
-        peer::SubmitReply::Refused(err) => keepers::Tried::Answered(Err(err)),
-        peer::SubmitReply::NotKeeper => keepers::Tried::NotKeeper,
+        peer::SubmitReply::Refused(err) => keepers::CallOutcome::Answered(Err(err)),
+        peer::SubmitReply::NotKeeper => keepers::CallOutcome::NotKeeper,
     }
 }
 
 /// Takes in a turn at its keeper.
 pub fn accept(entry: &Arc<entry::Entry>, req: peer::Submit) -> peer::SubmitReply {
     let program = req.program.clone();
-    let reply = take_in(entry, req);
+    let reply = try_accept(entry, req);
     let outcome = match &reply {
         peer::SubmitReply::Accepted { .. } => "accepted",
         peer::SubmitReply::NotKeeper => "not_keeper",
@@ -106,13 +106,13 @@
     if let peer::SubmitReply::Refused(err) = &reply {
         entry
             .explain
-            .note(&program, "refused", why_refused(entry, &program, err));
+            .record(&program, "refused", refusal_reason(entry, &program, err));
     }
     reply
 }
 
 /// The error, and for a program that its caller knows otherwise what the shard was served on.
-fn why_refused(entry: &entry::Entry, program: &id::ProgramId, err: &error::Error) -> String {
+fn refusal_reason(entry: &entry::Entry, program: &id::ProgramId, err: &error::Error) -> String {
     use error::Kind::HistoryMismatch;
     use error::Kind::UnknownProgram;
     use error::Kind::WrongTurn;
@@ -121,12 +121,12 @@
         return err.to_string();
     }
     let shard = entry.keeper.shard_of(program);
-    format!("{err}; {}", recover::standing(entry, shard))
+    format!("{err}; {}", recover::describe_recovery(entry, shard))
 }
 
-fn take_in(entry: &Arc<entry::Entry>, req: peer::Submit) -> peer::SubmitReply {
+fn try_accept(entry: &Arc<entry::Entry>, req: peer::Submit) -> peer::SubmitReply {
     let shard = entry.keeper.shard_of(&req.program);
-    let Some(fence) = entry.serving(shard) else {
+    let Some(fence) = entry.serving_fence(shard) else {
         return peer::SubmitReply::NotKeeper;
     };
     let plan = match plan::Plan::new(entry, &req, shard, fence) {
@@ -135,7 +135,7 @@
     };
     match begin(entry, &req, &plan) {
         None => peer::SubmitReply::NotKeeper,
-        Some(program::Outcome::Refused(err)) if entry.may_say(shard, &err) => {
+        Some(program::Outcome::Refused(err)) if entry.may_refuse(shard, &err) => {
             peer::SubmitReply::Refused(err)
         }
         Some(program::Outcome::Refused(_unsure)) => peer::SubmitReply::NotKeeper,
@@ -197,7 +197,7 @@
     let permit = match admit(entry, &req, &plan, &run) {
         Ok(permit) => permit,
         Err(err) => {
-            give_back(entry, &req.program, plan.shard, attempt);
+            revert(entry, &req.program, plan.shard, attempt);
             return peer::SubmitReply::Refused(err);
         }
     };
@@ -210,7 +210,7 @@
 }
 
 /// A refused turn leaves no trace: it did not run.
-fn give_back(
+fn revert(
     entry: &entry::Entry,
     program: &id::ProgramId,
     shard: id::ShardId,
@@ -268,7 +268,7 @@
     }
     let kept = entry.keeper.with_program(&req.program, |_| ())?;
     let why = "an earlier end of the turn was lost or an error".to_owned();
-    entry.explain.note(&req.program, "answered again", why);
+    entry.explain.record(&req.program, "answered again", why);
     let buf = entry.attempts.open(attempt);
     buf.push(events_of(&req.model, attempt, &answer));
     let finish = attempt::Finish {
@@ -279,9 +279,8 @@
         first_token: Duration::ZERO,
         ran: Duration::ZERO,
     };
-    let entry_of_task = Arc::clone(entry);
-    let end =
-        async move { commit::end_once_durable(&entry_of_task, &buf, finish, kept.ticket).await };
+    let task_entry = Arc::clone(entry);
+    let end = async move { commit::end_once_durable(&task_entry, &buf, finish, kept.ticket).await };
     entry.tasks.spawn(end);
     Ok(())
 }
--- a/fw-entry/src/turn/upstream.rs
+++ b/fw-entry/src/turn/upstream.rs
@@ -17,21 +17,21 @@
 use crate::process::entry;
 
 /// Time beyond the wait of a read after which its connection counts as silent.
-const SLACK: Duration = Duration::from_millis(500);
+const READ_GRACE: Duration = Duration::from_millis(500);
 
 /// Reads without an answer, each over a new connection, after which the side counts as gone.
-const MOST_MISSED: u32 = 3;
+const MAX_MISSED_READS: u32 = 3;
 
 /// How long events of a stream are gathered before they are passed on together: a third of the
 /// 30 ms between tokens that callers are promised. A read of its own for each token costs the entry
 /// 0.4 ms of processor time (`docs/MEASURED.md`).
-const GATHER: Duration = Duration::from_millis(10);
+const GATHER_WINDOW: Duration = Duration::from_millis(10);
 
 /// Events passed on at once: the one that names the role, and the first token.
-const AT_ONCE: u32 = 2;
+const UNGATHERED_EVENTS: u32 = 2;
 
 /// Pause before a side that cannot be reached is tried again.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A try.
 pub struct Try<'a> {
@@ -105,10 +105,10 @@
     async fn read(&self) -> Result<attempt::Finish, error::Error> {
         let mut offset: u32 = 0;
         let mut missed = 0;
-        while missed < MOST_MISSED {
+        while missed < MAX_MISSED_READS {
             let Some(reply) = self.read_once(offset).await else {
                 missed += 1;
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
             missed = 0;
@@ -132,13 +132,13 @@
             attempt: self.start.attempt,
             offset,
             wait,
-            gather: if offset < AT_ONCE {
+            gather: if offset < UNGATHERED_EVENTS {
                 Duration::ZERO
             } else {
-                GATHER
+                GATHER_WINDOW
             },
         };
-        let cx = transport::context(wait + SLACK);
+        let cx = transport::context(wait + READ_GRACE);
         let call = |client: side::SideClient| async move { client.read(cx, req).await };
         let addr = self.side.instance.side;
         self.entry.sides.pool.call(addr, call).await.ok()
--- a/fw-entry/src/version/records.rs
+++ b/fw-entry/src/version/records.rs
@@ -10,7 +10,7 @@
 pub struct InForce {
     /// Keeps the newest set seen.
     pub holder: holder::Holder,
-    behind: Notify,
+    newer: Notify,
 }
 
 impl InForce {
@@ -30,15 +30,15 @@
     }
 
     /// Another process acts on records of `revision`: if they are newer, they are fetched.
-    pub fn seen_elsewhere(&self, revision: id::Revision) {
+    pub fn observe_revision(&self, revision: id::Revision) {
         if revision > self.revision() {
-            self.behind.notify_one();
+            self.newer.notify_one();
         }
     }
 
     /// Waits until some process was seen to act on newer records.
-    pub async fn is_behind(&self) {
-        self.behind.notified().await;
+    pub async fn wait_for_newer(&self) {
+        self.newer.notified().await;
     }
 }
 
--- a/fw-entry/src/version/watch.rs
+++ b/fw-entry/src/version/watch.rs
@@ -24,24 +24,24 @@
 pub const FETCHES: &str = "fw_entry_record_fetches_total";
 
 /// Time between two questions to the watcher.
-const ASK: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Without an answer from the watcher for this long, an entry watches by itself.
-const WATCHER_PATIENCE: Duration = Duration::from_millis(1200);
+const WATCHER_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Most entries asked for newer records before the store is.
-const PEERS_ASKED: usize = 3;
+const MAX_PEERS_QUERIED: usize = 3;
 
 /// How often a watcher looks whether it still is to watch.
-const ROLE_CHECK: Duration = Duration::from_secs(2);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Keeps the records in force at the newest revision until the future is dropped.
 pub async fn run(entry: Arc<entry::Entry>) {
     let mut answered = Instant::now();
     loop {
         match watcher(&entry) {
-            Some((id, addr)) if answered.elapsed() < WATCHER_PATIENCE => {
-                if ask(&entry, addr).await {
+            Some((id, addr)) if answered.elapsed() < WATCHER_TIMEOUT => {
+                if fetch_from(&entry, addr).await {
                     answered = Instant::now();
                 }
                 wait_or_catch_up(&entry, &id).await;
@@ -60,12 +60,12 @@
     let members = entry.peer_list.members(entry);
     let near = members.into_iter().filter(|member| member.place == *here);
     let first = near.map(|member| member.id).min()?;
-    let others = peers::others(entry);
+    let others = peers::other_entries(entry);
     others.into_iter().find(|(id, _)| *id == first)
 }
 
 /// Asks an entry for newer records; false if it did not answer.
-async fn ask(entry: &entry::Entry, addr: SocketAddr) -> bool {
+async fn fetch_from(entry: &entry::Entry, addr: SocketAddr) -> bool {
     let than = entry.records.revision();
     let cx = transport::context(entry.settings.upstream.connect_timeout);
     let call = |client: peer::PeerClient| async move { client.records(cx, than).await };
@@ -73,12 +73,12 @@
         return false;
     };
     if let Some(records) = reply {
-        take(entry, &records.set);
+        apply(entry, &records.set);
     }
     true
 }
 
-fn take(entry: &entry::Entry, text: &str) {
+fn apply(entry: &entry::Entry, text: &str) {
     let outcome = match set::Set::from_json(text) {
         Ok(set) => {
             entry.records.holder.offer(set);
@@ -93,20 +93,20 @@
 /// read from the store: whoever has them need not be reachable.
 async fn wait_or_catch_up(entry: &entry::Entry, watcher: &id::EntryId) {
     tokio::select! {
-        () = tokio::time::sleep(ASK) => {}
-        () = entry.records.is_behind() => {
+        () = tokio::time::sleep(POLL_INTERVAL) => {}
+        () = entry.records.wait_for_newer() => {
             tracing::debug!(%watcher, "another process acts on newer records");
-            read(entry).await;
+            fetch_newer(entry).await;
         }
     }
 }
 
 /// Takes newer records from an entry that has them, or else from the store.
-async fn read(entry: &entry::Entry) {
+async fn fetch_newer(entry: &entry::Entry) {
     let before = entry.records.revision();
-    ask_newer(entry).await;
+    fetch_from_peers(entry).await;
     if entry.records.revision() == before {
-        read_store(entry).await;
+        fetch_from_store(entry).await;
     }
 }
 
@@ -115,20 +115,20 @@
 /// An entry that is cut off from the store, while others are not, would otherwise hear of newer
 /// records with every status and still serve its callers by the old ones. It also spares the
 /// store a read by every entry after every change.
-async fn ask_newer(entry: &entry::Entry) {
+async fn fetch_from_peers(entry: &entry::Entry) {
     let statuses = entry.peer_list.statuses().into_iter();
     let newer = statuses.filter(|status| status.revision > entry.records.revision());
     let newer: Vec<_> = newer.map(|status| status.entry).collect();
-    let others = peers::others(entry).into_iter();
+    let others = peers::other_entries(entry).into_iter();
     let newer = others.filter(|(id, _)| newer.contains(id));
-    for (_, addr) in newer.take(PEERS_ASKED) {
-        if ask(entry, addr).await {
+    for (_, addr) in newer.take(MAX_PEERS_QUERIED) {
+        if fetch_from(entry, addr).await {
             return;
         }
     }
 }
 
-async fn read_store(entry: &entry::Entry) {
+async fn fetch_from_store(entry: &entry::Entry) {
     let outcome = match load::all(&entry.store, &entry.records.current()).await {
         Ok(set) => {
             entry.records.holder.offer(set);
@@ -147,8 +147,8 @@
     loop {
         tokio::select! {
             () = &mut watch => return,
-            () = entry.records.is_behind() => read(entry).await,
-            () = tokio::time::sleep(ROLE_CHECK) => {
+            () = entry.records.wait_for_newer() => fetch_newer(entry).await,
+            () = tokio::time::sleep(ROLE_CHECK_INTERVAL) => {
                 if watcher(entry).is_some() {
                     return;
                 }
--- a/fw-entry/tests/entry/attempt_table.rs
+++ b/fw-entry/tests/entry/attempt_table.rs
@@ -12,7 +12,7 @@
 fn the_last_reader_cancels() {
     let table = attempts::Table::new();
     table.open(1);
-    let abandoned = table.abandoned(1);
+    let abandoned = table.abandoned_token(1);
     table.attach(1);
     table.attach(1);
     table.detach(1);
@@ -27,9 +27,9 @@
 fn readers_go_along_with_the_turn() {
     let table = attempts::Table::new();
     table.open(1);
-    let abandoned = table.abandoned(1);
+    let abandoned = table.abandoned_token(1);
     table.attach(1);
-    table.go_on(1, 2);
+    table.continue_as(1, 2);
     table.detach(2);
     expect_true!(abandoned.is_cancelled());
 }
@@ -39,7 +39,7 @@
 async fn an_old_reader_is_sent_on() {
     let table = attempts::Table::new();
     table.open(1);
-    table.go_on(1, 2);
+    table.continue_as(1, 2);
     let req = attempt::Read {
         attempt: 1,
         offset: 0,
--- a/fw-local/src/history/doors.rs
+++ b/fw-local/src/history/doors.rs
@@ -80,7 +80,7 @@
         let mut decisions = Vec::new();
         for door in self.known.lock().iter() {
             let started = door.started.saturating_duration_since(begun);
-            let events = door.decisions.of(program).into_iter();
+            let events = door.decisions.events(program).into_iter();
             decisions.extend(events.map(|event| Decision {
                 at: started + Duration::from_millis(event.at_ms),
                 process: door.process.clone(),
