--- a/fw-entry/src/connection/recover.rs
+++ b/fw-entry/src/connection/recover.rs
@@ -135,10 +135,10 @@
 pub(super) fn commit_held(entry: &entry::Entry, from: &str, held: side::Held) -> Recovery {
     let shard = entry.keeper.shard_of(&held.program);
     let (name, turn) = (held.program.clone(), held.turn);
-    let turn_to_recover = to_program_held(held);
-    let recovered = entry.keeper.with_shard(shard, |kept| {
-        kept.recover(&name, turn_to_recover, keeper::now())
-    });
+    let converted = to_program_held(held);
+    let recovered = entry
+        .keeper
+        .with_shard(shard, |kept| kept.recover(&name, converted, keeper::now()));
     let Ok(recovered) = recovered else {
         return Recovery::NotKept;
     };
--- a/fw-entry/src/connection/recover_entries.rs
+++ b/fw-entry/src/connection/recover_entries.rs
@@ -134,12 +134,12 @@
 /// The shards that were taken after `heard` and still wait for what others hold.
 fn shards_to_query(
     entry: &entry::Entry,
-    last_answered: Option<Instant>,
+    since: Option<Instant>,
     now: Instant,
 ) -> Vec<keeper::KeptShard> {
     let grace = takeover::Options::default().grace;
-    let earliest = now.checked_sub(grace).or(last_answered);
-    entry.keeper.loaded_since(last_answered.max(earliest))
+    let earliest = now.checked_sub(grace).or(since);
+    entry.keeper.loaded_since(since.max(earliest))
 }
 
 fn others(entry: &entry::Entry) -> Vec<(id::EntryId, SocketAddr)> {
