--- a/fw-entry/src/connection/heartbeat.rs
+++ b/fw-entry/src/connection/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats to one side: they renew its sessions and bring its load, health and cache changes.
+//! Heartbeats to one side. A request renews the side's sessions; its reply carries the upstream's
+//! load, health and cache changes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -30,8 +31,9 @@
     }
 }
 
-/// The set interval, or a longer one where so many sides are watched that their heartbeats would
-/// exceed what control may spend. A side with work under way is heard by its answers as well.
+/// The configured interval, or a longer one if this entry watches more sides than fit into
+/// `heartbeats_per_second`, which bounds control traffic. A side with work under way also shows by
+/// its answers that it is alive.
 fn interval(entry: &entry::Entry) -> Duration {
     let upstream = &entry.settings.upstream;
     let sides = u32::try_from(entry.sides.len()).unwrap_or(u32::MAX);
@@ -40,23 +42,24 @@
 }
 
 async fn send_heartbeat(entry: &Arc<entry::Entry>, side: &Arc<sides::Side>, interval: Duration) {
-    // Before the shards are listed: one that is taken meanwhile is not in this heartbeat, and must not
-    // count as told to the side.
+    // Taken before the shards are listed: a shard taken in between is not in this heartbeat and must
+    // not count as announced to the side.
     let sent = Instant::now();
     let req = request(entry, side);
     let cx = transport::context(interval);
     let addr = side.instance.side;
     let call = |client: side::SideClient| async move { client.heartbeat(cx, req).await };
     match entry.sides.pool.call(addr, call).await {
-        // The side that was there is gone.
+        // Another side listens at the address, so this one is gone.
         Ok(reply) if is_other_upstream(side, &reply) => record_missed(entry, side, true),
         Ok(reply) => record_answer(entry, side, reply, sent).await,
         Err(failure) => record_missed(entry, side, failure == pool::Failure::Refused),
     }
 }
 
-/// A lagging instance list may name an address that another instance has by now. Its load, cache
-/// and health would be booked on the wrong upstream, and its work sent to the wrong service.
+/// A lagging instance list may name an address that has since been assigned to another instance. Its
+/// load, cache and health would be recorded for the wrong upstream, and calls would be sent to the
+/// wrong service.
 fn is_other_upstream(side: &sides::Side, reply: &side::HeartbeatReply) -> bool {
     !reply.upstream.is_empty() && reply.upstream != side.instance.id
 }
@@ -78,9 +81,10 @@
     }
 }
 
-/// The shards with sessions at the side, and those taken since it was last heard. A keeper that was
-/// cut off and lost them does not know it yet: from now on the side refuses its turns, so that no
-/// answer of it can come between this keeper and the history.
+/// The shards with sessions at the side, and those taken since it last answered. Their previous
+/// keeper may be cut off from the store and unaware that it lost them. Once the side has received the
+/// newer fence it refuses that keeper's turns, so that their answers cannot diverge from the history
+/// that this keeper continues.
 fn shards_to_renew(entry: &entry::Entry, state: &sides::State) -> BTreeSet<id::ShardId> {
     let kept = entry.keeper.shards().into_iter().map(|kept| kept.shard);
     let is_new = |shard: &id::ShardId| {
@@ -145,7 +149,7 @@
     }
 }
 
-/// A side that started anew lost its attempts, sessions and cache.
+/// Resets the state of a side that restarted: it has lost its attempts, sessions and cache.
 fn update_incarnation(entry: &entry::Entry, side: &sides::Side, reply: &side::HeartbeatReply) {
     let before = side.update(|state| {
         let before = std::mem::replace(&mut state.incarnation, reply.incarnation);
--- a/fw-entry/src/connection/listen.rs
+++ b/fw-entry/src/connection/listen.rs
@@ -1,4 +1,5 @@
-//! Callers' connections: accepted, bounded in time, and closed without cutting a request.
+//! Listener for callers' connections: accepts them, limits the time that they may take to send a
+//! request, and drains them on shutdown.
 
 use std::time::Duration;
 
@@ -12,20 +13,20 @@
 use tokio_util::sync::CancellationToken;
 use tracing::warn;
 
-/// Pause after a failed accept, such as for want of file descriptors.
+/// Pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How connections are treated.
+/// Limits of connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Longest wait for a request's head, also on a connection kept open between requests.
     pub head_timeout: Duration,
-    /// After the stop begins, the longest wait for requests under way.
+    /// Longest wait for requests under way, counted from the start of the shutdown.
     pub drain: Duration,
 }
 
 /// Serves `app` on `listener` until `stop` is cancelled and the requests under way have ended.
-/// Returns whether all of them had, within [`Options::drain`].
+/// Returns whether all of them ended within [`Options::drain`].
 pub async fn serve(
     listener: TcpListener,
     app: Router,
@@ -34,7 +35,7 @@
 ) -> bool {
     let graceful = graceful::GracefulShutdown::new();
     let builder = builder(options.head_timeout);
-    // Dropped with this future: a killed entry's connections end with it.
+    // Dropped with this future, so that the connections of a killed entry are closed.
     let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -45,13 +46,13 @@
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        // Small writes are whole tokens: each should leave at once.
+        // A small write is a whole token, which should be sent without delay.
         let _best_effort = stream.set_nodelay(true);
         let service = service::TowerToHyperService::new(app.clone());
         let connection = builder.serve_connection_with_upgrades(rt::TokioIo::new(stream), service);
         let connection = graceful.watch(connection.into_owned());
         connections.spawn(async move {
-            // A caller's broken connection is its own matter.
+            // A connection that breaks on the caller's side needs no handling here.
             let _broken = connection.await;
         });
         while connections.try_join_next().is_some() {}
--- a/fw-entry/src/connection/mod.rs
+++ b/fw-entry/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a connection: those to sides and to other entries.
+//! State and tasks with the lifetime of a connection to a caller, a side or another entry.
 
 pub mod heartbeat;
 pub mod listen;
--- a/fw-entry/src/connection/pool.rs
+++ b/fw-entry/src/connection/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to processes of one sort, one for each address, replaced when they fail.
+//! Connection pool for one kind of process: one connection per address, replaced when it fails.
 
 use std::collections::HashMap;
 use std::io;
@@ -12,7 +12,8 @@
 use parking_lot::Mutex;
 use tarpc::client;
 
-/// Counter of connections replaced because they ended, or a call on them failed or went unanswered.
+/// Counter of connections replaced because they were closed, or because a call on them failed or
+/// timed out.
 pub const REPLACED: &str = "fw_entry_connections_replaced_total";
 
 /// A client that can be connected to an address.
@@ -50,7 +51,7 @@
     generation: u64,
 }
 
-/// The connections.
+/// Connections by address.
 #[derive(Debug)]
 pub struct Pool<C> {
     connect_timeout: Duration,
@@ -63,14 +64,14 @@
     generation: Mutex<u64>,
 }
 
-/// Why a call brought no answer.
+/// Why a call was not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No process listens at the address: the call was not sent.
     Refused,
     /// No connection: the call was not sent.
     Unsent,
-    /// The connection failed, or stayed silent past the call's deadline: it may have been received.
+    /// The connection failed, or the call's deadline passed: the call may have been received.
     Broken,
 }
 
@@ -85,12 +86,12 @@
 
     /// Calls the process at `addr`, over the open connection or a new one.
     ///
-    /// A connection on which a call fails or goes unanswered is replaced: something between the
-    /// ends may have lost track of it, while new connections work.
+    /// A connection on which a call fails or times out is replaced: a middlebox may have dropped its
+    /// state while new connections work.
     ///
     /// # Errors
     ///
-    /// [`Failure`] tells whether the call may have been received.
+    /// [`Failure`] states whether the call may have been received.
     pub async fn call<T, F>(
         &self,
         addr: SocketAddr,
@@ -108,7 +109,7 @@
         Err(Failure::Broken)
     }
 
-    /// Closes the connection to `addr` and forgets the address.
+    /// Closes the connection to `addr` and removes the address from the pool.
     pub fn forget(&self, addr: SocketAddr) {
         self.slots.lock().remove(&addr);
     }
@@ -120,7 +121,7 @@
             if connection.connected.is_open() {
                 return Ok(connection.clone());
             }
-            // Its peer has closed it. A call over it would count as one that may have been received.
+            // The peer has closed it. A call over it would fail as one that may have been received.
             metrics::counter!(REPLACED, "to" => C::LABEL).increment(1);
             *current = None;
         }
@@ -141,7 +142,7 @@
     async fn replace(&self, addr: SocketAddr, failed: &Connection<C>) {
         let slot = self.slot(addr);
         let mut current = slot.current.lock().await;
-        // Many calls fail at once on one connection: only the first takes it away.
+        // Many calls fail at once on one connection: only the first removes it.
         if current
             .as_ref()
             .is_some_and(|now| now.generation == failed.generation)
--- a/fw-entry/src/connection/recover.rs
+++ b/fw-entry/src/connection/recover.rs
@@ -1,11 +1,11 @@
-//! Brings turns that the journal lacks into it, once their shard has another keeper.
+//! Recovery after a take-over: commits answered turns that are missing in the journal of a shard.
 //!
-//! While the store does not answer, callers are given answers that only the keeper and the side
-//! hold. If the keeper dies, or is cut off until its lease lapses, its successor finds a journal
-//! without them: their callers hold a history that the system would not know. Sides name such
-//! shards in their heartbeats ([`super::recover_sides`]), and other entries are asked for what they
-//! gave out ([`super::recover_entries`]), since the keeper before may live. Until all were heard, by the
-//! rule of [`takeover`], the successor takes no turn.
+//! While the store does not answer, callers receive answers that only the keeper and the side hold.
+//! If the keeper dies, or is cut off until its lease lapses, its successor reads a journal without
+//! them, and callers would hold a history that the system does not have. Sides name such shards in
+//! their replies to heartbeats ([`super::recover_sides`]). Other entries are queried for the answers
+//! that they delivered ([`super::recover_entries`]), since the previous keeper may still run. The
+//! successor takes no turn until all have answered, as [`takeover`] decides.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -28,18 +28,18 @@
 /// Counter of held turns, by outcome.
 pub const RECOVERED: &str = "fw_entry_turns_recovered_total";
 
-/// What became of a turn that another process holds.
+/// Outcome of recovering a turn that another process holds.
 pub(super) enum Recovery {
-    /// It is committed here, or was before; it is in the store once this change is.
+    /// The turn is committed here, now or earlier; it is durable once the ticket's change is.
     Committed(keeper::Ticket),
-    /// A turn before it is missing.
+    /// An earlier turn of the program is missing.
     Gap,
-    /// Its shard is not kept here.
+    /// The turn's shard is not kept here.
     NotKept,
 }
 
-/// Commits a turn that another entry passes on; false if its shard is not kept here, a turn before it
-/// is missing, or the store does not take it: then the other entry goes on to hold it.
+/// Commits a turn that another entry forwards. Returns false if its shard is not kept here, an earlier
+/// turn is missing, or the store does not accept it: the other entry then continues to hold it.
 pub async fn accept(entry: &entry::Entry, held: side::Held) -> bool {
     let shard = entry.keeper.shard_of(&held.program);
     if entry.serving_fence(shard).is_none() {
@@ -51,11 +51,11 @@
     }
 }
 
-/// Passes a turn, whose answer its caller has, on to the keeper that took the shard.
+/// Forwards a turn whose answer was delivered to its caller to the keeper that took the shard.
 ///
 /// # Errors
 ///
-/// When no keeper has taken it in time.
+/// When no keeper has accepted it in time.
 pub async fn forward(entry: &Arc<entry::Entry>, held: &side::Held) -> Result<(), error::Error> {
     let within = entry.settings.upstream.connect_timeout * 4 + entry.settings.keeper.commit_wait;
     let to_outcome = |taken: bool| match taken {
@@ -81,13 +81,14 @@
     Ok(())
 }
 
-/// Whether `shard`, taken a moment ago, may serve.
+/// Whether recovery of `shard` is complete, so that its turns may be served.
 pub fn is_complete(entry: &entry::Entry, shard: id::ShardId) -> bool {
     let Some(since) = entry.keeper.kept_since(shard) else {
         return false;
     };
     let now = Instant::now();
-    // Beyond the wait it serves whatever is missing; most shards are kept for far longer.
+    // After the grace period the shard is served even if turns are missing. Checked first, since most
+    // shards have been kept for far longer.
     let options = takeover::Options::default();
     if now.saturating_duration_since(since) > options.grace {
         return true;
@@ -95,7 +96,7 @@
     takeover::decide(now, since, &holders(entry, shard), &options).serves()
 }
 
-/// What is known of `shard` and of those who may hold turns of it, in words.
+/// Describes for operators the recovery of `shard` and the processes that may hold turns of it.
 pub fn describe_recovery(entry: &entry::Entry, shard: id::ShardId) -> String {
     let Some(since) = entry.keeper.kept_since(shard) else {
         return format!("shard {shard} is not kept here");
@@ -131,7 +132,7 @@
     }
 }
 
-/// Commits a turn that `from` holds, or finds it committed.
+/// Commits a turn that `from` holds, unless it is committed already.
 pub(super) fn commit_held(entry: &entry::Entry, from: &str, held: side::Held) -> Recovery {
     let shard = entry.keeper.shard_of(&held.program);
     let (name, turn) = (held.program.clone(), held.turn);
--- a/fw-entry/src/connection/recover_entries.rs
+++ b/fw-entry/src/connection/recover_entries.rs
@@ -1,9 +1,10 @@
-//! Asks the other entries for answered turns of shards that were taken from the journal.
+//! Queries the other entries for answered turns of shards that this entry has taken over.
 //!
-//! A keeper whose lease lapsed may live: it was cut off from the store, paused or kept waiting for
-//! processor time, and its successor learns from the store only that it is gone. All entries are asked,
-//! since the journal does not tell which one gave out an answer last. One call brings all shards that
-//! were taken since the last one, so that a dead entry costs each other one call to each.
+//! A keeper whose lease lapsed may still run: it was cut off from the store, suspended or short of
+//! processor time, while its successor can see in the store only that the lease is gone. All entries
+//! are queried, since the journal does not record which one delivered an answer last. One call covers
+//! all shards taken since the previous one, so that after the death of an entry each remaining entry
+//! makes one call to each other.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,17 +24,17 @@
 use super::recover;
 use crate::process::entry;
 
-/// Time between two looks for shards that were taken: small beside the lease that was waited for, and
-/// long enough that the many loaded at a start are asked for together.
+/// Interval between two checks for shards that were taken: short compared with the lease that had to
+/// lapse first, and long enough that the many shards loaded at a start are covered by one query.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Pause before an entry that did not answer is asked again.
+/// Delay before an entry that did not answer is queried again.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Replies asked for in one go.
+/// Most replies fetched in one run.
 const MAX_REPLIES: usize = 64;
 
-/// The other entries as those who may have kept a shard before.
+/// The other entries, as possible previous keepers of taken shards.
 #[derive(Debug, Default)]
 pub struct Predecessors {
     entries: Mutex<HashMap<id::EntryId, Predecessor>>,
@@ -44,12 +45,12 @@
     holder: takeover::Holder,
     /// A call is under way.
     is_queried: bool,
-    /// When the next call may be made, after one without an answer.
+    /// Earliest time of the next call, after one without an answer.
     retry_at: Option<Instant>,
 }
 
 impl Predecessors {
-    /// An entry as one that may hold turns of taken shards.
+    /// The state of `entry` as a possible holder of turns of taken shards.
     pub fn holder(&self, entry: &id::EntryId) -> takeover::Holder {
         let entries = self.entries.lock();
         entries
@@ -58,7 +59,8 @@
             .unwrap_or_default()
     }
 
-    /// Whether `entry` may be asked at `now`, and when the last question that it answered was sent.
+    /// `Some` if `entry` may be queried at `now`, with the time at which the last query that it
+    /// answered was sent.
     fn ready_to_query(&self, entry: &id::EntryId, now: Instant) -> Option<Option<Instant>> {
         let mut entries = self.entries.lock();
         let predecessor = entries.entry(entry.clone()).or_default();
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The call brought answers, and not all of them.
+    /// Records a call that was answered in part.
     fn record_incomplete(&self, entry: &id::EntryId) {
         if let Some(predecessor) = self.entries.lock().get_mut(entry) {
             predecessor.is_queried = false;
@@ -101,13 +103,14 @@
     }
 }
 
-/// Asks the other entries whenever shards were taken, until the future is dropped.
+/// Queries the other entries whenever shards were taken, until the future is dropped.
 pub async fn run(entry: Arc<entry::Entry>) {
     let mut queries = tokio::task::JoinSet::new();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         while queries.try_join_next().is_some() {}
-        // Most of the time nothing was taken lately; in a large fleet even the list of others costs.
+        // Usually no shard was taken recently, and listing the other entries is costly in a large
+        // fleet.
         let grace = takeover::Options::default().grace;
         let loaded = entry.keeper.last_loaded_at();
         if loaded.is_none_or(|at| at.elapsed() > grace) {
@@ -116,7 +119,7 @@
         let others = others(&entry);
         entry.predecessors.retain(&others);
         for (other, addr) in others {
-            // Before the shards are listed: one that is taken meanwhile is asked for next time.
+            // Taken before the shards are listed: a shard taken in between is part of the next query.
             let sent = Instant::now();
             let Some(last_answered) = entry.predecessors.ready_to_query(&other, sent) else {
                 continue;
@@ -131,7 +134,7 @@
     }
 }
 
-/// The shards that were taken after `heard` and still wait for what others hold.
+/// The shards that were taken after `since` and whose recovery is within its grace period.
 fn shards_to_query(
     entry: &entry::Entry,
     since: Option<Instant>,
@@ -149,7 +152,7 @@
         .collect()
 }
 
-/// Asks `other` for what it holds of the shards `taken`, and commits it.
+/// Fetches the turns of the shards `taken` that `other` holds, and commits them.
 async fn query(
     entry: Arc<entry::Entry>,
     other: id::EntryId,
@@ -176,14 +179,15 @@
         let last = reply.turns.last().map(|held| (held.turn, held.attempt));
         after = last.or(after);
         for held in reply.turns {
-            // A turn before it may come from a side yet. The other entry offers it again by itself.
+            // An earlier turn may still arrive from a side. The other entry offers this one again
+            // without a query.
             let _offered_again = recover::commit_held(&entry, &other, held);
         }
         if !reply.more {
             return entry.predecessors.record_answer(&other, sent);
         }
     }
-    // More than can be asked for in one go: all of it is asked for anew.
+    // More turns than one run fetches: the next run starts from the first one.
     entry.predecessors.record_incomplete(&other);
 }
 
--- a/fw-entry/src/connection/recover_sides.rs
+++ b/fw-entry/src/connection/recover_sides.rs
@@ -1,4 +1,4 @@
-//! Asks sides for the answered turns that they hold for an earlier keeper.
+//! Queries sides for the answered turns that they hold for a previous keeper.
 
 use std::sync::Arc;
 
@@ -13,21 +13,21 @@
 use crate::process::entry;
 use crate::turn::upstream;
 
-/// Replies asked for in one go; what is left is asked for with the next heartbeat.
+/// Most replies fetched in one run; the rest is fetched with the next heartbeat.
 const MAX_REPLIES: usize = 16;
 
-/// Heartbeats that a held turn waits for one before it, which another side may hold.
+/// Heartbeats for which a held turn waits for an earlier one, which another side may hold.
 const MAX_TRIES: u32 = 20;
 
-/// How asking a side for the held turns of its shards went.
+/// Result of collecting the held turns of a side.
 struct Collected {
-    /// The last reply said that there is no more.
+    /// The side has reported all of them.
     is_complete: bool,
-    /// Shards of which a turn is missing before one that is held.
+    /// Shards in which a turn before a held one is missing.
     gaps: Vec<id::ShardId>,
 }
 
-/// Asks `side` for the held turns of `shards` and commits them.
+/// Fetches the turns of `shards` that `side` holds, and commits them.
 pub async fn run(entry: Arc<entry::Entry>, side: Arc<sides::Side>, shards: Vec<id::ShardId>) {
     let collected = collect(&entry, &side, &shards).await;
     side.update(|state| {
@@ -66,8 +66,8 @@
                 gaps,
             };
         }
-        // The side tells the same turns again until it may forget them. If this ends badly, the
-        // same are told again.
+        // The side reports the same turns until they are released. If releasing them fails, the next
+        // reply contains them again.
         let _ended = forgotten.await;
     }
     Collected {
@@ -76,15 +76,15 @@
     }
 }
 
-/// Lets the side forget turns as they are in the store. That may take long, and the turns of other
-/// programs must not wait for it, nor the side's heartbeats.
+/// Lets the side drop turns once they are in the store. This may take long, so it runs in a task of
+/// its own: the turns of other programs and the side's heartbeats must not wait for it.
 async fn forget(
     entry: Arc<entry::Entry>,
     side: Arc<sides::Side>,
     taken: Vec<(id::AttemptId, keeper::Ticket)>,
 ) {
     for (attempt, ticket) in taken {
-        // If it fails, the turn is known here, but not in the store: the side goes on holding it.
+        // On failure the turn is committed in memory but not in the store: the side keeps it.
         if entry.keeper.wait_durable(ticket).await.is_ok() {
             upstream::forget(&entry, &side, attempt).await;
         }
@@ -109,10 +109,11 @@
 }
 
 impl sides::State {
-    /// The side was asked for the held turns of `shard`.
+    /// Records that the side was queried for the held turns of `shard`.
     ///
-    /// A call that brought no answer, or not all, changes nothing: the shard counted as heard when it
-    /// failed, and served without the turns that the side had told of.
+    /// A query without an answer, or with an incomplete one, changes nothing. Otherwise the shard
+    /// would count as recovered although the query failed, and would be served without the turns
+    /// that the side had announced.
     fn record_collected(&mut self, shard: id::ShardId, failed: bool, has_gap: bool) {
         let tries = self.recovering.get(&shard).copied().unwrap_or(0) + 1;
         if failed {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The side as one that may hold turns of `shard`.
+    /// The state of the side as a possible holder of turns of `shard`.
     pub(super) fn holder_of(&self, shard: id::ShardId) -> takeover::Holder {
         takeover::Holder {
             has_pending_turns: self.recovering.contains_key(&shard),
--- a/fw-entry/src/connection/sides.rs
+++ b/fw-entry/src/connection/sides.rs
@@ -1,4 +1,4 @@
-//! The sides that this entry works with, and what it knows of their upstreams.
+//! Registry of the sides that this entry uses, with the state of their upstreams.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -40,22 +40,22 @@
 }
 
 impl Instance {
-    /// Whether the list says that the upstream leaves.
+    /// Whether the list marks the upstream as leaving.
     pub fn is_leaving(&self) -> bool {
         self.state == "leaving"
     }
 }
 
-/// What is known of one service's upstreams, and the decisions about them.
+/// State of one service's upstreams, and the policies that decide about them.
 #[derive(Debug)]
 pub struct Service {
-    /// Placement.
+    /// The view of load and caches that placement uses.
     pub view: place::View,
     /// Which upstreams may get new work.
     pub health: health::Health,
     /// The retry budget.
     pub retry: retry::Budget,
-    /// When plain reads are hedged.
+    /// Hedging of plain reads.
     pub hedge: hedge::Hedge,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Brings placement in line with health.
+    /// Updates the upstream's weight in placement from its health.
     pub fn refresh(&mut self, now: Duration, upstream: &id::UpstreamId) {
         let weight = self.health.decide(now, upstream).weight();
         self.view.set_health(upstream, weight);
@@ -79,12 +79,12 @@
 /// One side.
 #[derive(Debug)]
 pub struct Side {
-    /// What the instance list says of it.
+    /// Its line in the instance list.
     pub instance: Instance,
     state: Mutex<State>,
 }
 
-/// What this entry knows of a side.
+/// This entry's current view of a side.
 #[derive(Clone, Debug, Default)]
 pub struct State {
     /// The side's incarnation; 0 before its first heartbeat.
@@ -95,30 +95,31 @@
     pub cache_seen: u64,
     /// Shards of this entry with sessions there.
     pub shards: BTreeSet<id::ShardId>,
-    /// Programs that the side asked after.
+    /// Programs whose state the side requested.
     pub queried_programs: Vec<id::ProgramId>,
-    /// When it was heard, as one that may hold turns of a shard; `owes` stands in `recovering`.
+    /// Its contacts, as a possible holder of turns of any shard; `has_pending_turns` is set for each
+    /// shard from `recovering`.
     pub holder: takeover::Holder,
-    /// Shards of which the side holds turns that are not in the journal, and how often it was
-    /// asked for them.
+    /// Shards of which the side holds turns that are not in the journal, with the number of queries
+    /// for them.
     pub recovering: BTreeMap<id::ShardId, u32>,
     /// The last heartbeat was answered.
     pub reachable: bool,
 }
 
 impl Side {
-    /// What is known of the side at present.
+    /// The current state.
     pub fn state(&self) -> State {
         self.state.lock().clone()
     }
 
-    /// Changes what is known of the side.
+    /// Changes the state under its lock.
     pub fn update<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         change(&mut self.state.lock())
     }
 }
 
-/// How sides are treated.
+/// Options of the registry.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
     /// Longest wait for a connection.
@@ -131,7 +132,7 @@
     pub hedge: hedge::Options,
 }
 
-/// All sides that this entry works with.
+/// All sides that this entry uses.
 #[derive(Debug)]
 pub struct Sides {
     /// Connections to them.
@@ -142,17 +143,17 @@
     has_list: AtomicBool,
 }
 
-/// What a new instance list changed.
+/// Difference between two instance lists.
 #[derive(Debug, Default)]
 pub struct Change {
-    /// Sides that are new, or have a new address.
+    /// Sides that are new or have a new address.
     pub added: Vec<Arc<Side>>,
     /// Sides that are gone.
     pub removed: Vec<Arc<Side>>,
 }
 
 impl Sides {
-    /// Without any side.
+    /// A registry without sides.
     pub fn new(options: Options) -> Self {
         Self {
             pool: pool::Pool::new(options.connect_timeout),
@@ -163,7 +164,7 @@
         }
     }
 
-    /// The service of this name; made up empty if it is not known.
+    /// The service of this name; created without upstreams if there is none.
     pub fn service(&self, name: &id::ServiceId) -> Arc<Mutex<Service>> {
         let mut services = self.services.lock();
         if let Some(service) = services.get(name) {
@@ -184,25 +185,25 @@
         self.sides.lock().values().map(Arc::clone).collect()
     }
 
-    /// Whether an instance list has come since the start: before, no side is known, and some may hold
-    /// what this entry must not serve without.
+    /// Whether an instance list was received since the start. Before that no side is known, and one
+    /// may hold turns that must be recovered before a shard is served.
     pub fn has_list(&self) -> bool {
         self.has_list.load(Ordering::Acquire)
     }
 
-    /// How many sides there are.
+    /// Number of sides.
     pub fn len(&self) -> usize {
         self.sides.lock().len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no sides.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes over a new instance list, cut down to the instances that this entry watches.
+    /// Applies a new instance list, reduced to the instances that this entry watches.
     ///
-    /// An instance that the list lacks is kept while it answers heartbeats: the list lags.
+    /// An instance missing in the list is kept while it answers heartbeats, since the list may lag.
     pub fn update_list(&self, now: Duration, list: &[Instance]) -> Change {
         let mut change = Change::default();
         let mut sides = self.sides.lock();
@@ -244,7 +245,7 @@
             let service = self.service(&side.instance.service);
             let mut service = service.lock();
             service.view.add(&side.instance.id, &side.instance.place);
-            // Unusable until its first heartbeat is answered.
+            // Not used until its first heartbeat is answered.
             service.view.set_health(&side.instance.id, 0.0);
         }
         let mut lines: HashMap<&id::ServiceId, Vec<health::ListedUpstream>> = HashMap::new();
--- a/fw-entry/src/lib.rs
+++ b/fw-entry/src/lib.rs
@@ -1,7 +1,8 @@
-//! The entry: callers' HTTP, admission, keeper of programs, operators' records in force.
+//! The entry process: serves callers over HTTP, admits calls, keeps programs, and applies the
+//! operators' records.
 //!
-//! Modules follow life spans: [`request`] and [`turn`] end with their call, [`connection`] with its
-//! peer, [`version`] with a change of the records, [`process`] with the entry.
+//! Modules are split by lifetime: [`request`] and [`turn`] hold state of one call, [`connection`] of
+//! one connection, [`version`] of one version of the records, [`process`] of the process.
 
 pub mod connection;
 pub mod process;
--- a/fw-entry/src/process/admission.rs
+++ b/fw-entry/src/process/admission.rs
@@ -1,5 +1,5 @@
-//! Admission of this entry: the decisions of `fw_plan::admit` behind one lock, and permits that
-//! report back however a call ends.
+//! Admission control of this entry: `fw_plan::admit` behind one lock, with permits that report the end
+//! of a call on drop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 /// Counter of refused admissions, by lane and kind.
 pub const REFUSED: &str = "fw_entry_admissions_refused_total";
 
-/// Admission, shared by all requests.
+/// Admission control, shared by all requests.
 #[derive(Clone, Debug)]
 pub struct Admission {
     start: Instant,
     admit: Arc<Mutex<admit::Controller>>,
 }
 
-/// An admitted call. Dropping it frees its place.
+/// Permit of an admitted call; released on drop.
 #[derive(Debug)]
 pub struct Permit {
     admission: Admission,
@@ -30,7 +30,7 @@
 }
 
 impl Admission {
-    /// Admission with nothing in flight.
+    /// Admission control without calls in flight.
     pub fn new(options: admit::Options) -> Self {
         Self {
             start: Instant::now(),
@@ -38,11 +38,11 @@
         }
     }
 
-    /// Asks for a call to be admitted.
+    /// Admits a call.
     ///
     /// # Errors
     ///
-    /// With the reason and a time to retry, when it is not; it did not run.
+    /// When the call is refused, with the reason and a time to retry; it did not run.
     pub fn enter(&self, req: admit::Request) -> Result<Permit, error::Error> {
         let now = self.start.elapsed();
         let mut admit = self.admit.lock();
@@ -61,14 +61,14 @@
         })
     }
 
-    /// Learns a queueing delay of turns from a side's report.
+    /// Records a queueing delay of turns that a side reported.
     pub fn observe(&self, delay: Duration) {
         self.admit.lock().observe(delay);
     }
 }
 
 impl Permit {
-    /// Notes how long the call waited in queues.
+    /// Records how long the call waited in queues.
     pub fn record_queue_delay(&mut self, delay: Duration) {
         self.queued = delay;
     }
--- a/fw-entry/src/process/attempts.rs
+++ b/fw-entry/src/process/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts whose events this entry holds, by id.
+//! Table of the attempts whose events this entry buffers, by id.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 use parking_lot::Mutex;
 use tokio_util::sync::CancellationToken;
 
-/// Locks that the table is spread over, so that reads of different attempts seldom meet.
+/// Number of locks of the table, so that reads of different attempts seldom contend.
 const LOCKS: usize = 64;
 
-/// How long an ended attempt can still be read: a reader whose connection went silent notices it
-/// and is back well within this time.
+/// How long an ended attempt can still be read. A reader whose connection stopped responding detects
+/// this and reconnects well within this time.
 const ENDED_RETENTION: Duration = Duration::from_secs(60);
 
 /// The table of attempts.
@@ -36,11 +36,11 @@
 /// The readers of one turn, over all its attempts.
 #[derive(Debug, Default)]
 struct Readers {
-    /// Callers that read the turn and have not said that they went away.
+    /// Callers that read the turn and have not detached.
     count: AtomicU32,
-    /// Cancelled when the last of them went away.
+    /// Cancelled when the last of them detaches.
     abandoned: CancellationToken,
-    /// Cancelled when the turn's program was ended.
+    /// Cancelled when the turn's program is ended.
     stopped: CancellationToken,
 }
 
@@ -69,8 +69,8 @@
         shard.get(&attempt).map(|slot| Arc::clone(&slot.buf))
     }
 
-    /// Whether reading `attempt` brings an answer, now or later: it is known, and the attempt under
-    /// which its turn goes on has not ended with an error.
+    /// Whether reading `attempt` yields an answer, now or later: the table contains it, and the attempt
+    /// that continues its turn has not ended with an error.
     pub fn has_answer(&self, mut attempt: id::AttemptId) -> bool {
         while let Some(buf) = self.get(attempt) {
             match buf.state() {
@@ -84,7 +84,7 @@
         false
     }
 
-    /// Adds the attempt `new` under which the turn of `old` goes on, with the same readers.
+    /// Adds the attempt `new` that continues the turn of `old`, with the same readers.
     pub fn continue_as(&self, old: id::AttemptId, new: id::AttemptId) -> Arc<buffer::Buffer> {
         let readers = self.readers(old).unwrap_or_default();
         let buf = self.open(new);
@@ -97,15 +97,14 @@
         buf
     }
 
-    /// One more caller reads `attempt`.
+    /// Adds a reader of `attempt`.
     pub fn attach(&self, attempt: id::AttemptId) {
         if let Some(readers) = self.readers(attempt) {
             readers.count.fetch_add(1, Ordering::AcqRel);
         }
     }
 
-    /// A caller that read `attempt` went away. When it was the last, whoever runs the attempt
-    /// learns it through [`Table::abandoned_token`].
+    /// Removes a reader of `attempt`. When it was the last, [`Table::abandoned_token`] is cancelled.
     pub fn detach(&self, attempt: id::AttemptId) {
         let Some(readers) = self.readers(attempt) else {
             return;
@@ -116,20 +115,20 @@
         }
     }
 
-    /// Tells whoever runs `attempt` to stop, whoever reads it.
+    /// Stops the task that runs `attempt`, even if it has readers.
     pub fn stop(&self, attempt: id::AttemptId) {
         if let Some(readers) = self.readers(attempt) {
             readers.stopped.cancel();
         }
     }
 
-    /// A token that is cancelled by [`Table::stop`].
+    /// Token that is cancelled by [`Table::stop`].
     pub fn stop_token(&self, attempt: id::AttemptId) -> CancellationToken {
         let readers = self.readers(attempt).unwrap_or_default();
         readers.stopped.clone()
     }
 
-    /// A token that is cancelled once nobody reads `attempt` any more.
+    /// Token that is cancelled once `attempt` has no reader left.
     pub fn abandoned_token(&self, attempt: id::AttemptId) -> CancellationToken {
         let readers = self.readers(attempt).unwrap_or_default();
         readers.abandoned.clone()
@@ -151,14 +150,14 @@
         }
     }
 
-    /// Forgets attempts that ended long enough ago. To be called every second or so.
+    /// Removes attempts whose retention has expired. To be called about once a second.
     pub fn sweep(&self, now: Instant) {
         for shard in &self.shards {
             shard.lock().retain(|_, slot| is_kept(slot, now));
         }
     }
 
-    /// How many attempts have not ended.
+    /// Number of attempts that have not ended.
     pub fn running_count(&self) -> usize {
         let open = |shard: &Mutex<HashMap<_, Slot>>| {
             let shard = shard.lock();
--- a/fw-entry/src/process/entry.rs
+++ b/fw-entry/src/process/entry.rs
@@ -1,4 +1,4 @@
-//! One running entry: everything that its requests, connections and turns share.
+//! State of a running entry, shared by its requests, connections and turns.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,9 +29,9 @@
 use crate::connection::sides;
 use crate::version::records;
 
-/// What the requests of one entry share.
+/// Shared state of one entry.
 pub struct Entry {
-    /// Name of this process among all entries.
+    /// Id of this process, unique among all entries.
     pub id: id::EntryId,
     /// The settings.
     pub settings: conf::Settings,
@@ -43,25 +43,25 @@
     pub store: fw_store::Client,
     /// Shards, programs and claims kept here.
     pub keeper: keeper::Keeper,
-    /// Turns whose answers were given out without the store.
+    /// Turns whose answers were delivered before the store had them.
     pub held: held::HeldTurns,
-    /// What was heard of other entries about shards taken here.
+    /// Queries to other entries about shards taken here.
     pub predecessors: recover_entries::Predecessors,
-    /// Events of the attempts kept here.
+    /// Events of the attempts that run here.
     pub attempts: attempts::Table,
     /// Admission of turns and plain requests.
     pub admission: admission::Admission,
-    /// Requests that crash upstreams.
+    /// Detection of requests that crash upstreams.
     pub poison: Mutex<poison::Tracker>,
-    /// Sides and what is known of their upstreams.
+    /// Sides and the state of their upstreams.
     pub sides: sides::Sides,
-    /// What other entries say of themselves.
+    /// Statuses received from other entries.
     pub peer_list: peers::Peers,
     /// Connections to other entries.
     pub peers: pool::Pool<peer::PeerClient>,
-    /// Plain requests to sides.
+    /// HTTP client for plain requests to sides.
     pub http: fw_http::Client,
-    /// Decisions, for operators.
+    /// Log of decisions, for operators.
     pub explain: Arc<explain::Log>,
     /// Renders the metrics, if a recorder is installed.
     pub metrics: Option<metrics_exporter_prometheus::PrometheusHandle>,
@@ -69,28 +69,28 @@
     pub tasks: TaskTracker,
     /// Requests of callers under way.
     pub requests: TaskTracker,
-    /// Cancelled when the entry is about to stop: the balancer should send nothing more.
+    /// Cancelled when the shutdown is announced: the load balancer should send no further calls.
     pub leaving: CancellationToken,
-    /// Cancelled when the entry is killed: whatever it does ends at once.
+    /// Cancelled when the entry is killed: all tasks end at once.
     pub killed: CancellationToken,
-    /// Cancelled when the entry stops: nothing new is taken.
+    /// Cancelled when the entry stops: no further calls are accepted.
     pub stopping: CancellationToken,
-    /// Start of the clock that the decision modules see.
+    /// Start of the clock that the decision modules use.
     pub start: Instant,
 }
 
-/// A request under way: a graceful stop waits until it is dropped.
+/// Marks a request as under way: a graceful shutdown waits until it is dropped.
 #[derive(Debug)]
 pub struct Guard {
     _token: tokio_util::task::task_tracker::TaskTrackerToken,
 }
 
 impl Entry {
-    /// Notes a request as under way.
+    /// Registers a request as under way.
     ///
     /// # Errors
     ///
-    /// `ShuttingDown` when the entry takes nothing new.
+    /// `ShuttingDown` when the entry accepts no further calls.
     pub fn enter(&self) -> Result<Guard, error::Error> {
         let token = self.requests.token();
         if self.stopping.is_cancelled() {
@@ -101,7 +101,7 @@
         Ok(Guard { _token: token })
     }
 
-    /// Notes work as under way that goes on although the entry takes nothing new.
+    /// Registers work as under way even during a shutdown, for calls accepted before it.
     pub fn enter_always(&self) -> Guard {
         Guard {
             _token: self.requests.token(),
@@ -113,23 +113,23 @@
         self.start.elapsed()
     }
 
-    /// How long to look for the keeper of a shard: a dead one's lease, and the take-over.
+    /// How long to look for the keeper of a shard: the lease of a dead keeper plus the take-over.
     pub fn keeper_timeout(&self) -> Duration {
         self.settings.keeper.lease_ttl * 2
     }
 
     /// Whether the store answers other entries but has not answered this one for `silence`.
     ///
-    /// In an outage for all nobody can take this entry's shards, and its programs go on. Cut off
-    /// alone, it may have lost them without knowing: an answer that it gave out then would be
-    /// missing in the history of the shard's new keeper.
+    /// In an outage that affects all entries, none can take this entry's shards, and its programs
+    /// continue. If only this entry is cut off, it may have lost its shards without noticing: an answer
+    /// that it delivered then would be missing in the history of the shard's new keeper.
     pub fn is_cut_off(&self, silence: Duration) -> bool {
         let ttl = self.settings.keeper.lease_ttl;
         self.keeper.time_since_contact() > silence && self.peer_list.any_reaches_store(ttl / 2)
     }
 
-    /// The fencing number of `shard`, if it is kept here, all that is held of it is known, and so are
-    /// the records that its turns run by.
+    /// The fencing number of `shard`, if turns of it may be served: the shard is kept here, its recovery
+    /// is complete, and the operators' records are loaded.
     pub fn serving_fence(&self, shard: id::ShardId) -> Option<id::Fence> {
         if !self.records.is_loaded() {
             return None;
@@ -145,16 +145,17 @@
         recover::is_complete(self, shard).then_some(fence)
     }
 
-    /// Whether a refusal that rests on what is kept here of `shard` may be given to a caller.
+    /// Whether a refusal that is based on the state of `shard` here may be returned to a caller.
     ///
-    /// A keeper whose lease may have lapsed, without its having heard so, knows the past of programs
-    /// that may have gone on elsewhere. It told callers, for good, that their next turn was out of order
-    /// or their program unknown. What the caller may send again does no harm.
+    /// A keeper whose lease may have lapsed unnoticed holds an outdated state of programs that may have
+    /// continued elsewhere. It would refuse a turn as out of order, or a program as unknown, with an
+    /// error that callers do not retry. Errors that the caller may retry do no harm.
     pub fn may_refuse(&self, shard: id::ShardId, err: &error::Error) -> bool {
         err.kind.row().retry || self.keeper.is_sole_keeper_of(shard)
     }
 
-    /// Whether the keeper of `program`, if this is it, knows that its engine memory may be freed.
+    /// Whether the KV cache of `program` may be freed: this entry keeps it, and it has ended or does not
+    /// exist.
     pub fn may_release(&self, program: &id::ProgramId) -> bool {
         let shard = self.keeper.shard_of(program);
         let gone = self.keeper.with_shard(shard, |shard| {
@@ -164,8 +165,9 @@
         gone.is_ok_and(|changed| changed.value)
     }
 
-    /// Tells all sides that hold sessions of the program's shard, or whose engine was seen to hold
-    /// its memory, to free that. A side that does not hear it asks after the program later.
+    /// Requests the release of the program's KV cache at all sides that have sessions of its shard or
+    /// whose engine was observed to hold its prefix. A side that does not receive the request asks about
+    /// the program later.
     pub async fn release(&self, program: &id::ProgramId) {
         let shard = self.keeper.shard_of(program);
         let Some(fence) = self.keeper.fence(shard) else {
@@ -190,7 +192,7 @@
         }
     }
 
-    /// How this entry stands, for other entries and operators.
+    /// Status of this entry, for other entries and operators.
     pub fn status(&self) -> peer::PeerStatus {
         let sides = self.sides.all();
         let revisions = sides.iter().map(|side| side.update(|state| state.revision));
@@ -208,7 +210,7 @@
     }
 }
 
-/// Serves other entries.
+/// RPC service for other entries.
 #[derive(Clone)]
 pub struct PeerService(pub Arc<Entry>);
 
@@ -246,8 +248,9 @@
         recover::accept(&self.0, held).await
     }
 
-    /// The keeper of the shards asks, so they are not this entry's any more. It stops giving out
-    /// answers of theirs before it tells what it gave out: an answer in between would be told to no one.
+    /// Reports delivered turns to the new keeper of `req.shards`, which this entry keeps no longer. It
+    /// stops delivering answers of these shards before it lists the delivered ones: an answer delivered
+    /// in between would be reported to no keeper.
     async fn held(self, _cx: tarpc::context::Context, req: peer::HeldQuery) -> side::HeldReply {
         for (shard, fence) in &req.shards {
             self.0.keeper.supersede(*shard, *fence);
--- a/fw-entry/src/process/explain.rs
+++ b/fw-entry/src/process/explain.rs
@@ -1,7 +1,7 @@
-//! A bounded record of decisions, for `foxtailweir explain`.
+//! Bounded log of decisions, for `foxtailweir explain`.
 //!
-//! Why a call was placed, delayed, retried or refused is kept for the latest programs only; the
-//! oldest program's record makes room for a new one.
+//! It keeps the reasons for which calls were placed, delayed, retried or refused, for the most recent
+//! programs only: the log of the oldest program is evicted for a new one.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// Most decisions kept of one program; the first ones give way.
+/// Most decisions kept for one program; the oldest are dropped first.
 const PER_PROGRAM: usize = 64;
 
 /// One decision.
@@ -21,13 +21,13 @@
 pub struct Event {
     /// Milliseconds since the entry started.
     pub at_ms: u64,
-    /// What was decided: `placed`, `retried`, `refused`, `committed`, ….
+    /// Label of the decision: `placed`, `retried`, `refused`, `committed`, ….
     pub what: SmolStr,
-    /// Why, in words with the figures that decided.
+    /// Reason for the decision, with the figures behind it.
     pub why: String,
 }
 
-/// The record.
+/// Log of decisions by program.
 #[derive(Debug)]
 pub struct Log {
     start: Instant,
@@ -42,7 +42,7 @@
 }
 
 impl Log {
-    /// An empty record that keeps the decisions of `max_programs` programs.
+    /// An empty log that keeps the decisions of at most `max_programs` programs.
     pub fn new(max_programs: usize) -> Self {
         Self {
             start: Instant::now(),
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Time since the record began: the clock of the pure decision modules.
+    /// Time since the log was created: the clock of the pure decision modules.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Notes a decision about `program`.
+    /// Records a decision about `program`.
     pub fn record(&self, program: &str, what: &'static str, why: String) {
         if self.max_programs == 0 {
             return;
--- a/fw-entry/src/process/held.rs
+++ b/fw-entry/src/process/held.rs
@@ -1,7 +1,7 @@
-//! Turns whose answers were given out while the store did not answer.
+//! Turns whose answers were delivered while the store did not answer.
 //!
-//! They are in the memory of their keeper's shard as well, but that is dropped when another entry has
-//! taken the shard. The successor asks for them before it serves (`connection::recover_entries`).
+//! The shard's state in memory contains them as well, but it is dropped when another entry takes the
+//! shard. The successor queries them before it serves (`connection::recover_entries`).
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -11,28 +11,29 @@
 use fw_wire::side;
 use parking_lot::Mutex;
 
-/// Bytes of messages in one reply: a third of the largest message, which JSON may double.
+/// Most bytes of messages in one reply: a third of the largest message on the wire, since JSON may
+/// double their size.
 const MAX_BYTES: usize = 8 << 20;
 
-/// The turns, in the order in which a successor can take them.
+/// Held turns, in the order in which a successor can commit them.
 #[derive(Debug, Default)]
 pub struct HeldTurns {
     turns: Mutex<BTreeMap<peer::HeldPlace, side::Held>>,
 }
 
 impl HeldTurns {
-    /// Adds a turn. To be called before its answer is given out.
+    /// Adds a turn. To be called before its answer is delivered.
     pub fn insert(&self, held: side::Held) {
         let cursor = (held.turn, held.attempt);
         self.turns.lock().insert(cursor, held);
     }
 
-    /// Forgets a turn that is in the store, or with the next keeper.
+    /// Removes a turn that is in the store or was accepted by the next keeper.
     pub fn remove(&self, turn: id::Turn, attempt: id::AttemptId) {
         self.turns.lock().remove(&(turn, attempt));
     }
 
-    /// The turns of `shards` that stand after `after`, as many as fit one reply.
+    /// The turns of `shards` that come after `after`, as many as fit into one reply.
     pub fn reply(
         &self,
         shards: &HashSet<id::ShardId>,
--- a/fw-entry/src/process/keepers.rs
+++ b/fw-entry/src/process/keepers.rs
@@ -1,8 +1,8 @@
-//! Finds the keeper of a shard and calls it, here or at another entry.
+//! Calls to the keeper of a shard, at this entry or at another one.
 //!
-//! The address of a keeper is a hint that the keeper itself checks when it is called. A stale hint
-//! costs a redirect; it never makes two entries act on one program, because the keeper acts only
-//! under its own lease and every commit compares the fencing number.
+//! The cached address of a keeper is a hint that the callee verifies. A stale hint costs a redirect,
+//! but never lets two entries act on one program: a keeper acts only under its own lease, and every
+//! commit compares the fencing number.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,45 +17,46 @@
 use super::entry;
 use crate::connection::pool;
 
-/// Counter of calls that had to look for the keeper again, by reason.
+/// Counter of repeated lookups of a keeper, by reason.
 pub const REDIRECTS: &str = "fw_entry_redirects_total";
 
-/// Pause before a keeper is looked for again.
+/// Delay before a keeper is looked up again.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What one try brought.
+/// Outcome of one try of a call.
 #[derive(Debug)]
 pub enum CallOutcome<T> {
-    /// The keeper's answer.
+    /// The keeper answered.
     Answered(T),
     /// The receiver does not keep the shard.
     NotKeeper,
 }
 
-/// Where a call was answered.
+/// The entry that answered a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Location {
-    /// At this entry.
+    /// This entry.
     Local,
-    /// At the entry with this address.
+    /// The entry at this address.
     Remote(SocketAddr),
 }
 
-/// A call to a keeper.
+/// Options of a call to a keeper.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// How long to look for a keeper: a little more than a dead one's lease.
+    /// How long to look for a keeper: somewhat longer than the lease of a dead one.
     pub timeout: Duration,
     /// Whether the call may be sent again after it may have been received.
     pub idempotent: bool,
 }
 
-/// Calls the keeper of `shard`: `here` if this entry keeps it, else `there` over a connection.
+/// Calls the keeper of `shard`: `local` if this entry keeps it, else `remote` over a connection.
 ///
 /// # Errors
 ///
-/// `KeeperUnavailable` when no keeper is found in time: the call was not received by any.
-/// `KeeperLost` when a keeper may have received it, and it is not idempotent or no other was found.
+/// `KeeperUnavailable` when no keeper is found in time: none has received the call.
+/// `KeeperLost` when a keeper may have received it, and the call is not idempotent or no other keeper
+/// was found.
 pub async fn call<T, H, R>(
     entry: &entry::Entry,
     shard: id::ShardId,
@@ -112,7 +113,7 @@
     }
 }
 
-/// The error of a call whose keeper may have received it and is gone.
+/// The error of a call that a keeper may have received before the connection to it broke.
 pub fn keeper_lost() -> error::Error {
     let message = "the program's keeper broke off; ask for the program's turn before sending again";
     error::Error::new(error::Kind::KeeperLost, message)
@@ -126,7 +127,7 @@
 where
     R: Future<Output = Result<CallOutcome<T>, client::RpcError>>,
 {
-    // An address that is none was written by no entry of ours.
+    // An address that does not parse was not written by an entry.
     let address = address.parse().map_err(|_| pool::Failure::Unsent)?;
     let outcome = entry.peers.call(address, remote).await?;
     Ok((Location::Remote(address), outcome))
--- a/fw-entry/src/process/members.rs
+++ b/fw-entry/src/process/members.rs
@@ -1,4 +1,4 @@
-//! Keeps up with the platform's instance list: which sides there are, and which this entry watches.
+//! Follows the platform's instance list and runs heartbeats to the sides that this entry watches.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 /// Counter of instance lists fetched, by outcome.
 pub const FETCHES: &str = "fw_entry_instance_lists_total";
 
-/// Follows the instance list until the future is dropped, and sends heartbeats meanwhile.
+/// Polls the instance list and runs heartbeats until the future is dropped.
 pub async fn run(entry: Arc<entry::Entry>) {
     let Some(url) = entry.settings.platform.instances.clone() else {
         info!("no instance list is set: there are no upstreams");
@@ -32,7 +32,7 @@
         let list = fetch(&http, &url).await;
         let outcome = if list.is_some() { "ok" } else { "failed" };
         metrics::counter!(FETCHES, "outcome" => outcome).increment(1);
-        // Without a list the last one stands: own observations go on.
+        // If the fetch fails, the last list stays in force and heartbeats continue.
         if let Some(list) = list {
             let watched = select_watched(&entry, list);
             let change = entry.sides.update_list(entry.now(), &watched);
@@ -46,7 +46,8 @@
     serde_json::from_slice(&answer.body).ok()
 }
 
-/// The instances that this entry is to watch: all in a small fleet, its part in a large one.
+/// The instances that this entry watches: all in a small fleet, its subset in a large one, and those
+/// with sessions of its shards.
 fn select_watched(entry: &entry::Entry, list: Vec<sides::Instance>) -> Vec<sides::Instance> {
     if list.len() <= entry.settings.upstream.watch_all {
         return list;
@@ -72,7 +73,7 @@
         .collect()
 }
 
-/// The heartbeats under way, by upstream. Dropping them ends them.
+/// Heartbeat tasks by upstream, aborted on drop.
 #[derive(Default)]
 struct Heartbeats {
     tasks: JoinSet<()>,
--- a/fw-entry/src/process/peers.rs
+++ b/fw-entry/src/process/peers.rs
@@ -1,8 +1,8 @@
-//! What entries tell each other of themselves: place, revision in force, shards, load.
+//! Gossip of entry statuses: place, revision in force, shards, load.
 //!
-//! Each entry asks a few others at random now and then. A revision spreads that way in the
-//! logarithm of their number of rounds, also while the store is away, and the traffic of one entry
-//! does not grow with the fleet.
+//! Each entry exchanges its status with a few random others at a fixed interval. A revision spreads to
+//! n entries in O(log n) rounds, even while the store is unreachable, and the traffic of one entry does
+//! not grow with the fleet.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,16 +19,16 @@
 
 use super::entry;
 
-/// Time between two rounds.
+/// Interval between two rounds.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// For how long a status tells how things are.
+/// Age up to which a status counts as current.
 const STATUS_MAX_AGE: Duration = Duration::from_secs(3);
 
-/// Entries sampled in one round.
+/// Entries contacted in one round.
 const FANOUT: usize = 2;
 
-/// What other entries last said of themselves.
+/// The last status received from each other entry.
 #[derive(Debug, Default)]
 pub struct Peers {
     statuses: Mutex<HashMap<id::EntryId, Received>>,
@@ -41,7 +41,7 @@
 }
 
 impl Peers {
-    /// Whether some entry told a moment ago that the store answers it.
+    /// Whether the current status of some entry shows that the store answered it less than `within` ago.
     pub fn any_reaches_store(&self, within: Duration) -> bool {
         let statuses = self.statuses.lock();
         statuses.values().any(|received| {
@@ -50,7 +50,7 @@
         })
     }
 
-    /// An entry told its status.
+    /// Records the status that an entry sent.
     pub fn update(&self, entry: &entry::Entry, status: peer::PeerStatus) {
         entry.records.observe_revision(status.revision);
         let received = Received {
@@ -61,7 +61,7 @@
         statuses.insert(received.status.entry.clone(), received);
     }
 
-    /// What the entries that are alive last said.
+    /// The last statuses of the live entries.
     pub fn statuses(&self) -> Vec<peer::PeerStatus> {
         let statuses = self.statuses.lock();
         statuses
@@ -70,8 +70,8 @@
             .collect()
     }
 
-    /// This entry and the others, for [`subset`]. One whose place is not known yet counts as of
-    /// this place.
+    /// This entry and the others, for [`subset`]. An entry whose place has not been received yet counts
+    /// as in this entry's place.
     pub fn members(&self, entry: &entry::Entry) -> Vec<subset::Member> {
         let here = &entry.settings.instance.place;
         let statuses = self.statuses.lock();
@@ -118,7 +118,7 @@
     }
 }
 
-/// The other live entries, as the store lists them.
+/// The other live entries, as listed in the store.
 pub fn other_entries(entry: &entry::Entry) -> Vec<(id::EntryId, SocketAddr)> {
     let entries = entry.keeper.entries().into_iter();
     let others = entries.filter(|(id, _)| *id != entry.id);
--- a/fw-entry/src/process/serve.rs
+++ b/fw-entry/src/process/serve.rs
@@ -1,7 +1,7 @@
-//! Starts an entry, runs it, and stops it without cutting a request.
+//! Lifecycle of an entry: start, serving, and graceful shutdown that drains the requests under way.
 //!
-//! The life cycle is in the types: [`Bound`] has its addresses and serves nobody yet, [`Running`]
-//! serves, and stopping consumes it.
+//! The types encode the states: [`Bound`] has its listeners but does not serve yet, [`Running`] serves,
+//! and stopping consumes it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -47,32 +47,32 @@
 use crate::version::records;
 use crate::version::watch;
 
-/// Time between two sweeps of ended attempts.
+/// Interval between two sweeps of ended attempts.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// After the stop begins, how long the entry still takes new calls while the balancer in front
-/// learns from `/readyz` that it should send none.
+/// Time after the start of a shutdown during which the entry still accepts calls, while the load
+/// balancer in front sees at `/readyz` that it should send none.
 const LEAVE_NOTICE: Duration = Duration::from_millis(500);
 
-/// Longest wait for the head of a plain answer; each call has a shorter timeout of its own.
+/// Longest wait for the head of a plain answer; each call has a shorter timeout.
 const PLAIN_HEAD_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// Why an entry did not start.
+/// Error at the start of an entry.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address cannot be listened on.
+    /// A listener cannot be bound.
     #[snafu(display("cannot listen on {addr} ([listen] {key}): {source}"))]
     Bind {
         /// The address.
         addr: SocketAddr,
-        /// Its settings key.
+        /// Its key in the settings.
         key: &'static str,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// An entry that has its addresses.
+/// An entry whose listeners are bound.
 pub struct Bound {
     settings: conf::Settings,
     callers: TcpListener,
@@ -83,15 +83,15 @@
 /// Where an entry listens.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Callers' HTTP.
+    /// HTTP of callers.
     pub callers: SocketAddr,
-    /// Other entries' calls.
+    /// Calls of other entries.
     pub peers: SocketAddr,
-    /// Operators' HTTP and metrics.
+    /// HTTP of operators, and metrics.
     pub admin: SocketAddr,
 }
 
-/// An entry that serves.
+/// An entry that is serving.
 pub struct Running {
     entry: Arc<entry::Entry>,
     addrs: Addresses,
@@ -100,19 +100,19 @@
     listeners: CancellationToken,
 }
 
-/// How a stop went.
+/// Result of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stopped {
-    /// Every request under way ended by itself.
+    /// Whether every request under way ended within the drain timeout.
     pub drained: bool,
 }
 
 impl Bound {
-    /// Takes the addresses that the settings name.
+    /// Binds the addresses in the settings.
     ///
     /// # Errors
     ///
-    /// When one of them cannot be listened on.
+    /// When one of them cannot be bound.
     pub async fn new(settings: conf::Settings) -> Result<Self, Error> {
         let listen = &settings.listen;
         let callers = bind(listen.callers, "callers").await?;
@@ -126,11 +126,11 @@
         })
     }
 
-    /// Where the entry listens: ports that were left open are filled in.
+    /// The bound addresses, with the ports that the system assigned.
     ///
     /// # Errors
     ///
-    /// When the system does not tell.
+    /// When the system does not report an address.
     pub fn addresses(&self) -> io::Result<Addresses> {
         Ok(Addresses {
             callers: self.callers.local_addr()?,
@@ -139,11 +139,11 @@
         })
     }
 
-    /// Begins to serve. `metrics` renders the metrics at `/metrics`.
+    /// Starts serving. `metrics` renders the metrics at `/metrics`.
     ///
     /// # Errors
     ///
-    /// When the system does not tell the addresses.
+    /// When the system does not report the bound addresses.
     pub fn start(self, metrics: Option<PrometheusHandle>) -> io::Result<Running> {
         let addrs = self.addresses()?;
         let entry = Arc::new(build(self.settings, addrs, metrics));
@@ -175,17 +175,18 @@
 }
 
 impl Running {
-    /// Where the entry listens.
+    /// The bound addresses.
     pub fn addresses(&self) -> Addresses {
         self.addrs
     }
 
-    /// What the entry's requests share.
+    /// The shared state of the entry.
     pub fn entry(&self) -> &Arc<entry::Entry> {
         &self.entry
     }
 
-    /// Stops: takes nothing new, lets what is under way end, and hands the shards over.
+    /// Shuts down gracefully: accepts no further calls, drains those under way and hands the shards
+    /// over.
     pub async fn stop(mut self) -> Stopped {
         info!(entry = %self.entry.id, "entry stops");
         self.entry.leaving.cancel();
@@ -211,7 +212,7 @@
         Stopped { drained }
     }
 
-    /// Ends at once, as a crash would: nothing is flushed, handed over or answered.
+    /// Stops at once, as a crash would: nothing is flushed, handed over or answered.
     pub fn kill(mut self) {
         self.callers.abort();
         self.loops.abort_all();
@@ -311,8 +312,8 @@
 fn admit_options(plan: &conf::Plan) -> admit::Options {
     admit::Options {
         target: plan.target_delay,
-        // Nobody measures a queue of plain requests at the entry; the sides bound them, each its own.
-        // With the 64 of the default, 256 callers at once had most of their requests refused.
+        // The entry does not measure a queue of plain requests; each side limits its own. With the
+        // default of 64, most requests of 256 concurrent callers are refused.
         plain_initial: f64::from(plan.limit_max),
         min: f64::from(plan.limit_min),
         max: f64::from(plan.limit_max),
@@ -333,7 +334,7 @@
 
 async fn serve_admin(entry: Arc<entry::Entry>, listener: TcpListener) {
     let app = router::admin(entry);
-    // Ends with the entry only.
+    // Ends only with the entry.
     let _ended = axum::serve(listener, app).await;
 }
 
--- a/fw-entry/src/version/mod.rs
+++ b/fw-entry/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a version of the operators' records.
+//! State with the lifetime of one version of the operators' records.
 
 pub mod records;
 pub mod watch;
--- a/fw-entry/src/version/watch.rs
+++ b/fw-entry/src/version/watch.rs
@@ -1,9 +1,9 @@
-//! Keeps the records in force at the newest revision.
+//! Distribution of the operators' records: keeps those in force at the newest revision.
 //!
-//! A waiting watch costs the store as much as a call, so one entry of each place watches and the
-//! others ask it. Which one follows from the list of live entries without any election: two
-//! watchers cost a watch more, none for a moment costs a fallback to the store. Whoever hears of a
-//! newer revision in any message fetches it at once.
+//! A pending watch costs the store as much as a call, so one entry of each place watches the store and
+//! the others poll that entry. It is derived from the list of live entries, without an election: two
+//! watchers cost one more watch, and a short time without one costs a fallback to the store. An entry
+//! that sees a newer revision in any message fetches it at once.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,16 +23,16 @@
 /// Counter of fetches of newer records, by source and outcome.
 pub const FETCHES: &str = "fw_entry_record_fetches_total";
 
-/// Time between two questions to the watcher.
+/// Interval between two requests to the watcher.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Without an answer from the watcher for this long, an entry watches by itself.
+/// Time without an answer from the watcher after which an entry watches the store itself.
 const WATCHER_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Most entries asked for newer records before the store is.
+/// Most entries queried for newer records before the store is read.
 const MAX_PEERS_QUERIED: usize = 3;
 
-/// How often a watcher looks whether it still is to watch.
+/// Interval at which a watcher checks whether it still has this role.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Keeps the records in force at the newest revision until the future is dropped.
@@ -54,7 +54,7 @@
     }
 }
 
-/// The entry of this place that watches; `None` for this one.
+/// The entry that watches the store for this place; `None` if it is this entry.
 fn watcher(entry: &entry::Entry) -> Option<(id::EntryId, SocketAddr)> {
     let here = &entry.settings.instance.place;
     let members = entry.peer_list.members(entry);
@@ -64,7 +64,7 @@
     others.into_iter().find(|(id, _)| *id == first)
 }
 
-/// Asks an entry for newer records; false if it did not answer.
+/// Fetches newer records from an entry; false if it did not answer.
 async fn fetch_from(entry: &entry::Entry, addr: SocketAddr) -> bool {
     let than = entry.records.revision();
     let cx = transport::context(entry.settings.upstream.connect_timeout);
@@ -89,8 +89,8 @@
     metrics::counter!(FETCHES, "source" => "peer", "outcome" => outcome).increment(1);
 }
 
-/// Waits until it is time to ask again. If some process acts on newer records meanwhile, they are
-/// read from the store: whoever has them need not be reachable.
+/// Waits until the next poll is due. If another process uses newer records by then, they are fetched
+/// from any entry that has them or from the store: the process that has them may be unreachable.
 async fn wait_or_catch_up(entry: &entry::Entry, watcher: &id::EntryId) {
     tokio::select! {
         () = tokio::time::sleep(POLL_INTERVAL) => {}
@@ -101,7 +101,7 @@
     }
 }
 
-/// Takes newer records from an entry that has them, or else from the store.
+/// Fetches newer records from an entry that has them, or else from the store.
 async fn fetch_newer(entry: &entry::Entry) {
     let before = entry.records.revision();
     fetch_from_peers(entry).await;
@@ -110,11 +110,11 @@
     }
 }
 
-/// Asks an entry that acts on newer records for them.
+/// Fetches newer records from an entry that uses them.
 ///
-/// An entry that is cut off from the store, while others are not, would otherwise hear of newer
-/// records with every status and still serve its callers by the old ones. It also spares the
-/// store a read by every entry after every change.
+/// An entry that alone is cut off from the store would otherwise see newer revisions in every status
+/// and still serve its callers by the old records. This also saves the store one read by every entry
+/// after every change.
 async fn fetch_from_peers(entry: &entry::Entry) {
     let statuses = entry.peer_list.statuses().into_iter();
     let newer = statuses.filter(|status| status.revision > entry.records.revision());
