--- a/fw-entry/src/process/serve.rs
+++ b/fw-entry/src/process/serve.rs
@@ -80,7 +80,7 @@
     admin: TcpListener,
 }
 
-/// Where an entry listens.
+/// Addresses that an entry listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     /// HTTP of callers.
--- a/fw-entry/src/request/admin.rs
+++ b/fw-entry/src/request/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' requests: records, what is in force, programs, explanations, metrics.
+//! Handlers of operators' requests: records, revisions in force, programs, explanations, metrics.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 use crate::process::entry;
 use crate::process::peers;
 
-/// Answers everything below `/admin/records`.
+/// Handles `/admin/records` and all paths below it.
 pub async fn records(
     State(entry): State<Arc<entry::Entry>>,
     method: http::Method,
@@ -53,19 +53,19 @@
     revision: id::Revision,
 }
 
-/// Where records of a revision are in force.
+/// The processes at which records of a revision are in force.
 #[derive(Debug, Serialize)]
 pub struct InForceReport {
     revision: id::Revision,
-    /// Processes that act on records of the revision or newer.
+    /// Number of processes that use records of the revision or newer.
     in_force: usize,
-    /// Processes known: entries, and the sides that they heartbeat.
+    /// Number of processes: entries, and the sides that each of them watches, counted as one.
     of: usize,
-    /// Names of those that do not yet, or did not answer.
+    /// Names of those that use older records or did not answer.
     waiting: Vec<String>,
 }
 
-/// Tells at how many of the processes records of a revision are in force.
+/// Reports at how many processes records of a revision are in force.
 pub async fn in_force(
     State(entry): State<Arc<entry::Entry>>,
     Query(query): Query<InForceQuery>,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The sides that an entry heartbeats count as one more, in force once the last of them is.
+    /// Counts the sides that an entry watches as one process, which is up to date once all of them are.
     fn count_sides(&mut self, name: &str, status: Option<&peer::PeerStatus>) {
         let Some(status) = status.filter(|status| status.sides > 0) else {
             return;
@@ -112,7 +112,7 @@
     }
 }
 
-/// Lists the programs kept here, and how this entry stands.
+/// Lists the programs kept here, with the status of this entry.
 pub async fn programs(State(entry): State<Arc<entry::Entry>>) -> Json<serde_json::Value> {
     let mut programs = Vec::new();
     for kept in entry.keeper.shards() {
@@ -134,7 +134,7 @@
     Json(json!({ "entry": entry.status(), "programs": programs }))
 }
 
-/// Tells the latest decisions about a program at this entry.
+/// Returns the latest decisions about a program at this entry.
 pub async fn explain(
     State(entry): State<Arc<entry::Entry>>,
     Path(program): Path<String>,
@@ -148,7 +148,7 @@
     Json(json!({ "keeper": keeper, "events": entry.explain.events(&program) }))
 }
 
-/// Prometheus's text format.
+/// Renders the metrics in Prometheus's text format.
 pub async fn metrics(State(entry): State<Arc<entry::Entry>>) -> Response {
     match &entry.metrics {
         Some(handle) => handle.render().into_response(),
--- a/fw-entry/src/request/answer.rs
+++ b/fw-entry/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! From error to HTTP answer: the only place where an error's answer to a caller is made.
+//! Conversion of errors to HTTP answers; all errors that callers receive are built here.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 /// Counter of errors answered to callers, by kind.
 pub const ERRORS: &str = "fw_entry_errors_total";
 
-/// Header that tells whether the call ran: `no`, `maybe` or `yes`.
+/// Header that states whether the call ran: `no`, `maybe` or `yes`.
 pub const RAN_HEADER: &str = "x-fw-ran";
 
 /// An error's JSON body, in the shape of OpenAI's API with the fields `ran` and `retry_after`.
@@ -30,12 +30,12 @@
     kind: &'static str,
     message: &'a str,
     ran: error::Ran,
-    /// Seconds; absent if a later call is no better.
+    /// Seconds; absent if a retry would not help.
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after: Option<f64>,
 }
 
-/// The JSON body that tells of `err`.
+/// The JSON body for `err`.
 pub fn body(err: &error::Error) -> Body<'_> {
     let row = err.kind.row();
     Body {
@@ -49,7 +49,7 @@
     }
 }
 
-/// The answer that tells of `err`, counted by its kind.
+/// The answer for `err`, counted by its kind.
 pub fn error_response(err: &error::Error) -> Response {
     let row = err.kind.row();
     count_error(err.kind);
@@ -63,7 +63,7 @@
     answer
 }
 
-/// Counts an error that a caller is told of.
+/// Counts an error that is returned to a caller.
 pub fn count_error(kind: error::Kind) {
     metrics::counter!(ERRORS, "kind" => kind.row().label).increment(1);
 }
@@ -76,7 +76,8 @@
     })
 }
 
-/// `Retry-After` knows whole seconds only; rounded up, so that nobody comes back too early.
+/// The value of `Retry-After`, which has whole seconds only; rounded up, so that callers do not retry
+/// too early.
 fn whole_seconds(after: Duration) -> u64 {
     after
         .as_millis()
--- a/fw-entry/src/request/chat.rs
+++ b/fw-entry/src/request/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`: a turn, streamed or whole.
+//! Handler of `POST /v1/chat/completions`: runs a turn and answers as a stream or as a whole.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 use super::identity;
 use crate::process::entry;
 
-/// Counter of chat completions, by how they are answered: `stream`, `whole`.
+/// Counter of chat completions, by form of the answer: `stream`, `whole`.
 pub const CALLS: &str = "fw_entry_chat_calls_total";
 
 /// Answers a chat completion request.
@@ -101,7 +101,7 @@
     })
 }
 
-/// A fresh program id, if possible one whose shard is kept here: that saves a hop.
+/// A random program id, if possible one whose shard is kept here, which saves a hop.
 fn draw_program_id(entry: &entry::Entry) -> id::ProgramId {
     const TRIES: usize = 64;
     let draw = || id::ProgramId::from(format!("one-{:016x}", rand::rng().random::<u64>()));
@@ -158,8 +158,8 @@
     since.unwrap_or(Duration::ZERO).as_secs()
 }
 
-/// The answer's head is sent with the first event, so that a turn that fails before it gets its
-/// proper status.
+/// Streams a turn's events. The head is sent with the first event, so that a turn that fails earlier
+/// is answered with the status of its error.
 async fn streamed(
     mut follow: follow::Follow,
     include_usage: bool,
@@ -190,7 +190,7 @@
     Ok((headers, body).into_response())
 }
 
-/// A streamed answer. The request counts as under way until its last byte was handed over.
+/// A streamed answer. The request counts as under way until its last byte is passed to the connection.
 struct Streamed {
     follow: follow::Follow,
     first: Option<follow::Update>,
--- a/fw-entry/src/request/follow.rs
+++ b/fw-entry/src/request/follow.rs
@@ -1,4 +1,5 @@
-//! Follows a submitted turn to its end, over lost connections and changes of attempt and keeper.
+//! Reader of a submitted turn: follows it to its end across lost connections and changes of attempt
+//! and keeper.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,31 +17,31 @@
 use crate::process::keepers;
 use crate::turn::submit;
 
-/// Counter of follows that went on elsewhere, by reason.
+/// Counter of turns submitted again because their attempt could not be read further, by reason.
 pub const RESUMED: &str = "fw_entry_follows_resumed_total";
 
-/// Time beyond the wait of a read after which its connection counts as silent.
+/// Time beyond the wait of a read after which its connection counts as not responding.
 const READ_GRACE: Duration = Duration::from_millis(500);
 
-/// How a turn is followed.
+/// Which updates of a turn are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Every event, as it comes.
+    /// Every event, as it arrives.
     Events,
     /// The end only.
     End,
 }
 
-/// The next news of a turn.
+/// An update of a followed turn.
 #[derive(Debug)]
 pub enum Update {
     /// An event to pass on.
     Event(attempt::Event),
-    /// The whole answer; nothing follows.
+    /// The end of the answer; no update follows.
     Done(Box<attempt::Finish>),
 }
 
-/// A turn that is followed.
+/// A followed turn.
 pub struct Follow {
     entry: Arc<entry::Entry>,
     req: peer::Submit,
@@ -97,7 +98,7 @@
         format!("chatcmpl-{:016x}", self.first_attempt)
     }
 
-    /// The next news, once there is some.
+    /// Waits for the next update.
     ///
     /// # Errors
     ///
@@ -159,7 +160,7 @@
             keepers::Location::Local => return Some(self.entry.attempts.read(req).await),
             keepers::Location::Remote(addr) => addr,
         };
-        // The second try goes over a new connection: the first may have gone silent.
+        // The second try uses a new connection, since the first may have stopped responding.
         for _ in 0..2 {
             let cx = transport::context(wait + READ_GRACE);
             let req = req.clone();
@@ -173,8 +174,9 @@
         None
     }
 
-    /// The keeper died or forgot the attempt. The turn is submitted again under its number: a new
-    /// keeper attaches to it, replays its answer or runs it anew, and never runs it beside itself.
+    /// Submits the turn again under its number after its keeper died or dropped the attempt. The keeper
+    /// attaches to the turn, replays its answer or runs it again, but never runs it twice at the same
+    /// time.
     async fn resubmit(&mut self, reason: &'static str) -> Result<(), error::Error> {
         metrics::counter!(RESUMED, "reason" => reason).increment(1);
         self.req.turn = Some(self.turn);
@@ -182,7 +184,7 @@
             .deadline
             .saturating_duration_since(tokio::time::Instant::now());
         let accepted = submit::submit_to_keeper(&self.entry, &self.req).await;
-        // Whatever refuses it now: it was accepted before, so it may have run.
+        // The turn was accepted before, so it may have run whatever the reason for a refusal now.
         let accepted = accepted.map_err(|err| err.after(Some(keepers::keeper_lost())))?;
         self.location = accepted.location;
         self.restart(accepted.attempt)
@@ -197,8 +199,8 @@
 }
 
 impl Drop for Follow {
-    /// A caller that goes away before the end is made known to the keeper, which cancels the
-    /// attempt or lets it go on, as the service's record says.
+    /// Detaches a caller that disconnects before the end from the keeper, which cancels the attempt or
+    /// lets it continue, as configured in the service's record.
     fn drop(&mut self) {
         if self.finished {
             return;
@@ -211,7 +213,7 @@
                     let cx = transport::context(entry.settings.upstream.read_wait);
                     let send =
                         |client: peer::PeerClient| async move { client.detach(cx, attempt).await };
-                    // If it is lost, the attempt runs to its end and its answer is kept.
+                    // If this call is lost, the attempt runs to its end and its answer is kept.
                     let _lost = entry.peers.call(addr, send).await;
                 });
             }
--- a/fw-entry/src/request/headers.rs
+++ b/fw-entry/src/request/headers.rs
@@ -1,4 +1,4 @@
-//! Reads the headers by which callers name programs, turns and deadlines.
+//! Parsing of callers' headers, which name programs, turns and deadlines.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use hyper::StatusCode;
 use smol_str::SmolStr;
 
-/// Names the program; absent for a program of one turn.
+/// Name of the program; absent for a program of one turn.
 pub const PROGRAM: &str = "x-program";
-/// Names the program that this one is a sub-agent of.
+/// Name of the program that started this one as a sub-agent.
 pub const PARENT: &str = "x-parent-program";
 /// Number of the turn.
 pub const TURN: &str = "x-turn";
@@ -24,7 +24,7 @@
 pub const DIGEST: &str = "x-history-digest";
 /// Time that the caller waits, in milliseconds.
 pub const DEADLINE: &str = "x-deadline-ms";
-/// Makes a call that is not idempotent safe to send again.
+/// Key that makes it safe to send a call again that is not idempotent.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// The name in header `header`, if it is there.
@@ -73,7 +73,7 @@
     digest.map(Some).map_err(|_| bad(DIGEST, "64 hex digits"))
 }
 
-/// How the messages are to be read; `full` if the caller does not say.
+/// Whether the messages are the full history or a delta; `full` if the caller does not specify it.
 ///
 /// # Errors
 ///
@@ -86,7 +86,7 @@
     }
 }
 
-/// How long the caller waits, at most as long as the settings allow.
+/// How long the caller waits, limited by the settings.
 ///
 /// # Errors
 ///
--- a/fw-entry/src/request/identity.rs
+++ b/fw-entry/src/request/identity.rs
@@ -1,4 +1,4 @@
-//! Who calls: the team behind a request.
+//! Authentication: maps a request's bearer key to a team.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 use hyper::HeaderMap;
 use hyper::header;
 
-/// The team of callers without a key, where the records allow such.
+/// The team of callers without a key, if the records allow calls without one.
 pub const ANONYMOUS: &str = "default";
 
-/// When a caller should come back to an entry that has just started: a few calls to the store later,
-/// at the milliseconds that each takes; sooner than a balancer's next look at `/readyz`.
+/// Retry delay for callers of an entry that has just started. Loading the records takes a few calls to
+/// the store of some milliseconds each; a load balancer's next check of `/readyz` comes later.
 const RECORDS_READ: Duration = Duration::from_millis(100);
 
-/// The team that the request's bearer key belongs to.
+/// The team that owns the request's bearer key.
 ///
-/// Without any team that has keys, every caller belongs to [`ANONYMOUS`]: a client library that
-/// insists on sending some key works out of the box.
+/// If no team has keys, every caller belongs to [`ANONYMOUS`], so that client libraries that always
+/// send a key work without configuration.
 ///
 /// # Errors
 ///
-/// `Unauthorized` when teams have keys and this one is missing or unknown; `NotReady` before any records
-/// were read: no key, model or route can be told to be unknown then.
+/// `Unauthorized` when teams have keys and this one is missing or unknown; `NotReady` before records
+/// were read, since no key, model or route can be rejected as unknown then.
 pub fn team(headers: &HeaderMap, records: &set::Set) -> Result<id::TeamId, error::Error> {
     if records.revision() == 0 {
         return Err(not_ready());
--- a/fw-entry/src/request/mod.rs
+++ b/fw-entry/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one request of a caller.
+//! State and handlers with the lifetime of one request.
 
 pub mod admin;
 pub mod answer;
--- a/fw-entry/src/request/once.rs
+++ b/fw-entry/src/request/once.rs
@@ -1,4 +1,4 @@
-//! Plain requests that are not idempotent: they reach an upstream at most once.
+//! At-most-once delivery of plain requests that are not idempotent.
 
 use std::sync::Arc;
 
@@ -22,16 +22,16 @@
 use crate::process::entry;
 use crate::turn::claim;
 
-/// Largest answer that is passed on for a call that runs at most once.
+/// Largest answer to a call that runs at most once.
 const MAX_ANSWER: usize = 16 << 20;
 
-/// Largest answer that is kept for replay: the journal holds it, in segments below a megabyte.
+/// Largest answer that is stored for replay, in the journal, whose segments are below a megabyte.
 const MAX_REPLAYED: usize = 64 << 10;
 
-/// Upstreams tried, as long as none can have received the call.
+/// Most upstreams tried, while none can have received the call.
 const MAX_TRIES: usize = 3;
 
-/// Header on an answer that comes from the record of an earlier run.
+/// Header of an answer that is replayed from the record of an earlier run.
 const REPLAYED: &str = "x-fw-replayed";
 
 /// Sends a call that may run at most once, under its `Idempotency-Key`.
@@ -56,7 +56,7 @@
         claim::StepOutcome::Granted => {}
         claim::StepOutcome::Settled => return Err(unexpected()),
     }
-    // From here on the call is settled even if its caller goes away meanwhile.
+    // From here on the claim is settled even if the caller disconnects.
     let (entry, call) = (Arc::clone(entry), call.clone());
     let not_run = claim(peer::ClaimStep::NotRun);
     let guard = entry.enter_always();
@@ -78,7 +78,7 @@
                 step: peer::ClaimStep::Done(to_stored(&answer)),
                 ..claim
             };
-            // If it cannot be recorded, the claim stays open and a repeat hears "may have run".
+            // If it cannot be recorded, the claim stays open and a repeat is refused as "may have run".
             let _stays_open = claim::step(entry, &done).await;
             Ok(answer.into_response())
         }
@@ -88,7 +88,7 @@
                 error::Ran::Maybe | error::Ran::Yes => peer::ClaimStep::Unknown,
             };
             let settled = peer::Claim { step, ..claim };
-            // If it cannot be recorded, a repeat hears "in use", later "may have run".
+            // If it cannot be recorded, a repeat is refused as "in use", later as "may have run".
             let _stays_open = claim::step(entry, &settled).await;
             Err(err)
         }
@@ -112,7 +112,7 @@
     Err(last.unwrap_or_else(unexpected))
 }
 
-/// A whole answer.
+/// A complete answer.
 struct Collected {
     head: http::response::Parts,
     body: Bytes,
@@ -129,7 +129,7 @@
     let (head, body) = answer.into_parts();
     let whole = Limited::new(body, MAX_ANSWER).collect().await;
     let whole = whole.map_err(|err| {
-        // The head came, so the call ran; what broke off is the answer.
+        // The head was received, so the call ran; only the answer is incomplete.
         let message = format!("the upstream's answer broke off: {err}");
         error::Error::new(error::Kind::UpstreamError, message)
     })?;
@@ -168,7 +168,7 @@
         .map_err(|_| unexpected())
 }
 
-/// What makes a call another call: method, path and body.
+/// Digest that identifies a call under its key: method, path and body.
 fn fingerprint(call: &send::Call) -> digest::Digest {
     let mut bytes = format!("{} {}\n", call.method, call.path).into_bytes();
     bytes.extend_from_slice(&call.body);
--- a/fw-entry/src/request/plain.rs
+++ b/fw-entry/src/request/plain.rs
@@ -1,7 +1,7 @@
-//! Every other path: plain requests, routed by the operators' records.
+//! Handler of plain requests on all other paths, routed by the operators' records.
 //!
-//! Repeatable ones are placed, retried and hedged. Those that are not need an `Idempotency-Key`
-//! and a claim on it, and reach an upstream at most once.
+//! Repeatable requests are placed, retried and hedged. Others need an `Idempotency-Key` and a claim on
+//! it, and reach an upstream at most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,9 +31,9 @@
 use crate::turn::run;
 use crate::version::records;
 
-/// Counter of plain requests, by how they are treated: `repeatable`, `once`.
+/// Counter of plain requests, by delivery: `repeatable`, `once`.
 pub const CALLS: &str = "fw_entry_plain_calls_total";
-/// Counter of second copies sent for slow reads.
+/// Counter of hedged copies sent for slow reads.
 pub const HEDGED: &str = "fw_entry_plain_hedged_total";
 
 /// Answers a plain request.
@@ -94,7 +94,7 @@
     once::call(&entry, &team, &call).await
 }
 
-/// Sends a repeatable call until it is answered or not worth another try.
+/// Sends a repeatable call until it is answered or the retry policy gives up.
 async fn repeat(
     entry: &Arc<entry::Entry>,
     call: &send::Call,
@@ -105,7 +105,7 @@
     let started = tokio::time::Instant::now();
     let mut tried = 0;
     let mut earlier = None;
-    // Where the call was sent already: a further try, or a copy, goes elsewhere if it can.
+    // Upstreams that the call was sent to. A further try or a hedged copy avoids them if possible.
     let mut sent_to = Vec::new();
     loop {
         tried += 1;
@@ -141,7 +141,7 @@
     }
 }
 
-/// One try; if it is slow beyond the usual, a second copy goes elsewhere and the first answer wins.
+/// One try. If it exceeds the hedge delay, a copy is sent to another upstream and the first answer wins.
 async fn try_once(
     entry: &Arc<entry::Entry>,
     call: &send::Call,
@@ -176,7 +176,7 @@
     }
 }
 
-/// Chooses an upstream where `call` was not sent yet, if there is one.
+/// Chooses an upstream that `call` was not sent to yet, if there is one.
 fn place(
     entry: &entry::Entry,
     call: &send::Call,
@@ -187,7 +187,7 @@
     Ok(side)
 }
 
-/// Passes an answer on as it comes; `held` is let go with its last byte.
+/// Streams an answer to the caller; `held` is dropped after the last byte.
 fn forward_answer(
     answer: http::Response<Incoming>,
     held: (entry::Guard, admission::Permit),
--- a/fw-entry/src/request/program.rs
+++ b/fw-entry/src/request/program.rs
@@ -1,4 +1,4 @@
-//! `GET` and `DELETE /v1/programs/{id}`, and `GET /v1/models`.
+//! Handlers of `GET` and `DELETE /v1/programs/{id}` and of `GET /v1/models`.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 use crate::process::entry;
 use crate::turn::program;
 
-/// Tells a program's status, turn, spent budget and whole history.
+/// Returns a program's status, turn, spent budget and whole history.
 pub async fn get(
     State(entry): State<Arc<entry::Entry>>,
     Path(name): Path<String>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Ends a program and frees its engine memory.
+/// Ends a program and frees its KV cache.
 pub async fn delete(
     State(entry): State<Arc<entry::Entry>>,
     Path(name): Path<String>,
--- a/fw-entry/src/request/router.rs
+++ b/fw-entry/src/request/router.rs
@@ -1,4 +1,4 @@
-//! Which handler answers which path.
+//! Routing of paths to handlers.
 
 use std::sync::Arc;
 
@@ -47,12 +47,12 @@
         .with_state(entry)
 }
 
-/// The process answers.
+/// Liveness: the process answers.
 async fn healthz() -> &'static str {
     "ok\n"
 }
 
-/// The process wants to be sent calls: it has records and does not stop.
+/// Readiness: the process has records and is not shutting down.
 async fn readyz(State(entry): State<Arc<entry::Entry>>) -> Response {
     if entry.leaving.is_cancelled() {
         return (StatusCode::SERVICE_UNAVAILABLE, "leaving\n").into_response();
--- a/fw-entry/src/request/send.rs
+++ b/fw-entry/src/request/send.rs
@@ -1,4 +1,4 @@
-//! Sends one plain request to one upstream, through the side beside it.
+//! Delivery of one plain request to one upstream, through its side.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 use crate::connection::sides;
 use crate::process::entry;
 
-/// Names the attempt towards the side: 16 hex digits.
+/// Id of the attempt for the side: 16 hex digits.
 pub const ATTEMPT: &str = "x-fw-attempt";
 /// Marks a call that must run at most once.
 pub const ONCE: &str = "x-fw-once";
 /// Time left, in milliseconds.
 pub const DEADLINE: &str = "x-fw-deadline-ms";
-/// The side's own refusal, by the label of its kind; absent on an upstream's answer.
+/// Label of the kind of error with which the side itself refused; absent on an upstream's answer.
 pub const ERROR: &str = "x-fw-error";
 
 /// Headers that concern one connection only.
@@ -55,12 +55,12 @@
     pub timeout: Duration,
 }
 
-/// How often the call may run.
+/// Delivery guarantee of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// As often as is useful.
+    /// May run any number of times.
     Repeatable,
-    /// At most once.
+    /// Runs at most once.
     AtMostOnce,
 }
 
@@ -92,7 +92,7 @@
     side.ok_or_else(|| no_upstream(entry, call))
 }
 
-/// Sends `call` to the upstream beside `side`.
+/// Sends `call` to the upstream of `side`.
 ///
 /// # Errors
 ///
@@ -180,7 +180,7 @@
     }
 }
 
-/// Tells the side's own refusal from an upstream's answer.
+/// Distinguishes a refusal by the side itself from an upstream's answer.
 fn check_refusal(
     answer: http::Response<Incoming>,
 ) -> Result<http::Response<Incoming>, error::Error> {
--- a/fw-entry/src/request/splice.rs
+++ b/fw-entry/src/request/splice.rs
@@ -1,20 +1,20 @@
-//! Joins a turn's events over a change of attempt.
+//! Splices the event streams of a turn's successive runs into one answer.
 //!
-//! When an upstream or a keeper dies under a streamed turn, the turn runs again and its events start
-//! anew, while the caller already holds a part of the answer. If the new run begins with the very
-//! text that was delivered, the rest is passed on and the caller notices only a pause; if it
-//! differs, the caller gets an error, never an answer sewn together from two.
+//! When an upstream or a keeper dies during a streamed turn, the turn runs again and its events start
+//! from the beginning, while the caller already has a part of the answer. If the new run begins with
+//! exactly the delivered text, the rest is passed on and the caller sees only a pause. If it differs,
+//! the caller receives an error, never a mix of two answers.
 
 use fw_base::error;
 use fw_wire::attempt;
 use serde::Deserialize;
 use serde_json::Value;
 
-/// What was delivered to one caller of one turn.
+/// Splicer for one caller of one turn, with the events delivered so far.
 #[derive(Debug, Default)]
 pub struct Splice {
     delivered: Vec<attempt::Event>,
-    /// Text that the new run must begin with; `None` while events are passed on as they come.
+    /// Text that the new run must still repeat; `None` while events are passed on unchanged.
     expected: Option<String>,
 }
 
@@ -38,16 +38,16 @@
 }
 
 impl Splice {
-    /// Whether anything was delivered.
+    /// Whether nothing was delivered yet.
     pub fn is_empty(&self) -> bool {
         self.delivered.is_empty()
     }
 
-    /// Tells that the events that follow are those of a new run, from its start.
+    /// Starts a new run, whose events follow from its beginning.
     ///
     /// # Errors
     ///
-    /// When a tool call was delivered in part: two runs cannot be compared then.
+    /// When a tool call was delivered in part, since two runs cannot be compared then.
     pub fn restart(&mut self) -> Result<(), error::Error> {
         if self.is_empty() {
             return Ok(());
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    /// What of `event` is to be passed on to the caller.
+    /// The part of `event` to pass on to the caller, if any.
     ///
     /// # Errors
     ///
--- a/fw-entry/src/turn/claim.rs
+++ b/fw-entry/src/turn/claim.rs
@@ -1,7 +1,7 @@
-//! Claims on idempotency keys: a call that is not idempotent is sent at most once.
+//! Claims on idempotency keys, by which a call that is not idempotent is sent at most once.
 //!
-//! The claim is durable in the journal before the call is sent. A keeper that takes over finds it
-//! there and answers "may have run" instead of sending the call again.
+//! The claim is durable in the journal before the call is sent. A keeper that takes over finds it there
+//! and refuses a repeat as "may have run" instead of sending the call again.
 
 use std::sync::Arc;
 
@@ -17,12 +17,12 @@
 /// Counter of claim steps, by step and outcome.
 pub const CLAIMS: &str = "fw_entry_claims_total";
 
-/// An answer to a step of a claim.
+/// Outcome of a step of a claim.
 #[derive(Clone, Debug)]
 pub enum StepOutcome {
-    /// The claim is durable: send the call, once.
+    /// The claim is durable: the call may be sent once.
     Granted,
-    /// It ran before; this was the answer.
+    /// The call ran before, with this answer.
     Replay(peer::StoredAnswer),
     /// The outcome is recorded.
     Settled,
@@ -30,11 +30,11 @@
 
 type Reply = Result<StepOutcome, error::Error>;
 
-/// Takes a step of a claim at its keeper, wherever that is.
+/// Performs a step of a claim at its keeper, local or remote.
 ///
 /// # Errors
 ///
-/// When the claim is not granted; the kind says whether a call under the key ran.
+/// When the claim is not granted; the kind states whether a call under the key ran.
 pub async fn step(entry: &Arc<entry::Entry>, req: &peer::Claim) -> Reply {
     let within = entry.settings.keeper.commit_wait * 2;
     let local = || async { to_outcome(apply_step(entry, req).await) };
@@ -49,8 +49,8 @@
     };
     let options = keepers::Options {
         timeout: entry.keeper_timeout(),
-        // An open that was received but whose answer was lost finds the key in use: it is not
-        // granted twice. To be told "in use" for one's own claim is safe, if unkind.
+        // If the answer to an `Open` is lost, a second one finds the key in use: a claim is not granted
+        // twice. The refusal as "in use" for the caller's own claim is safe, if inconvenient.
         idempotent: !matches!(req.step, peer::ClaimStep::Open),
     };
     let shard = entry.keeper.shard_of(&key(req).shard_name());
@@ -60,7 +60,7 @@
     reply
 }
 
-/// While a claim is being opened, nothing was sent: a lost keeper means "not run".
+/// Maps the loss of the keeper while a claim is opened to "not run": the call was not sent yet.
 fn not_sent(req: &peer::Claim, err: error::Error) -> error::Error {
     match (&req.step, err.kind) {
         (peer::ClaimStep::Open, error::Kind::KeeperLost) => {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Takes a step of a claim at its keeper.
+/// Performs a step of a claim at this entry, its keeper.
 pub async fn apply_step(entry: &entry::Entry, req: &peer::Claim) -> peer::ClaimReply {
     let (step, reply) = match &req.step {
         peer::ClaimStep::Open => ("open", open(entry, req).await),
@@ -143,8 +143,8 @@
         return peer::ClaimReply::NotKeeper;
     };
     if let Some(ticket) = ticket {
-        // Not durable in time means durable later, or "may have run" after a take-over: the caller
-        // gets its answer either way.
+        // If it is not durable in time, it becomes so later, or a take-over answers "may have run". The
+        // caller receives its answer in both cases.
         let _later = entry.keeper.wait_durable(ticket).await;
     }
     peer::ClaimReply::Settled
--- a/fw-entry/src/turn/commit.rs
+++ b/fw-entry/src/turn/commit.rs
@@ -1,4 +1,4 @@
-//! Commits a turn's answer, and gives its end to its readers.
+//! Commit of a turn's answer, and delivery of its end to the readers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 use crate::connection::recover;
 use crate::process::entry;
 
-/// How long a turn is offered to the next keeper of its shard. Longer than the store's outages are
-/// known to be; a turn that no keeper has taken by then continues no history that it has.
+/// How long a turn is offered to the next keeper of its shard. Longer than the known outages of the
+/// store; a turn that no keeper has accepted by then does not continue that keeper's history.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(120);
 
 impl run::Task {
@@ -50,20 +50,20 @@
         }
     }
 
-    /// Why the turn that was answered is not under way in its shard.
+    /// The reason for which the answered turn is not under way in its shard.
     fn not_under_way(&self, shard: &shard::Shard) -> error::Error {
         let program = shard.program(&self.req.program);
         let has_ended = program.is_some_and(|known| known.status() == program::Status::Ended);
         match has_ended {
             true => run::program_ended(),
-            // The shard was lost and loaded anew meanwhile. To say that the program was ended would be
-            // untrue, and its caller would not send the turn again.
+            // The shard was lost and has since been loaded again. An error that the program was ended would
+            // be wrong, and its caller would not send the turn again.
             false => run::keeper_changed(),
         }
     }
 
-    /// The caller learns the end of its answer once it is in the store. While the store does not
-    /// answer, keeper and side both hold the answer: two instances, of which either may die.
+    /// Delivers the end of the answer once it is in the store, or, while the store does not answer,
+    /// once both the keeper and the side hold it: two instances, of which either may die.
     async fn make_durable(
         self,
         buf: &Arc<buffer::Buffer>,
@@ -74,8 +74,8 @@
         let mut held = false;
         while durable == Err(keeper::Error::StoreUnavailable) {
             if self.entry.is_cut_off(self.entry.settings.keeper.lease_ttl) {
-                // The shard has another keeper by now, which has the answer from the side: the
-                // caller finds it there sooner than here.
+                // The shard has another keeper by now, which has the answer from the side: the caller
+                // receives it there sooner than here.
                 break;
             }
             let alone = self.entry.is_cut_off(Duration::ZERO);
@@ -86,7 +86,7 @@
         }
         if durable.is_err() {
             self.explain("fenced", "another entry keeps the program now".to_owned());
-            // Without effect on a caller that has the answer already.
+            // No effect on a caller that already has the answer.
             buf.fail(run::keeper_changed());
             if held {
                 self.forward_to_keeper(finish).await;
@@ -99,9 +99,9 @@
         self.forget().await;
     }
 
-    /// Gives the answer out although the store does not have it; false if the shard has another keeper
-    /// already. That one may have asked this entry what it gave out a moment ago, and is asked by the
-    /// caller next: it would not know the turn.
+    /// Delivers the answer before the store has it. Returns false if the shard already has another
+    /// keeper: that keeper may have queried this entry's held turns before this one was added, and would
+    /// not have the turn when the caller continues there.
     fn release_answer(
         &self,
         buf: &buffer::Buffer,
@@ -118,8 +118,8 @@
         true
     }
 
-    /// Offers the turn to the shard's next keeper until that has stored it. The side that held the
-    /// answer as well may be gone by now.
+    /// Offers the turn to the shard's next keeper until it is stored there, since the side that also
+    /// held the answer may be gone by now.
     async fn forward_to_keeper(&self, finish: attempt::Finish) {
         let held = self.held(finish);
         let until = tokio::time::Instant::now() + HANDOVER_TIMEOUT;
@@ -136,8 +136,8 @@
         self.entry.held.remove(self.run.turn, self.run.attempt);
     }
 
-    /// Whether the side still has the answer. One that died since is no second holder: the answer
-    /// would be lost with this entry, after its caller has seen it.
+    /// Whether the side still has the answer. If it died since, there is no second holder: the answer
+    /// would be lost with this entry after its caller received it.
     async fn is_held_by_side(&self) -> bool {
         match &self.current {
             Some(current) => upstream::holds(&self.entry, &current.side, current.attempt).await,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The turn as its next keeper needs it.
+    /// The turn in the form in which its next keeper recovers it.
     fn held(&self, finish: attempt::Finish) -> side::Held {
         side::Held {
             attempt: self.run.attempt,
@@ -167,7 +167,7 @@
     }
 }
 
-/// Ends `buf` with an answer that is committed in memory, once the store has it.
+/// Ends `buf` with an answer that is committed in memory, as soon as the store has it.
 pub(super) async fn end_once_durable(
     entry: &entry::Entry,
     buf: &buffer::Buffer,
@@ -184,8 +184,8 @@
     }
 }
 
-/// Waits until the store has a change, or the entry alone is cut off from it for so long that the
-/// shard may have another keeper.
+/// Waits until the store has a change, or until only this entry is cut off from the store for so long
+/// that the shard may have another keeper.
 async fn durable_or_cut_off(
     entry: &entry::Entry,
     ticket: keeper::Ticket,
--- a/fw-entry/src/turn/mod.rs
+++ b/fw-entry/src/turn/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one turn at its keeper.
+//! State and tasks with the lifetime of one turn at its keeper.
 
 pub mod claim;
 mod commit;
--- a/fw-entry/src/turn/plan.rs
+++ b/fw-entry/src/turn/plan.rs
@@ -1,4 +1,4 @@
-//! What the records in force mean for one turn.
+//! Parameters of one turn, derived from the records in force.
 
 use std::sync::Arc;
 
@@ -13,11 +13,11 @@
 use crate::process::entry;
 use crate::version::records;
 
-/// How much a second of prefill weighs against a second of waiting where the records weigh wasted
-/// cache more than latency. Measured in `docs/POLICY.md`.
+/// Weight of a second of prefill relative to a second of waiting, if the records rate wasted cache
+/// higher than latency. See `docs/POLICY.md` for the measurement.
 const CACHE_WEIGHT: f64 = 2.0;
 
-/// How a turn is to be run, under one version of the records.
+/// Parameters of a turn under one version of the records.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The program's shard.
@@ -28,13 +28,13 @@
     pub service: id::ServiceId,
     /// Limits of the program's budget.
     pub limits: ledger::Limits,
-    /// Most tokens to generate.
+    /// Limit of generated tokens.
     pub max_tokens: id::Tokens,
     /// The team's share.
     pub share: f64,
-    /// Whether a turn whose callers went away is cancelled.
+    /// Whether a turn is cancelled when all its callers have disconnected.
     pub cancel_when_gone: bool,
-    /// How costs are weighed in placement.
+    /// Weights of costs in placement.
     pub place: place::Options,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// What the caller asked for, within the service's bounds.
+/// The limit that the caller requested, within the service's bounds.
 fn token_limit(req: &peer::Submit, service: &service::Service) -> id::Tokens {
     let requested = req.max_tokens.unwrap_or(service.tokens.default);
     requested.min(service.tokens.max)
--- a/fw-entry/src/turn/program.rs
+++ b/fw-entry/src/turn/program.rs
@@ -1,4 +1,4 @@
-//! What the keeper tells of a program, and how a program ends.
+//! Queries for a program's state, and the end of a program, at its keeper.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 
 type Reply = Result<Box<peer::Program>, error::Error>;
 
-/// Asks a program's keeper, wherever that is.
+/// Queries a program at its keeper, local or remote.
 ///
 /// # Errors
 ///
@@ -38,7 +38,7 @@
     reply
 }
 
-/// Ends a program at its keeper, wherever that is. Ending it again changes nothing.
+/// Ends a program at its keeper, local or remote. Ending it again changes nothing.
 ///
 /// # Errors
 ///
@@ -78,7 +78,7 @@
 /// Answers [`query`] at the keeper.
 pub fn query_local(entry: &entry::Entry, req: &peer::Query) -> peer::QueryReply {
     let shard = entry.keeper.shard_of(&req.program);
-    // What may be the past of a program that went on elsewhere is no answer.
+    // The state here may be outdated if the program continued elsewhere, so it must not be returned.
     if entry.serving_fence(shard).is_none() || !entry.keeper.is_sole_keeper_of(shard) {
         return peer::QueryReply::NotKeeper;
     }
@@ -96,8 +96,8 @@
     }
 }
 
-/// Answers [`end`] at the keeper. The sides learn of it by their next heartbeat, which repeats
-/// until they have freed the program's engine memory.
+/// Answers [`end`] at the keeper. Heartbeats repeat the end to the sides until they have freed the
+/// program's KV cache.
 pub async fn end_local(entry: &entry::Entry, req: &peer::Query) -> peer::QueryReply {
     let shard = entry.keeper.shard_of(&req.program);
     if entry.serving_fence(shard).is_none() {
@@ -124,8 +124,8 @@
     }
 }
 
-/// An end that the store does not have would be undone by a take-over: the program would live on,
-/// and its engine memory with it, though its caller was told that it ended.
+/// The error for an end that is not in the store. A take-over would undo it: the program and its KV
+/// cache would stay, although its caller received the answer that it ended.
 fn not_stored(entry: &entry::Entry) -> error::Error {
     let message = "the program's end is not stored yet; end it again";
     error::Error::new(error::Kind::KeeperLost, message)
--- a/fw-entry/src/turn/run.rs
+++ b/fw-entry/src/turn/run.rs
@@ -1,4 +1,4 @@
-//! Runs a turn at its keeper: places it, tries it, and commits its answer.
+//! Execution of a turn at its keeper: placement, tries on upstreams, and commit of the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,15 +27,15 @@
 pub const PLACED: &str = "fw_entry_placed_total";
 /// Counter of retries, by the kind of failure.
 pub const RETRIES: &str = "fw_entry_retries_total";
-/// Counter of failures that were not retried, by reason.
+/// Counter of failures that were not retried, by reason and kind.
 pub const GIVEN_UP: &str = "fw_entry_retries_refused_total";
 /// Counter of committed turns.
 pub const TURNS: &str = "fw_entry_turns_total";
 /// Counter of tokens, by sort: `prompt`, `completion`.
 pub const TOKENS: &str = "fw_entry_tokens_total";
-/// Counter of prompt tokens computed anew that some upstream had held in its cache.
+/// Counter of prompt tokens recomputed although some upstream had held them in its cache.
 pub const WASTED: &str = "fw_entry_cache_wasted_tokens_total";
-/// Histogram of time from a turn's arrival to its release into an engine, in seconds.
+/// Histogram of the time from a turn's arrival to its release into an engine, in seconds.
 pub const QUEUE_SECONDS: &str = "fw_entry_queue_seconds";
 /// Histogram of a turn's time from its arrival to its end, in seconds.
 pub const TURN_SECONDS: &str = "fw_entry_turn_seconds";
@@ -49,16 +49,16 @@
     permit: admission::Permit,
     max_tokens: id::Tokens,
     arrived: tokio::time::Instant,
-    /// The attempt that callers read at present.
+    /// The attempt that callers currently read.
     reading: id::AttemptId,
-    /// Where the turn runs at present.
+    /// The side that currently runs the turn.
     pub(super) current: Option<Current>,
-    /// Upstreams that failed under it: two of three tries went to the same crashed one, beside an
-    /// idle one.
+    /// Upstreams at which this turn failed, avoided by further tries: without this, two of three tries
+    /// went to the same crashed upstream although another was idle.
     failed_at: Vec<id::UpstreamId>,
 }
 
-/// Where a turn runs.
+/// The side and attempt that run a turn.
 #[derive(Clone, Debug)]
 pub(super) struct Current {
     pub(super) side: Arc<sides::Side>,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Runs the turn to its end, whatever that is.
+    /// Runs the turn until it is committed or has failed.
     pub async fn run(mut self, mut buf: Arc<buffer::Buffer>) {
         let abandoned = self.entry.attempts.abandoned_token(self.run.attempt);
         let stopped = self.entry.attempts.stop_token(self.run.attempt);
@@ -147,7 +147,7 @@
         }
     }
 
-    /// After which delay a failed try is followed by another, if it is.
+    /// The delay before the next try after a failed one; `None` if there is none.
     fn decide(&mut self, tried: u32, err: &error::Error) -> Option<Duration> {
         if self.renews_fence(err) {
             self.explain(
@@ -159,7 +159,7 @@
         let failure = retry::Failure {
             kind: err.kind,
             attempt: tried,
-            // A model call has no effect but its answer, which is not committed yet.
+            // The only effect of a model call is its answer, which is not committed yet.
             repeatable: true,
             time_left: self.req.deadline.saturating_sub(self.arrived.elapsed()),
             retry_after: None,
@@ -183,9 +183,9 @@
         }
     }
 
-    /// After a lease that lapsed, this entry may keep the shard again, under a newer number and
-    /// with the same programs under way. Sides refuse the old number; the turn goes on under the
-    /// new one.
+    /// Adopts a newer fencing number of the shard, if there is one. After its lease lapsed, this entry
+    /// may keep the shard again under a newer number, with the same turns under way. Sides refuse the
+    /// old number, so the turn continues under the new one.
     fn renews_fence(&mut self, err: &error::Error) -> bool {
         if !matches!(err.kind, error::Kind::StaleFence | error::Kind::KeeperLost) {
             return false;
@@ -209,7 +209,8 @@
         attempt.is_ok_and(|changed| changed.value == Some(self.run.attempt))
     }
 
-    /// A further try starts its events anew: readers that hold some go over to a new buffer.
+    /// Prepares a further try, whose events start from the beginning: if readers may have events of the
+    /// failed one, they are moved to a new buffer.
     fn reset_buffer(&mut self, buf: &mut Arc<buffer::Buffer>) {
         if buf.is_empty() {
             return;
@@ -242,7 +243,7 @@
         outcome
     }
 
-    /// A further try goes elsewhere, unless it was this entry that was refused.
+    /// Excludes the upstream from further tries, unless the failure was caused by this entry's fence.
     fn avoid(&mut self, current: &Current, err: &error::Error) {
         let is_own_refusal = matches!(err.kind, error::Kind::StaleFence | error::Kind::KeeperLost);
         if !is_own_refusal {
@@ -405,7 +406,7 @@
         }
     }
 
-    /// Prompt tokens computed anew although the turn before had left them in some cache.
+    /// Prompt tokens recomputed although the previous turn had left them in some cache.
     fn wasted(&self, finish: &attempt::Finish) -> id::Tokens {
         let held = self.entry.keeper.with_shard(self.plan.shard, |shard| {
             let last = shard.program(&self.req.program)?.last()?;
@@ -421,7 +422,7 @@
 
     async fn fail(self, buf: &Arc<buffer::Buffer>, err: error::Error) {
         let err = match err.kind {
-            // The side saw a newer keeper of the shard: this one was paused and is fenced off.
+            // The side has seen a newer keeper of the shard: this one was suspended and is fenced off.
             error::Kind::StaleFence => keeper_changed(),
             _ => err,
         };
--- a/fw-entry/src/turn/submit.rs
+++ b/fw-entry/src/turn/submit.rs
@@ -1,4 +1,4 @@
-//! A turn arrives: at the entry that took the call, and at its keeper.
+//! Submission of a turn: from the entry that received the call to the keeper, and its acceptance there.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,7 +29,7 @@
 /// A turn that its keeper accepted.
 #[derive(Clone, Copy, Debug)]
 pub struct Accepted {
-    /// Where it is kept.
+    /// The entry that keeps it.
     pub location: keepers::Location,
     /// The attempt to read.
     pub attempt: id::AttemptId,
@@ -37,7 +37,7 @@
     pub turn: id::Turn,
 }
 
-/// Hands a turn to its keeper, wherever that is.
+/// Submits a turn to its keeper, local or remote.
 ///
 /// # Errors
 ///
@@ -74,8 +74,8 @@
     })
 }
 
-/// Whether the keeper can tell a second arrival from a further turn: it can by the turn's number,
-/// by the digest before it, or by the whole history.
+/// Whether the keeper can distinguish a repeated submission from the next turn: by the turn's number, by
+/// the digest of the history before it, or by the full history.
 fn is_idempotent(req: &peer::Submit) -> bool {
     let named = req.turn.is_some() || req.base.is_some();
     named || req.single || req.history == peer::History::Full
@@ -93,7 +93,7 @@
     }
 }
 
-/// Takes in a turn at its keeper.
+/// Accepts or refuses a turn at this entry, its keeper.
 pub fn accept(entry: &Arc<entry::Entry>, req: peer::Submit) -> peer::SubmitReply {
     let program = req.program.clone();
     let reply = try_accept(entry, req);
@@ -111,7 +111,8 @@
     reply
 }
 
-/// The error, and for a program that its caller knows otherwise what the shard was served on.
+/// Describes the error. If the caller's view of the program differs, the recovery state of the shard is
+/// added.
 fn refusal_reason(entry: &entry::Entry, program: &id::ProgramId, err: &error::Error) -> String {
     use error::Kind::HistoryMismatch;
     use error::Kind::UnknownProgram;
@@ -182,7 +183,7 @@
     begun.ok().map(|changed| changed.value)
 }
 
-/// What else makes a turn another turn: the model and the caller's other fields.
+/// Digest of the model and the caller's other fields, which identify a turn together with its messages.
 pub fn params_digest(model: &id::ModelId, params: &str) -> digest::Digest {
     digest::Digest::of_bytes(format!("{model}\n{params}").as_bytes())
 }
@@ -209,7 +210,7 @@
     peer::SubmitReply::Accepted { attempt, turn }
 }
 
-/// A refused turn leaves no trace: it did not run.
+/// Removes a turn that was begun and then refused: it did not run.
 fn revert(
     entry: &entry::Entry,
     program: &id::ProgramId,
@@ -217,7 +218,7 @@
     attempt: id::AttemptId,
 ) {
     let now = keeper::now();
-    // Not kept here any more: then nothing of the turn is kept at all.
+    // If the shard is no longer kept here, no state of the turn is left either.
     let _moved = entry.keeper.with_shard(shard, |shard| {
         shard.fail(program, attempt, error::Ran::No, now)
     });
@@ -249,14 +250,14 @@
 
 /// Makes a committed answer readable again, if its events are gone or end with an error.
 ///
-/// An entry that is cut off from the store breaks off a turn that it has committed in memory, and may
-/// keep the shard all the same. Read again, that end would refuse the turn for as long as ended
-/// attempts are kept, to callers of every entry. It was not the answer's end, so the answer is given
-/// after all, as soon as the store has it.
+/// An entry that is cut off from the store fails a turn that it has committed in memory, and may still
+/// keep the shard afterwards. Reading that attempt again would return the error to callers of every
+/// entry for as long as ended attempts are retained. The answer itself is complete, so it is delivered
+/// as soon as the store has it.
 ///
 /// # Errors
 ///
-/// Who keeps the shard instead, if it is not kept here any more.
+/// The shard's owner, if the shard is no longer kept here.
 fn replay(
     entry: &Arc<entry::Entry>,
     req: &peer::Submit,
@@ -285,7 +286,7 @@
     Ok(())
 }
 
-/// A committed answer as two chunks: the message, and the reason why it ended.
+/// A committed answer as two chunks: the message, and the finish reason.
 fn events_of(
     model: &id::ModelId,
     attempt: id::AttemptId,
--- a/fw-entry/src/turn/upstream.rs
+++ b/fw-entry/src/turn/upstream.rs
@@ -1,4 +1,4 @@
-//! One try of a turn on one upstream, from its start to the end of its answer.
+//! One try of a turn on one upstream, from the start call to the end of its answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,34 +16,36 @@
 use crate::connection::sides;
 use crate::process::entry;
 
-/// Time beyond the wait of a read after which its connection counts as silent.
+/// Time beyond the wait of a read after which its connection counts as not responding.
 const READ_GRACE: Duration = Duration::from_millis(500);
 
-/// Reads without an answer, each over a new connection, after which the side counts as gone.
+/// Consecutive reads without an answer, each over a new connection, after which the side counts as
+/// lost.
 const MAX_MISSED_READS: u32 = 3;
 
-/// How long events of a stream are gathered before they are passed on together: a third of the
-/// 30 ms between tokens that callers are promised. A read of its own for each token costs the entry
-/// 0.4 ms of processor time (`docs/MEASURED.md`).
+/// How long events of a stream are batched before they are passed on: a third of the 30 ms between
+/// tokens that callers are promised. A separate read for each token costs the entry 0.4 ms of processor
+/// time (`docs/MEASURED.md`).
 const GATHER_WINDOW: Duration = Duration::from_millis(10);
 
-/// Events passed on at once: the one that names the role, and the first token.
+/// Number of first events that are passed on without batching: the one with the role, and the first
+/// token.
 const UNGATHERED_EVENTS: u32 = 2;
 
-/// Pause before a side that cannot be reached is tried again.
+/// Delay after a read that brought no answer.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A try.
+/// A try of a turn.
 pub struct Try<'a> {
     /// The entry.
     pub entry: &'a entry::Entry,
     /// The side to try.
     pub side: &'a sides::Side,
-    /// What to start; `messages` follow `base`, which the side is believed to hold.
+    /// The start message; its `messages` follow `base`, which the side is assumed to hold.
     pub start: side::Start,
     /// The whole prompt, for a side that does not hold `base`.
     pub whole: Vec<chat::Message>,
-    /// Where the events go.
+    /// Buffer for the events.
     pub buf: &'a Arc<buffer::Buffer>,
 }
 
@@ -52,7 +54,7 @@
     ///
     /// # Errors
     ///
-    /// The kind tells whether the turn may have run there.
+    /// The kind states whether the turn may have run there.
     pub async fn run(mut self) -> Result<attempt::Finish, error::Error> {
         self.start().await?;
         self.buf.running();
@@ -80,7 +82,8 @@
         }
     }
 
-    /// The start is idempotent by its attempt, so one whose answer was lost is sent once more.
+    /// Sends the start message. It is idempotent by its attempt id, so it is sent once more if its answer
+    /// was lost.
     async fn send_start(&self) -> Result<side::StartReply, error::Error> {
         let within = self.entry.settings.upstream.connect_timeout * 4;
         let mut sent = false;
@@ -155,8 +158,8 @@
     }
 }
 
-/// Cancels an attempt at a side, as far as the side can be reached. One that cannot is left to its
-/// own deadline and to the end of its sessions.
+/// Cancels an attempt at a side, best effort. At a side that cannot be reached the attempt ends with its
+/// deadline or with its session.
 pub async fn cancel(entry: &entry::Entry, side: &sides::Side, attempt: id::AttemptId) {
     let cx = transport::context(entry.settings.upstream.connect_timeout);
     let call = |client: side::SideClient| async move { client.cancel(cx, attempt).await };
@@ -177,7 +180,8 @@
     reply.is_ok_and(|reply| matches!(reply.state, attempt::State::Done(_)))
 }
 
-/// Tells a side that an attempt's answer is durable. If that is lost, the side forgets it by age.
+/// Notifies a side that an attempt's answer is durable. If the call is lost, the side drops the answer
+/// when its retention expires.
 pub async fn forget(entry: &entry::Entry, side: &sides::Side, attempt: id::AttemptId) {
     let cx = transport::context(entry.settings.upstream.connect_timeout);
     let call = |client: side::SideClient| async move { client.forget(cx, attempt).await };
--- a/fw-entry/tests/entry/attempt_table.rs
+++ b/fw-entry/tests/entry/attempt_table.rs
@@ -1,4 +1,4 @@
-//! Attempts, their readers and what readers hear when a turn goes on elsewhere.
+//! The table of attempts: readers, retention, and turns that continue under another attempt.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -21,8 +21,8 @@
     expect_true!(abandoned.is_cancelled());
 }
 
-// A turn moves to another attempt after a crash; its caller, who read the first one, goes away.
-// The run must hear of it although the caller came with the old attempt.
+// A turn continues under another attempt after a crash, and its caller, who attached to the first one,
+// disconnects. The run must be cancelled although the caller attached to the old attempt.
 #[gtest]
 fn readers_go_along_with_the_turn() {
     let table = attempts::Table::new();
@@ -50,8 +50,8 @@
     expect_true!(matches!(reply.state, attempt::State::Moved(2)));
 }
 
-// A reader's connection goes silent just as the answer ends. It must still find the answer when it
-// is back; much later the memory must be free.
+// A reader's connection stops responding just as the answer ends. The reader must still find the answer
+// when it reconnects; after the retention the memory must be freed.
 #[gtest]
 fn ended_attempts_are_kept_for_a_while() {
     let table = attempts::Table::new();
--- a/fw-entry/tests/entry/ended_connections.rs
+++ b/fw-entry/tests/entry/ended_connections.rs
@@ -1,4 +1,4 @@
-//! Connections whose peer has gone.
+//! Pooled connections that the peer has closed.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 use googletest::prelude::*;
 use tokio::net::TcpListener;
 
-/// Looks at a connection that has ended before the test fails.
-const LOOKS: usize = 500;
+/// Calls made until the pool detects the closed connection; after that the test fails.
+const MAX_CALLS: usize = 500;
 
-// Guards against a call to a killed keeper that is said to have been received, though it was not sent.
+// Guards against a call to a killed keeper that is reported as possibly received although it was not
+// sent.
 #[gtest]
 #[tokio::test]
 async fn are_not_used_for_another_call() {
@@ -23,7 +24,7 @@
     drop(accepted);
     drop(listener);
     let mut used = Ok(());
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_CALLS {
         used = use_one().await;
         if used.is_err() {
             break;
--- a/fw-entry/tests/entry/splice_runs.rs
+++ b/fw-entry/tests/entry/splice_runs.rs
@@ -1,4 +1,4 @@
-//! Joining a turn's events over a second run.
+//! Splicing the events of a turn's successive runs.
 
 use fw_base::error;
 use fw_entry::request::splice;
@@ -37,9 +37,8 @@
     Ok(passed?.into_iter().flatten().collect())
 }
 
-// A shopkeeper watches a page being drafted; the engine crashes after two words. The turn runs
-// again elsewhere and generates the same text in other pieces. The page must read as one answer,
-// without a word missing or doubled.
+// The engine crashes after two words of a streamed answer. The turn runs again elsewhere and generates
+// the same text in other chunks. The caller must receive one answer, without missing or repeated words.
 #[gtest]
 fn same_text_in_other_pieces_is_joined() {
     let mut splice = splice::Splice::default();
@@ -51,8 +50,8 @@
     expect_that!(seen.last(), some(eq(&last())));
 }
 
-// The second run answers differently from the first word on. A part of the first answer was shown
-// already: the caller must get an error, not the head of one answer and the tail of another.
+// The second run differs from the first word on, after a part of the first answer was delivered. The
+// caller must receive an error, not the head of one answer and the tail of another.
 #[gtest]
 fn a_different_text_is_an_error() {
     let mut splice = splice::Splice::default();
@@ -62,7 +61,7 @@
     expect_that!(err.kind, eq(error::Kind::UpstreamCrashed));
 }
 
-// The second run ends before it has repeated all that was shown: what was shown is not its answer.
+// The second run ends before it has repeated the delivered text, which is therefore not its answer.
 #[gtest]
 fn a_shorter_text_is_an_error() {
     let mut splice = splice::Splice::default();
@@ -74,7 +73,7 @@
     );
 }
 
-// Two engines crash one after the other; the joined text must still be whole.
+// Two engines crash one after the other; the spliced text must still be complete.
 #[gtest]
 fn a_third_run_is_joined_too() {
     let mut splice = splice::Splice::default();
