--- a/fw-entry/src/connection/recover.rs
+++ b/fw-entry/src/connection/recover.rs
@@ -45,7 +45,7 @@
     if entry.serving_fence(shard).is_none() {
         return false;
     }
-    match commit_held(entry, "its keeper before", held) {
+    match commit_held(entry, "its previous keeper", held) {
         Recovery::Committed(ticket) => entry.keeper.wait_durable(ticket).await.is_ok(),
         Recovery::Gap | Recovery::NotKept => false,
     }
@@ -112,7 +112,7 @@
             let unresponsive = holder.unresponsive_since.map(|at| at.elapsed());
             let (gone, pending) = (holder.gone, holder.has_pending_turns);
             text.push_str(&format!(
-                "; {what} heard {last_answered:?} ago, silent for {unresponsive:?}, gone {gone}, owes {pending}"
+                "; {what} last answered {last_answered:?} ago, unresponsive for {unresponsive:?}, gone {gone}, pending turns {pending}"
             ));
         }
     }
--- a/fw-entry/src/process/admission.rs
+++ b/fw-entry/src/process/admission.rs
@@ -90,10 +90,10 @@
     };
     metrics::counter!(REFUSED, "lane" => label, "kind" => kind.row().label).increment(1);
     let why = match kind {
-        error::Kind::ShareExceeded => "your team holds more than its share while others wait",
+        error::Kind::ShareExceeded => "your team exceeds its share while others wait",
         error::Kind::DeadlineUnmeetable => "it could not start before its deadline",
-        _ => "too much is under way",
+        _ => "too many calls are under way",
     };
-    let message = format!("no further {what} are taken now: {why}");
+    let message = format!("no further {what} are accepted now: {why}");
     error::Error::new(kind, message).with_retry_after(retry_after)
 }
--- a/fw-entry/src/process/entry.rs
+++ b/fw-entry/src/process/entry.rs
@@ -94,7 +94,7 @@
     pub fn enter(&self) -> Result<Guard, error::Error> {
         let token = self.requests.token();
         if self.stopping.is_cancelled() {
-            let message = "this entry is shutting down; send the call again, to another";
+            let message = "this entry is shutting down; send the call to another entry";
             let err = error::Error::new(error::Kind::ShuttingDown, message);
             return Err(err.with_retry_after(Duration::ZERO));
         }
--- a/fw-entry/src/process/keepers.rs
+++ b/fw-entry/src/process/keepers.rs
@@ -89,7 +89,7 @@
                     Err(pool::Failure::Unsent) => lookup::Miss::Unreachable,
                     Err(pool::Failure::Broken) => {
                         let idempotent = options.idempotent;
-                        tracing::warn!(entry = %entry.id, shard, %address, idempotent, "the connection to a keeper broke under a call");
+                        tracing::warn!(entry = %entry.id, shard, %address, idempotent, "the connection to a keeper broke during a call");
                         if !idempotent {
                             return Err(keeper_lost());
                         }
@@ -115,7 +115,7 @@
 
 /// The error of a call that a keeper may have received before the connection to it broke.
 pub fn keeper_lost() -> error::Error {
-    let message = "the program's keeper broke off; ask for the program's turn before sending again";
+    let message = "the program's keeper was lost during the call; query the program's turn before sending again";
     error::Error::new(error::Kind::KeeperLost, message)
 }
 
--- a/fw-entry/src/process/members.rs
+++ b/fw-entry/src/process/members.rs
@@ -19,7 +19,7 @@
 /// Polls the instance list and runs heartbeats until the future is dropped.
 pub async fn run(entry: Arc<entry::Entry>) {
     let Some(url) = entry.settings.platform.instances.clone() else {
-        info!("no instance list is set: there are no upstreams");
+        info!("no instance list is configured: there are no upstreams");
         entry.sides.update_list(entry.now(), &[]);
         return std::future::pending().await;
     };
--- a/fw-entry/src/process/serve.rs
+++ b/fw-entry/src/process/serve.rs
@@ -206,7 +206,7 @@
         self.entry.keeper.close().await;
         self.loops.shutdown().await;
         if !drained {
-            warn!(entry = %self.entry.id, "stopped with work under way");
+            warn!(entry = %self.entry.id, "stopped before all work under way had ended");
         }
         info!(entry = %self.entry.id, "entry stopped");
         Stopped { drained }
--- a/fw-entry/src/request/headers.rs
+++ b/fw-entry/src/request/headers.rs
@@ -108,7 +108,10 @@
         );
         return error::Error::new(error::Kind::BodyTooLarge, message);
     }
-    error::Error::new(error::Kind::BadRequest, "the body broke off before its end")
+    error::Error::new(
+        error::Kind::BadRequest,
+        "the request body ended prematurely",
+    )
 }
 
 fn text<'a>(headers: &'a HeaderMap, header: &str) -> Result<Option<&'a str>, error::Error> {
--- a/fw-entry/src/request/once.rs
+++ b/fw-entry/src/request/once.rs
@@ -130,7 +130,7 @@
     let whole = Limited::new(body, MAX_ANSWER).collect().await;
     let whole = whole.map_err(|err| {
         // The head was received, so the call ran; only the answer is incomplete.
-        let message = format!("the upstream's answer broke off: {err}");
+        let message = format!("the upstream's answer ended prematurely: {err}");
         error::Error::new(error::Kind::UpstreamError, message)
     })?;
     Ok(Collected {
@@ -156,7 +156,7 @@
 
 fn replayed(answer: &peer::StoredAnswer) -> Result<Response, error::Error> {
     if answer.truncated {
-        let message = "the call ran before; its answer was too large to be kept";
+        let message = "the call ran before; its answer was too large to be stored";
         return Err(error::Error::new(error::Kind::UpstreamError, message));
     }
     let body = STANDARD.decode(&answer.body).map_err(|_| unexpected())?;
--- a/fw-entry/src/request/splice.rs
+++ b/fw-entry/src/request/splice.rs
@@ -125,7 +125,8 @@
 }
 
 fn diverged(why: &str) -> error::Error {
-    let message =
-        format!("the turn ran anew after a failure and cannot be continued: {why}; send it again");
+    let message = format!(
+        "the turn ran again after a failure and its answer cannot be continued: {why}; send it again"
+    );
     error::Error::new(error::Kind::UpstreamCrashed, message)
 }
--- a/fw-entry/src/turn/claim.rs
+++ b/fw-entry/src/turn/claim.rs
@@ -64,7 +64,7 @@
 fn not_sent(req: &peer::Claim, err: error::Error) -> error::Error {
     match (&req.step, err.kind) {
         (peer::ClaimStep::Open, error::Kind::KeeperLost) => {
-            let message = "the key's keeper broke off before the call was sent";
+            let message = "the key's keeper was lost before the call was sent";
             error::Error::new(error::Kind::KeeperUnavailable, message)
         }
         _ => err,
--- a/fw-entry/src/turn/program.rs
+++ b/fw-entry/src/turn/program.rs
@@ -150,7 +150,7 @@
 }
 
 fn unknown() -> error::Error {
-    let message = "no such program; it never began, or was forgotten after its retention";
+    let message = "no such program; it never began, or its retention has expired";
     error::Error::new(error::Kind::UnknownProgram, message)
 }
 
--- a/fw-entry/src/turn/run.rs
+++ b/fw-entry/src/turn/run.rs
@@ -171,13 +171,13 @@
         match outcome {
             retry::Outcome::Retry { after } => {
                 metrics::counter!(RETRIES, "kind" => label).increment(1);
-                self.explain("retried", format!("{err}; again after {after:?}"));
+                self.explain("retried", format!("{err}; next try after {after:?}"));
                 Some(after)
             }
             retry::Outcome::GiveUp { reason } => {
                 let reason = reason.label();
                 metrics::counter!(GIVEN_UP, "reason" => reason, "kind" => label).increment(1);
-                self.explain("given up", format!("{err}; not tried again: {reason}"));
+                self.explain("given up", format!("{err}; not retried: {reason}"));
                 None
             }
         }
@@ -296,7 +296,7 @@
         drop(service);
         metrics::counter!(PLACED, "reason" => outcome.reason.label()).increment(1);
         let why = format!(
-            "turn {} on {}: {}, {:?} expected, {} tokens missing in its cache",
+            "turn {} on {}: {}, expected latency {:?}, {} tokens not in its cache",
             self.run.turn,
             outcome.upstream,
             outcome.reason.label(),
@@ -463,7 +463,7 @@
 fn cancelled() -> error::Error {
     error::Error::new(
         error::Kind::Cancelled,
-        "the caller went away before the answer was whole",
+        "the caller disconnected before the answer was complete",
     )
 }
 
--- a/fw-entry/src/turn/submit.rs
+++ b/fw-entry/src/turn/submit.rs
@@ -268,7 +268,7 @@
         return Ok(());
     }
     let kept = entry.keeper.with_program(&req.program, |_| ())?;
-    let why = "an earlier end of the turn was lost or an error".to_owned();
+    let why = "the turn's earlier attempt was lost or ended with an error".to_owned();
     entry.explain.record(&req.program, "answered again", why);
     let buf = entry.attempts.open(attempt);
     buf.push(events_of(&req.model, attempt, &answer));
--- a/fw-entry/src/turn/upstream.rs
+++ b/fw-entry/src/turn/upstream.rs
@@ -76,7 +76,7 @@
             side::StartReply::Accepted => Ok(()),
             side::StartReply::Refused(err) => Err(err),
             side::StartReply::NeedHistory => {
-                let message = "the side asked for the history of a turn that carried it whole";
+                let message = "the side requested history for a start that contained all of it";
                 Err(error::Error::new(error::Kind::Internal, message))
             }
         }
@@ -148,7 +148,10 @@
     }
 
     fn lost(&self) -> error::Error {
-        let message = format!("upstream {} was lost under the turn", self.side.instance.id);
+        let message = format!(
+            "upstream {} was lost during the turn",
+            self.side.instance.id
+        );
         error::Error::new(error::Kind::UpstreamCrashed, message)
     }
 
--- a/fw-entry/src/version/watch.rs
+++ b/fw-entry/src/version/watch.rs
@@ -95,7 +95,7 @@
     tokio::select! {
         () = tokio::time::sleep(POLL_INTERVAL) => {}
         () = entry.records.wait_for_newer() => {
-            tracing::debug!(%watcher, "another process acts on newer records");
+            tracing::debug!(%watcher, "another process uses newer records");
             fetch_newer(entry).await;
         }
     }
@@ -141,7 +141,7 @@
 
 /// Watches the store for as long as this entry is its place's watcher.
 async fn follow(entry: &entry::Entry) {
-    info!(entry = %entry.id, place = %entry.settings.instance.place, "watches the records");
+    info!(entry = %entry.id, place = %entry.settings.instance.place, "watching the store for records");
     let watch = load::follow(&entry.store, &entry.records.holder);
     tokio::pin!(watch);
     loop {
