--- a/fw-entry/src/process/held.rs
+++ b/fw-entry/src/process/held.rs
@@ -18,7 +18,7 @@
 /// Held turns, in the order in which a successor can commit them.
 #[derive(Debug, Default)]
 pub struct HeldTurns {
-    turns: Mutex<BTreeMap<peer::HeldPlace, side::Held>>,
+    turns: Mutex<BTreeMap<peer::HeldCursor, side::Held>>,
 }
 
 impl HeldTurns {
@@ -37,7 +37,7 @@
     pub fn reply(
         &self,
         shards: &HashSet<id::ShardId>,
-        after: Option<peer::HeldPlace>,
+        after: Option<peer::HeldCursor>,
     ) -> side::HeldReply {
         let turns = self.turns.lock();
         let mut reply = side::HeldReply::default();
--- a/fw-entry/src/request/follow.rs
+++ b/fw-entry/src/request/follow.rs
@@ -185,7 +185,7 @@
             .saturating_duration_since(tokio::time::Instant::now());
         let accepted = submit::submit_to_keeper(&self.entry, &self.req).await;
         // The turn was accepted before, so it may have run whatever the reason for a refusal now.
-        let accepted = accepted.map_err(|err| err.after(Some(keepers::keeper_lost())))?;
+        let accepted = accepted.map_err(|err| err.merge_earlier(Some(keepers::keeper_lost())))?;
         self.location = accepted.location;
         self.restart(accepted.attempt)
     }
--- a/fw-keep/src/commit.rs
+++ b/fw-keep/src/commit.rs
@@ -1,15 +1,16 @@
-//! Writes groups of many shards to the store, whatever happens to the answers.
+//! Group commit: writes the pending journal groups of many shards to the store, and determines the
+//! outcome of each group also when answers are lost.
 //!
 //! One transaction carries the groups of many shards, so that the number of store calls follows
 //! the number of entries and the commit window, not the number of turns. Two conditions guard
 //! each shard:
 //!
 //! * The keeper's key still has the revision of our acquisition. A holder that was paused past its
-//!   lease finds its transaction refused, whether or not it knows that the lease lapsed.
-//! * The journal's head is the one that our group follows. A transaction that was delayed on its
-//!   way, and whose answer was given up, can't be applied after a later one.
+//!   lease has its transaction refused, whether or not it has noticed that the lease lapsed.
+//! * The journal's head is the one that our group follows. A transaction that was delayed in the
+//!   network, and whose answer is no longer awaited, can't be applied after a later one.
 //!
-//! When an answer is lost, the head is read back: it names the group written last.
+//! When an answer is lost, the head is read back: it identifies the group written last.
 
 use fw_base::id;
 use fw_store::kv;
@@ -20,9 +21,9 @@
 /// Bounds of one transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Most steps; etcd refuses more than 128.
+    /// Maximum number of operations; etcd refuses more than 128.
     pub max_ops: usize,
-    /// Most bytes of values; etcd refuses requests above 1.5 MB.
+    /// Maximum bytes of values; etcd refuses requests above 1.5 MB.
     pub max_bytes: usize,
 }
 
@@ -35,18 +36,18 @@
     }
 }
 
-/// What to do next.
+/// The next action of the caller of a [`Commit`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Send this write, and report what came of it.
+    /// Send this write, and report its result.
     Write(kv::Txn),
-    /// The last write's answer was lost: send this read, and report what it found.
+    /// The last write's answer was lost: send this read, and report its result.
     Read(kv::Txn),
     /// All groups have a [`Verdict`].
     Done,
 }
 
-/// What came of a [`Step`].
+/// The result of a [`Step`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// The store answered.
@@ -57,7 +58,7 @@
     Unknown,
 }
 
-/// What became of a shard's group.
+/// The outcome of a shard's group.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// It is in the store.
@@ -65,38 +66,39 @@
         /// The shard.
         shard: id::ShardId,
     },
-    /// Our lease lapsed and nobody has taken the shard since; what is left of the group may be
-    /// written once the shard is acquired again.
+    /// Our lease lapsed and no keeper has acquired the shard since. The remaining parts of the
+    /// group may be written once the shard is acquired again.
     Lapsed(Job),
-    /// The shard has another keeper. Whether the group is in the store is for that one to say.
+    /// The shard has another keeper, which finds out from the journal whether the group was
+    /// written.
     Lost {
         /// The shard.
         shard: id::ShardId,
     },
-    /// The journal was changed by someone who does not hold the shard.
+    /// The journal was changed by a writer that does not hold the shard.
     Foreign {
         /// The shard.
         shard: id::ShardId,
     },
 }
 
-/// What a transaction carries of one job.
+/// The part of one job that the transaction in flight carries.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentParts {
     job: usize,
     parts: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The next write is not sent yet, or is known not to have taken effect.
+    /// The next write has not been sent, or did not take effect.
     Ready,
-    /// A write's answer was lost.
-    Doubt,
+    /// A write's answer was lost, so whether it took effect is unknown.
+    Unconfirmed,
 }
 
-/// How a shard stands in the store.
-struct Seen<'a> {
+/// The owner and head of a shard as read from the store.
+struct StoredState<'a> {
     owner: id::Revision,
     head: Option<&'a [u8]>,
 }
@@ -105,7 +107,7 @@
 #[derive(Debug)]
 pub struct Commit {
     jobs: Vec<Job>,
-    sent: Vec<Sent>,
+    sent: Vec<SentParts>,
     state: State,
     verdicts: Vec<Verdict>,
     opts: Options,
@@ -121,32 +123,32 @@
             verdicts: Vec::new(),
             opts,
         };
-        commit.plan();
+        commit.plan_txn();
         commit
     }
 
-    /// What to do next.
+    /// The next action.
     pub fn step(&self) -> Step {
         match self.state {
             _ if self.jobs.is_empty() => Step::Done,
-            State::Ready => Step::Write(self.write()),
-            State::Doubt => Step::Read(kv::Txn {
-                then: self.reads(),
+            State::Ready => Step::Write(self.write_txn()),
+            State::Unconfirmed => Step::Read(kv::Txn {
+                then: self.read_ops(),
                 ..kv::Txn::default()
             }),
         }
     }
 
-    /// Reports what came of the step.
-    pub fn on(&mut self, reply: Reply) {
+    /// Processes the result of the last step.
+    pub fn handle_reply(&mut self, reply: Reply) {
         match (self.state, reply) {
-            (_, Reply::NotSent) | (State::Doubt, Reply::Unknown) => (),
-            (State::Ready, Reply::Unknown) => self.state = State::Doubt,
-            (State::Ready, Reply::Answer(outcome)) if outcome.succeeded => self.applied(),
-            // A refused write may be the repetition of one that took effect after we had looked.
-            (State::Ready | State::Doubt, Reply::Answer(outcome)) => {
+            (_, Reply::NotSent) | (State::Unconfirmed, Reply::Unknown) => (),
+            (State::Ready, Reply::Unknown) => self.state = State::Unconfirmed,
+            (State::Ready, Reply::Answer(outcome)) if outcome.succeeded => self.record_applied(),
+            // A refused write may be a retry of one that took effect after our read.
+            (State::Ready | State::Unconfirmed, Reply::Answer(outcome)) => {
                 self.state = State::Ready;
-                self.judge(&outcome.into_kvs());
+                self.resolve(&outcome.into_kvs());
             }
         }
     }
@@ -156,23 +158,23 @@
         std::mem::take(&mut self.verdicts)
     }
 
-    /// Chooses what the next transaction carries.
-    fn plan(&mut self) {
+    /// Chooses the parts that the next transaction carries.
+    fn plan_txn(&mut self) {
         self.sent.clear();
         let mut ops = 0;
         let mut bytes = 0;
         for (index, job) in self.jobs.iter().enumerate() {
-            let parts = fitting(job, &mut ops, &mut bytes, &self.opts, self.sent.is_empty());
+            let parts = fitting_parts(job, &mut ops, &mut bytes, &self.opts, self.sent.is_empty());
             if parts == 0 {
                 break;
             }
-            self.sent.push(Sent { job: index, parts });
+            self.sent.push(SentParts { job: index, parts });
         }
     }
 
-    fn write(&self) -> kv::Txn {
+    fn write_txn(&self) -> kv::Txn {
         let mut txn = kv::Txn {
-            otherwise: self.reads(),
+            otherwise: self.read_ops(),
             ..kv::Txn::default()
         };
         for sent in &self.sent {
@@ -182,57 +184,61 @@
                 txn.then.push(kv::Op::put(&part.key, part.value.clone()));
                 txn.then.extend(deletes(part));
             }
-            txn.then.push(kv::Op::put(&job.head_key, self.after(sent)));
+            txn.then
+                .push(kv::Op::put(&job.head_key, self.head_after(sent)));
         }
         txn
     }
 
-    fn reads(&self) -> Vec<kv::Op> {
+    fn read_ops(&self) -> Vec<kv::Op> {
         let jobs = self.sent.iter().map(|sent| &self.jobs[sent.job]);
         let keys = jobs.flat_map(|job| [&job.owner_key, &job.head_key]);
         keys.map(kv::Op::get).collect()
     }
 
-    fn after(&self, sent: &Sent) -> &[u8] {
+    fn head_after(&self, sent: &SentParts) -> &[u8] {
         let part = &self.jobs[sent.job].parts[sent.parts - 1];
         &part.head
     }
 
-    /// Everything that was sent is in the store.
-    fn applied(&mut self) {
+    /// Removes the parts that were sent, which are in the store.
+    fn record_applied(&mut self) {
         for sent in std::mem::take(&mut self.sent) {
             let job = &mut self.jobs[sent.job];
             let last = job.parts.drain(..sent.parts).next_back();
-            job.before = last.map(|part| part.head);
+            job.expected_head = last.map(|part| part.head);
         }
-        let (done, left) = self.jobs.drain(..).partition(|job| job.parts.is_empty());
-        self.jobs = left;
+        let (done, remaining) = self.jobs.drain(..).partition(|job| job.parts.is_empty());
+        self.jobs = remaining;
         let done: Vec<Job> = done;
         let committed = done
             .iter()
             .map(|job| Verdict::Committed { shard: job.shard });
         self.verdicts.extend(committed);
-        self.plan();
+        self.plan_txn();
     }
 
-    /// Tells from what the store holds whether the last write took effect.
+    /// Determines from the values read whether the last write took effect.
     ///
-    /// The write was one transaction: where one head is ours, all of it took effect. Where none
-    /// is, it did not and, if a condition has come to fail since, never will: revisions only grow.
-    fn judge(&mut self, kvs: &[kv::Kv]) {
-        let ours = |sent: &Sent| seen(kvs, &self.jobs[sent.job]).head == Some(self.after(sent));
-        if self.sent.iter().any(ours) {
-            self.applied();
+    /// The write was one transaction: if one head is ours, all of it took effect. If none is, it
+    /// did not take effect. If in addition one of its conditions no longer holds, it never will,
+    /// because revisions only grow.
+    fn resolve(&mut self, kvs: &[kv::Kv]) {
+        let is_applied = |sent: &SentParts| {
+            stored_state(kvs, &self.jobs[sent.job]).head == Some(self.head_after(sent))
+        };
+        if self.sent.iter().any(is_applied) {
+            self.record_applied();
             return;
         }
         let mut verdicts = Vec::new();
         let sent: Vec<usize> = self.sent.iter().map(|sent| sent.job).collect();
         for index in sent.into_iter().rev() {
             let job = &self.jobs[index];
-            let seen = seen(kvs, job);
-            let same_head = seen.head == job.before.as_deref();
+            let stored = stored_state(kvs, job);
+            let same_head = stored.head == job.expected_head.as_deref();
             let shard = job.shard;
-            match (seen.owner, same_head) {
+            match (stored.owner, same_head) {
                 (owner, true) if owner == job.fence => (),
                 (0, true) => verdicts.push(Verdict::Lapsed(self.jobs.remove(index))),
                 (owner, false) if owner == job.fence => {
@@ -246,21 +252,27 @@
             }
         }
         self.verdicts.extend(verdicts);
-        self.plan();
+        self.plan_txn();
     }
 }
 
-/// Number of the job's next parts that still fit a transaction, which they are added to. The very
-/// first part always fits: it is bounded by the size of a segment.
-fn fitting(job: &Job, ops: &mut usize, bytes: &mut usize, opts: &Options, is_first: bool) -> usize {
+/// Number of the job's next parts that still fit into the transaction; adds them to `ops` and
+/// `bytes`. The first part of a transaction always fits: it is bounded by the size of a segment.
+fn fitting_parts(
+    job: &Job,
+    ops: &mut usize,
+    bytes: &mut usize,
+    opts: &Options,
+    is_first: bool,
+) -> usize {
     let mut count = 0;
     for part in &job.parts {
         let head_op = usize::from(count == 0);
         let more_ops = *ops + 1 + part.delete.len() + head_op;
         let more_bytes = *bytes + part.value.len();
-        let must_go = is_first && count == 0;
+        let is_required = is_first && count == 0;
         let fits = more_ops <= opts.max_ops && more_bytes <= opts.max_bytes;
-        if !must_go && !fits {
+        if !is_required && !fits {
             break;
         }
         (*ops, *bytes) = (more_ops, more_bytes);
@@ -271,7 +283,7 @@
 
 fn compares(job: &Job) -> [kv::Compare; 2] {
     let head_key = job.head_key.clone();
-    let head = match &job.before {
+    let head = match &job.expected_head {
         Some(before) => kv::Compare::Value(head_key, before.clone()),
         None => kv::Compare::CreateRevision(head_key, 0),
     };
@@ -288,9 +300,9 @@
     })
 }
 
-fn seen<'a>(kvs: &'a [kv::Kv], job: &Job) -> Seen<'a> {
+fn stored_state<'a>(kvs: &'a [kv::Kv], job: &Job) -> StoredState<'a> {
     let find = |key: &str| kvs.iter().find(|kv| kv.key == key);
-    Seen {
+    StoredState {
         owner: find(&job.owner_key).map_or(0, |kv| kv.create_revision),
         head: find(&job.head_key).map(|kv| kv.value.as_slice()),
     }
--- a/fw-keep/src/shard/sweep.rs
+++ b/fw-keep/src/shard/sweep.rs
@@ -1,4 +1,4 @@
-//! Forgets what was kept long enough.
+//! Deletes programs and claims whose retention is over.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 use crate::program::Program;
 use crate::shard::Shard;
 
-/// How long what is finished is kept.
+/// Retention of programs and claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// From a program's end.
+    /// Time from a program's end to its deletion.
     pub ended: Duration,
-    /// From the last use of a program that was not ended.
+    /// Time from the last use of a program that was not ended to its deletion.
     pub idle: Duration,
-    /// From a claim's last change.
+    /// Time from a claim's last change to its deletion.
     pub claim: Duration,
-    /// After this time without outcome a claim's holder is taken to be gone.
-    pub patience: Duration,
+    /// Time without an outcome after which the holder of an open claim is presumed to have failed.
+    pub open_claim: Duration,
 }
 
 impl Default for Retention {
@@ -28,13 +28,13 @@
             ended: HOUR,
             idle: 24 * HOUR,
             claim: 24 * HOUR,
-            patience: HOUR / 12,
+            open_claim: HOUR / 12,
         }
     }
 }
 
 impl Shard {
-    /// Forgets what has outlived its retention.
+    /// Deletes programs and claims whose retention is over.
     pub fn sweep(&mut self, now: Duration) {
         self.sweep_programs(now);
         self.sweep_claims(now);
@@ -42,28 +42,28 @@
 
     fn sweep_programs(&mut self, now: Duration) {
         let retention = self.retention;
-        let is_over = |known: &Program| {
-            let age = now.saturating_sub(known.touched());
-            match known.status() {
+        let is_expired = |state: &Program| {
+            let age = now.saturating_sub(state.last_used_at());
+            match state.status() {
                 program::Status::Running => false,
                 program::Status::Ended => age > retention.ended,
                 program::Status::Idle => age > retention.idle,
             }
         };
-        let over = self.programs.iter().filter(|(_, known)| is_over(known));
-        let over: Vec<_> = over.map(|(program, _)| program.clone()).collect();
-        for program in over {
+        let expired = self.programs.iter().filter(|(_, state)| is_expired(state));
+        let expired: Vec<_> = expired.map(|(program, _)| program.clone()).collect();
+        for program in expired {
             self.programs.remove(&program);
             self.push(Entry::Forget { program });
         }
     }
 
     fn sweep_claims(&mut self, now: Duration) {
-        let keep = self.retention.claim;
-        let is_over = |claim: &claim::Claim| now.saturating_sub(claim.since) > keep;
-        let over = self.claims.iter().filter(|(_, claim)| is_over(claim));
-        let over: Vec<_> = over.map(|(key, _)| key.clone()).collect();
-        for key in over {
+        let retention = self.retention.claim;
+        let is_expired = |claim: &claim::Claim| now.saturating_sub(claim.since) > retention;
+        let expired = self.claims.iter().filter(|(_, claim)| is_expired(claim));
+        let expired: Vec<_> = expired.map(|(key, _)| key.clone()).collect();
+        for key in expired {
             self.claims.remove(&key);
             self.push(Entry::Free { key });
         }
--- a/fw-store/src/watch.rs
+++ b/fw-store/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches of a key prefix that outlive their connections.
+//! Watches of a key prefix that reconnect after failures.
 
 use std::time::Duration;
 
@@ -21,24 +21,24 @@
 use crate::error::Result;
 use crate::kv;
 
-/// Longest line of a watch's answer, in bytes; longer ones are taken for garbage.
+/// Maximum length of a line in the response to a watch, in bytes; longer ones end the connection.
 const MAX_LINE: usize = 64 << 20;
 
-/// What happened to a key.
+/// Kind of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// It was written.
+    /// The key was written.
     Put,
-    /// It was deleted, or its lease lapsed.
+    /// The key was deleted, or its lease lapsed.
     Delete,
 }
 
 /// One change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// What happened.
+    /// The kind of change.
     pub kind: EventKind,
-    /// The key after the change; for a deletion only key and `mod_revision` are set.
+    /// The key after the change; for a deletion only `key` and `mod_revision` are set.
     pub kv: kv::Kv,
 }
 
@@ -47,36 +47,36 @@
 pub struct Batch {
     /// Every change of the prefix up to this revision has been delivered.
     pub revision: id::Revision,
-    /// The changes in order; empty for a progress notification.
+    /// The changes, oldest first; empty for a progress notification.
     pub events: Vec<Event>,
 }
 
-/// A watch of a key prefix. It opens its connection on the first [`Watch::next`], and again from
-/// the last revision seen when the connection breaks or falls silent.
+/// A watch of a key prefix. The first [`Watch::next`] opens its connection. When the connection fails
+/// or stops delivering data, it is reopened from the last revision seen.
 pub struct Watch {
     client: client::Client,
     prefix: String,
-    /// First revision not yet delivered; 0 until the first answer if it is to start from now.
+    /// First revision not yet delivered; 0 until the first message if the watch starts from now.
     next_revision: id::Revision,
-    /// When all changes up to `next_revision` were last known to be delivered.
-    told_at: Instant,
+    /// Time of the last message with changes or progress.
+    last_update_at: Instant,
     state: State,
 }
 
-/// Where a watch stands. Kept outside of the future of [`Watch::next`], so that a caller that
-/// drops it again and again, as `select!` does, still gets to a connection and to its silence.
+/// State of a watch's connection. Stored outside of the future of [`Watch::next`], so that a caller that
+/// drops the future repeatedly, as `select!` does, still connects and still detects a dead connection.
 enum State {
     Closed { retry_at: Option<Instant> },
-    Opening(BoxFuture<'static, Result<Open>>),
-    Open(Open),
+    Opening(BoxFuture<'static, Result<Connection>>),
+    Open(Connection),
 }
 
-struct Open {
+struct Connection {
     body: Incoming,
     buf: BytesMut,
-    /// Bytes of `buf` known to hold no end of line.
+    /// Number of bytes at the start of `buf` that contain no end of line.
     scanned: usize,
-    heard_at: Instant,
+    last_received_at: Instant,
 }
 
 impl Watch {
@@ -85,20 +85,20 @@
             client,
             prefix,
             next_revision: from,
-            told_at: Instant::now(),
+            last_update_at: Instant::now(),
             state: State::Closed { retry_at: None },
         }
     }
 
-    /// The next changes or progress.
+    /// Waits for the next changes or progress notification.
     ///
-    /// Dropping the future loses nothing.
+    /// Cancel-safe: dropping the future loses no changes.
     ///
     /// # Errors
     ///
-    /// After [`Error::Compacted`] the watch cannot go on: read the prefix and start a new one.
-    /// After any other error, which only tells that the store is away, the next call goes on from
-    /// the last revision seen, after [`client::Options::watch_backoff`].
+    /// After [`Error::Compacted`] the watch cannot continue: read the prefix and start a new one.
+    /// Any other error only means that the store is unavailable: the next call continues from the last
+    /// revision seen, after [`client::Options::watch_backoff`].
     pub async fn next(&mut self) -> Result<Batch> {
         let result = self.advance().await;
         if result.is_err() {
@@ -109,16 +109,15 @@
         result
     }
 
-    /// Time since the store last told of changes, or that there were none. What is followed may have
-    /// changed since.
+    /// Time since the last message with changes or progress. The watched keys may have changed since.
     ///
-    /// A watch that cannot be opened tries again for ever, with more to be told each time. What it
-    /// follows is to be read anew once this age is too great for its use.
+    /// A watch that cannot be opened retries indefinitely, and its backlog grows with each attempt. The
+    /// caller should read the prefix again once this age is too great for its use.
     pub fn age(&self) -> Duration {
-        self.told_at.elapsed()
+        self.last_update_at.elapsed()
     }
 
-    /// The watch as a stream; it ends after [`Error::Compacted`].
+    /// The watch as a stream that ends after [`Error::Compacted`].
     pub fn into_stream(self) -> impl Stream<Item = Result<Batch>> + Send {
         stream::unfold(Some(self), |watch| async {
             let mut watch = watch?;
@@ -130,21 +129,21 @@
 
     async fn advance(&mut self) -> Result<Batch> {
         loop {
-            let silence = self.client.options().watch_silence;
+            let idle_timeout = self.client.options().watch_idle_timeout;
             match &mut self.state {
                 State::Closed { retry_at } => {
                     if let Some(at) = *retry_at {
                         tokio::time::sleep_until(at).await;
                     }
-                    self.state = State::Opening(self.opening());
+                    self.state = State::Opening(self.open());
                 }
                 State::Opening(opening) => self.state = State::Open(opening.await?),
-                State::Open(open) => {
-                    let message = open.message(silence).await;
+                State::Open(connection) => {
+                    let message = connection.next_message(idle_timeout).await;
                     if message.is_err() {
                         self.client.renew_connections();
                     }
-                    if let Some(batch) = self.take(message?)? {
+                    if let Some(batch) = self.handle_message(message?)? {
                         return Ok(batch);
                     }
                 }
@@ -152,34 +151,34 @@
         }
     }
 
-    fn opening(&self) -> BoxFuture<'static, Result<Open>> {
+    fn open(&self) -> BoxFuture<'static, Result<Connection>> {
         let client = self.client.clone();
         let req = codec::watch(&self.prefix, self.next_revision);
         async move {
             let answer = client.open(client::WATCH, &req).await?;
-            Ok(Open {
+            Ok(Connection {
                 body: answer.into_body(),
                 buf: BytesMut::new(),
                 scanned: 0,
-                heard_at: Instant::now(),
+                last_received_at: Instant::now(),
             })
         }
         .boxed()
     }
 
-    /// Turns a message into a batch; `None` for the confirmation of a new watch.
-    fn take(&mut self, message: codec::RawWatch) -> Result<Option<Batch>> {
+    /// Converts a message into a batch; `None` for the confirmation of a new watch.
+    fn handle_message(&mut self, message: codec::RawWatch) -> Result<Option<Batch>> {
         let compacted = message.compact_revision.0;
         if compacted > 0 {
             let revision = compacted;
             return Err(Error::Compacted { revision });
         }
         if message.canceled {
-            return ended(&message.cancel_reason);
+            return watch_ended(&message.cancel_reason);
         }
         let revision = message.header.revision()?;
         if message.created && message.events.is_empty() {
-            // Earlier changes may still be on their way, unless the watch starts from now.
+            // Unless the watch starts from now, changes up to this revision may still follow.
             if self.next_revision == 0 {
                 self.next_revision = revision + 1;
             }
@@ -188,55 +187,56 @@
         let events = message.events.into_iter().map(decode_event);
         let events = events.collect::<Result<Vec<_>>>()?;
         let newest = events.iter().map(|event| event.kv.mod_revision).max();
-        // A message with changes vouches for these only; one without, for everything before it.
+        // A message with changes covers the revisions up to the newest of them; one without, all
+        // revisions up to its own.
         let revision = newest.unwrap_or(revision);
         let before = self.next_revision;
         self.next_revision = before.max(revision + 1);
         let is_new = |event: &Event| event.kv.mod_revision >= before;
         let events = events.into_iter().filter(is_new).collect();
-        self.told_at = Instant::now();
+        self.last_update_at = Instant::now();
         Ok(Some(Batch { revision, events }))
     }
 }
 
-impl Open {
-    /// The next message, or an error if the connection ended or stayed silent for too long.
+impl Connection {
+    /// The next message, or an error if the connection ended or delivered no data for `idle_timeout`.
     ///
-    /// A connection that something between the two ends has forgotten stays open and delivers
-    /// nothing, so changes would go unseen for good. The store notifies of its progress even
-    /// when nothing changes, hence a silent connection is a lost one.
-    async fn message(&mut self, silence: Duration) -> Result<codec::RawWatch> {
-        let deadline = self.heard_at + silence;
-        match tokio::time::timeout_at(deadline, self.line()).await {
+    /// A connection whose state a middlebox has dropped stays open and delivers nothing, so changes would
+    /// never be seen. The store sends progress notifications even when nothing changes, so a connection
+    /// without data is dead.
+    async fn next_message(&mut self, idle_timeout: Duration) -> Result<codec::RawWatch> {
+        let deadline = self.last_received_at + idle_timeout;
+        match tokio::time::timeout_at(deadline, self.next_line()).await {
             Ok(line) => line,
-            Err(_) => ended("its connection fell silent"),
+            Err(_) => watch_ended("no data arrived on its connection within the idle timeout"),
         }
     }
 
-    async fn line(&mut self) -> Result<codec::RawWatch> {
+    async fn next_line(&mut self) -> Result<codec::RawWatch> {
         loop {
             if let Some(line) = self.take_line() {
                 return decode_line(&line);
             }
             if self.buf.len() > MAX_LINE {
-                return ended("a line is too long");
+                return watch_ended("a line of the response is longer than 64 MiB");
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => self.push(frame),
-                Some(Err(err)) => return ended(&err.to_string()),
-                None => return ended("closed by the store"),
+                Some(Err(err)) => return watch_ended(&err.to_string()),
+                None => return watch_ended("closed by the store"),
             }
         }
     }
 
     fn push(&mut self, frame: Frame<Bytes>) {
-        self.heard_at = Instant::now();
+        self.last_received_at = Instant::now();
         if let Ok(data) = frame.into_data() {
             self.buf.extend_from_slice(&data);
         }
     }
 
-    /// Takes the next line that is not blank from the buffer.
+    /// Removes the next non-blank line from the buffer.
     fn take_line(&mut self) -> Option<BytesMut> {
         loop {
             let rest = &self.buf[self.scanned..];
@@ -258,7 +258,7 @@
     let line: codec::Line<codec::RawWatch> = codec::parse(line)?;
     match line.result {
         Some(result) => Ok(result),
-        None => ended(&line.error.unwrap_or_default().message),
+        None => watch_ended(&line.error.unwrap_or_default().message),
     }
 }
 
@@ -271,7 +271,7 @@
     Ok(Event { kind, kv })
 }
 
-fn ended<T>(reason: &str) -> Result<T> {
+fn watch_ended<T>(reason: &str) -> Result<T> {
     let reason = reason.to_owned();
     Err(Error::WatchEnded { reason })
 }
