--- a/fw-entry/src/request/send.rs
+++ b/fw-entry/src/request/send.rs
@@ -150,9 +150,7 @@
         .method(call.method.clone())
         .uri(uri)
         .body(Full::from(call.body.clone()))
-        .map_err(|err| {
-            error::Error::new(error::Kind::BadRequest, format!("invalid path: {err}"))
-        })?;
+        .map_err(|err| error::Error::new(error::Kind::BadRequest, format!("bad path: {err}")))?;
     let headers = req.headers_mut();
     headers.extend(call.headers.clone());
     drop_hop_headers(headers);
