--- a/fw-entry/src/connection/recover_entries.rs
+++ b/fw-entry/src/connection/recover_entries.rs
@@ -64,8 +64,8 @@
     fn ready_to_query(&self, entry: &id::EntryId, now: Instant) -> Option<Option<Instant>> {
         let mut entries = self.entries.lock();
         let predecessor = entries.entry(entry.clone()).or_default();
-        let pauses = predecessor.retry_at.is_some_and(|at| now < at);
-        (!predecessor.is_queried && !pauses).then_some(predecessor.holder.last_answered)
+        let backs_off = predecessor.retry_at.is_some_and(|at| now < at);
+        (!predecessor.is_queried && !backs_off).then_some(predecessor.holder.last_answered)
     }
 
     fn record_query(&self, entry: &id::EntryId) {
--- a/fw-entry/src/connection/sides.rs
+++ b/fw-entry/src/connection/sides.rs
@@ -175,7 +175,7 @@
         service
     }
 
-    /// The side beside an upstream.
+    /// The side of an upstream.
     pub fn side(&self, upstream: &id::UpstreamId) -> Option<Arc<Side>> {
         self.sides.lock().get(upstream).map(Arc::clone)
     }
@@ -208,8 +208,8 @@
         let mut change = Change::default();
         let mut sides = self.sides.lock();
         for instance in list {
-            let known = sides.get(&instance.id);
-            if known.is_some_and(|side| same_addresses(&side.instance, instance)) {
+            let existing = sides.get(&instance.id);
+            if existing.is_some_and(|side| same_addresses(&side.instance, instance)) {
                 continue;
             }
             let new = Arc::new(Side {
--- a/fw-entry/src/process/entry.rs
+++ b/fw-entry/src/process/entry.rs
@@ -158,11 +158,11 @@
     /// exist.
     pub fn may_release(&self, program: &id::ProgramId) -> bool {
         let shard = self.keeper.shard_of(program);
-        let gone = self.keeper.with_shard(shard, |shard| {
-            let known = shard.program(program);
-            known.is_none_or(|known| known.status() == program::Status::Ended)
+        let released = self.keeper.with_shard(shard, |shard| {
+            let kept = shard.program(program);
+            kept.is_none_or(|kept| kept.status() == program::Status::Ended)
         });
-        gone.is_ok_and(|changed| changed.value)
+        released.is_ok_and(|changed| changed.value)
     }
 
     /// Requests the release of the program's KV cache at all sides that have sessions of its shard or
--- a/fw-entry/src/process/peers.rs
+++ b/fw-entry/src/process/peers.rs
@@ -129,9 +129,9 @@
 
 /// Exchanges statuses with the entry at `addr`; `None` if it does not answer.
 pub async fn exchange_status(entry: &entry::Entry, addr: SocketAddr) -> Option<peer::PeerStatus> {
-    let mine = entry.status();
+    let own_status = entry.status();
     let cx = transport::context(entry.settings.upstream.connect_timeout);
-    let call = |client: peer::PeerClient| async move { client.status(cx, mine).await };
+    let call = |client: peer::PeerClient| async move { client.status(cx, own_status).await };
     let status = entry.peers.call(addr, call).await.ok()?;
     entry.peer_list.update(entry, status.clone());
     Some(status)
--- a/fw-entry/src/request/chat.rs
+++ b/fw-entry/src/request/chat.rs
@@ -67,7 +67,7 @@
     let mut answer = if stream {
         streamed(follow, include_usage, model, guard).await?
     } else {
-        whole(follow, &model).await?
+        complete_answer(follow, &model).await?
     };
     let response_headers = answer.headers_mut();
     response_headers.insert(headers::PROGRAM, value(&program));
@@ -115,15 +115,18 @@
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static(""))
 }
 
-async fn whole(mut follow: follow::Follow, model: &id::ModelId) -> Result<Response, error::Error> {
+async fn complete_answer(
+    mut follow: follow::Follow,
+    model: &id::ModelId,
+) -> Result<Response, error::Error> {
     loop {
         if let follow::Update::Done(finish) = follow.next().await? {
-            return Ok(Json(whole_body(&follow, model, &finish)).into_response());
+            return Ok(Json(complete_body(&follow, model, &finish)).into_response());
         }
     }
 }
 
-fn whole_body(
+fn complete_body(
     follow: &follow::Follow,
     model: &id::ModelId,
     finish: &attempt::Finish,
--- a/fw-entry/src/request/once.rs
+++ b/fw-entry/src/request/once.rs
@@ -127,15 +127,15 @@
 
 async fn collect(answer: http::Response<Incoming>) -> Result<Collected, error::Error> {
     let (head, body) = answer.into_parts();
-    let whole = Limited::new(body, MAX_ANSWER).collect().await;
-    let whole = whole.map_err(|err| {
+    let collected = Limited::new(body, MAX_ANSWER).collect().await;
+    let collected = collected.map_err(|err| {
         // The head was received, so the call ran; only the answer is incomplete.
         let message = format!("the upstream's answer ended prematurely: {err}");
         error::Error::new(error::Kind::UpstreamError, message)
     })?;
     Ok(Collected {
         head,
-        body: whole.to_bytes(),
+        body: collected.to_bytes(),
     })
 }
 
--- a/fw-entry/src/turn/commit.rs
+++ b/fw-entry/src/turn/commit.rs
@@ -53,7 +53,7 @@
     /// The reason for which the answered turn is not under way in its shard.
     fn not_under_way(&self, shard: &shard::Shard) -> error::Error {
         let program = shard.program(&self.req.program);
-        let has_ended = program.is_some_and(|known| known.status() == program::Status::Ended);
+        let has_ended = program.is_some_and(|program| program.status() == program::Status::Ended);
         match has_ended {
             true => run::program_ended(),
             // The shard was lost and has since been loaded again. An error that the program was ended would
@@ -192,8 +192,8 @@
 ) -> Result<(), keeper::Error> {
     loop {
         let durable = entry.keeper.wait_durable(ticket).await;
-        let waits = durable == Err(keeper::Error::StoreUnavailable);
-        if !waits || entry.is_cut_off(entry.settings.keeper.lease_ttl) {
+        let is_pending = durable == Err(keeper::Error::StoreUnavailable);
+        if !is_pending || entry.is_cut_off(entry.settings.keeper.lease_ttl) {
             return durable;
         }
     }
--- a/fw-entry/src/turn/run.rs
+++ b/fw-entry/src/turn/run.rs
@@ -231,7 +231,7 @@
             entry: &self.entry,
             side: &current.side,
             start,
-            whole: self.whole_prompt()?,
+            full_prompt: self.full_prompt()?,
             buf,
         };
         let outcome = attempt.run().await;
@@ -334,8 +334,8 @@
         })
     }
 
-    /// The messages of the whole prompt, shared with the shard's state.
-    fn whole_prompt(&self) -> Result<Vec<fw_base::chat::Message>, error::Error> {
+    /// The messages of the full prompt, shared with the shard's state.
+    fn full_prompt(&self) -> Result<Vec<fw_base::chat::Message>, error::Error> {
         if self.run.turn == 1 {
             return Ok(self.run.messages.clone());
         }
@@ -344,9 +344,9 @@
             Some(program.history().to_vec())
         });
         let history = history.ok().and_then(|changed| changed.value);
-        let mut whole = history.ok_or_else(keeper_changed)?;
-        whole.extend_from_slice(&self.run.messages);
-        Ok(whole)
+        let mut prompt = history.ok_or_else(keeper_changed)?;
+        prompt.extend_from_slice(&self.run.messages);
+        Ok(prompt)
     }
 
     fn attained(&self) -> Duration {
--- a/fw-entry/src/turn/upstream.rs
+++ b/fw-entry/src/turn/upstream.rs
@@ -44,7 +44,7 @@
     /// The start message; its `messages` follow `base`, which the side is assumed to hold.
     pub start: side::Start,
     /// The whole prompt, for a side that does not hold `base`.
-    pub whole: Vec<chat::Message>,
+    pub full_prompt: Vec<chat::Message>,
     /// Buffer for the events.
     pub buf: &'a Arc<buffer::Buffer>,
 }
@@ -65,13 +65,13 @@
         match self.send_start().await? {
             side::StartReply::Accepted => Ok(()),
             side::StartReply::Refused(err) => Err(err),
-            side::StartReply::NeedHistory => self.start_whole().await,
+            side::StartReply::NeedHistory => self.start_with_full_prompt().await,
         }
     }
 
-    async fn start_whole(&mut self) -> Result<(), error::Error> {
+    async fn start_with_full_prompt(&mut self) -> Result<(), error::Error> {
         self.start.base = digest::Digest::EMPTY;
-        self.start.messages = std::mem::take(&mut self.whole);
+        self.start.messages = std::mem::take(&mut self.full_prompt);
         match self.send_start().await? {
             side::StartReply::Accepted => Ok(()),
             side::StartReply::Refused(err) => Err(err),
