--- a/fw-entry/src/connection/recover_entries.rs
+++ b/fw-entry/src/connection/recover_entries.rs
@@ -124,7 +124,7 @@
             let Some(last_answered) = entry.predecessors.ready_to_query(&other, sent) else {
                 continue;
             };
-            let taken = shards_to_query(&entry, last_answered, sent);
+            let taken = due_shards(&entry, last_answered, sent);
             if taken.is_empty() {
                 continue;
             }
@@ -135,7 +135,7 @@
 }
 
 /// The shards that were taken after `since` and whose recovery is within its grace period.
-fn shards_to_query(
+fn due_shards(
     entry: &entry::Entry,
     since: Option<Instant>,
     now: Instant,
