--- a/fw-entry/src/request/answer.rs
+++ b/fw-entry/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! From error to HTTP answer: the only place where an error's answer to a caller is made.
+//! Conversion of errors to HTTP answers; all errors that callers receive are built here.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 /// Counter of errors answered to callers, by kind.
 pub const ERRORS: &str = "fw_entry_errors_total";
 
-/// Header that tells whether the call ran: `no`, `maybe` or `yes`.
+/// Header that states whether the call ran: `no`, `maybe` or `yes`.
 pub const RAN_HEADER: &str = "x-fw-ran";
 
 /// An error's JSON body, in the shape of OpenAI's API with the fields `ran` and `retry_after`.
@@ -26,21 +26,21 @@
 struct Fields<'a> {
     /// Same as `kind`, where OpenAI's client libraries look for it.
     #[serde(rename = "type")]
-    sort: &'static str,
+    error_type: &'static str,
     kind: &'static str,
     message: &'a str,
     ran: error::Ran,
-    /// Seconds; absent if a later call is no better.
+    /// Seconds; absent if a retry would not help.
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after: Option<f64>,
 }
 
-/// The JSON body that tells of `err`.
+/// The JSON body for `err`.
 pub fn body(err: &error::Error) -> Body<'_> {
     let row = err.kind.row();
     Body {
         error: Fields {
-            sort: row.label,
+            error_type: row.label,
             kind: row.label,
             message: &err.message,
             ran: row.ran,
@@ -49,10 +49,10 @@
     }
 }
 
-/// The answer that tells of `err`, counted by its kind.
-pub fn refuse(err: &error::Error) -> Response {
+/// The answer for `err`, counted by its kind.
+pub fn error_response(err: &error::Error) -> Response {
     let row = err.kind.row();
-    count(err.kind);
+    count_error(err.kind);
     let status = StatusCode::from_u16(row.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut answer = (status, Json(body(err))).into_response();
     let headers = answer.headers_mut();
@@ -63,8 +63,8 @@
     answer
 }
 
-/// Counts an error that a caller is told of.
-pub fn count(kind: error::Kind) {
+/// Counts an error that is returned to a caller.
+pub fn count_error(kind: error::Kind) {
     metrics::counter!(ERRORS, "kind" => kind.row().label).increment(1);
 }
 
@@ -76,7 +76,8 @@
     })
 }
 
-/// `Retry-After` knows whole seconds only; rounded up, so that nobody comes back too early.
+/// The value of `Retry-After`, which has whole seconds only; rounded up, so that callers do not retry
+/// too early.
 fn whole_seconds(after: Duration) -> u64 {
     after
         .as_millis()
--- a/fw-entry/src/request/plain.rs
+++ b/fw-entry/src/request/plain.rs
@@ -1,7 +1,7 @@
-//! Every other path: plain requests, routed by the operators' records.
+//! Handler of plain requests on all other paths, routed by the operators' records.
 //!
-//! Repeatable ones are placed, retried and hedged. Those that are not need an `Idempotency-Key`
-//! and a claim on it, and reach an upstream at most once.
+//! Repeatable requests are placed, retried and hedged. Others need an `Idempotency-Key` and a claim on
+//! it, and reach an upstream at most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,9 +31,9 @@
 use crate::turn::run;
 use crate::version::records;
 
-/// Counter of plain requests, by how they are treated: `repeatable`, `once`.
+/// Counter of plain requests, by delivery: `repeatable`, `once`.
 pub const CALLS: &str = "fw_entry_plain_calls_total";
-/// Counter of second copies sent for slow reads.
+/// Counter of hedged copies sent for slow reads.
 pub const HEDGED: &str = "fw_entry_plain_hedged_total";
 
 /// Answers a plain request.
@@ -46,7 +46,7 @@
 ) -> Response {
     match route(entry, method, uri, headers, body).await {
         Ok(answer) => answer,
-        Err(err) => answer::refuse(&err),
+        Err(err) => answer::error_response(&err),
     }
 }
 
@@ -60,7 +60,9 @@
     let guard = entry.enter()?;
     let records = entry.records.current();
     let team = identity::team(&headers, &records)?;
-    let route = records.route_for(uri.path()).ok_or_else(|| unknown(&uri))?;
+    let route = records
+        .route_for(uri.path())
+        .ok_or_else(|| unknown_route(&uri))?;
     let body = body.map_err(|err| headers::body_error(&err, entry.settings.callers.body_limit))?;
     let deadline = headers::deadline(&headers, &entry.settings.callers)?;
     let permit = entry.admission.enter(admit::Request {
@@ -80,19 +82,19 @@
             .to_owned(),
         headers,
         body,
-        within: deadline.min(route.timeout.unwrap_or(service.timeout.plain)),
+        timeout: deadline.min(route.timeout.unwrap_or(service.timeout.plain)),
     };
     if route.is_repeatable(call.method.as_str()) {
         metrics::counter!(CALLS, "sort" => "repeatable").increment(1);
         let hedge = route.hedge.filter(|_| entry.settings.plan.hedge);
         let answer = repeat(&entry, &call, hedge).await?;
-        return Ok(pass_on(answer, (guard, permit)));
+        return Ok(forward_answer(answer, (guard, permit)));
     }
     metrics::counter!(CALLS, "sort" => "once").increment(1);
     once::call(&entry, &team, &call).await
 }
 
-/// Sends a repeatable call until it is answered or not worth another try.
+/// Sends a repeatable call until it is answered or the retry policy gives up.
 async fn repeat(
     entry: &Arc<entry::Entry>,
     call: &send::Call,
@@ -103,7 +105,7 @@
     let started = tokio::time::Instant::now();
     let mut tried = 0;
     let mut earlier = None;
-    // Where the call was sent already: a further try, or a copy, goes elsewhere if it can.
+    // Upstreams that the call was sent to. A further try or a hedged copy avoids them if possible.
     let mut sent_to = Vec::new();
     loop {
         tried += 1;
@@ -118,7 +120,7 @@
             kind: err.kind,
             attempt: tried,
             repeatable: true,
-            time_left: call.within.saturating_sub(started.elapsed()),
+            time_left: call.timeout.saturating_sub(started.elapsed()),
             retry_after: None,
         };
         let now = entry.now();
@@ -139,7 +141,7 @@
     }
 }
 
-/// One try; if it is slow beyond the usual, a second copy goes elsewhere and the first answer wins.
+/// One try. If it exceeds the hedge delay, a copy is sent to another upstream and the first answer wins.
 async fn try_once(
     entry: &Arc<entry::Entry>,
     call: &send::Call,
@@ -147,14 +149,14 @@
     sent_to: &mut Vec<id::UpstreamId>,
 ) -> Result<http::Response<Incoming>, error::Error> {
     let service = entry.sides.service(&call.service);
-    let learned = service.lock().hedge.decide(admit::Lane::Plain, true);
+    let learned_delay = service.lock().hedge.decide(admit::Lane::Plain, true);
     let side = place(entry, call, sent_to)?;
-    let first = send::to(entry, call, side, send::Times::Any);
+    let first = send::deliver(entry, call, side, send::Delivery::Repeatable);
     tokio::pin!(first);
-    let Some(set) = hedge else {
+    let Some(configured_delay) = hedge else {
         return first.await;
     };
-    let delay = learned.unwrap_or(set);
+    let delay = learned_delay.unwrap_or(configured_delay);
     tokio::select! {
         answer = &mut first => return answer,
         () = tokio::time::sleep(delay) => {}
@@ -165,7 +167,7 @@
     }
     metrics::counter!(HEDGED).increment(1);
     let side = place(entry, call, sent_to)?;
-    let second = send::to(entry, call, side, send::Times::Any);
+    let second = send::deliver(entry, call, side, send::Delivery::Repeatable);
     tokio::pin!(second);
     tokio::select! {
         Ok(answer) = &mut first => Ok(answer),
@@ -174,7 +176,7 @@
     }
 }
 
-/// Chooses an upstream where `call` was not sent yet, if there is one.
+/// Chooses an upstream that `call` was not sent to yet, if there is one.
 fn place(
     entry: &entry::Entry,
     call: &send::Call,
@@ -185,8 +187,11 @@
     Ok(side)
 }
 
-/// Passes an answer on as it comes; `held` is let go with its last byte.
-fn pass_on(answer: http::Response<Incoming>, held: (entry::Guard, admission::Permit)) -> Response {
+/// Streams an answer to the caller; `held` is dropped after the last byte.
+fn forward_answer(
+    answer: http::Response<Incoming>,
+    held: (entry::Guard, admission::Permit),
+) -> Response {
     let (mut head, body) = answer.into_parts();
     send::drop_hop_headers(&mut head.headers);
     let body = body.map_frame(move |frame| {
@@ -196,7 +201,7 @@
     Response::from_parts(head, Body::new(body))
 }
 
-fn unknown(uri: &http::Uri) -> error::Error {
+fn unknown_route(uri: &http::Uri) -> error::Error {
     let message = format!("no route covers the path {}", uri.path());
     error::Error::new(error::Kind::UnknownRoute, message)
 }
--- a/fw-entry/src/request/program.rs
+++ b/fw-entry/src/request/program.rs
@@ -1,4 +1,4 @@
-//! `GET` and `DELETE /v1/programs/{id}`, and `GET /v1/models`.
+//! Handlers of `GET` and `DELETE /v1/programs/{id}` and of `GET /v1/models`.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 use crate::process::entry;
 use crate::turn::program;
 
-/// Tells a program's status, turn, spent budget and whole history.
+/// Returns a program's status, turn, spent budget and whole history.
 pub async fn get(
     State(entry): State<Arc<entry::Entry>>,
     Path(name): Path<String>,
@@ -28,15 +28,15 @@
 ) -> Response {
     let query = match query(&entry, name, &headers, true) {
         Ok(query) => query,
-        Err(err) => return answer::refuse(&err),
+        Err(err) => return answer::error_response(&err),
     };
     match program::query(&entry, &query).await {
         Ok(program) => Json(body(&program)).into_response(),
-        Err(err) => answer::refuse(&err),
+        Err(err) => answer::error_response(&err),
     }
 }
 
-/// Ends a program and frees its engine memory.
+/// Ends a program and frees its KV cache.
 pub async fn delete(
     State(entry): State<Arc<entry::Entry>>,
     Path(name): Path<String>,
@@ -44,11 +44,11 @@
 ) -> Response {
     let query = match query(&entry, name, &headers, false) {
         Ok(query) => query,
-        Err(err) => return answer::refuse(&err),
+        Err(err) => return answer::error_response(&err),
     };
     match program::end(&entry, &query).await {
         Ok(program) => Json(body(&program)).into_response(),
-        Err(err) => answer::refuse(&err),
+        Err(err) => answer::error_response(&err),
     }
 }
 
