--- a/foxtailweir-side/src/main.rs
+++ b/foxtailweir-side/src/main.rs
@@ -10,12 +10,12 @@
 use tracing_subscriber::EnvFilter;
 
 /// Exit code for wrong arguments or settings.
-const USAGE: u8 = 2;
+const USAGE_ERROR: u8 = 2;
 
 /// Threads that run tasks. The cores of the instance are the upstream's, a plain call takes the
 /// side 56 to 92 us of processor time (example `overhead` of `fw-side`), and a thread more for each
 /// core costs memory and wake-ups.
-const WORKERS: usize = 2;
+const WORKER_THREADS: usize = 2;
 
 const BRIEF: &str = "Usage: foxtailweir-side [check] --settings FILE
 
@@ -28,7 +28,7 @@
     options.optflag("h", "help", "print this help");
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) => matches,
-        Err(err) => return usage(&options, &err.to_string()),
+        Err(err) => return usage_error(&options, &err.to_string()),
     };
     if matches.opt_present("help") {
         println!("{}", options.usage(BRIEF));
@@ -37,10 +37,10 @@
     let only_check = match matches.free.as_slice() {
         [] => false,
         [command] if command == "check" => true,
-        [other, ..] => return usage(&options, &format!("unknown command `{other}`")),
+        [other, ..] => return usage_error(&options, &format!("unknown command `{other}`")),
     };
     let Some(file) = matches.opt_str("settings") else {
-        return usage(&options, "`--settings FILE` is required");
+        return usage_error(&options, "`--settings FILE` is required");
     };
     match side::Settings::load(Path::new(&file)) {
         Ok(_) if only_check => {
@@ -50,39 +50,39 @@
         Ok(settings) => serve(settings),
         Err(err) => {
             eprintln!("{err}");
-            ExitCode::from(USAGE)
+            ExitCode::from(USAGE_ERROR)
         }
     }
 }
 
-fn usage(options: &Options, why: &str) -> ExitCode {
-    eprintln!("{why}\n\n{}", options.usage(BRIEF));
-    ExitCode::from(USAGE)
+fn usage_error(options: &Options, message: &str) -> ExitCode {
+    eprintln!("{message}\n\n{}", options.usage(BRIEF));
+    ExitCode::from(USAGE_ERROR)
 }
 
 fn serve(settings: side::Settings) -> ExitCode {
-    log(&settings.log);
+    init_logging(&settings.log);
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
-        Err(err) => return failed(&err.to_string()),
+        Err(err) => return fail(&err.to_string()),
     };
-    match runtime.block_on(fw_side::run(settings, signalled())) {
+    match runtime.block_on(fw_side::run(settings, stop_signal())) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => failed("work under way did not end within `drain_timeout`"),
-        Err(err) => failed(&err.to_string()),
+        Ok(false) => fail("work under way did not end within `drain_timeout`"),
+        Err(err) => fail(&err.to_string()),
     }
 }
 
-fn failed(why: &str) -> ExitCode {
-    eprintln!("foxtailweir-side: {why}");
+fn fail(message: &str) -> ExitCode {
+    eprintln!("foxtailweir-side: {message}");
     ExitCode::FAILURE
 }
 
-fn log(cfg: &shared::Log) {
+fn init_logging(cfg: &shared::Log) {
     // The library opens a span for each call between processes, at level info, and lines are for
     // changes of state.
     let filter = EnvFilter::new(format!("{},tarpc=warn", cfg.level.as_str()));
@@ -96,7 +96,7 @@
 }
 
 /// Waits for SIGTERM or SIGINT; for good, if signals cannot be received.
-async fn signalled() {
+async fn stop_signal() {
     let term = unix::signal(unix::SignalKind::terminate());
     let Ok(mut term) = term else {
         return std::future::pending().await;
--- a/foxtailweir/src/admin.rs
+++ b/foxtailweir/src/admin.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Refusal {
     /// The error.
-    pub error: Fields,
+    pub error: ErrorFields,
     /// Of a conflict: the record that was to be stored.
     #[serde(default)]
     pub yours: Option<Map<String, Value>>,
@@ -88,7 +88,7 @@
 /// What an error says.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct Fields {
+pub struct ErrorFields {
     /// Label of the kind.
     pub kind: String,
     /// One sentence.
@@ -136,7 +136,7 @@
 /// Decisions about a program.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct Explained {
+pub struct Explanation {
     /// Which entry keeps the program.
     pub keeper: String,
     /// The decisions at the entry that was asked, oldest first.
@@ -271,7 +271,7 @@
     /// # Errors
     ///
     /// When the entry does not answer or refuses.
-    pub async fn explain(&self, program: &str) -> Result<Explained, Error> {
+    pub async fn explain(&self, program: &str) -> Result<Explanation, Error> {
         self.get(&format!("/admin/explain/{program}")).await
     }
 
--- a/foxtailweir/src/budget.rs
+++ b/foxtailweir/src/budget.rs
@@ -16,11 +16,11 @@
 use tracing::{Event, Metadata, callsite};
 use tracing_subscriber::layer::{Context, Filter};
 
-const SECOND: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 
 /// Lines of one kind in the present second.
 #[derive(Debug)]
-struct Spent {
+struct LineCount {
     since: Instant,
     lines: u32,
 }
@@ -28,34 +28,34 @@
 /// Passes so many lines of each kind a second.
 #[derive(Debug)]
 pub struct Budget {
-    most: u32,
-    spent: Mutex<HashMap<callsite::Identifier, Spent>>,
+    max_lines: u32,
+    counts: Mutex<HashMap<callsite::Identifier, LineCount>>,
 }
 
 impl Budget {
-    /// Passes `most` lines of each kind a second.
-    pub fn new(most: u32) -> Self {
+    /// Passes `max_lines` lines of each kind a second.
+    pub fn new(max_lines: u32) -> Self {
         Self {
-            most,
-            spent: Mutex::default(),
+            max_lines,
+            counts: Mutex::default(),
         }
     }
 
     /// Whether one more line of `kind` at `now` is within the budget.
-    fn allows(&self, kind: callsite::Identifier, now: Instant) -> bool {
-        let mut spent = self.spent.lock();
-        let spent = spent.entry(kind).or_insert(Spent {
+    fn try_take(&self, site: callsite::Identifier, now: Instant) -> bool {
+        let mut counts = self.counts.lock();
+        let count = counts.entry(site).or_insert(LineCount {
             since: now,
             lines: 0,
         });
-        if now.duration_since(spent.since) >= SECOND {
-            *spent = Spent {
+        if now.duration_since(count.since) >= WINDOW {
+            *count = LineCount {
                 since: now,
                 lines: 0,
             };
         }
-        spent.lines = spent.lines.saturating_add(1);
-        spent.lines <= self.most
+        count.lines = count.lines.saturating_add(1);
+        count.lines <= self.max_lines
     }
 }
 
@@ -65,10 +65,10 @@
     }
 
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
-        let kind = event.metadata();
-        let allowed = self.allows(kind.callsite(), Instant::now());
+        let site = event.metadata();
+        let allowed = self.try_take(site.callsite(), Instant::now());
         if !allowed {
-            metrics::counter!("fw_log_left_out_total", "place" => kind.name()).increment(1);
+            metrics::counter!("fw_log_left_out_total", "place" => site.name()).increment(1);
         }
         allowed
     }
--- a/foxtailweir/src/command/check.rs
+++ b/foxtailweir/src/command/check.rs
@@ -19,6 +19,6 @@
     } else {
         super::entry_settings(path)?;
     }
-    io.say(format_args!("{path}: every key is in order"));
+    io.print(format_args!("{path}: every key is in order"));
     Ok(exit::Exit::Success)
 }
--- a/foxtailweir/src/command/io.rs
+++ b/foxtailweir/src/command/io.rs
@@ -22,12 +22,12 @@
 
 impl Io<'_> {
     /// Writes a line of the result. A reader that has gone is no failure of the command.
-    pub fn say(&mut self, line: impl std::fmt::Display) {
-        let _reader_gone = writeln!(self.out, "{line}");
+    pub fn print(&mut self, line: impl std::fmt::Display) {
+        let _closed = writeln!(self.out, "{line}");
     }
 
     /// Writes a line of progress or of an error.
-    pub fn note(&mut self, line: impl std::fmt::Display) {
-        let _reader_gone = writeln!(self.err, "{line}");
+    pub fn report(&mut self, line: impl std::fmt::Display) {
+        let _closed = writeln!(self.err, "{line}");
     }
 }
--- a/foxtailweir/src/command/mod.rs
+++ b/foxtailweir/src/command/mod.rs
@@ -127,25 +127,25 @@
     let words: Vec<_> = args.iter().map(String::as_str).collect();
     match words.as_slice() {
         [] => {
-            io.note(overview());
+            io.report(overview());
             return exit::Exit::Usage;
         }
         ["-h" | "--help" | "help", ..] => {
-            io.say(overview());
+            io.print(overview());
             return exit::Exit::Success;
         }
         _ => (),
     }
     match find(&words) {
-        Some((command, rest)) => command.start(rest, io),
+        Some((command, rest)) => command.execute(rest, io),
         None => {
-            let tried = words.iter().take(2).copied();
-            let tried: Vec<_> = tried.take_while(|word| !word.starts_with('-')).collect();
-            io.note(format_args!(
+            let given = words.iter().take(2).copied();
+            let given: Vec<_> = given.take_while(|word| !word.starts_with('-')).collect();
+            io.report(format_args!(
                 "{PROGRAM}: no command `{}`\n",
-                tried.join(" ")
+                given.join(" ")
             ));
-            io.note(overview());
+            io.report(overview());
             exit::Exit::Usage
         }
     }
@@ -160,13 +160,13 @@
 }
 
 impl Command {
-    fn start(&self, args: &[&str], io: &mut io::Io<'_>) -> exit::Exit {
+    fn execute(&self, args: &[&str], io: &mut io::Io<'_>) -> exit::Exit {
         match self.parse(args) {
             Ok(matches) if matches.opt_present("help") => {
-                io.say(self.help());
+                io.print(self.help());
                 exit::Exit::Success
             }
-            Ok(matches) => match self.check_free(&matches) {
+            Ok(matches) => match self.check_argument_count(&matches) {
                 Ok(()) => self.finish((self.run)(&matches, io), io),
                 Err(err) => self.finish(Err(err), io),
             },
@@ -188,9 +188,9 @@
         }
     }
 
-    fn check_free(&self, matches: &Matches) -> Result<(), error::Error> {
-        let wanted = self.args.split_whitespace().count();
-        if matches.free.len() == wanted {
+    fn check_argument_count(&self, matches: &Matches) -> Result<(), error::Error> {
+        let expected = self.args.split_whitespace().count();
+        if matches.free.len() == expected {
             return Ok(());
         }
         let found = matches.free.len();
@@ -210,13 +210,13 @@
         let name = self.name;
         match &err {
             // Each line names its file.
-            error::Error::Settings { source } => io.note(source),
+            error::Error::Settings { source } => io.report(source),
             error::Error::Usage { message } => {
-                io.note(format_args!(
+                io.report(format_args!(
                     "{PROGRAM} {name}: {message}; see `{PROGRAM} {name} --help`"
                 ));
             }
-            _ => io.note(format_args!("{PROGRAM} {name}: {err}")),
+            _ => io.report(format_args!("{PROGRAM} {name}: {err}")),
         }
         err.exit()
     }
@@ -283,19 +283,19 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .whatever_failed("cannot start the runtime")?;
+        .or_fail("cannot start the runtime")?;
     runtime.block_on(work)
 }
 
 /// Turns any error into a failed command.
-pub(crate) trait Failed<T> {
-    fn whatever_failed(self, what: &str) -> Result<T, error::Error>;
+pub(crate) trait OrFail<T> {
+    fn or_fail(self, context: &str) -> Result<T, error::Error>;
 }
 
-impl<T, E: std::error::Error> Failed<T> for Result<T, E> {
-    fn whatever_failed(self, what: &str) -> Result<T, error::Error> {
+impl<T, E: std::error::Error> OrFail<T> for Result<T, E> {
+    fn or_fail(self, context: &str) -> Result<T, error::Error> {
         self.map_err(|err| error::Error::Failed {
-            message: format!("{what}: {err}"),
+            message: format!("{context}: {err}"),
         })
     }
 }
--- a/foxtailweir/src/command/program.rs
+++ b/foxtailweir/src/command/program.rs
@@ -11,7 +11,7 @@
 pub(super) fn list(matches: &Matches, io: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
     let client = super::client(matches);
     let answer = super::block_on(async { Ok(client.programs().await?) })?;
-    io.say(format_args!(
+    io.print(format_args!(
         "{:<40} {:<10} {:>6} {:>12}  {}",
         "PROGRAM", "STATUS", "TURN", "TOKENS", "TEAM"
     ));
@@ -23,11 +23,11 @@
             tokens,
             team,
         } = program;
-        io.say(format_args!(
+        io.print(format_args!(
             "{id:<40} {status:<10} {turn:>6} {tokens:>12}  {team}"
         ));
     }
-    io.note(format_args!(
+    io.report(format_args!(
         "{} programs kept by this entry",
         answer.programs.len()
     ));
@@ -42,16 +42,16 @@
     let client = super::client(matches);
     let answer = super::block_on(async { Ok(client.explain(program).await?) })?;
     for admin::Event { at_ms, what, why } in &answer.events {
-        io.say(format_args!("{at_ms:>10} ms  {what:<12} {why}"));
+        io.print(format_args!("{at_ms:>10} ms  {what:<12} {why}"));
     }
     let keeper = &answer.keeper;
     if answer.events.is_empty() {
-        io.note(format_args!(
+        io.report(format_args!(
             "no decision about `{program}` is kept here; its keeper: {keeper}"
         ));
         return Ok(exit::Exit::Failure);
     }
-    io.note(format_args!(
+    io.report(format_args!(
         "times count from the start of this entry; keeper: {keeper}"
     ));
     Ok(exit::Exit::Success)
--- a/foxtailweir/src/command/record.rs
+++ b/foxtailweir/src/command/record.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 use smol_str::SmolStr;
 
-use super::Failed;
+use super::OrFail;
 use super::error;
 use super::exit;
 use super::io;
@@ -52,7 +52,7 @@
 pub(super) fn list(matches: &Matches, io: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
     let client = super::client(matches);
     let records = super::block_on(async { Ok(client.records().await?) })?;
-    io.say(format_args!(
+    io.print(format_args!(
         "{:<40} {:>12} {:>7}  PROBLEM",
         "RECORD", "REVISION", "SCHEMA"
     ));
@@ -65,7 +65,7 @@
             schema.unwrap_or_default(),
             stored.problem.as_deref().unwrap_or_default(),
         );
-        io.say(line.trim_end());
+        io.print(line.trim_end());
     }
     Ok(exit::Exit::Success)
 }
@@ -74,8 +74,8 @@
     let name = name(matches)?;
     let client = super::client(matches);
     let stored = super::block_on(async { Ok(client.record(&name).await?) })?;
-    io.say(pretty(&stored)?);
-    note_problem(&stored, io);
+    io.print(pretty(&stored)?);
+    report_problem(&stored, io);
     Ok(exit::Exit::Success)
 }
 
@@ -84,10 +84,10 @@
     let client = super::client(matches);
     let versions = super::block_on(async { Ok(client.history(&name).await?) })?;
     for stored in &versions {
-        io.say(pretty(stored)?);
-        note_problem(stored, io);
+        io.print(pretty(stored)?);
+        report_problem(stored, io);
     }
-    io.note(format_args!(
+    io.report(format_args!(
         "{} replaced versions of {name}",
         versions.len()
     ));
@@ -95,9 +95,9 @@
 }
 
 pub(super) fn put(matches: &Matches, io: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
-    let file = read(&matches.free[0])?;
-    let expected = revision(matches)?.unwrap_or(file.revision);
-    let timeout = timeout(matches)?;
+    let file = read_file(&matches.free[0])?;
+    let expected = revision_option(matches)?.unwrap_or(file.revision);
+    let timeout = timeout_option(matches)?;
     let name = match key::Name::parse(file.kind.as_str(), &file.name) {
         Ok(name) => name,
         Err(message) => return error::usage(message),
@@ -105,14 +105,14 @@
     let client = super::client(matches);
     super::block_on(async {
         let accepted = client.put(&name, &file.record, expected).await;
-        follow(&client, &name, accepted, timeout, io).await
+        wait_in_force(&client, &name, accepted, timeout, io).await
     })
 }
 
 pub(super) fn delete(matches: &Matches, io: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
     let name = name(matches)?;
-    let given = revision(matches)?;
-    let timeout = timeout(matches)?;
+    let given = revision_option(matches)?;
+    let timeout = timeout_option(matches)?;
     let client = super::client(matches);
     super::block_on(async {
         let expected = match given {
@@ -120,12 +120,12 @@
             None => client.record(&name).await?.revision,
         };
         let accepted = client.delete(&name, expected).await;
-        follow(&client, &name, accepted, timeout, io).await
+        wait_in_force(&client, &name, accepted, timeout, io).await
     })
 }
 
 /// Tells what became of a change, and waits until it is in force.
-async fn follow(
+async fn wait_in_force(
     client: &admin::Client,
     name: &key::Name,
     accepted: Result<write::Accepted, admin::Error>,
@@ -134,21 +134,21 @@
 ) -> Result<exit::Exit, error::Error> {
     let accepted = match accepted {
         Ok(accepted) => accepted,
-        Err(err) => return Err(explained(err, name, io)),
+        Err(err) => return Err(explain_failure(err, name, io)),
     };
     let revision = accepted.revision;
-    io.note(format_args!("{name} accepted at revision {revision}"));
+    io.report(format_args!("{name} accepted at revision {revision}"));
     for field in &accepted.unknown {
-        io.note(format_args!(
+        io.report(format_args!(
             "note: field `{field}` is unknown; it is kept as it is"
         ));
     }
     match wait::until_in_force(client, revision, timeout, io).await {
         wait::Outcome::Everywhere => {
-            io.say(revision);
+            io.print(revision);
             Ok(exit::Exit::Success)
         }
-        wait::Outcome::Partly => {
+        wait::Outcome::TimedOut => {
             let message = format!(
                 "accepted at revision {revision}, which stays; but not in force everywhere \
                  after {timeout:?}"
@@ -159,13 +159,13 @@
 }
 
 /// Shows both versions of a conflict, and what is not known after a lost answer.
-fn explained(err: admin::Error, name: &key::Name, io: &mut io::Io<'_>) -> error::Error {
+fn explain_failure(err: admin::Error, name: &key::Name, io: &mut io::Io<'_>) -> error::Error {
     if let admin::Error::Refused { refusal } = &err
         && refusal.error.kind == "record_conflict"
     {
         show_conflict(refusal, io);
     } else if err.may_have_applied() {
-        io.note(format_args!(
+        io.report(format_args!(
             "it is not known whether the change of {name} was accepted: \
              get the record and compare before you repeat it"
         ));
@@ -174,27 +174,30 @@
 }
 
 fn show_conflict(refusal: &admin::Refusal, io: &mut io::Io<'_>) {
-    let shown = |record: Option<&Map<String, Value>>| match record {
+    let format_record = |record: Option<&Map<String, Value>>| match record {
         Some(record) => serde_json::to_string_pretty(record).unwrap_or_default(),
         None => "(no record)".to_owned(),
     };
     let theirs = refusal.theirs.as_ref();
-    io.note(format_args!("yours: {}", shown(refusal.yours.as_ref())));
-    io.note(format_args!(
+    io.report(format_args!(
+        "yours: {}",
+        format_record(refusal.yours.as_ref())
+    ));
+    io.report(format_args!(
         "theirs: {}",
-        shown(theirs.map(|theirs| &theirs.record))
+        format_record(theirs.map(|theirs| &theirs.record))
     ));
     match theirs {
         Some(theirs) if refusal.yours.as_ref() == Some(&theirs.record) => {
-            io.note("both are equal: an earlier try may have been accepted");
+            io.report("both are equal: an earlier try may have been accepted");
         }
         Some(theirs) => {
             let revision = theirs.revision;
-            io.note(format_args!(
+            io.report(format_args!(
                 "merge yours into theirs and put it with --revision {revision}"
             ));
         }
-        None => io.note("put it with --revision 0 to make it anew"),
+        None => io.report("put it with --revision 0 to make it anew"),
     }
 }
 
@@ -208,7 +211,7 @@
     key::Name::parse(kind, name).or_else(error::usage)
 }
 
-fn revision(matches: &Matches) -> Result<Option<id::Revision>, error::Error> {
+fn revision_option(matches: &Matches) -> Result<Option<id::Revision>, error::Error> {
     let Some(text) = matches.opt_str("revision") else {
         return Ok(None);
     };
@@ -220,7 +223,7 @@
     }
 }
 
-fn timeout(matches: &Matches) -> Result<Duration, error::Error> {
+fn timeout_option(matches: &Matches) -> Result<Duration, error::Error> {
     let text = matches.opt_str("timeout");
     let text = text.unwrap_or_else(|| DEFAULT_TIMEOUT.to_owned());
     match humantime::parse_duration(&text) {
@@ -229,7 +232,7 @@
     }
 }
 
-fn read(path: &str) -> Result<File, error::Error> {
+fn read_file(path: &str) -> Result<File, error::Error> {
     let text = match path {
         "-" => {
             let mut text = Vec::new();
@@ -238,12 +241,12 @@
         }
         path => std::fs::read(path),
     };
-    let text = text.whatever_failed(path)?;
-    let what = format!(
+    let text = text.or_fail(path)?;
+    let context = format!(
         "{path} must hold kind, name, record and, to replace one, its revision, as \
          `records get` prints them"
     );
-    serde_json::from_slice(&text).whatever_failed(&what)
+    serde_json::from_slice(&text).or_fail(&context)
 }
 
 fn pretty(stored: &write::Stored) -> Result<String, error::Error> {
@@ -253,11 +256,11 @@
         revision: stored.revision,
         record: stored.record.clone(),
     };
-    serde_json::to_string_pretty(&file).whatever_failed("cannot print the record")
+    serde_json::to_string_pretty(&file).or_fail("cannot print the record")
 }
 
-fn note_problem(stored: &write::Stored, io: &mut io::Io<'_>) {
+fn report_problem(stored: &write::Stored, io: &mut io::Io<'_>) {
     if let Some(problem) = &stored.problem {
-        io.note(format_args!("this version cannot be read: {problem}"));
+        io.report(format_args!("this version cannot be read: {problem}"));
     }
 }
--- a/foxtailweir/src/command/role.rs
+++ b/foxtailweir/src/command/role.rs
@@ -9,58 +9,60 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use tokio::signal::unix::{self, SignalKind};
 
-use super::{Failed, error, exit, io};
+use super::{OrFail, error, exit, io};
 use crate::logs;
 use crate::serve;
 
 /// Port of the metrics page where the command line names none.
-const METRICS: u16 = 9_464;
+const DEFAULT_METRICS_PORT: u16 = 9_464;
 
 pub(super) fn options(options: &mut Options) {
-    let about = format!("serve counters on PORT of the instance's address; {METRICS} if absent");
+    let about = format!(
+        "serve counters on PORT of the instance's address; {DEFAULT_METRICS_PORT} if absent"
+    );
     options.optopt("m", "metrics", &about, "PORT");
 }
 
 /// Runs an entry until it is told to stop.
 pub(super) fn entry(matches: &Matches, _: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
-    let settings = read()?;
-    let port = port(matches)?;
-    let _flushed_at_the_end = logs::start_lines();
-    let (opts, area) = start::entry(&settings).whatever_failed("the settings do not fit")?;
-    run(async move {
+    let settings = read_settings()?;
+    let port = metrics_port(matches)?;
+    let _log_guard = logs::init_json();
+    let (opts, source) = start::entry(&settings).or_fail("the settings do not fit")?;
+    run_single_threaded(async move {
         tokio::spawn(metrics_page(settings.ip, port));
-        let told = stop().whatever_failed("cannot wait for signals")?;
-        let running = fw_gate::process::serve::run(opts, area, told);
-        running.await.whatever_failed("the entry does not run")?;
+        let stop = stop_signal().or_fail("cannot wait for signals")?;
+        let running = fw_gate::process::serve::run(opts, source, stop);
+        running.await.or_fail("the entry does not run")?;
         Ok(exit::Exit::Success)
     })
 }
 
 /// Runs a replica until it is told to stop.
 pub(super) fn replica(matches: &Matches, _: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
-    let settings = read()?;
-    let port = port(matches)?;
-    let _flushed_at_the_end = logs::start_lines();
-    let (opts, registry) = start::replica(&settings).whatever_failed("the settings do not fit")?;
-    run(async move {
+    let settings = read_settings()?;
+    let port = metrics_port(matches)?;
+    let _log_guard = logs::init_json();
+    let (opts, registry) = start::replica(&settings).or_fail("the settings do not fit")?;
+    run_single_threaded(async move {
         tokio::spawn(metrics_page(settings.ip, port));
-        let told = stop().whatever_failed("cannot wait for signals")?;
-        let running = fw_replica::serve::run(opts, registry, told);
-        running.await.whatever_failed("the replica does not run")?;
+        let stop = stop_signal().or_fail("cannot wait for signals")?;
+        let running = fw_replica::serve::run(opts, registry, stop);
+        running.await.or_fail("the replica does not run")?;
         Ok(exit::Exit::Success)
     })
 }
 
-fn read() -> Result<settings::Settings, error::Error> {
+fn read_settings() -> Result<settings::Settings, error::Error> {
     let read = settings::Settings::from_env();
     read.map_err(|err| error::Error::Usage {
         message: err.to_string(),
     })
 }
 
-fn port(matches: &Matches) -> Result<u16, error::Error> {
+fn metrics_port(matches: &Matches) -> Result<u16, error::Error> {
     let Some(text) = matches.opt_str("metrics") else {
-        return Ok(METRICS);
+        return Ok(DEFAULT_METRICS_PORT);
     };
     match text.parse() {
         Ok(port) => Ok(port),
@@ -69,17 +71,19 @@
 }
 
 /// The instances have a fifth of a core: one thread runs everything but the disk's.
-fn run<T>(work: impl Future<Output = Result<T, error::Error>>) -> Result<T, error::Error> {
+fn run_single_threaded<T>(
+    work: impl Future<Output = Result<T, error::Error>>,
+) -> Result<T, error::Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .whatever_failed("cannot start the runtime")?;
+        .or_fail("cannot start the runtime")?;
     runtime.block_on(work)
 }
 
 /// Ready once the process is told to stop. SIGHUP says that the settings file has changed; what
 /// is in force of it does not change while a process runs, so it is only noted.
-fn stop() -> std::io::Result<impl Future<Output = ()>> {
+fn stop_signal() -> std::io::Result<impl Future<Output = ()>> {
     let mut term = unix::signal(SignalKind::terminate())?;
     let mut int = unix::signal(SignalKind::interrupt())?;
     let mut hup = unix::signal(SignalKind::hangup())?;
@@ -101,18 +105,18 @@
     let Some(handle) = serve::recorder() else {
         return;
     };
-    serve::keep_up(handle.clone());
+    serve::spawn_upkeep(handle.clone());
     let addr = SocketAddr::new(ip, port);
     match listen::bind(addr) {
         Ok(listener) => {
-            let page = move |path: &str| render(&handle, path);
+            let page = move |path: &str| serve_page(&handle, path);
             listen::serve_pages(listener, page).await;
         }
         Err(err) => tracing::error!(%addr, %err, "no metrics are served"),
     }
 }
 
-fn render(handle: &PrometheusHandle, path: &str) -> (StatusCode, String) {
+fn serve_page(handle: &PrometheusHandle, path: &str) -> (StatusCode, String) {
     match path {
         "/metrics" => (StatusCode::OK, handle.render()),
         _ => (StatusCode::NOT_FOUND, String::from("see /metrics\n")),
--- a/foxtailweir/src/command/wait.rs
+++ b/foxtailweir/src/command/wait.rs
@@ -9,10 +9,10 @@
 use crate::admin;
 
 /// Time between two questions.
-const INTERVAL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Most names of processes that a line shows.
-const NAMES: usize = 5;
+const MAX_NAMES: usize = 5;
 
 /// What became of the wait.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,7 +20,7 @@
     /// In force in every process.
     Everywhere,
     /// Not yet, when the time was over.
-    Partly,
+    TimedOut,
 }
 
 /// Waits until records of `revision` are in force in all processes, and shows the progress.
@@ -36,34 +36,34 @@
     io: &mut io::Io<'_>,
 ) -> Outcome {
     let end = Instant::now() + timeout;
-    let mut shown = String::new();
-    let mut most = 1;
+    let mut last_line = String::new();
+    let mut max_seen = 1;
     loop {
         let line = match client.in_force(revision).await {
             Ok(state) => {
-                most = most.max(state.of);
-                let line = describe(&state, most);
-                if state.in_force == most {
-                    io.note(line);
+                max_seen = max_seen.max(state.of);
+                let line = describe(&state, max_seen);
+                if state.in_force == max_seen {
+                    io.report(line);
                     return Outcome::Everywhere;
                 }
                 line
             }
             Err(err) => err.to_string(),
         };
-        if line != shown {
-            io.note(&line);
-            shown = line;
+        if line != last_line {
+            io.report(&line);
+            last_line = line;
         }
         if Instant::now() >= end {
-            return Outcome::Partly;
+            return Outcome::TimedOut;
         }
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// One line; `most` is the largest number of processes seen.
-fn describe(state: &admin::InForce, most: usize) -> String {
+/// One line; `max_seen` is the largest number of processes seen.
+fn describe(state: &admin::InForce, max_seen: usize) -> String {
     let admin::InForce {
         in_force,
         of,
@@ -71,15 +71,15 @@
     } = state;
     let mut line = format!("in force at {in_force} of {of}");
     if !waiting.is_empty() {
-        let names: Vec<_> = waiting.iter().take(NAMES).map(String::as_str).collect();
+        let names: Vec<_> = waiting.iter().take(MAX_NAMES).map(String::as_str).collect();
         line.push_str(&format!("; waiting for {}", names.join(", ")));
     }
-    if waiting.len() > NAMES {
-        line.push_str(&format!(" and {} more", waiting.len() - NAMES));
+    if waiting.len() > MAX_NAMES {
+        line.push_str(&format!(" and {} more", waiting.len() - MAX_NAMES));
     }
-    if *of < most {
-        let gone = most - of;
-        line.push_str(&format!("; {gone} seen before no longer listed"));
+    if *of < max_seen {
+        let missing = max_seen - of;
+        line.push_str(&format!("; {missing} seen before no longer listed"));
     }
     line
 }
--- a/foxtailweir/src/demo/hold.rs
+++ b/foxtailweir/src/demo/hold.rs
@@ -2,7 +2,7 @@
 
 use fw_local::system;
 
-use crate::command::Failed;
+use crate::command::OrFail;
 use crate::command::error;
 use crate::command::exit;
 use crate::command::io;
@@ -10,12 +10,12 @@
 
 /// Starts a system, prints its addresses, and stops it gracefully once the process is told to stop.
 pub(super) async fn run(io: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
-    let told = serve::stop_signal().whatever_failed("the system cannot be held")?;
+    let stop = serve::stop_signal().or_fail("the system cannot be held")?;
     let started = system::System::start(super::shape(None)).await;
-    let mut system = started.whatever_failed("the system does not start")?;
-    print(&system, io);
-    told.await;
-    io.note("stopping");
+    let mut system = started.or_fail("the system does not start")?;
+    print_addresses(&system, io);
+    stop.await;
+    io.report("stopping");
     let mut drained = true;
     for entry in 0..system.entries.len() {
         drained &= system.stop_entry(entry).await;
@@ -23,31 +23,31 @@
     match drained {
         true => Ok(exit::Exit::Success),
         false => {
-            io.note("stopped with work under way: the drain timeout passed");
+            io.report("stopped with work under way: the drain timeout passed");
             Ok(exit::Exit::Failure)
         }
     }
 }
 
-fn print(system: &system::System, io: &mut io::Io<'_>) {
+fn print_addresses(system: &system::System, io: &mut io::Io<'_>) {
     for entry in 0..system.entries.len() {
         let (callers, admin) = (system.callers(entry), system.admin(entry));
-        io.say(format_args!(
+        io.print(format_args!(
             "entry {entry}: callers http://{callers}, admin http://{admin}"
         ));
     }
     let callers = system.callers(0);
     let model = system::MODEL;
-    io.say("\nA streamed answer, a lookup at the plain service, and the programs under way:");
-    io.say(format_args!(
+    io.print("\nA streamed answer, a lookup at the plain service, and the programs under way:");
+    io.print(format_args!(
         "curl -N http://{callers}/v1/chat/completions -H 'content-type: application/json' \
          -H 'x-program: hello' -d '{{\"model\":\"{model}\",\"stream\":true,\
          \"messages\":[{{\"role\":\"user\",\"content\":\"Hello\"}}]}}'"
     ));
-    io.say(format_args!("curl -i http://{callers}/lookup/1"));
+    io.print(format_args!("curl -i http://{callers}/lookup/1"));
     for entry in 0..system.entries.len() {
         let admin = system.admin(entry);
-        io.say(format_args!("foxtailweir programs --entry {admin}"));
+        io.print(format_args!("foxtailweir programs --entry {admin}"));
     }
-    io.say("\nSIGINT (Ctrl-C) or SIGTERM stops it.");
+    io.print("\nSIGINT (Ctrl-C) or SIGTERM stops it.");
 }
--- a/foxtailweir/src/demo/mod.rs
+++ b/foxtailweir/src/demo/mod.rs
@@ -15,7 +15,7 @@
 use fw_local::system;
 
 use crate::command;
-use crate::command::Failed;
+use crate::command::OrFail;
 use crate::command::error;
 use crate::command::exit;
 use crate::command::io;
@@ -61,10 +61,10 @@
         return command::block_on(hold::run(io));
     }
     command::block_on(async {
-        let seen = script::run(opts, io).await;
-        let seen = seen.whatever_failed("the demonstration does not start")?;
-        report::print(&seen, io);
-        Ok(match seen.is_good() {
+        let results = script::run(opts, io).await;
+        let results = results.or_fail("the demonstration does not start")?;
+        report::print(&results, io);
+        Ok(match results.has_passed() {
             true => exit::Exit::Success,
             false => exit::Exit::Failure,
         })
--- a/foxtailweir/src/demo/programs.rs
+++ b/foxtailweir/src/demo/programs.rs
@@ -20,11 +20,11 @@
 const MEDIATION_TURNS: id::Turn = 9;
 const MEDIATION_PAUSE: Duration = Duration::from_millis(200);
 /// Each n-th program sends a turn, and a tool call, through two entries at once.
-const DOUBLED: usize = 4;
+const DOUBLED_EVERY: usize = 4;
 /// The caller of each n-th program goes away in a turn, and sends it again.
-const LEFT: usize = 5;
+const LEFT_EVERY: usize = 5;
 /// Each n-th program is not ended by its caller; its history is read at the end.
-const KEPT: usize = 10;
+const KEPT_EVERY: usize = 10;
 
 /// What a program is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 /// A program that came to its end.
 #[derive(Debug)]
-pub(super) struct Done {
+pub(super) struct Finished {
     pub sort: Sort,
     pub outcome: program::Outcome,
     /// From its first turn until its end was confirmed, pauses included.
@@ -47,9 +47,9 @@
     ends: bool,
 }
 
-impl Done {
+impl Finished {
     /// Whether it went as it should: to its last turn, or as far as its budget allows.
-    pub fn is_good(&self) -> bool {
+    pub fn is_as_expected(&self) -> bool {
         let Self { outcome, .. } = self;
         match self.sort {
             Sort::Endless => {
@@ -62,7 +62,7 @@
 }
 
 /// Starts all programs, with their first turns spread over time.
-pub(super) fn start(cx: &calls::Context, opts: &Options) -> JoinSet<Done> {
+pub(super) fn start(cx: &calls::Context, opts: &Options) -> JoinSet<Finished> {
     let sites = (0..opts.sites).map(|n| (Sort::Site, site(n), n, opts.sites));
     let mediations =
         (0..opts.mediations).map(|n| (Sort::Mediation, mediation(n), n, opts.mediations));
@@ -83,15 +83,15 @@
     running
 }
 
-async fn run(cx: calls::Context, sort: Sort, plan: program::Plan, delay: Duration) -> Done {
+async fn run(cx: calls::Context, sort: Sort, plan: program::Plan, delay: Duration) -> Finished {
     tokio::time::sleep(delay).await;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let ends = plan.end;
     let outcome = program::run(cx, plan).await;
-    Done {
+    Finished {
         sort,
         outcome,
-        took: begun.elapsed(),
+        took: started_at.elapsed(),
         ends,
     }
 }
@@ -123,7 +123,7 @@
 }
 
 fn plan(name: &str, n: usize) -> program::Plan {
-    let some = |each: usize, turns: &[id::Turn]| match n % each {
+    let for_every = |each: usize, turns: &[id::Turn]| match n % each {
         0 => turns.to_vec(),
         _ => Vec::new(),
     };
@@ -135,9 +135,9 @@
         stream: true,
         pause: Duration::ZERO,
         tools: Vec::new(),
-        doubled: some(DOUBLED, &[2, 4]),
-        left: some(LEFT, &[3]),
-        end: n % KEPT != 1,
+        doubled: for_every(DOUBLED_EVERY, &[2, 4]),
+        left: for_every(LEFT_EVERY, &[3]),
+        end: n % KEPT_EVERY != 1,
         limit: Duration::ZERO,
     }
 }
--- a/foxtailweir/src/demo/report.rs
+++ b/foxtailweir/src/demo/report.rs
@@ -18,47 +18,51 @@
 const DIGITS: u8 = 3;
 
 /// Prints all of it, the verdict last.
-pub(super) fn print(seen: &script::Seen, io: &mut io::Io<'_>) {
-    print_programs(seen, io);
-    print_calls(seen, io);
-    print_cache(seen, io);
-    io.say("\nWhat was promised, and what was seen of it:");
-    for finding in &seen.report.findings {
-        io.say(line(finding));
+pub(super) fn print(results: &script::Results, io: &mut io::Io<'_>) {
+    print_programs(results, io);
+    print_calls(results, io);
+    print_cache(results, io);
+    io.print("\nWhat was promised, and what was seen of it:");
+    for finding in &results.report.findings {
+        io.print(format_finding(finding));
     }
-    print_verdict(seen, io);
+    print_verdict(results, io);
 }
 
-fn print_programs(seen: &script::Seen, io: &mut io::Io<'_>) {
+fn print_programs(results: &script::Results, io: &mut io::Io<'_>) {
     use programs::Sort;
-    io.say("\nPrograms, from the first turn to the confirmed end, pauses for tools included:");
+    io.print("\nPrograms, from the first turn to the confirmed end, pauses for tools included:");
     for (sort, name) in [(Sort::Site, "site"), (Sort::Mediation, "mediation")] {
-        let done = seen.programs.iter().filter(|done| done.sort == sort);
+        let done = results.programs.iter().filter(|done| done.sort == sort);
         let done: Vec<_> = done.collect();
-        let good = done.iter().filter(|done| done.is_good());
+        let good = done.iter().filter(|done| done.is_as_expected());
         let good: Vec<_> = good.map(|done| done.took).collect();
         let (finished, all) = (good.len(), done.len());
         let latency = latency(&good);
-        io.say(format_args!(
+        io.print(format_args!(
             "{name:<10} {finished} of {all} finished; {latency}"
         ));
     }
-    for done in seen.programs.iter().filter(|d| d.sort == Sort::Endless) {
-        let programs::Done { outcome, .. } = done;
+    for done in results.programs.iter().filter(|d| d.sort == Sort::Endless) {
+        let programs::Finished { outcome, .. } = done;
         let answered = outcome.answered;
         let end = match outcome.refused {
             Some(kind) => kind.row().label,
             None => "no refusal",
         };
-        io.say(format_args!(
+        io.print(format_args!(
             "endless    {answered} turns answered, then: {end}"
         ));
     }
-    for done in seen.programs.iter().filter(|done| !done.is_good()) {
-        io.say(format_args!("UNFINISHED {:?}", done.outcome));
+    for done in results
+        .programs
+        .iter()
+        .filter(|done| !done.is_as_expected())
+    {
+        io.print(format_args!("UNFINISHED {:?}", done.outcome));
     }
-    for program in &seen.unread {
-        io.say(format_args!("UNREAD     {program}"));
+    for program in &results.unread {
+        io.print(format_args!("UNREAD     {program}"));
     }
 }
 
@@ -75,8 +79,8 @@
     format!("p50 {p50} ms, p95 {p95} ms")
 }
 
-fn print_calls(seen: &script::Seen, io: &mut io::Io<'_>) {
-    let events = || seen.entries.iter().map(|entry| &entry.event);
+fn print_calls(results: &script::Results, io: &mut io::Io<'_>) {
+    let events = || results.entries.iter().map(|entry| &entry.event);
     let answered: BTreeSet<_> = events()
         .filter_map(|event| match event {
             Event::Answered { call, .. } => Some(*call),
@@ -91,24 +95,27 @@
         .collect();
     let got = lookups.iter().filter(|call| answered.contains(*call));
     let (got, all) = (got.count(), lookups.len());
-    io.say(format_args!("lookups    {got} of {all} answered"));
+    io.print(format_args!("lookups    {got} of {all} answered"));
     let changes = events().filter(|event| matches!(event, Event::RecordAccepted { .. }));
-    io.say(format_args!(
+    io.print(format_args!(
         "records    {} changes accepted",
         changes.count()
     ));
-    let unsure = seen.programs.iter().map(|done| done.outcome.unsure_tools);
+    let unsure = results
+        .programs
+        .iter()
+        .map(|done| done.outcome.unsure_tools);
     let unsure: u32 = unsure.sum();
-    io.say(format_args!(
+    io.print(format_args!(
         "tools      {unsure} calls whose caller does not know whether they ran"
     ));
 }
 
-fn print_cache(seen: &script::Seen, io: &mut io::Io<'_>) {
-    let script::Seen {
+fn print_cache(results: &script::Results, io: &mut io::Io<'_>) {
+    let script::Results {
         prefilled, cached, ..
-    } = seen;
-    let wasted = match seen.metrics.as_ref() {
+    } = results;
+    let wasted = match results.metrics.as_ref() {
         Some(metrics) => {
             let wasted = counter(metrics, run::WASTED);
             let share = 100.0 * wasted as f64 / (prefilled + cached).max(1) as f64;
@@ -116,7 +123,7 @@
         }
         None => "wasted tokens not known: the process has another recorder of metrics".to_owned(),
     };
-    io.say(format_args!(
+    io.print(format_args!(
         "cache      of the prompts' tokens {cached} were cached, {prefilled} computed; {wasted}"
     ));
 }
@@ -130,30 +137,34 @@
 }
 
 /// A promise in a line, with what speaks against it in further lines.
-fn line(finding: &check::Finding) -> String {
+fn format_finding(finding: &check::Finding) -> String {
     let check::Verdict::NotObserved { unknown } = &finding.verdict else {
         return finding.to_string();
     };
     let mut line = format!("not observed: {}", finding.promise.text());
-    for what in unknown {
-        line.push_str(&format!("\n           - not known: {what}"));
+    for cause in unknown {
+        line.push_str(&format!("\n           - not known: {cause}"));
     }
     line
 }
 
-fn print_verdict(seen: &script::Seen, io: &mut io::Io<'_>) {
+fn print_verdict(results: &script::Results, io: &mut io::Io<'_>) {
     let count = |is: fn(&check::Verdict) -> bool| {
-        let findings = seen.report.findings.iter();
+        let findings = results.report.findings.iter();
         findings.filter(|finding| is(&finding.verdict)).count()
     };
     let held = count(|verdict| matches!(verdict, check::Verdict::Held { .. }));
     let violated = count(|verdict| matches!(verdict, check::Verdict::Violated { .. }));
     let unobserved = count(|verdict| matches!(verdict, check::Verdict::NotObserved { .. }));
-    let good = seen.programs.iter().filter(|done| done.is_good());
-    let (good, all) = (good.count(), seen.programs.len());
-    let verdict = if seen.is_good() { "GOOD" } else { "NOT GOOD" };
-    let took = seen.took.as_secs_f32();
-    io.say(format_args!(
+    let good = results.programs.iter().filter(|done| done.is_as_expected());
+    let (good, all) = (good.count(), results.programs.len());
+    let verdict = if results.has_passed() {
+        "GOOD"
+    } else {
+        "NOT GOOD"
+    };
+    let took = results.took.as_secs_f32();
+    io.print(format_args!(
         "\n{verdict}: {held} promises held, {violated} violated, {unobserved} not observed; \
          {good} of {all} programs ended as they should; {took:.1} s"
     ));
--- a/foxtailweir/src/demo/script.rs
+++ b/foxtailweir/src/demo/script.rs
@@ -26,30 +26,30 @@
 use crate::command::io;
 
 /// Time between two steps of the script.
-const STEP: Duration = Duration::from_millis(900);
+const STEP_INTERVAL: Duration = Duration::from_millis(900);
 /// How long a crashed side stays away, and a stopped entry is not replaced.
-const AWAY: Duration = Duration::from_millis(800);
+const OUTAGE: Duration = Duration::from_millis(800);
 /// Time between two lines of progress, while programs run.
-const PROGRESS: Duration = Duration::from_secs(1);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two looks at something that is waited for.
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Longest wait for a record to be in force, or for an engine to be at work.
-const WAIT_LIMIT: Duration = Duration::from_secs(3);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest wait for histories at the end.
-const READ_LIMIT: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest wait for engines to free the memory of ended programs.
-const FREE_WAIT: Duration = Duration::from_secs(3);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 /// What operators and readers draw their pauses from.
 const SEED: u64 = 1;
 
 /// What was seen.
-pub(super) struct Seen {
+pub(super) struct Results {
     /// The record.
     pub entries: Vec<event::Entry>,
     /// The checker's verdicts.
     pub report: check::Report,
     /// The programs.
-    pub programs: Vec<programs::Done>,
+    pub programs: Vec<programs::Finished>,
     /// Programs whose history could not be read at the end.
     pub unread: Vec<id::ProgramId>,
     /// Prompt tokens that engines computed.
@@ -62,10 +62,10 @@
     pub took: Duration,
 }
 
-impl Seen {
+impl Results {
     /// Whether no promise was violated, and every program came to its end.
-    pub fn is_good(&self) -> bool {
-        let all_good = self.programs.iter().all(programs::Done::is_good);
+    pub fn has_passed(&self) -> bool {
+        let all_good = self.programs.iter().all(programs::Finished::is_as_expected);
         !self.report.is_violated() && all_good && self.unread.is_empty()
     }
 }
@@ -73,7 +73,7 @@
 struct Script<'a, 'b> {
     opts: &'a Options,
     io: &'a mut io::Io<'b>,
-    begun: Instant,
+    started_at: Instant,
     cx: calls::Context,
     driver: faults::Driver,
 }
@@ -83,8 +83,8 @@
 /// # Errors
 ///
 /// When a part of the system does not start, or a record is not accepted.
-pub(super) async fn run(opts: &Options, io: &mut io::Io<'_>) -> std_io::Result<Seen> {
-    let begun = Instant::now();
+pub(super) async fn run(opts: &Options, io: &mut io::Io<'_>) -> std_io::Result<Results> {
+    let started_at = Instant::now();
     let recorder = recorder::Recorder::new();
     let shape = super::shape(Some(&recorder));
     let metrics = shape.metrics.clone();
@@ -97,29 +97,29 @@
     let mut script = Script {
         opts,
         io,
-        begun,
+        started_at,
         cx,
         driver,
     };
-    script.tell("2 entries, 3 engines and a tool service with a side each, and a store are up");
+    script.progress("2 entries, 3 engines and a tool service with a side each, and a store are up");
     script.set_budget().await?;
     let stop = CancellationToken::new();
-    let mut others = script.start_readers(&stop);
+    let mut background = script.start_background(&stop);
     let mut running = programs::start(&script.cx, opts);
     let count = running.len();
-    script.tell(format_args!("{count} programs begin, beside plain lookups"));
-    script.disturb(&mut others, &stop).await;
-    let programs = script.wait(&mut running).await;
+    script.progress(format_args!("{count} programs begin, beside plain lookups"));
+    script.run_scenario(&mut background, &stop).await;
+    let programs = script.wait_programs(&mut running).await;
     stop.cancel();
-    while others.join_next().await.is_some() {}
-    Ok(script.end(programs, metrics).await)
+    while background.join_next().await.is_some() {}
+    Ok(script.finish(programs, metrics).await)
 }
 
 impl Script<'_, '_> {
     /// Writes a line of progress.
-    fn tell(&mut self, what: impl std::fmt::Display) {
-        let at = self.begun.elapsed().as_secs_f32();
-        self.io.note(format_args!("{at:5.1} s  {what}"));
+    fn progress(&mut self, message: impl std::fmt::Display) {
+        let at = self.started_at.elapsed().as_secs_f32();
+        self.io.report(format_args!("{at:5.1} s  {message}"));
     }
 
     /// Limits the turns of every program, and waits until that is in force.
@@ -137,60 +137,60 @@
             let message = format!("the budget's record: {}", answer.text);
             return Err(std_io::Error::other(message));
         };
-        let until = Instant::now() + WAIT_LIMIT;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while system.revision_in_force() < revision {
             if Instant::now() > until {
                 return Err(std_io::Error::other("the budget's record is not in force"));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         let turns = programs::BUDGET;
-        self.tell(format_args!(
+        self.progress(format_args!(
             "a record limits programs to {turns} turns each"
         ));
         Ok(())
     }
 
-    fn start_readers(&self, stop: &CancellationToken) -> JoinSet<()> {
-        let mut others = JoinSet::new();
+    fn start_background(&self, stop: &CancellationToken) -> JoinSet<()> {
+        let mut background = JoinSet::new();
         for (n, name) in ["reader-a", "reader-b"].into_iter().enumerate() {
             let rng = Pcg64::seed_from_u64(SEED + n as u64);
-            others.spawn(operate::look_up(self.cx.clone(), name, rng, stop.clone()));
+            background.spawn(operate::look_up(self.cx.clone(), name, rng, stop.clone()));
         }
-        others.spawn(operate::watch(self.cx.clone(), stop.clone()));
-        others
+        background.spawn(operate::watch(self.cx.clone(), stop.clone()));
+        background
     }
 
     /// What goes wrong, and what operators do.
-    async fn disturb(&mut self, others: &mut JoinSet<()>, stop: &CancellationToken) {
-        tokio::time::sleep(STEP).await;
+    async fn run_scenario(&mut self, background: &mut JoinSet<()>, stop: &CancellationToken) {
+        tokio::time::sleep(STEP_INTERVAL).await;
         let engine = self.busiest_engine().await;
         let under_way = self.driver.system.engines[engine].upstream.under_way();
-        self.tell(format_args!(
+        self.progress(format_args!(
             "the side of engine {engine} crashes with {under_way} turns under way"
         ));
-        self.fault(faults::Fault::KillSide(engine)).await;
-        self.tell("it is back");
+        self.inject(faults::Fault::KillSide(engine)).await;
+        self.progress("it is back");
         for (n, name) in ["operator-a", "operator-b"].into_iter().enumerate() {
             let rng = Pcg64::new(SEED.into(), n as u128);
-            others.spawn(operate::change(self.cx.clone(), name, rng, stop.clone()));
+            background.spawn(operate::change(self.cx.clone(), name, rng, stop.clone()));
         }
-        self.tell("two operators begin to change the same record, again and again");
-        tokio::time::sleep(STEP).await;
+        self.progress("two operators begin to change the same record, again and again");
+        tokio::time::sleep(STEP_INTERVAL).await;
         let leaving = (engine + 1) % self.driver.system.engines.len();
-        self.tell(format_args!("engine {leaving} begins to leave"));
-        self.fault(faults::Fault::LeaveEngine(leaving)).await;
-        self.tell("entry 1 is told to stop gracefully; another one is to take its place");
-        self.fault(faults::Fault::StopEntry(1)).await;
+        self.progress(format_args!("engine {leaving} begins to leave"));
+        self.inject(faults::Fault::LeaveEngine(leaving)).await;
+        self.progress("entry 1 is told to stop gracefully; another one is to take its place");
+        self.inject(faults::Fault::StopEntry(1)).await;
         self.driver.settle().await;
-        self.tell("entry 1 has ended, and entry 2 takes calls");
+        self.progress("entry 1 has ended, and entry 2 takes calls");
     }
 
     /// Brings a fault about, and heals it.
-    async fn fault(&mut self, fault: faults::Fault) {
+    async fn inject(&mut self, fault: faults::Fault) {
         let timed = faults::Timed {
             at: Duration::ZERO,
-            lasts: AWAY,
+            lasts: OUTAGE,
             fault,
         };
         self.driver.run(&[timed]).await;
@@ -199,7 +199,7 @@
     /// The engine with the most turns under way; waits for one that has any.
     async fn busiest_engine(&self) -> usize {
         let engines = &self.driver.system.engines;
-        let until = Instant::now() + WAIT_LIMIT;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let loads = engines.iter().map(|worker| worker.upstream.under_way());
             let most = loads.enumerate().max_by_key(|(_, load)| *load);
@@ -207,45 +207,52 @@
             if load > 0 || Instant::now() > until {
                 return engine;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Waits for the programs, which give up by themselves.
-    async fn wait(&mut self, running: &mut JoinSet<programs::Done>) -> Vec<programs::Done> {
+    async fn wait_programs(
+        &mut self,
+        running: &mut JoinSet<programs::Finished>,
+    ) -> Vec<programs::Finished> {
         let count = running.len();
         let mut done = Vec::new();
-        let mut progress = tokio::time::interval(PROGRESS);
+        let mut ticks = tokio::time::interval(PROGRESS_INTERVAL);
         loop {
             tokio::select! {
                 next = running.join_next() => match next {
                     Some(next) => done.push(next.expect("no task of a program panics")),
                     None => break,
                 },
-                _ = progress.tick() => {
+                _ = ticks.tick() => {
                     let ended = done.len();
-                    self.tell(format_args!("{ended} of {count} programs have ended"));
+                    self.progress(format_args!("{ended} of {count} programs have ended"));
                 }
             }
         }
-        self.tell("all programs have ended");
+        self.progress("all programs have ended");
         done
     }
 
     /// Lets changes and releases arrive, reads what is kept, and judges the record.
-    async fn end(self, programs: Vec<programs::Done>, metrics: Option<PrometheusHandle>) -> Seen {
+    async fn finish(
+        self,
+        programs: Vec<programs::Finished>,
+        metrics: Option<PrometheusHandle>,
+    ) -> Results {
         let Self {
             opts, cx, driver, ..
         } = self;
         operate::settle(&cx, opts.check.in_force_within).await;
-        let unread = read_kept(&cx, &programs).await;
-        wait_freed(&driver.system, &programs).await;
+        let unread = read_unended(&cx, &programs).await;
+        wait_released(&driver.system, &programs).await;
         operate::look(&cx);
         let counts = driver.system.engines.iter();
         let counts: Vec<_> = counts.map(|worker| worker.upstream.counts()).collect();
         let entries = cx.recorder.entries();
         driver.end();
-        Seen {
+        Results {
             report: check::record(&entries, &opts.check),
             entries,
             programs,
@@ -253,14 +260,14 @@
             prefilled: counts.iter().map(|counts| counts.prefilled).sum(),
             cached: counts.iter().map(|counts| counts.cached).sum(),
             metrics,
-            took: self.begun.elapsed(),
+            took: self.started_at.elapsed(),
         }
     }
 }
 
 /// Reads the histories of the programs that were not ended; returns those that could not be read.
-async fn read_kept(cx: &calls::Context, programs: &[programs::Done]) -> Vec<id::ProgramId> {
-    let until = Instant::now() + READ_LIMIT;
+async fn read_unended(cx: &calls::Context, programs: &[programs::Finished]) -> Vec<id::ProgramId> {
+    let until = Instant::now() + READ_TIMEOUT;
     let mut unread = Vec::new();
     let outcomes = programs.iter().map(|done| &done.outcome);
     for kept in outcomes.filter(|outcome| !outcome.ended && outcome.answered > 0) {
@@ -272,8 +279,8 @@
 }
 
 /// Waits a little until no engine holds memory for a program that was ended.
-async fn wait_freed(system: &system::System, programs: &[programs::Done]) {
-    let until = Instant::now() + FREE_WAIT;
+async fn wait_released(system: &system::System, programs: &[programs::Finished]) {
+    let until = Instant::now() + RELEASE_TIMEOUT;
     let outcomes = programs.iter().map(|done| &done.outcome);
     let ended: Vec<_> = outcomes.filter(|outcome| outcome.ended).collect();
     let holds_any = || {
@@ -283,6 +290,6 @@
         })
     };
     while holds_any() && Instant::now() < until {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/foxtailweir/src/logs.rs
+++ b/foxtailweir/src/logs.rs
@@ -11,7 +11,7 @@
 use crate::budget;
 
 /// Starts to write log lines; without effect if the process writes some already.
-pub fn start(log: &shared::Log) {
+pub fn init(log: &shared::Log) {
     let level = log.level.as_str().parse();
     let level = level.unwrap_or(filter::LevelFilter::INFO);
     let lines = tracing_subscriber::fmt()
@@ -26,20 +26,20 @@
 
 /// Lines that wait to be written. Beyond that they are left out, so that no request waits for
 /// whoever reads them; the count of those left out is in the writer's own counter.
-const LINES: usize = 1_024;
+const MAX_QUEUED_LINES: usize = 1_024;
 /// Lines of one kind in a second. A request writes one or two; a few hundred requests a second are
 /// an entry's usual most, so that only a storm is cut.
-const SAME_KIND: u32 = 1_000;
+const MAX_LINES_PER_SITE_SECOND: u32 = 1_000;
 
 /// Starts to write JSON lines on standard output, from a thread of their own. What waits is written
 /// when the guard is dropped.
-pub fn start_lines() -> non_blocking::WorkerGuard {
+pub fn init_json() -> non_blocking::WorkerGuard {
     let (writer, guard) = non_blocking::NonBlockingBuilder::default()
-        .buffered_lines_limit(LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .lossy(true)
         .finish(io::stdout());
     // The calls to replicas have log lines of our own; those of the library would be one a call.
-    let kinds = filter::Targets::new()
+    let targets = filter::Targets::new()
         .with_default(filter::LevelFilter::INFO)
         .with_target("tarpc", filter::LevelFilter::OFF);
     let lines = tracing_subscriber::fmt::layer()
@@ -48,8 +48,8 @@
         .with_current_span(false)
         .with_span_list(false)
         .with_writer(writer)
-        .with_filter(budget::Budget::new(SAME_KIND))
-        .with_filter(kinds);
+        .with_filter(budget::Budget::new(MAX_LINES_PER_SITE_SECOND))
+        .with_filter(targets);
     // Fails only if a subscriber is set already.
     let _already_set = tracing_subscriber::registry().with(lines).try_init();
     guard
--- a/foxtailweir/src/serve.rs
+++ b/foxtailweir/src/serve.rs
@@ -12,7 +12,7 @@
 use tracing::info;
 
 /// Time between two sweeps of histograms, which would otherwise grow until somebody scrapes.
-const UPKEEP: Duration = Duration::from_secs(5);
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why an entry does not run.
 #[derive(Debug, Snafu)]
@@ -24,10 +24,10 @@
         source: serve::Error,
     },
     /// The system refuses something else.
-    #[snafu(display("cannot {what}: {source}"))]
+    #[snafu(display("cannot {operation}: {source}"))]
     System {
         /// What was tried.
-        what: &'static str,
+        operation: &'static str,
         /// Why not.
         source: std::io::Error,
     },
@@ -38,7 +38,7 @@
     PrometheusBuilder::new().install_recorder().ok()
 }
 
-/// Runs an entry until `stop` is ready, then stops it gracefully. Calls `started` with its
+/// Runs an entry until `stop` is ready, then stops it gracefully. Calls `on_started` with its
 /// addresses as soon as it serves.
 ///
 /// # Errors
@@ -47,16 +47,16 @@
 pub async fn run(
     settings: entry::Settings,
     metrics: Option<PrometheusHandle>,
-    started: impl FnOnce(serve::Addresses),
+    on_started: impl FnOnce(serve::Addresses),
     stop: impl Future<Output = ()>,
 ) -> Result<serve::Stopped, Error> {
     let bound = serve::Bound::new(settings).await?;
-    let upkeep = metrics.clone().map(keep_up);
-    let what = "read the addresses";
-    let running = bound.start(metrics).context(SystemSnafu { what })?;
+    let upkeep = metrics.clone().map(spawn_upkeep);
+    let operation = "read the addresses";
+    let running = bound.start(metrics).context(SystemSnafu { operation })?;
     let addrs = running.addresses();
     info!(admin = %addrs.admin, "operators are answered");
-    started(addrs);
+    on_started(addrs);
     stop.await;
     let stopped = running.stop().await;
     if let Some(upkeep) = upkeep {
@@ -71,9 +71,10 @@
 ///
 /// When the system does not deliver signals.
 pub fn stop_signal() -> Result<impl Future<Output = ()>, Error> {
-    let what = "take signals";
-    let mut term = unix::signal(unix::SignalKind::terminate()).context(SystemSnafu { what })?;
-    let mut int = unix::signal(unix::SignalKind::interrupt()).context(SystemSnafu { what })?;
+    let operation = "take signals";
+    let mut term =
+        unix::signal(unix::SignalKind::terminate()).context(SystemSnafu { operation })?;
+    let mut int = unix::signal(unix::SignalKind::interrupt()).context(SystemSnafu { operation })?;
     Ok(async move {
         tokio::select! {
             _ = term.recv() => {}
@@ -83,10 +84,10 @@
 }
 
 /// Sweeps histograms until aborted.
-pub fn keep_up(metrics: PrometheusHandle) -> tokio::task::JoinHandle<()> {
+pub fn spawn_upkeep(metrics: PrometheusHandle) -> tokio::task::JoinHandle<()> {
     tokio::spawn(async move {
         loop {
-            tokio::time::sleep(UPKEEP).await;
+            tokio::time::sleep(UPKEEP_INTERVAL).await;
             metrics.run_upkeep();
         }
     })
--- a/foxtailweir/tests/foxtailweir/command_line.rs
+++ b/foxtailweir/tests/foxtailweir/command_line.rs
@@ -3,8 +3,8 @@
 use foxtailweir::command::exit;
 use googletest::prelude::*;
 
-use crate::file;
 use crate::run;
+use crate::write_file;
 
 const COMMANDS: [&str; 10] = [
     "serve",
@@ -69,7 +69,7 @@
 
 #[gtest]
 fn check_names_file_line_key_and_range() {
-    let settings = file(
+    let settings = write_file(
         "bad.ini",
         "[listen]\ncallers = 127.0.0.1:0\n[store]\ntimeout = 1h\n",
     );
@@ -84,7 +84,7 @@
 
 #[gtest]
 fn check_accepts_good_settings() {
-    let settings = file(
+    let settings = write_file(
         "good.ini",
         "[instance]\nplace = surat-hall-a\n[listen]\ncallers = 127.0.0.1:0\n\
          peers = 127.0.0.1:0\n[store]\nendpoints = 127.0.0.1:2379\n",
--- a/foxtailweir/tests/foxtailweir/demo_script.rs
+++ b/foxtailweir/tests/foxtailweir/demo_script.rs
@@ -11,10 +11,10 @@
 // Bounds so wide that a machine kept busy by other tests does not break them.
 const WIDE: Duration = Duration::from_secs(40);
 // So wide that no record is long enough to judge by it.
-const UNSEEN: Duration = Duration::from_secs(3_600);
+const UNOBSERVABLE: Duration = Duration::from_secs(3_600);
 
 #[gtest]
-fn a_short_script_tells_of_every_promise_and_claims_none_unseen() {
+fn short_script_reports_every_promise_and_claims_none_unobserved() {
     let opts = demo::Options {
         sites: 4,
         mediations: 2,
@@ -22,7 +22,7 @@
         limit: Duration::from_secs(60),
         check: check::Options {
             free_within: WIDE,
-            leave_within: UNSEEN,
+            leave_within: UNOBSERVABLE,
             in_force_within: WIDE,
         },
         ..demo::Options::default()
@@ -39,8 +39,8 @@
         let lines = out.lines().filter(|line| line.contains(promise.text()));
         expect_that!(lines.count(), eq(1), "{promise:?}");
     }
-    let unseen = "not observed: leaving upstreams get no new work";
-    expect_that!(out, contains_substring(unseen));
+    let unobserved = "not observed: leaving upstreams get no new work";
+    expect_that!(out, contains_substring(unobserved));
     expect_that!(out, contains_substring("\nGOOD: "));
     expect_that!(
         out,
--- a/foxtailweir/tests/foxtailweir/log_budget.rs
+++ b/foxtailweir/tests/foxtailweir/log_budget.rs
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn leave_the_rare_ones_in() {
+fn rare_lines_are_kept_in_a_storm() {
     // An entry was cut off from the replicas. Each of a thousand calls a second wrote a line that
     // it had failed; the line that told why was left out, as the writer's queue was full.
     let lines = Lines::default();
--- a/foxtailweir/tests/foxtailweir/main.rs
+++ b/foxtailweir/tests/foxtailweir/main.rs
@@ -14,14 +14,14 @@
 use foxtailweir::command::io;
 
 /// What a command did.
-struct Ran {
+struct Output {
     exit: exit::Exit,
     out: String,
     err: String,
 }
 
 /// Runs a command, given as one line.
-fn run(line: &str) -> Ran {
+fn run(line: &str) -> Output {
     let args: Vec<_> = line.split_whitespace().map(str::to_owned).collect();
     let mut out = Vec::new();
     let mut err = Vec::new();
@@ -30,7 +30,7 @@
         err: &mut err,
     };
     let exit = command::run(&args, &mut io);
-    Ran {
+    Output {
         exit,
         out: String::from_utf8(out).unwrap(),
         err: String::from_utf8(err).unwrap(),
@@ -38,14 +38,14 @@
 }
 
 /// As [`run`], from within a runtime.
-async fn run_beside(line: String) -> Ran {
+async fn run_blocking(line: String) -> Output {
     tokio::task::spawn_blocking(move || run(&line))
         .await
         .unwrap()
 }
 
 /// A new file in the target's folder for temporary files.
-fn file(name: &str, content: &str) -> String {
+fn write_file(name: &str, content: &str) -> String {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, content).unwrap();
     path.to_str().unwrap().to_owned()
--- a/foxtailweir/tests/foxtailweir/real_entry.rs
+++ b/foxtailweir/tests/foxtailweir/real_entry.rs
@@ -12,11 +12,11 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-use crate::file;
-use crate::run_beside;
+use crate::run_blocking;
+use crate::write_file;
 
 /// Longest wait for an entry's start; a bound for the test, not a goal.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Entry {
     addrs: Addresses,
@@ -35,30 +35,30 @@
     let (stop, stop_rx) = oneshot::channel();
     let task = tokio::spawn(async move {
         let started = move |addrs| started_tx.send(addrs).unwrap();
-        let told = async move { drop(stop_rx.await) };
-        let stopped = serve::run(settings, None, started, told).await;
+        let stopped_by = async move { drop(stop_rx.await) };
+        let stopped = serve::run(settings, None, started, stopped_by).await;
         stopped.unwrap().drained
     });
-    let started = tokio::time::timeout(PATIENCE, started).await;
+    let started = tokio::time::timeout(TIMEOUT, started).await;
     let addrs = started.expect("an entry starts").unwrap();
     Entry { addrs, stop, task }
 }
 
 /// Waits until what the entry reports of records of `revision` is as wanted.
-async fn reports(entry: &Entry, revision: i64, wanted: impl Fn(&admin::InForce) -> bool) {
+async fn wait_reported(entry: &Entry, revision: i64, wanted: impl Fn(&admin::InForce) -> bool) {
     let client = admin::Client::new(entry.addrs.admin.to_string());
     let reported = async {
         while !wanted(&client.in_force(revision).await.unwrap()) {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let reported = tokio::time::timeout(PATIENCE, reported).await;
+    let reported = tokio::time::timeout(TIMEOUT, reported).await;
     reported.expect("the entry reports what is wanted");
 }
 
 /// Waits until the entry knows of `count` processes.
-async fn know(entry: &Entry, count: usize) {
-    reports(entry, 0, |state| state.of == count).await;
+async fn wait_listed(entry: &Entry, count: usize) {
+    wait_reported(entry, 0, |state| state.of == count).await;
 }
 
 #[gtest]
@@ -69,20 +69,20 @@
         .unwrap();
     let first = start(&store, 0).await;
     let second = start(&store, 0).await;
-    know(&first, 2).await;
-    let path = file(
+    wait_listed(&first, 2).await;
+    let path = write_file(
         "real.json",
         r#"{"kind": "team", "name": "real", "record": {"schema": 2, "share": 2}}"#,
     );
     let line = format!("records put {path} --timeout 20s -e {}", first.addrs.admin);
-    let put = run_beside(line).await;
+    let put = run_blocking(line).await;
     expect_eq!(put.exit, exit::Exit::Success, "{}", put.err);
     expect_that!(put.err, contains_substring("in force at 2 of 2"));
-    let listed = run_beside(format!("records list -e {}", second.addrs.admin)).await;
+    let listed = run_blocking(format!("records list -e {}", second.addrs.admin)).await;
     expect_that!(listed.out, contains_substring("team/real"));
-    let programs = run_beside(format!("programs -e {}", second.addrs.admin)).await;
+    let programs = run_blocking(format!("programs -e {}", second.addrs.admin)).await;
     expect_eq!(programs.exit, exit::Exit::Success);
-    let unknown = run_beside(format!("explain nobody -e {}", second.addrs.admin)).await;
+    let unknown = run_blocking(format!("explain nobody -e {}", second.addrs.admin)).await;
     expect_that!(unknown.err, contains_substring("its keeper:"));
     for entry in [first, second] {
         entry.stop.send(()).unwrap();
@@ -104,16 +104,16 @@
     for cut in [0, 1] {
         let store = store::Store::start(opts.clone()).await.unwrap();
         let entries = [start(&store, 0).await, start(&store, 1).await];
-        know(&entries[0], 2).await;
-        know(&entries[1], 2).await;
+        wait_listed(&entries[0], 2).await;
+        wait_listed(&entries[1], 2).await;
         store.faults(cut, |f| f.outage = Some(store::Outage::Hang));
-        let path = file(
+        let path = write_file(
             &format!("cut{cut}.json"),
             r#"{"kind": "team", "name": "real", "record": {"schema": 2, "share": 2}}"#,
         );
         let admin = entries[1 - cut].addrs.admin;
         let line = format!("records put {path} --timeout 20s -e {admin}");
-        let put = run_beside(line).await;
+        let put = run_blocking(line).await;
         expect_eq!(put.exit, exit::Exit::Success, "{}", put.err);
         expect_that!(put.err, contains_substring("in force at 2 of 2"));
     }
@@ -131,15 +131,15 @@
     let store = store::Store::start(opts).await.unwrap();
     let cut = start(&store, 0).await;
     let other = start(&store, 1).await;
-    know(&cut, 2).await;
-    know(&other, 2).await;
+    wait_listed(&cut, 2).await;
+    wait_listed(&other, 2).await;
     store.faults(0, |f| f.outage = Some(store::Outage::Hang));
-    know(&other, 1).await;
-    let path = file(
+    wait_listed(&other, 1).await;
+    let path = write_file(
         "lapsed.json",
         r#"{"kind": "team", "name": "real", "record": {"schema": 2, "share": 2}}"#,
     );
-    let put = run_beside(format!("records put {path} -e {}", other.addrs.admin)).await;
+    let put = run_blocking(format!("records put {path} -e {}", other.addrs.admin)).await;
     let revision = put.out.trim().parse().unwrap();
-    reports(&cut, revision, |state| state.waiting.is_empty()).await;
+    wait_reported(&cut, revision, |state| state.waiting.is_empty()).await;
 }
--- a/foxtailweir/tests/foxtailweir/standin.rs
+++ b/foxtailweir/tests/foxtailweir/standin.rs
@@ -96,9 +96,9 @@
 }
 
 async fn in_force(State(shared): State<Arc<Shared>>) -> Json<Value> {
-    let asked = shared.in_force.fetch_add(1, Ordering::Relaxed);
-    let count = asked.min(shared.reach);
-    let listed = match shared.drops && asked > DROP_AFTER {
+    let earlier = shared.in_force.fetch_add(1, Ordering::Relaxed);
+    let count = earlier.min(shared.reach);
+    let listed = match shared.drops && earlier > DROP_AFTER {
         true => shared.reach,
         false => PROCESSES,
     };
@@ -113,8 +113,8 @@
 }
 
 async fn explain(uri: Uri) -> Json<Value> {
-    let known = uri.path().ends_with("/p-1");
+    let is_known = uri.path().ends_with("/p-1");
     let event = json!({ "at_ms": 12, "what": "placed", "why": "cache of 700 tokens at w1" });
-    let events = if known { vec![event] } else { Vec::new() };
+    let events = if is_known { vec![event] } else { Vec::new() };
     Json(json!({ "keeper": "this entry", "events": events }))
 }
