--- a/foxtailweir-side/src/main.rs
+++ b/foxtailweir-side/src/main.rs
@@ -1,4 +1,4 @@
-//! The process beside each upstream: command line, logs and signals.
+//! The sidecar process of an upstream: command line, logging and signal handling.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -12,9 +12,9 @@
 /// Exit code for wrong arguments or settings.
 const USAGE_ERROR: u8 = 2;
 
-/// Threads that run tasks. The cores of the instance are the upstream's, a plain call takes the
-/// side 56 to 92 us of processor time (example `overhead` of `fw-side`), and a thread more for each
-/// core costs memory and wake-ups.
+/// Worker threads of the runtime. The cores of the instance belong to the upstream, a plain call
+/// costs the side 56 to 92 us of processor time (example `overhead` of `fw-side`), and one worker
+/// per core would cost memory and wake-ups.
 const WORKER_THREADS: usize = 2;
 
 const BRIEF: &str = "Usage: foxtailweir-side [check] --settings FILE
@@ -83,7 +83,7 @@
 }
 
 fn init_logging(cfg: &shared::Log) {
-    // The library opens a span for each call between processes, at level info, and lines are for
+    // tarpc opens a span at level info for each call between processes; log lines are reserved for
     // changes of state.
     let filter = EnvFilter::new(format!("{},tarpc=warn", cfg.level.as_str()));
     let builder = tracing_subscriber::fmt()
@@ -95,7 +95,7 @@
     }
 }
 
-/// Waits for SIGTERM or SIGINT; for good, if signals cannot be received.
+/// Waits for SIGTERM or SIGINT; never completes if no signal handler can be installed.
 async fn stop_signal() {
     let term = unix::signal(unix::SignalKind::terminate());
     let Ok(mut term) = term else {
--- a/foxtailweir/src/admin.rs
+++ b/foxtailweir/src/admin.rs
@@ -1,4 +1,4 @@
-//! Client of an entry's admin address.
+//! HTTP client of an entry's admin API.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// Where an entry answers operators unless its settings say otherwise.
+/// Default admin address of an entry.
 pub const DEFAULT_ENTRY: &str = "127.0.0.1:9180";
 
-/// Longest wait for an answer. Exceeds the time in which an entry finds out what became of a
-/// write whose answer the store lost.
+/// Timeout of a request. Longer than an entry needs to determine whether a write was applied after
+/// the store's answer to it was lost.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Why a request failed.
@@ -31,15 +31,15 @@
     Call {
         /// Its address.
         entry: String,
-        /// What the client saw.
+        /// The HTTP client's error.
         source: fw_http::Error,
     },
     /// The request could not be built.
     #[snafu(display("`{entry}` is no address of an entry, such as `{DEFAULT_ENTRY}`: {source}"))]
     Address {
-        /// What was given.
+        /// The address as given.
         entry: String,
-        /// What is wrong with it.
+        /// The error of the request builder.
         source: http::Error,
     },
     /// The entry refused the request.
@@ -48,20 +48,20 @@
         /// Its answer.
         refusal: Box<Refusal>,
     },
-    /// The answer is not as expected.
+    /// The answer has an unexpected form.
     #[snafu(display("entry {entry} answered {status} with something unexpected: {source}"))]
     Malformed {
         /// Its address.
         entry: String,
         /// HTTP status.
         status: u16,
-        /// What the parser saw.
+        /// The parser's error.
         source: serde_json::Error,
     },
 }
 
 impl Error {
-    /// Whether a change may have been accepted although the request failed.
+    /// Returns whether a change may have been accepted although the request failed.
     pub fn may_have_applied(&self) -> bool {
         match self {
             Self::Call { source, .. } => !source.is_unsent(),
@@ -72,40 +72,40 @@
     }
 }
 
-/// An error as entries answer it.
+/// Body of an error response of an entry.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Refusal {
     /// The error.
     pub error: ErrorFields,
-    /// Of a conflict: the record that was to be stored.
+    /// For a conflict: the record in the request.
     #[serde(default)]
     pub yours: Option<Map<String, Value>>,
-    /// Of a conflict: the record that is stored.
+    /// For a conflict: the stored record.
     #[serde(default)]
     pub theirs: Option<write::Stored>,
 }
 
-/// What an error says.
+/// Fields of an error.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct ErrorFields {
-    /// Label of the kind.
+    /// Label of the error kind.
     pub kind: String,
-    /// One sentence.
+    /// Message, one sentence.
     pub message: String,
-    /// `no`, `maybe` or `yes`.
+    /// Whether the request was executed: `no`, `maybe` or `yes`.
     pub ran: String,
 }
 
-/// Where records of a revision are in force.
+/// In how many processes records of a revision are in force.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct InForce {
-    /// Processes in which they are.
+    /// Number of processes in which they are in force.
     pub in_force: usize,
-    /// All processes.
+    /// Number of listed processes.
     pub of: usize,
-    /// Those in which they are not yet.
+    /// Names of the processes in which they are not in force yet.
     pub waiting: Vec<String>,
 }
 
@@ -113,11 +113,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Program {
-    /// Its id.
+    /// Program id.
     pub id: SmolStr,
-    /// How it stands.
+    /// Status label, such as `idle`.
     pub status: SmolStr,
-    /// Turns committed.
+    /// Number of committed turns.
     pub turn: id::Turn,
     /// Tokens spent.
     pub tokens: id::Tokens,
@@ -139,7 +139,7 @@
 pub struct Explanation {
     /// Which entry keeps the program.
     pub keeper: String,
-    /// The decisions at the entry that was asked, oldest first.
+    /// The decisions made by the queried entry, oldest first.
     pub events: Vec<Event>,
 }
 
@@ -151,7 +151,7 @@
     pub at_ms: u64,
     /// What was decided.
     pub what: String,
-    /// Why.
+    /// Reason for the decision.
     pub why: String,
 }
 
@@ -173,7 +173,7 @@
 }
 
 impl Client {
-    /// A client of the entry whose admin address is `entry`, as `ip:port`.
+    /// Creates a client of the entry whose admin address is `entry`, as `ip:port`.
     pub fn new(entry: impl Into<String>) -> Self {
         let opts = fw_http::Options {
             head_timeout: TIMEOUT,
@@ -186,7 +186,7 @@
         }
     }
 
-    /// All records.
+    /// Fetches all records.
     ///
     /// # Errors
     ///
@@ -196,7 +196,7 @@
         Ok(answer.records)
     }
 
-    /// One record.
+    /// Fetches one record.
     ///
     /// # Errors
     ///
@@ -205,7 +205,7 @@
         self.get(&format!("/admin/records/{name}")).await
     }
 
-    /// The replaced versions of a record, oldest first.
+    /// Fetches the replaced versions of a record, oldest first.
     ///
     /// # Errors
     ///
@@ -216,8 +216,8 @@
         Ok(answer.versions)
     }
 
-    /// Stores a record in place of the version written at `expected`, or where there is none
-    /// if that is 0.
+    /// Stores a record. Replaces the version written at revision `expected`; if `expected` is 0,
+    /// the record must not exist yet.
     ///
     /// # Errors
     ///
@@ -233,7 +233,7 @@
             .await
     }
 
-    /// Deletes the version of a record that was written at `expected`.
+    /// Deletes a record whose present version was written at revision `expected`.
     ///
     /// # Errors
     ///
@@ -247,7 +247,7 @@
             .await
     }
 
-    /// Where records of `revision` are in force.
+    /// Fetches in how many processes records of `revision` are in force.
     ///
     /// # Errors
     ///
@@ -257,7 +257,7 @@
             .await
     }
 
-    /// The programs that the entry keeps.
+    /// Fetches the programs that the entry keeps.
     ///
     /// # Errors
     ///
@@ -266,7 +266,7 @@
         self.get("/admin/programs").await
     }
 
-    /// The decisions about a program.
+    /// Fetches the decisions about a program.
     ///
     /// # Errors
     ///
--- a/foxtailweir/src/budget.rs
+++ b/foxtailweir/src/budget.rs
@@ -1,13 +1,13 @@
-//! A budget of log lines for each kind.
+//! Rate limit on log lines per call site.
 //!
-//! *Load pattern:* a cut or an overload makes every request end the same way, thousands a second,
-//! each with its line.
+//! *Load pattern:* during a network partition or an overload every request fails in the same way,
+//! thousands per second, and each writes a log line.
 //!
-//! *Without it:* the lines that tell the cause are lost among them, or are left out because the
-//! writer's queue is full of the others.
+//! *Without it:* the lines that show the cause are hard to find among them, or are dropped because
+//! the writer's queue is full of the repeated ones.
 //!
-//! *Rule:* of each place in the code that writes lines, so many are written each second; the others
-//! are counted in `fw_log_left_out_total` by place.
+//! *Rule:* each call site of a log macro may write a fixed number of lines per second; the excess
+//! is dropped and counted in `fw_log_left_out_total` by call site.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -16,16 +16,17 @@
 use tracing::{Event, Metadata, callsite};
 use tracing_subscriber::layer::{Context, Filter};
 
+/// Length of a counting window. A window starts with the first line after the previous one ended.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Lines of one kind in the present second.
+/// Lines of one call site in its present window.
 #[derive(Debug)]
 struct LineCount {
     since: Instant,
     lines: u32,
 }
 
-/// Passes so many lines of each kind a second.
+/// Log filter that passes a limited number of lines per call site and second.
 #[derive(Debug)]
 pub struct Budget {
     max_lines: u32,
@@ -33,7 +34,7 @@
 }
 
 impl Budget {
-    /// Passes `max_lines` lines of each kind a second.
+    /// Creates a filter that passes `max_lines` lines per call site and second.
     pub fn new(max_lines: u32) -> Self {
         Self {
             max_lines,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Whether one more line of `kind` at `now` is within the budget.
+    /// Counts a line of `site` at `now`; returns whether it is within the limit.
     fn try_take(&self, site: callsite::Identifier, now: Instant) -> bool {
         let mut counts = self.counts.lock();
         let count = counts.entry(site).or_insert(LineCount {
--- a/foxtailweir/src/command/check.rs
+++ b/foxtailweir/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `check`: settings files without running anything.
+//! `check`: validates a settings file without starting a process.
 
 use getopts::Matches;
 use getopts::Options;
--- a/foxtailweir/src/command/error.rs
+++ b/foxtailweir/src/command/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of commands.
 
 use fw_conf::error;
 use snafu::Snafu;
@@ -6,38 +6,38 @@
 use super::exit;
 use crate::admin;
 
-/// A failed command.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The command line is wrong.
     #[snafu(display("{message}"))]
     Usage {
-        /// What is wrong with it.
+        /// The fault.
         message: String,
     },
     /// The settings are wrong.
     #[snafu(display("{source}"))]
     Settings {
-        /// Every problem, a line each.
+        /// All faults, one per line.
         source: error::Errors,
     },
-    /// The entry did not do what it was asked.
+    /// The request to the entry's admin address failed.
     #[snafu(transparent)]
     Admin {
-        /// Why not.
+        /// The client's error.
         source: admin::Error,
     },
-    /// Something else failed.
+    /// Any other failure.
     #[snafu(display("{message}"))]
     Failed {
-        /// What.
+        /// What failed, and why.
         message: String,
     },
 }
 
 impl Error {
-    /// How the command ends.
+    /// Returns the exit status for this error.
     pub fn exit(&self) -> exit::Exit {
         match self {
             Self::Usage { .. } | Self::Settings { .. } => exit::Exit::Usage,
@@ -46,7 +46,7 @@
     }
 }
 
-/// An error about the command line.
+/// Returns an [`Error::Usage`].
 pub fn usage<T>(message: impl Into<String>) -> Result<T, Error> {
     UsageSnafu { message }.fail()
 }
--- a/foxtailweir/src/command/exit.rs
+++ b/foxtailweir/src/command/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes.
+//! Exit codes of commands.
 
 use std::process::ExitCode;
 
--- a/foxtailweir/src/command/io.rs
+++ b/foxtailweir/src/command/io.rs
@@ -1,4 +1,4 @@
-//! Where a command writes.
+//! Output streams of a command.
 
 use std::io::Write;
 
@@ -21,12 +21,12 @@
 }
 
 impl Io<'_> {
-    /// Writes a line of the result. A reader that has gone is no failure of the command.
+    /// Writes a line of the result. A closed output is not a failure of the command.
     pub fn print(&mut self, line: impl std::fmt::Display) {
         let _closed = writeln!(self.out, "{line}");
     }
 
-    /// Writes a line of progress or of an error.
+    /// Writes a line of progress or of an error; a closed output is ignored too.
     pub fn report(&mut self, line: impl std::fmt::Display) {
         let _closed = writeln!(self.err, "{line}");
     }
--- a/foxtailweir/src/command/mod.rs
+++ b/foxtailweir/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The table of commands, and the way from arguments to one of them.
+//! Table of commands, and dispatch of the command line to them.
 
 mod check;
 pub mod error;
@@ -22,15 +22,15 @@
 
 /// One command.
 struct Command {
-    /// One or two words.
+    /// One or two words on the command line.
     name: &'static str,
-    /// What follows the options.
+    /// Positional arguments, as in the usage line.
     args: &'static str,
-    /// One sentence.
+    /// Description for the help text, one sentence.
     about: &'static str,
-    /// Adds its options.
+    /// Adds the command's own options to the parser.
     options: fn(&mut Options),
-    /// Runs it.
+    /// Runs the command.
     run: fn(&Matches, &mut io::Io<'_>) -> Result<exit::Exit, error::Error>,
 }
 
@@ -122,7 +122,7 @@
     },
 ];
 
-/// Runs the command that `args` name, without the program's own name in front.
+/// Runs the command that `args` name; `args` do not include the program's own name.
 pub fn run(args: &[String], io: &mut io::Io<'_>) -> exit::Exit {
     let words: Vec<_> = args.iter().map(String::as_str).collect();
     match words.as_slice() {
@@ -209,7 +209,7 @@
         };
         let name = self.name;
         match &err {
-            // Each line names its file.
+            // Each line of the source names its file already, so no prefix is added.
             error::Error::Settings { source } => io.report(source),
             error::Error::Usage { message } => {
                 io.report(format_args!(
@@ -252,7 +252,7 @@
     options.optopt("e", "entry", &about, "IP:PORT");
 }
 
-/// A client of the entry that the options name.
+/// Returns a client of the entry given by `--entry`, or of the default one.
 fn client(matches: &Matches) -> admin::Client {
     let entry = matches.opt_str("entry");
     admin::Client::new(entry.unwrap_or_else(|| admin::DEFAULT_ENTRY.to_owned()))
@@ -276,7 +276,7 @@
     demo::run(&opts, io)
 }
 
-/// Runs `work` on a runtime of its own.
+/// Runs `work` on a new multi-threaded runtime.
 pub(crate) fn block_on<T>(
     work: impl Future<Output = Result<T, error::Error>>,
 ) -> Result<T, error::Error> {
@@ -287,7 +287,7 @@
     runtime.block_on(work)
 }
 
-/// Turns any error into a failed command.
+/// Converts any error to [`error::Error::Failed`], with `context` before its text.
 pub(crate) trait OrFail<T> {
     fn or_fail(self, context: &str) -> Result<T, error::Error>;
 }
--- a/foxtailweir/src/command/program.rs
+++ b/foxtailweir/src/command/program.rs
@@ -1,4 +1,4 @@
-//! `programs` and `explain`: what is under way, and why.
+//! `programs` and `explain`: the programs of an entry, and the scheduling decisions about one.
 
 use fw_base::id;
 use getopts::Matches;
--- a/foxtailweir/src/command/record.rs
+++ b/foxtailweir/src/command/record.rs
@@ -1,4 +1,4 @@
-//! `records`: operators' records.
+//! `records`: lists, reads and changes operators' records.
 
 use std::io::Read;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use super::wait;
 use crate::admin;
 
-/// How long a change is waited for unless the options say otherwise.
+/// Default of `--timeout`: how long a command waits until its change is in force.
 const DEFAULT_TIMEOUT: &str = "10s";
 
 /// A record as `get` prints it and `put` reads it.
@@ -30,7 +30,7 @@
 struct File {
     kind: key::Kind,
     name: SmolStr,
-    /// Revision of the version to replace; 0 if there must be none yet.
+    /// Revision of the version to replace; 0 if the record must not exist yet.
     #[serde(default)]
     revision: id::Revision,
     record: Map<String, Value>,
@@ -124,7 +124,7 @@
     })
 }
 
-/// Tells what became of a change, and waits until it is in force.
+/// Reports whether a change was accepted, and waits until it is in force.
 async fn wait_in_force(
     client: &admin::Client,
     name: &key::Name,
@@ -158,7 +158,8 @@
     }
 }
 
-/// Shows both versions of a conflict, and what is not known after a lost answer.
+/// Prints both versions of a conflict, or a warning that the result of the change is unknown
+/// because the answer was lost.
 fn explain_failure(err: admin::Error, name: &key::Name, io: &mut io::Io<'_>) -> error::Error {
     if let admin::Error::Refused { refusal } = &err
         && refusal.error.kind == "record_conflict"
--- a/foxtailweir/src/command/role.rs
+++ b/foxtailweir/src/command/role.rs
@@ -1,4 +1,4 @@
-//! `entry` and `replica`: the roles of a process on the users' platform.
+//! `entry` and `replica`: the two roles of a process on the users' platform.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -13,7 +13,7 @@
 use crate::logs;
 use crate::serve;
 
-/// Port of the metrics page where the command line names none.
+/// Port of the metrics page if the command line gives none.
 const DEFAULT_METRICS_PORT: u16 = 9_464;
 
 pub(super) fn options(options: &mut Options) {
@@ -23,7 +23,7 @@
     options.optopt("m", "metrics", &about, "PORT");
 }
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until a stop signal.
 pub(super) fn entry(matches: &Matches, _: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
     let settings = read_settings()?;
     let port = metrics_port(matches)?;
@@ -38,7 +38,7 @@
     })
 }
 
-/// Runs a replica until it is told to stop.
+/// Runs a replica until a stop signal.
 pub(super) fn replica(matches: &Matches, _: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
     let settings = read_settings()?;
     let port = metrics_port(matches)?;
@@ -70,7 +70,8 @@
     }
 }
 
-/// The instances have a fifth of a core: one thread runs everything but the disk's.
+/// Runs `work` on a single-threaded runtime: an instance has a fifth of a core. Only disk access
+/// has threads of its own.
 fn run_single_threaded<T>(
     work: impl Future<Output = Result<T, error::Error>>,
 ) -> Result<T, error::Error> {
@@ -81,8 +82,8 @@
     runtime.block_on(work)
 }
 
-/// Ready once the process is told to stop. SIGHUP says that the settings file has changed; what
-/// is in force of it does not change while a process runs, so it is only noted.
+/// Completes on SIGTERM or SIGINT. SIGHUP announces a changed settings file; settings in force do
+/// not change while a process runs, so the file is only checked and the result logged.
 fn stop_signal() -> std::io::Result<impl Future<Output = ()>> {
     let mut term = unix::signal(SignalKind::terminate())?;
     let mut int = unix::signal(SignalKind::interrupt())?;
--- a/foxtailweir/src/command/serve.rs
+++ b/foxtailweir/src/command/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: an entry.
+//! `serve`: runs an entry.
 
 use getopts::Matches;
 
@@ -15,8 +15,8 @@
     super::block_on(run_until_signal(settings, io))
 }
 
-/// Runs the entry until a signal. A second signal ends the process without waiting for what is
-/// under way.
+/// Runs the entry until a signal, then drains it. A second signal ends the process without waiting
+/// for calls under way.
 async fn run_until_signal(
     settings: fw_conf::entry::Settings,
     io: &mut io::Io<'_>,
@@ -26,11 +26,11 @@
     let (first_tx, first_rx) = tokio::sync::oneshot::channel();
     let stop = async {
         first.await;
-        // The receiver is waiting below.
+        // The receiver lives until the `select!` below ends.
         let _ = first_tx.send(());
     };
     let second = async {
-        // Without a first signal there is no second one.
+        // The sender was dropped without a first signal, so there is no second one to wait for.
         if first_rx.await.is_err() {
             std::future::pending::<()>().await;
         }
--- a/foxtailweir/src/command/wait.rs
+++ b/foxtailweir/src/command/wait.rs
@@ -1,4 +1,4 @@
-//! Waits until a change is in force everywhere.
+//! Polls an entry until a change is in force in every process.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 use super::io;
 use crate::admin;
 
-/// Time between two questions.
+/// Time between two polls of the entry.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Most names of processes that a line shows.
+/// Maximum number of process names in one progress line.
 const MAX_NAMES: usize = 5;
 
-/// What became of the wait.
+/// Result of the wait.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// In force in every process.
     Everywhere,
-    /// Not yet, when the time was over.
+    /// Not in force in some process when the timeout expired.
     TimedOut,
 }
 
-/// Waits until records of `revision` are in force in all processes, and shows the progress.
+/// Waits until records of `revision` are in force in all processes, and reports the progress.
 ///
-/// An entry that does not answer for a moment does not end the wait: the change is accepted
-/// whatever happens here. Nor does a count that shrinks: an entry that is cut off from the store
-/// drops out of the list of entries while it still answers callers by its old records, so that
-/// "1 of 1" would be reported although one of two goes without the change.
+/// A failed poll does not end the wait, since the change is already accepted. Nor does a shrinking
+/// count of processes: an entry that is partitioned from the store drops out of the list of entries
+/// but still serves callers with its old records, so that "1 of 1" would be reported although one
+/// of two entries lacks the change.
 pub async fn until_in_force(
     client: &admin::Client,
     revision: id::Revision,
@@ -62,7 +62,7 @@
     }
 }
 
-/// One line; `max_seen` is the largest number of processes seen.
+/// Formats a progress line; `max_seen` is the largest number of processes reported so far.
 fn describe(state: &admin::InForce, max_seen: usize) -> String {
     let admin::InForce {
         in_force,
--- a/foxtailweir/src/demo/hold.rs
+++ b/foxtailweir/src/demo/hold.rs
@@ -1,4 +1,4 @@
-//! A system that stays up for a person's own client.
+//! `demo --hold`: a system that stays up for other clients to use.
 
 use fw_local::system;
 
@@ -8,7 +8,7 @@
 use crate::command::io;
 use crate::serve;
 
-/// Starts a system, prints its addresses, and stops it gracefully once the process is told to stop.
+/// Starts a system, prints its addresses, and shuts it down gracefully on a stop signal.
 pub(super) async fn run(io: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
     let stop = serve::stop_signal().or_fail("the system cannot be held")?;
     let started = system::System::start(super::shape(None)).await;
--- a/foxtailweir/src/demo/mod.rs
+++ b/foxtailweir/src/demo/mod.rs
@@ -24,17 +24,17 @@
 /// How the demonstration runs.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// In place of the script, stay up and print the addresses, for a person's own client.
+    /// Instead of the script, keep the system up and print its addresses for use by other clients.
     pub hold: bool,
-    /// Programs that build a site: some turns, each with the whole history, and publishing.
+    /// Number of site programs: few turns, each sent with the whole history, and publishing calls.
     pub sites: usize,
-    /// Programs that mediate: more turns, each with only what is new, and letters.
+    /// Number of mediation programs: more turns, each sent with only the new messages, and letters.
     pub mediations: usize,
-    /// Time over which the programs' first turns are spread.
+    /// Interval over which the programs' first turns are spread.
     pub spread: Duration,
-    /// Time after which the caller of a program gives up.
+    /// Timeout after which the caller of a program gives up.
     pub limit: Duration,
-    /// The bounds of promises about time.
+    /// Time bounds for the checked promises.
     pub check: check::Options,
 }
 
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// When a part of it cannot be started.
+/// When a part of the system cannot be started.
 pub fn run(opts: &Options, io: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
     if opts.hold {
         return command::block_on(hold::run(io));
@@ -71,7 +71,7 @@
     })
 }
 
-/// The system of the demonstration; its upstreams note what they do in `recorder`, if there is one.
+/// Options of the demonstration's system; its upstreams write their events to `recorder`, if given.
 fn shape(recorder: Option<&recorder::Recorder>) -> system::Options {
     let notes = |upstream: &str| {
         recorder.map(|recorder| notes::Notes {
--- a/foxtailweir/src/demo/programs.rs
+++ b/foxtailweir/src/demo/programs.rs
@@ -1,4 +1,4 @@
-//! The programs of the demonstration, and how each of them went.
+//! The programs that the demonstration runs, and their results.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,43 +12,44 @@
 
 use super::Options;
 
-/// Turns that the budget of the demonstration allows a program.
+/// Turns that the budget record of the demonstration allows a program.
 pub(super) const BUDGET: id::Turn = 12;
 
 const SITE_TURNS: id::Turn = 5;
 const SITE_PAUSE: Duration = Duration::from_millis(150);
 const MEDIATION_TURNS: id::Turn = 9;
 const MEDIATION_PAUSE: Duration = Duration::from_millis(200);
-/// Each n-th program sends a turn, and a tool call, through two entries at once.
+/// Every n-th program sends a turn, and a tool call, through two entries at once.
 const DOUBLED_EVERY: usize = 4;
-/// The caller of each n-th program goes away in a turn, and sends it again.
+/// The caller of every n-th program disconnects during a turn, and sends the turn again.
 const LEFT_EVERY: usize = 5;
-/// Each n-th program is not ended by its caller; its history is read at the end.
+/// Every n-th program is not ended by its caller; its history is read at the end of the run.
 const KEPT_EVERY: usize = 10;
 
-/// What a program is for.
+/// Sort of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Sort {
-    /// Builds a site.
+    /// Builds a site: few turns, each with the whole history.
     Site,
-    /// Mediates.
+    /// Mediates: more turns, each with only the new messages.
     Mediation,
-    /// Never stops by itself; its budget must end it.
+    /// Never stops by itself; the turn budget must end it.
     Endless,
 }
 
-/// A program that came to its end.
+/// Result of a program whose caller has finished.
 #[derive(Debug)]
 pub(super) struct Finished {
     pub sort: Sort,
     pub outcome: program::Outcome,
-    /// From its first turn until its end was confirmed, pauses included.
+    /// Time from its first turn until its end was confirmed, pauses included.
     pub took: Duration,
     ends: bool,
 }
 
 impl Finished {
-    /// Whether it went as it should: to its last turn, or as far as its budget allows.
+    /// Returns whether the program finished and ended as planned, or, for an endless one, was
+    /// refused exactly at the limit of its budget.
     pub fn is_as_expected(&self) -> bool {
         let Self { outcome, .. } = self;
         match self.sort {
@@ -61,7 +62,7 @@
     }
 }
 
-/// Starts all programs, with their first turns spread over time.
+/// Starts all programs, with their first turns spread over `opts.spread`.
 pub(super) fn start(cx: &calls::Context, opts: &Options) -> JoinSet<Finished> {
     let sites = (0..opts.sites).map(|n| (Sort::Site, site(n), n, opts.sites));
     let mediations =
--- a/foxtailweir/src/demo/report.rs
+++ b/foxtailweir/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What the demonstration prints of what it saw.
+//! Prints the results of the demonstration.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use super::script;
 use crate::command::io;
 
-/// Significant digits that latencies are kept with.
+/// Significant digits of the latency histogram.
 const DIGITS: u8 = 3;
 
-/// Prints all of it, the verdict last.
+/// Prints all results, the verdict last.
 pub(super) fn print(results: &script::Results, io: &mut io::Io<'_>) {
     print_programs(results, io);
     print_calls(results, io);
@@ -128,7 +128,7 @@
     ));
 }
 
-/// The sum of a counter over its labels.
+/// Returns the sum of a counter over all its labels.
 fn counter(metrics: &PrometheusHandle, name: &str) -> id::Tokens {
     let text = metrics.render();
     let lines = text.lines().filter(|line| line.starts_with(name));
@@ -136,7 +136,7 @@
     values.sum()
 }
 
-/// A promise in a line, with what speaks against it in further lines.
+/// Formats the verdict on a promise: one line, and further lines for counterexamples or unknowns.
 fn format_finding(finding: &check::Finding) -> String {
     let check::Verdict::NotObserved { unknown } = &finding.verdict else {
         return finding.to_string();
--- a/foxtailweir/src/demo/script.rs
+++ b/foxtailweir/src/demo/script.rs
@@ -1,4 +1,4 @@
-//! What happens in the demonstration, and when.
+//! The script of the demonstration: load, injected faults and operators' changes, in order of time.
 
 use std::io as std_io;
 use std::sync::Arc;
@@ -27,43 +27,44 @@
 
 /// Time between two steps of the script.
 const STEP_INTERVAL: Duration = Duration::from_millis(900);
-/// How long a crashed side stays away, and a stopped entry is not replaced.
+/// Downtime of a crashed side, and delay before a stopped entry is replaced.
 const OUTAGE: Duration = Duration::from_millis(800);
-/// Time between two lines of progress, while programs run.
+/// Time between two progress lines while programs run.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two looks at something that is waited for.
+/// Time between two checks of an awaited condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest wait for a record to be in force, or for an engine to be at work.
+/// Longest wait for a record to be in force, or for an engine to have turns under way.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest wait for histories at the end.
+/// Longest wait for the histories that are read at the end.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest wait for engines to free the memory of ended programs.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
-/// What operators and readers draw their pauses from.
+/// Seed of the random pauses of operators and readers.
 const SEED: u64 = 1;
 
-/// What was seen.
+/// Results of the demonstration.
 pub(super) struct Results {
-    /// The record.
+    /// The recorded events.
     pub entries: Vec<event::Entry>,
     /// The checker's verdicts.
     pub report: check::Report,
-    /// The programs.
+    /// The results of the programs.
     pub programs: Vec<programs::Finished>,
     /// Programs whose history could not be read at the end.
     pub unread: Vec<id::ProgramId>,
-    /// Prompt tokens that engines computed.
+    /// Prompt tokens that engines prefilled.
     pub prefilled: id::Tokens,
-    /// Prompt tokens that engines found in their caches.
+    /// Prompt tokens that engines had in their KV caches.
     pub cached: id::Tokens,
     /// The entries' counters, if the process had no other recorder of metrics.
     pub metrics: Option<PrometheusHandle>,
-    /// Time that all of it took.
+    /// Duration of the whole run.
     pub took: Duration,
 }
 
 impl Results {
-    /// Whether no promise was violated, and every program came to its end.
+    /// Returns whether no promise was violated, every program ended as expected, and all remaining
+    /// histories could be read.
     pub fn has_passed(&self) -> bool {
         let all_good = self.programs.iter().all(programs::Finished::is_as_expected);
         !self.report.is_violated() && all_good && self.unread.is_empty()
@@ -78,7 +79,7 @@
     driver: faults::Driver,
 }
 
-/// Plays the script.
+/// Runs the script.
 ///
 /// # Errors
 ///
@@ -122,7 +123,7 @@
         self.io.report(format_args!("{at:5.1} s  {message}"));
     }
 
-    /// Limits the turns of every program, and waits until that is in force.
+    /// Stores a budget record that limits the turns of every program; waits until it is in force.
     async fn set_budget(&mut self) -> std_io::Result<()> {
         let budget = json!({
             "schema": 2,
@@ -161,7 +162,7 @@
         background
     }
 
-    /// What goes wrong, and what operators do.
+    /// Injects the faults one after another, and starts the operators' changes between them.
     async fn run_scenario(&mut self, background: &mut JoinSet<()>, stop: &CancellationToken) {
         tokio::time::sleep(STEP_INTERVAL).await;
         let engine = self.busiest_engine().await;
@@ -186,7 +187,7 @@
         self.progress("entry 1 has ended, and entry 2 takes calls");
     }
 
-    /// Brings a fault about, and heals it.
+    /// Injects a fault, and clears it after [`OUTAGE`].
     async fn inject(&mut self, fault: faults::Fault) {
         let timed = faults::Timed {
             at: Duration::ZERO,
@@ -196,7 +197,7 @@
         self.driver.run(&[timed]).await;
     }
 
-    /// The engine with the most turns under way; waits for one that has any.
+    /// Returns the engine with the most turns under way; waits until some engine has any.
     async fn busiest_engine(&self) -> usize {
         let engines = &self.driver.system.engines;
         let until = Instant::now() + WAIT_TIMEOUT;
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Waits for the programs, which give up by themselves.
+    /// Waits for all programs; each gives up by itself at its timeout.
     async fn wait_programs(
         &mut self,
         running: &mut JoinSet<programs::Finished>,
@@ -235,7 +236,8 @@
         done
     }
 
-    /// Lets changes and releases arrive, reads what is kept, and judges the record.
+    /// Waits until changes and releases have taken effect, reads the histories of programs not
+    /// ended, and checks the recorded events.
     async fn finish(
         self,
         programs: Vec<programs::Finished>,
@@ -265,7 +267,7 @@
     }
 }
 
-/// Reads the histories of the programs that were not ended; returns those that could not be read.
+/// Reads the histories of programs that were not ended; returns the programs whose read failed.
 async fn read_unended(cx: &calls::Context, programs: &[programs::Finished]) -> Vec<id::ProgramId> {
     let until = Instant::now() + READ_TIMEOUT;
     let mut unread = Vec::new();
@@ -278,7 +280,7 @@
     unread
 }
 
-/// Waits a little until no engine holds memory for a program that was ended.
+/// Waits, at most [`RELEASE_TIMEOUT`], until no engine holds memory for a program that was ended.
 async fn wait_released(system: &system::System, programs: &[programs::Finished]) {
     let until = Instant::now() + RELEASE_TIMEOUT;
     let outcomes = programs.iter().map(|done| &done.outcome);
--- a/foxtailweir/src/lib.rs
+++ b/foxtailweir/src/lib.rs
@@ -1,4 +1,4 @@
-//! The commands of the `foxtailweir` program, apart from the process that runs them.
+//! The commands of the `foxtailweir` program, as a library that the binary and tests call.
 //!
 //! ```
 //! use foxtailweir::command::{self, exit, io};
--- a/foxtailweir/src/logs.rs
+++ b/foxtailweir/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error, as the settings ask for them.
+//! Log output: on standard error as set in the settings, or as JSON lines on standard output.
 
 use std::io;
 
@@ -10,7 +10,7 @@
 
 use crate::budget;
 
-/// Starts to write log lines; without effect if the process writes some already.
+/// Installs a log subscriber that writes to standard error; no effect if one is installed already.
 pub fn init(log: &shared::Log) {
     let level = log.level.as_str().parse();
     let level = level.unwrap_or(filter::LevelFilter::INFO);
@@ -24,21 +24,21 @@
     };
 }
 
-/// Lines that wait to be written. Beyond that they are left out, so that no request waits for
-/// whoever reads them; the count of those left out is in the writer's own counter.
+/// Capacity of the writer's queue. Further lines are dropped, so that no request blocks on a slow
+/// reader of standard output; the writer's own counter holds the number of dropped lines.
 const MAX_QUEUED_LINES: usize = 1_024;
-/// Lines of one kind in a second. A request writes one or two; a few hundred requests a second are
-/// an entry's usual most, so that only a storm is cut.
+/// Limit of lines per call site and second. A request writes one or two lines and an entry usually
+/// serves at most a few hundred requests per second, so that only log storms reach the limit.
 const MAX_LINES_PER_SITE_SECOND: u32 = 1_000;
 
-/// Starts to write JSON lines on standard output, from a thread of their own. What waits is written
-/// when the guard is dropped.
+/// Installs a log subscriber that writes JSON lines to standard output from a separate thread.
+/// Queued lines are written when the guard is dropped.
 pub fn init_json() -> non_blocking::WorkerGuard {
     let (writer, guard) = non_blocking::NonBlockingBuilder::default()
         .buffered_lines_limit(MAX_QUEUED_LINES)
         .lossy(true)
         .finish(io::stdout());
-    // The calls to replicas have log lines of our own; those of the library would be one a call.
+    // Calls to replicas are logged by this workspace's crates; tarpc would add a line per call.
     let targets = filter::Targets::new()
         .with_default(filter::LevelFilter::INFO)
         .with_target("tarpc", filter::LevelFilter::OFF);
--- a/foxtailweir/src/main.rs
+++ b/foxtailweir/src/main.rs
@@ -1,4 +1,4 @@
-//! The entry and the operators' command line.
+//! The `foxtailweir` binary: runs entries and replicas, and is the operators' command line.
 
 use std::process::ExitCode;
 
--- a/foxtailweir/src/serve.rs
+++ b/foxtailweir/src/serve.rs
@@ -1,4 +1,4 @@
-//! An entry from its start to its end.
+//! Runs an entry from start to graceful shutdown, with its metrics recorder and stop signals.
 
 use std::time::Duration;
 
@@ -11,39 +11,40 @@
 use tokio::signal::unix;
 use tracing::info;
 
-/// Time between two sweeps of histograms, which would otherwise grow until somebody scrapes.
+/// Time between two upkeep runs of the recorder. Without them, histogram samples accumulate until
+/// the next scrape.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why an entry does not run.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address cannot be listened on.
+    /// A listener cannot be bound.
     #[snafu(transparent)]
     Bind {
-        /// Which, and why not.
+        /// The address and the cause.
         source: serve::Error,
     },
-    /// The system refuses something else.
+    /// Another system call failed.
     #[snafu(display("cannot {operation}: {source}"))]
     System {
-        /// What was tried.
+        /// The operation, in words that follow "cannot".
         operation: &'static str,
-        /// Why not.
+        /// The system's error.
         source: std::io::Error,
     },
 }
 
-/// Installs the recorder of metrics; `None` if the process has one already.
+/// Installs the global metrics recorder; `None` if the process has one already.
 pub fn recorder() -> Option<PrometheusHandle> {
     PrometheusBuilder::new().install_recorder().ok()
 }
 
-/// Runs an entry until `stop` is ready, then stops it gracefully. Calls `on_started` with its
-/// addresses as soon as it serves.
+/// Runs an entry until `stop` completes, then shuts it down gracefully. Calls `on_started` with the
+/// entry's addresses as soon as it serves.
 ///
 /// # Errors
 ///
-/// When it cannot start.
+/// When the entry cannot start.
 pub async fn run(
     settings: entry::Settings,
     metrics: Option<PrometheusHandle>,
@@ -65,11 +66,11 @@
     Ok(stopped)
 }
 
-/// Ready once the process is told to stop, by SIGTERM or SIGINT.
+/// Completes on SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// When the system does not deliver signals.
+/// When a signal handler cannot be installed.
 pub fn stop_signal() -> Result<impl Future<Output = ()>, Error> {
     let operation = "take signals";
     let mut term =
@@ -83,7 +84,7 @@
     })
 }
 
-/// Sweeps histograms until aborted.
+/// Spawns a task that runs the recorder's upkeep until aborted.
 pub fn spawn_upkeep(metrics: PrometheusHandle) -> tokio::task::JoinHandle<()> {
     tokio::spawn(async move {
         loop {
--- a/foxtailweir/tests/foxtailweir/demo_script.rs
+++ b/foxtailweir/tests/foxtailweir/demo_script.rs
@@ -8,9 +8,9 @@
 use fw_check::check;
 use googletest::prelude::*;
 
-// Bounds so wide that a machine kept busy by other tests does not break them.
+// Wide enough for a machine that other tests keep busy.
 const WIDE: Duration = Duration::from_secs(40);
-// So wide that no record is long enough to judge by it.
+// Longer than any recorded run, so that the promise cannot be judged.
 const UNOBSERVABLE: Duration = Duration::from_secs(3_600);
 
 #[gtest]
--- a/foxtailweir/tests/foxtailweir/log_budget.rs
+++ b/foxtailweir/tests/foxtailweir/log_budget.rs
@@ -1,4 +1,4 @@
-//! Log lines in a storm.
+//! The rate limit on log lines in a log storm.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use tracing_subscriber::layer::{Layer, SubscriberExt};
 
-/// What was written, line by line.
+/// The written log lines.
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<u8>>>);
 
@@ -24,8 +24,9 @@
 
 #[gtest]
 fn rare_lines_are_kept_in_a_storm() {
-    // An entry was cut off from the replicas. Each of a thousand calls a second wrote a line that
-    // it had failed; the line that told why was left out, as the writer's queue was full.
+    // When an entry is partitioned from the replicas, each of a thousand calls per second logs its
+    // failure. Without the limit these lines fill the writer's queue, and the one that gives the
+    // cause is dropped.
     let lines = Lines::default();
     let writer = lines.clone();
     let layer = tracing_subscriber::fmt::layer()
--- a/foxtailweir/tests/foxtailweir/main.rs
+++ b/foxtailweir/tests/foxtailweir/main.rs
@@ -13,7 +13,7 @@
 use foxtailweir::command::exit;
 use foxtailweir::command::io;
 
-/// What a command did.
+/// Exit status and output of a command.
 struct Output {
     exit: exit::Exit,
     out: String,
@@ -37,14 +37,14 @@
     }
 }
 
-/// As [`run`], from within a runtime.
+/// Same as [`run`], on a blocking thread, for tests that have a runtime.
 async fn run_blocking(line: String) -> Output {
     tokio::task::spawn_blocking(move || run(&line))
         .await
         .unwrap()
 }
 
-/// A new file in the target's folder for temporary files.
+/// Writes a file to the build's folder for temporary files; returns its path.
 fn write_file(name: &str, content: &str) -> String {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, content).unwrap();
--- a/foxtailweir/tests/foxtailweir/operating_page.rs
+++ b/foxtailweir/tests/foxtailweir/operating_page.rs
@@ -1,4 +1,4 @@
-//! The operators' page against the code.
+//! Checks that the operators' page agrees with the code.
 
 use fw_record::document;
 use fw_record::key;
@@ -10,7 +10,7 @@
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-/// The JSON examples of the page.
+/// Returns the JSON examples of the page.
 fn examples() -> Vec<Value> {
     let blocks = PAGE.split("```json\n").skip(1);
     let texts = blocks.map(|block| block.split("```").next().unwrap());
@@ -19,7 +19,7 @@
         .collect()
 }
 
-/// The part of the page about one kind.
+/// Returns the section of the page about one kind of record.
 fn section(kind: key::Kind) -> &'static str {
     let rest = PAGE.split(&format!("\n### {kind}\n")).nth(1).unwrap();
     rest.split("\n### ").next().unwrap()
--- a/foxtailweir/tests/foxtailweir/real_entry.rs
+++ b/foxtailweir/tests/foxtailweir/real_entry.rs
@@ -1,4 +1,4 @@
-//! The commands against a real entry over a stand-in of the store.
+//! The commands against a real entry and a fake store.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::run_blocking;
 use crate::write_file;
 
-/// Longest wait for an entry's start; a bound for the test, not a goal.
+/// Longest wait for an entry to start or to report a state; bounds the test only.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Entry {
@@ -24,7 +24,7 @@
     task: JoinHandle<bool>,
 }
 
-/// Starts an entry that reaches the store by one of its ports.
+/// Starts an entry that reaches the store through one of its ports.
 async fn start(store: &store::Store, port: usize) -> Entry {
     let mut settings = entry::Settings::default();
     settings.store.endpoints = vec![store.endpoint(port).parse().unwrap()];
@@ -44,7 +44,7 @@
     Entry { addrs, stop, task }
 }
 
-/// Waits until what the entry reports of records of `revision` is as wanted.
+/// Waits until the state that the entry reports for `revision` satisfies `wanted`.
 async fn wait_reported(entry: &Entry, revision: i64, wanted: impl Fn(&admin::InForce) -> bool) {
     let client = admin::Client::new(entry.addrs.admin.to_string());
     let reported = async {
@@ -56,7 +56,7 @@
     reported.expect("the entry reports what is wanted");
 }
 
-/// Waits until the entry knows of `count` processes.
+/// Waits until the entry lists `count` processes.
 async fn wait_listed(entry: &Entry, count: usize) {
     wait_reported(entry, 0, |state| state.of == count).await;
 }
@@ -93,10 +93,10 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn change_reaches_an_entry_that_is_cut_off_from_the_store() {
-    // One of two entries cannot reach the store any more, but other entries and its callers. A
-    // record is changed through the other entry. The first hears of the newer revision with every
-    // status it exchanges; if it only ever asked the store for the records, it would go on with
-    // the old ones for as long as the cut lasts.
+    // One of two entries cannot reach the store, but still reaches the other entry and its callers.
+    // A record is changed through the other entry. The first receives the newer revision number
+    // with every status exchange; if it read records from the store alone, it would serve with the
+    // old ones for as long as the partition lasts.
     let opts = store::Options {
         ports: 2,
         ..store::Options::default()
@@ -122,8 +122,8 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn change_reaches_an_entry_whose_lease_lapsed_in_the_cut() {
-    // As before, but the cut lasts: the entry's lease lapses and the others do not list it any
-    // more. It still serves its callers, so it must still learn of changes by asking them.
+    // As above, but the partition outlasts the entry's lease, and the other entries no longer list
+    // it. It still serves its callers, so it must still obtain changes by querying other entries.
     let opts = store::Options {
         ports: 2,
         ..store::Options::default()
--- a/foxtailweir/tests/foxtailweir/record_commands.rs
+++ b/foxtailweir/tests/foxtailweir/record_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that ask an entry.
+//! Commands that call an entry's admin API.
 
 use foxtailweir::command::exit;
 use googletest::prelude::*;
@@ -29,8 +29,8 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn put_reports_waiting_processes_at_its_timeout() {
-    // One process is cut off, so the change never reaches it. The operator must be told so, and
-    // that the change is accepted all the same: putting it again would be a conflict with itself.
+    // One process is unreachable, so the change never reaches it. The output must report this, and
+    // also that the change is accepted: putting it again would be a conflict with itself.
     let entry = standin::start(2).await;
     let path = write_file("late.json", TEAM);
     let line = format!("records put {path} --timeout 1s --entry {}", entry.addr);
@@ -47,9 +47,9 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn shrinking_count_is_not_taken_for_everywhere() {
-    // One of three entries is cut off from the store. It goes on answering callers by its old
-    // records, while its lease lapses and it drops out of the list of entries. An operator who is
-    // told "2 of 2" takes the change for done.
+    // One of three entries is partitioned from the store. It still serves callers with its old
+    // records, while its lease lapses and it drops out of the list of entries. A report of "2 of 2"
+    // would lead the operator to believe that the change is complete.
     let entry = standin::start_with(2, true).await;
     let path = write_file("drops.json", TEAM);
     let line = format!("records put {path} --timeout 2s --entry {}", entry.addr);
@@ -82,8 +82,8 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn conflict_shows_both_versions() {
-    // Two operators edit the same version; the second to put must see what the first stored,
-    // beside what they wanted, instead of undoing it.
+    // Two operators edit the same version; the second must be shown the version that the first
+    // stored, beside their own, instead of overwriting it.
     let entry = standin::start(3).await;
     let addr = &entry.addr;
     let path = write_file("mine.json", TEAM);
--- a/foxtailweir/tests/foxtailweir/standin.rs
+++ b/foxtailweir/tests/foxtailweir/standin.rs
@@ -1,4 +1,4 @@
-//! The admin address of an entry, over a stand-in of the store.
+//! A stand-in for an entry's admin API, over a fake store.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -20,12 +20,12 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Processes of which the answers tell.
+/// Number of processes that the answers report.
 const PROCESSES: usize = 3;
 
-/// A running admin address.
+/// A running stand-in.
 pub struct Entry {
-    /// Its address.
+    /// Its admin address.
     pub addr: String,
     /// The store behind it.
     pub store: store::Store,
@@ -33,23 +33,23 @@
 
 struct Shared {
     client: client::Client,
-    /// Processes in which the change is in force, one more with each question.
+    /// Processes in which the change is in force; grows by one with each request.
     in_force: AtomicUsize,
-    /// Most of them that it ever reaches.
+    /// Upper bound of that number.
     reach: usize,
-    /// Whether the others drop out of the list after a while.
+    /// Whether the other processes drop out of the list after [`DROP_AFTER`] requests.
     drops: bool,
 }
 
-/// Questions after which processes drop out of the list.
+/// Number of requests after which processes drop out of the list.
 const DROP_AFTER: usize = 4;
 
-/// Starts one whose changes reach `reach` of three processes.
+/// Starts a stand-in whose changes reach `reach` of three processes.
 pub async fn start(reach: usize) -> Entry {
     start_with(reach, false).await
 }
 
-/// As [`start`]; the processes that are not reached drop out of the list if `drops`.
+/// Same as [`start`]; the processes that are not reached drop out of the list if `drops`.
 pub async fn start_with(reach: usize, drops: bool) -> Entry {
     let store = store::Store::start(store::Options::default())
         .await
