--- a/foxtailweir-side/src/main.rs
+++ b/foxtailweir-side/src/main.rs
@@ -19,7 +19,7 @@
 
 const BRIEF: &str = "Usage: foxtailweir-side [check] --settings FILE
 
-Runs beside one upstream until SIGTERM or SIGINT, then finishes what is under way.
+Runs beside one upstream until SIGTERM or SIGINT, then finishes calls under way.
 With `check` it only checks the settings file.";
 
 fn main() -> ExitCode {
--- a/foxtailweir/src/admin.rs
+++ b/foxtailweir/src/admin.rs
@@ -35,7 +35,7 @@
         source: fw_http::Error,
     },
     /// The request could not be built.
-    #[snafu(display("`{entry}` is no address of an entry, such as `{DEFAULT_ENTRY}`: {source}"))]
+    #[snafu(display("`{entry}` is not an entry's address, such as `{DEFAULT_ENTRY}`: {source}"))]
     Address {
         /// The address as given.
         entry: String,
@@ -49,7 +49,7 @@
         refusal: Box<Refusal>,
     },
     /// The answer has an unexpected form.
-    #[snafu(display("entry {entry} answered {status} with something unexpected: {source}"))]
+    #[snafu(display("entry {entry} answered {status} with an unexpected body: {source}"))]
     Malformed {
         /// Its address.
         entry: String,
--- a/foxtailweir/src/command/mod.rs
+++ b/foxtailweir/src/command/mod.rs
@@ -38,7 +38,7 @@
     Command {
         name: "serve",
         args: "SETTINGS",
-        about: "Runs an entry until it is told to stop (SIGTERM or SIGINT).",
+        about: "Runs an entry until SIGTERM or SIGINT.",
         options: no_options,
         run: serve::run,
     },
@@ -66,7 +66,7 @@
     Command {
         name: "demo",
         args: "",
-        about: "Runs entries, sides and stand-ins in one process and judges what they did.",
+        about: "Runs entries, sides and stand-ins in one process and checks the results.",
         options: demo_options,
         run: run_demo,
     },
@@ -80,7 +80,7 @@
     Command {
         name: "records get",
         args: "KIND/NAME",
-        about: "Prints a record, ready to be edited and put again.",
+        about: "Prints a record in the form that `records put` reads.",
         options: entry_option,
         run: record::get,
     },
@@ -116,7 +116,7 @@
     Command {
         name: "explain",
         args: "PROGRAM",
-        about: "Tells why calls of a program were placed, delayed, retried or refused.",
+        about: "Explains why calls of a program were placed, delayed, retried or refused.",
         options: entry_option,
         run: program::explain,
     },
@@ -237,7 +237,9 @@
         let Command { name, about, .. } = command;
         text.push_str(&format!("    {name:<16} {about}\n"));
     }
-    text.push_str("\n`COMMAND --help` tells more. Exit codes: 0 done, 1 failed, 2 wrong command ");
+    text.push_str(
+        "\n`COMMAND --help` shows the options. Exit codes: 0 done, 1 failed, 2 wrong command ",
+    );
     text.push_str("line or settings.");
     text
 }
--- a/foxtailweir/src/command/program.rs
+++ b/foxtailweir/src/command/program.rs
@@ -37,7 +37,7 @@
 pub(super) fn explain(matches: &Matches, io: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
     let program = &matches.free[0];
     if !id::is_valid_name(program) {
-        return error::usage(format!("`{program}` is no program id"));
+        return error::usage(format!("`{program}` is not a program id"));
     }
     let client = super::client(matches);
     let answer = super::block_on(async { Ok(client.explain(program).await?) })?;
@@ -47,12 +47,12 @@
     let keeper = &answer.keeper;
     if answer.events.is_empty() {
         io.report(format_args!(
-            "no decision about `{program}` is kept here; its keeper: {keeper}"
+            "this entry has no decisions about `{program}`; its keeper: {keeper}"
         ));
         return Ok(exit::Exit::Failure);
     }
     io.report(format_args!(
-        "times count from the start of this entry; keeper: {keeper}"
+        "times are relative to the start of this entry; keeper: {keeper}"
     ));
     Ok(exit::Exit::Success)
 }
--- a/foxtailweir/src/command/record.rs
+++ b/foxtailweir/src/command/record.rs
@@ -140,7 +140,7 @@
     io.report(format_args!("{name} accepted at revision {revision}"));
     for field in &accepted.unknown {
         io.report(format_args!(
-            "note: field `{field}` is unknown; it is kept as it is"
+            "note: field `{field}` is unknown; it is stored unchanged"
         ));
     }
     match wait::until_in_force(client, revision, timeout, io).await {
@@ -150,7 +150,7 @@
         }
         wait::Outcome::TimedOut => {
             let message = format!(
-                "accepted at revision {revision}, which stays; but not in force everywhere \
+                "accepted at revision {revision}; the change stays, but is not in force everywhere \
                  after {timeout:?}"
             );
             error::FailedSnafu { message }.fail()
@@ -167,8 +167,8 @@
         show_conflict(refusal, io);
     } else if err.may_have_applied() {
         io.report(format_args!(
-            "it is not known whether the change of {name} was accepted: \
-             get the record and compare before you repeat it"
+            "it is unknown whether the change of {name} was accepted: \
+             get the record and compare before repeating it"
         ));
     }
     err.into()
@@ -190,7 +190,7 @@
     ));
     match theirs {
         Some(theirs) if refusal.yours.as_ref() == Some(&theirs.record) => {
-            io.report("both are equal: an earlier try may have been accepted");
+            io.report("both are equal: an earlier attempt may have been accepted");
         }
         Some(theirs) => {
             let revision = theirs.revision;
@@ -198,7 +198,7 @@
                 "merge yours into theirs and put it with --revision {revision}"
             ));
         }
-        None => io.report("put it with --revision 0 to make it anew"),
+        None => io.report("put it with --revision 0 to create it again"),
     }
 }
 
--- a/foxtailweir/src/command/role.rs
+++ b/foxtailweir/src/command/role.rs
@@ -28,12 +28,12 @@
     let settings = read_settings()?;
     let port = metrics_port(matches)?;
     let _log_guard = logs::init_json();
-    let (opts, source) = start::entry(&settings).or_fail("the settings do not fit")?;
+    let (opts, source) = start::entry(&settings).or_fail("invalid settings")?;
     run_single_threaded(async move {
         tokio::spawn(metrics_page(settings.ip, port));
         let stop = stop_signal().or_fail("cannot wait for signals")?;
         let running = fw_gate::process::serve::run(opts, source, stop);
-        running.await.or_fail("the entry does not run")?;
+        running.await.or_fail("the entry failed")?;
         Ok(exit::Exit::Success)
     })
 }
@@ -43,12 +43,12 @@
     let settings = read_settings()?;
     let port = metrics_port(matches)?;
     let _log_guard = logs::init_json();
-    let (opts, registry) = start::replica(&settings).or_fail("the settings do not fit")?;
+    let (opts, registry) = start::replica(&settings).or_fail("invalid settings")?;
     run_single_threaded(async move {
         tokio::spawn(metrics_page(settings.ip, port));
         let stop = stop_signal().or_fail("cannot wait for signals")?;
         let running = fw_replica::serve::run(opts, registry, stop);
-        running.await.or_fail("the replica does not run")?;
+        running.await.or_fail("the replica failed")?;
         Ok(exit::Exit::Success)
     })
 }
@@ -66,7 +66,7 @@
     };
     match text.parse() {
         Ok(port) => Ok(port),
-        Err(_) => error::usage(format!("`{text}` is no port: 1 to 65535")),
+        Err(_) => error::usage(format!("`{text}` is not a port: 1 to 65535")),
     }
 }
 
@@ -95,7 +95,7 @@
                 _ = int.recv() => return,
                 _ = hup.recv() => match settings::Settings::from_env() {
                     Ok(settings) => tracing::info!(node = %settings.node_name, "settings read again"),
-                    Err(err) => tracing::warn!(%err, "the changed settings cannot be used; those in force stay"),
+                    Err(err) => tracing::warn!(%err, "the changed settings file cannot be used; the settings in force stay"),
                 },
             }
         }
@@ -113,7 +113,9 @@
             let page = move |path: &str| serve_page(&handle, path);
             listen::serve_pages(listener, page).await;
         }
-        Err(err) => tracing::error!(%addr, %err, "no metrics are served"),
+        Err(err) => {
+            tracing::error!(%addr, %err, "cannot bind the metrics address; no metrics are served")
+        }
     }
 }
 
--- a/foxtailweir/src/command/serve.rs
+++ b/foxtailweir/src/command/serve.rs
@@ -21,7 +21,7 @@
     settings: fw_conf::entry::Settings,
     io: &mut io::Io<'_>,
 ) -> Result<exit::Exit, error::Error> {
-    let context = "the entry does not run";
+    let context = "the entry failed";
     let first = serve::stop_signal().or_fail(context)?;
     let (first_tx, first_rx) = tokio::sync::oneshot::channel();
     let stop = async {
--- a/foxtailweir/src/demo/hold.rs
+++ b/foxtailweir/src/demo/hold.rs
@@ -10,9 +10,9 @@
 
 /// Starts a system, prints its addresses, and shuts it down gracefully on a stop signal.
 pub(super) async fn run(io: &mut io::Io<'_>) -> Result<exit::Exit, error::Error> {
-    let stop = serve::stop_signal().or_fail("the system cannot be held")?;
+    let stop = serve::stop_signal().or_fail("cannot wait for signals")?;
     let started = system::System::start(super::shape(None)).await;
-    let mut system = started.or_fail("the system does not start")?;
+    let mut system = started.or_fail("cannot start the system")?;
     print_addresses(&system, io);
     stop.await;
     io.report("stopping");
--- a/foxtailweir/src/demo/mod.rs
+++ b/foxtailweir/src/demo/mod.rs
@@ -62,7 +62,7 @@
     }
     command::block_on(async {
         let results = script::run(opts, io).await;
-        let results = results.or_fail("the demonstration does not start")?;
+        let results = results.or_fail("cannot start the demonstration")?;
         report::print(&results, io);
         Ok(match results.has_passed() {
             true => exit::Exit::Success,
--- a/foxtailweir/src/demo/report.rs
+++ b/foxtailweir/src/demo/report.rs
@@ -22,7 +22,7 @@
     print_programs(results, io);
     print_calls(results, io);
     print_cache(results, io);
-    io.print("\nWhat was promised, and what was seen of it:");
+    io.print("\nPromises checked:");
     for finding in &results.report.findings {
         io.print(format_finding(finding));
     }
@@ -72,7 +72,7 @@
         histogram += u64::try_from(took.as_millis()).unwrap_or(u64::MAX);
     }
     if histogram.is_empty() {
-        return "latency not known".to_owned();
+        return "latency unknown".to_owned();
     }
     let p50 = histogram.value_at_quantile(0.50);
     let p95 = histogram.value_at_quantile(0.95);
@@ -107,7 +107,7 @@
         .map(|done| done.outcome.unsure_tools);
     let unsure: u32 = unsure.sum();
     io.print(format_args!(
-        "tools      {unsure} calls whose caller does not know whether they ran"
+        "tools      {unsure} calls with unknown outcome"
     ));
 }
 
@@ -119,12 +119,12 @@
         Some(metrics) => {
             let wasted = counter(metrics, run::WASTED);
             let share = 100.0 * wasted as f64 / (prefilled + cached).max(1) as f64;
-            format!("{wasted} were in some cache and computed again ({share:.1} %)")
+            format!("{wasted} were in some cache and prefilled again ({share:.1} %)")
         }
-        None => "wasted tokens not known: the process has another recorder of metrics".to_owned(),
+        None => "wasted tokens unknown: the process has another metrics recorder".to_owned(),
     };
     io.print(format_args!(
-        "cache      of the prompts' tokens {cached} were cached, {prefilled} computed; {wasted}"
+        "cache      of the prompt tokens, {cached} were cached, {prefilled} prefilled; {wasted}"
     ));
 }
 
@@ -143,7 +143,7 @@
     };
     let mut line = format!("not observed: {}", finding.promise.text());
     for cause in unknown {
-        line.push_str(&format!("\n           - not known: {cause}"));
+        line.push_str(&format!("\n           - unknown: {cause}"));
     }
     line
 }
@@ -166,6 +166,6 @@
     let took = results.took.as_secs_f32();
     io.print(format_args!(
         "\n{verdict}: {held} promises held, {violated} violated, {unobserved} not observed; \
-         {good} of {all} programs ended as they should; {took:.1} s"
+         {good} of {all} programs ended as expected; {took:.1} s"
     ));
 }
--- a/foxtailweir/src/demo/script.rs
+++ b/foxtailweir/src/demo/script.rs
@@ -108,7 +108,9 @@
     let mut background = script.start_background(&stop);
     let mut running = programs::start(&script.cx, opts);
     let count = running.len();
-    script.progress(format_args!("{count} programs begin, beside plain lookups"));
+    script.progress(format_args!(
+        "{count} programs start, along with plain lookups"
+    ));
     script.run_scenario(&mut background, &stop).await;
     let programs = script.wait_programs(&mut running).await;
     stop.cancel();
@@ -135,13 +137,15 @@
         let answer = system.put_record("budget", "demo", 0, &budget).await;
         let revision = answer.body["revision"].as_i64();
         let (200, Some(revision)) = (answer.status, revision) else {
-            let message = format!("the budget's record: {}", answer.text);
+            let message = format!("the budget record was not accepted: {}", answer.text);
             return Err(std_io::Error::other(message));
         };
         let until = Instant::now() + WAIT_TIMEOUT;
         while system.revision_in_force() < revision {
             if Instant::now() > until {
-                return Err(std_io::Error::other("the budget's record is not in force"));
+                return Err(std_io::Error::other(
+                    "the budget record did not come into force in time",
+                ));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -171,20 +175,20 @@
             "the side of engine {engine} crashes with {under_way} turns under way"
         ));
         self.inject(faults::Fault::KillSide(engine)).await;
-        self.progress("it is back");
+        self.progress("the side has restarted");
         for (n, name) in ["operator-a", "operator-b"].into_iter().enumerate() {
             let rng = Pcg64::new(SEED.into(), n as u128);
             background.spawn(operate::change(self.cx.clone(), name, rng, stop.clone()));
         }
-        self.progress("two operators begin to change the same record, again and again");
+        self.progress("two operators start to change the same record repeatedly");
         tokio::time::sleep(STEP_INTERVAL).await;
         let leaving = (engine + 1) % self.driver.system.engines.len();
-        self.progress(format_args!("engine {leaving} begins to leave"));
+        self.progress(format_args!("engine {leaving} starts to leave"));
         self.inject(faults::Fault::LeaveEngine(leaving)).await;
-        self.progress("entry 1 is told to stop gracefully; another one is to take its place");
+        self.progress("entry 1 is stopped gracefully; entry 2 is to replace it");
         self.inject(faults::Fault::StopEntry(1)).await;
         self.driver.settle().await;
-        self.progress("entry 1 has ended, and entry 2 takes calls");
+        self.progress("entry 1 has stopped, and entry 2 takes calls");
     }
 
     /// Injects a fault, and clears it after [`OUTAGE`].
--- a/foxtailweir/src/serve.rs
+++ b/foxtailweir/src/serve.rs
@@ -56,7 +56,7 @@
     let operation = "read the addresses";
     let running = bound.start(metrics).context(SystemSnafu { operation })?;
     let addrs = running.addresses();
-    info!(admin = %addrs.admin, "operators are answered");
+    info!(admin = %addrs.admin, "admin address is served");
     on_started(addrs);
     stop.await;
     let stopped = running.stop().await;
@@ -72,7 +72,7 @@
 ///
 /// When a signal handler cannot be installed.
 pub fn stop_signal() -> Result<impl Future<Output = ()>, Error> {
-    let operation = "take signals";
+    let operation = "install signal handlers";
     let mut term =
         unix::signal(unix::SignalKind::terminate()).context(SystemSnafu { operation })?;
     let mut int = unix::signal(unix::SignalKind::interrupt()).context(SystemSnafu { operation })?;
--- a/foxtailweir/tests/foxtailweir/command_line.rs
+++ b/foxtailweir/tests/foxtailweir/command_line.rs
@@ -57,7 +57,7 @@
             "records delete team/t --timeout soon",
             "--timeout must be a time",
         ),
-        ("explain no/id", "no program id"),
+        ("explain no/id", "`no/id` is not a program id"),
         ("programs --loud", "Unrecognized option: 'loud'"),
     ];
     for (line, message) in cases {
--- a/foxtailweir/tests/foxtailweir/demo_script.rs
+++ b/foxtailweir/tests/foxtailweir/demo_script.rs
@@ -42,9 +42,6 @@
     let unobserved = "not observed: leaving upstreams get no new work";
     expect_that!(out, contains_substring(unobserved));
     expect_that!(out, contains_substring("\nGOOD: "));
-    expect_that!(
-        out,
-        contains_substring("7 of 7 programs ended as they should")
-    );
+    expect_that!(out, contains_substring("7 of 7 programs ended as expected"));
     expect_that!(out, not(contains_substring("VIOLATED")));
 }
--- a/foxtailweir/tests/foxtailweir/record_commands.rs
+++ b/foxtailweir/tests/foxtailweir/record_commands.rs
@@ -40,7 +40,7 @@
         ran.err,
         contains_substring("in force at 2 of 3; waiting for entry-2")
     );
-    expect_that!(ran.err, contains_substring("which stays"));
+    expect_that!(ran.err, contains_substring("the change stays"));
     expect_true!(entry.store.get("/fw/records/team/t").is_some());
 }
 
