--- a/fw-side/src/connection/calls.rs
+++ b/fw-side/src/connection/calls.rs
@@ -10,13 +10,13 @@
 use fw_wire::side;
 use tarpc::context;
 
+use crate::errors;
 use crate::process::attempts;
 use crate::process::core;
 use crate::process::fences;
 use crate::process::held;
 use crate::process::histories;
-use crate::process::poll;
-use crate::refuse;
+use crate::process::tasks;
 use crate::request::body;
 
 /// Part of the session time after which a shard without renewal is named in heartbeats: early
@@ -40,7 +40,7 @@
         match self.core.fences.renew(shard, fence, Instant::now()) {
             fences::Check::Current => Ok(()),
             fences::Check::Newer => {
-                poll::fence_off(&self.core, &HashSet::from([shard]));
+                tasks::end_fenced_turns(&self.core, &HashSet::from([shard]));
                 Ok(())
             }
             fences::Check::Stale { newest } => {
@@ -48,7 +48,7 @@
                     "fencing number {fence} of shard {shard} is older than {newest}: \
                      another entry keeps the shard"
                 );
-                Err(refuse::with(error::Kind::StaleFence, why))
+                Err(errors::counted(error::Kind::StaleFence, why))
             }
         }
     }
@@ -71,7 +71,7 @@
                 prompt.digest(),
                 req.digest
             );
-            return Err(refuse::with(error::Kind::HistoryMismatch, why));
+            return Err(errors::counted(error::Kind::HistoryMismatch, why));
         }
         Ok(Some(prompt))
     }
@@ -82,10 +82,10 @@
         }
         if req.shard != id::shard_of(&req.program) {
             let why = format!("`shard` {} is not that of `program`", req.shard);
-            return Err(refuse::with(error::Kind::BadRequest, why));
+            return Err(errors::counted(error::Kind::BadRequest, why));
         }
         self.check_fence(req.shard, req.fence)?;
-        self.core.admits()?;
+        self.core.check_available()?;
         body::check_params(&req.params)?;
         let Some(prompt) = self.prompt(&mut req)? else {
             metrics::counter!("fw_side_need_history_total").increment(1);
@@ -96,16 +96,16 @@
     }
 
     fn queue(&self, req: side::Start, prompt: histories::Prompt) -> Result<(), error::Error> {
-        let held = self.core.changes.held(&req.program);
-        let missing = req.prompt_tokens.saturating_sub(held);
-        let before = self.core.attempts.of_program(&req.program);
+        let cached = self.core.cache_view.cached_tokens(&req.program);
+        let missing = req.prompt_tokens.saturating_sub(cached);
+        let before = self.core.attempts.unfinished_of(&req.program);
         let attempt = attempts::Attempt::new(req, prompt, Instant::now());
         let attempt = Arc::new(attempt);
-        let push = || self.core.line.push(&attempt, missing);
+        let push = || self.core.queue.push(&attempt, missing);
         let inserted = self.core.attempts.insert(attempt.clone(), push)?;
         if inserted == attempts::Insert::New {
             self.supersede(&before);
-            self.core.work.notify_one();
+            self.core.queue_changed.notify_one();
         }
         Ok(())
     }
@@ -127,7 +127,7 @@
     fn unrenewed(&self, now: Instant) -> Vec<id::ShardId> {
         let core = &self.core;
         let within = core.opts.settings.sessions.ttl / UNRENEWED_PART;
-        let mut shards = core.sessions.unrenewed(&core.fences, within, now);
+        let mut shards = core.sessions.unrenewed_shards(&core.fences, within, now);
         shards.extend(held::shards(&core.attempts, &core.fences));
         shards.sort_unstable();
         shards.dedup();
@@ -139,15 +139,15 @@
     async fn heartbeat(self, _: context::Context, req: side::Heartbeat) -> side::HeartbeatReply {
         let now = Instant::now();
         let core = &self.core;
-        let renewed = poll::renew(core, &req.shards, now);
+        let renewed = tasks::renew_shards(core, &req.shards, now);
         for program in &req.gone {
             if renewed.contains(&id::shard_of(program)) {
-                core.sessions.free(program, now);
+                core.sessions.schedule_release(program, now);
                 core.histories.remove(program);
             }
         }
-        core.orders.notify_one();
-        let since = core.changes.since(req.cache_seen);
+        core.releases_changed.notify_one();
+        let since = core.cache_view.changes_since(req.cache_seen);
         let cfg = &core.opts.settings.instance;
         let who = match req.known == core.incarnation {
             true => side::HeartbeatReply::default(),
@@ -167,14 +167,16 @@
             cache_seq: since.seq,
             cache_reset: since.reset,
             cache: since.changes,
-            asked: core.sessions.ask(&renewed, core.opts.ask_after, now),
+            asked: core
+                .sessions
+                .take_idle(&renewed, core.opts.verify_idle_after, now),
             unrenewed: self.unrenewed(now),
             ..who
         }
     }
 
     async fn records(self, _: context::Context, req: side::Records) -> id::Revision {
-        self.core.offer(&req);
+        self.core.update_records(&req);
         self.core.records.revision()
     }
 
@@ -188,7 +190,7 @@
     async fn read(self, _: context::Context, req: attempt::Read) -> attempt::ReadReply {
         match self.core.attempts.get(req.attempt) {
             Some(attempt) => {
-                let most = self.core.opts.max_wait;
+                let most = self.core.opts.max_read_wait;
                 let req = attempt::Read {
                     wait: req.wait.min(most),
                     gather: req.gather.min(most),
@@ -231,12 +233,12 @@
         for (program, fence) in &req.programs {
             let shard = id::shard_of(program);
             if self.core.fences.check(shard, *fence) == fences::Check::Current {
-                self.core.sessions.free(program, now);
+                self.core.sessions.schedule_release(program, now);
                 self.core.histories.remove(program);
             } else {
                 metrics::counter!("fw_side_stale_releases_total").increment(1);
             }
         }
-        self.core.orders.notify_one();
+        self.core.releases_changed.notify_one();
     }
 }
--- a/fw-side/src/refuse.rs
+++ b/fw-side/src/errors.rs
@@ -3,17 +3,17 @@
 use fw_base::error;
 
 /// Counter of errors given out, by `kind`.
-pub const ERRORS: &str = "fw_side_errors_total";
+pub const COUNTER: &str = "fw_side_errors_total";
 
 /// An error of `kind`, counted.
-pub fn with(kind: error::Kind, message: impl Into<String>) -> error::Error {
-    metrics::counter!(ERRORS, "kind" => kind.row().label).increment(1);
+pub fn counted(kind: error::Kind, message: impl Into<String>) -> error::Error {
+    metrics::counter!(COUNTER, "kind" => kind.row().label).increment(1);
     error::Error::new(kind, message)
 }
 
 /// Makes a series for every kind, so that one that never occurred shows as 0.
 pub fn register() {
     for kind in error::Kind::ALL {
-        metrics::counter!(ERRORS, "kind" => kind.row().label).absolute(0);
+        metrics::counter!(COUNTER, "kind" => kind.row().label).absolute(0);
     }
 }
--- a/fw-side/src/lib.rs
+++ b/fw-side/src/lib.rs
@@ -14,9 +14,9 @@
 //! ```
 
 pub mod connection;
+pub mod errors;
 pub mod options;
 pub mod process;
-pub mod refuse;
 pub mod request;
 
 pub use options::Options;
--- a/fw-side/src/process/once.rs
+++ b/fw-side/src/process/at_most_once.rs
@@ -9,11 +9,11 @@
 use fw_base::id;
 use parking_lot::Mutex;
 
-use crate::refuse;
+use crate::errors;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    UnderWay,
+    InProgress,
     Ended,
 }
 
@@ -25,18 +25,18 @@
 
 /// The calls seen lately.
 #[derive(Debug)]
-pub struct Once {
-    keep: Duration,
-    max: usize,
+pub struct CallIds {
+    retention: Duration,
+    max_ids: usize,
     inner: Mutex<Inner>,
 }
 
-impl Once {
+impl CallIds {
     /// Remembers at most `max` calls, each for `keep`.
-    pub fn new(keep: Duration, max: usize) -> Self {
+    pub fn new(retention: Duration, max_ids: usize) -> Self {
         Self {
-            keep,
-            max,
+            retention,
+            max_ids,
             inner: Mutex::default(),
         }
     }
@@ -52,22 +52,25 @@
     /// `KeyInUse` or `MayHaveRun` for a second arrival, `Overloaded` if no more can be remembered.
     pub fn begin(&self, id: id::AttemptId, now: Instant) -> Result<(), error::Error> {
         let mut inner = self.inner.lock();
-        inner.expire(now, self.keep);
+        inner.expire(now, self.retention);
         match inner.calls.get(&id) {
-            Some(State::UnderWay) => Err(refuse::with(
+            Some(State::InProgress) => Err(errors::counted(
                 error::Kind::KeyInUse,
                 "a call with this `x-fw-attempt` is under way; read its outcome instead",
             )),
-            Some(State::Ended) => Err(refuse::with(
+            Some(State::Ended) => Err(errors::counted(
                 error::Kind::MayHaveRun,
                 "a call with this `x-fw-attempt` was sent before; it is not sent again",
             )),
-            None if inner.calls.len() >= self.max => Err(refuse::with(
+            None if inner.calls.len() >= self.max_ids => Err(errors::counted(
                 error::Kind::Overloaded,
-                format!("{} at-most-once calls are remembered; try later", self.max),
+                format!(
+                    "{} at-most-once calls are remembered; try later",
+                    self.max_ids
+                ),
             )),
             None => {
-                inner.calls.insert(id, State::UnderWay);
+                inner.calls.insert(id, State::InProgress);
                 inner.order.push_back((now, id));
                 Ok(())
             }
@@ -75,14 +78,14 @@
     }
 
     /// Notes that the call was sent and is over, however it ended.
-    pub fn end(&self, id: id::AttemptId) {
+    pub fn finish(&self, id: id::AttemptId) {
         if let Some(state) = self.inner.lock().calls.get_mut(&id) {
             *state = State::Ended;
         }
     }
 
     /// Notes that no byte of the call was sent: it may come again.
-    pub fn unsent(&self, id: id::AttemptId) {
+    pub fn forget_unsent(&self, id: id::AttemptId) {
         let mut inner = self.inner.lock();
         inner.calls.remove(&id);
         inner.order.retain(|(_, other)| *other != id);
@@ -90,10 +93,10 @@
 }
 
 impl Inner {
-    fn expire(&mut self, now: Instant, keep: Duration) {
+    fn expire(&mut self, now: Instant, retention: Duration) {
         while let Some((at, id)) = self.order.front().copied() {
-            let is_under_way = self.calls.get(&id) == Some(&State::UnderWay);
-            if is_under_way || now.saturating_duration_since(at) < keep {
+            let is_in_progress = self.calls.get(&id) == Some(&State::InProgress);
+            if is_in_progress || now.saturating_duration_since(at) < retention {
                 return;
             }
             self.order.pop_front();
--- a/fw-side/src/process/attempts.rs
+++ b/fw-side/src/process/attempts.rs
@@ -24,13 +24,13 @@
 
 /// Bounds of the answers that are kept.
 #[derive(Clone, Copy, Debug)]
-pub struct Keep {
+pub struct Retention {
     /// Longest time that an answer is kept.
-    pub time: Duration,
+    pub max_age: Duration,
     /// Most answers.
-    pub count: usize,
+    pub max_count: usize,
     /// Most bytes of their events and of the messages that their turns added.
-    pub bytes: usize,
+    pub max_bytes: usize,
 }
 
 /// One attempt.
@@ -42,20 +42,20 @@
     /// The messages that the turn adds to the history; kept to its end and beyond, with the answer.
     pub added: Vec<chat::Message>,
     /// When it arrived.
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// The events and the end.
     pub buffer: buffer::Buffer,
     /// Stops the run. The end is in `buffer` before this is cancelled.
     pub stop: CancellationToken,
-    ended: Mutex<Option<Instant>>,
+    ended_at: Mutex<Option<Instant>>,
     bytes: AtomicUsize,
-    is_whole: AtomicBool,
-    fetched: AtomicBool,
+    is_complete: AtomicBool,
+    end_read: AtomicBool,
 }
 
 impl Attempt {
     /// An attempt that waits.
-    pub fn new(start: side::Start, prompt: histories::Prompt, arrived: Instant) -> Self {
+    pub fn new(start: side::Start, prompt: histories::Prompt, arrived_at: Instant) -> Self {
         let messages = prompt.messages();
         let before = messages.len().saturating_sub(start.added as usize);
         let added = messages[before..].to_vec();
@@ -64,13 +64,13 @@
             added,
             start,
             prompt: Mutex::new(prompt),
-            arrived,
+            arrived_at,
             buffer: buffer::Buffer::new(),
             stop: CancellationToken::new(),
-            ended: Mutex::default(),
+            ended_at: Mutex::default(),
             bytes: AtomicUsize::new(bytes),
-            is_whole: AtomicBool::new(false),
-            fetched: AtomicBool::new(false),
+            is_complete: AtomicBool::new(false),
+            end_read: AtomicBool::new(false),
         }
     }
 
@@ -88,19 +88,19 @@
 
     /// When the caller's deadline passes.
     pub fn deadline(&self) -> Instant {
-        self.arrived + self.start.deadline
+        self.arrived_at + self.start.deadline
     }
 
     /// Ends the attempt; the first end stands.
     pub fn end(&self, state: attempt::State) {
-        let is_whole = matches!(state, attempt::State::Done(_));
-        let mut ended = self.ended.lock();
-        if ended.is_none() {
-            self.is_whole.store(is_whole, Ordering::Release);
+        let is_complete = matches!(state, attempt::State::Done(_));
+        let mut ended_at = self.ended_at.lock();
+        if ended_at.is_none() {
+            self.is_complete.store(is_complete, Ordering::Release);
             self.buffer.end(state);
-            *ended = Some(Instant::now());
+            *ended_at = Some(Instant::now());
         }
-        drop(ended);
+        drop(ended_at);
         // An answer is kept for long, and its prompt would keep a history from being evicted.
         drop(self.take_prompt());
     }
@@ -113,7 +113,7 @@
 
     /// Whether it has ended.
     pub fn is_ended(&self) -> bool {
-        self.ended.lock().is_some()
+        self.ended_at.lock().is_some()
     }
 
     /// The whole answer, if it has ended with one.
@@ -128,14 +128,14 @@
     pub async fn read(&self, req: &attempt::Read) -> attempt::ReadReply {
         let reply = self.buffer.gather(req).await;
         if reply.state.is_final() {
-            self.fetched.store(true, Ordering::Release);
+            self.end_read.store(true, Ordering::Release);
         }
         reply
     }
 
     /// Whether its end still has to reach a reader.
-    fn is_owed(&self) -> bool {
-        !self.fetched.load(Ordering::Acquire)
+    fn has_unread_end(&self) -> bool {
+        !self.end_read.load(Ordering::Acquire)
     }
 }
 
@@ -145,7 +145,7 @@
     /// It is new.
     New,
     /// It was known already.
-    Known,
+    Duplicate,
 }
 
 /// Attempts by id. One lock: an engine takes a few calls a second, and no lock is held while a
@@ -175,7 +175,7 @@
         let mut inner = self.inner.lock();
         let id = attempt.start.attempt;
         if inner.contains_key(&id) {
-            return Ok(Insert::Known);
+            return Ok(Insert::Duplicate);
         }
         accept()?;
         inner.insert(id, attempt);
@@ -191,41 +191,44 @@
     }
 
     /// Every attempt that has not ended.
-    pub fn under_way(&self) -> Vec<Arc<Attempt>> {
+    pub fn unfinished(&self) -> Vec<Arc<Attempt>> {
         let inner = self.inner.lock();
         let open = inner.values().filter(|attempt| !attempt.is_ended());
         open.cloned().collect()
     }
 
     /// Every attempt that has ended whole and was not forgotten.
-    pub fn done(&self) -> Vec<Arc<Attempt>> {
+    pub fn completed(&self) -> Vec<Arc<Attempt>> {
         let inner = self.inner.lock();
         // Each heartbeat asks; comparing states would copy every answer.
-        let is_whole = |attempt: &&Arc<Attempt>| attempt.is_whole.load(Ordering::Acquire);
-        let done = inner.values().filter(is_whole);
+        let is_complete = |attempt: &&Arc<Attempt>| attempt.is_complete.load(Ordering::Acquire);
+        let done = inner.values().filter(is_complete);
         done.cloned().collect()
     }
 
     /// Attempts of `program` that have not ended.
-    pub fn of_program(&self, program: &id::ProgramId) -> Vec<Arc<Attempt>> {
-        let mut open = self.under_way();
+    pub fn unfinished_of(&self, program: &id::ProgramId) -> Vec<Arc<Attempt>> {
+        let mut open = self.unfinished();
         open.retain(|attempt| attempt.start.program == *program);
         open
     }
 
     /// Attempts that are under way, or whose end no reader has seen.
-    pub fn owed(&self) -> usize {
+    pub fn unread_count(&self) -> usize {
         let inner = self.inner.lock();
-        inner.values().filter(|attempt| attempt.is_owed()).count()
+        inner
+            .values()
+            .filter(|attempt| attempt.has_unread_end())
+            .count()
     }
 
     /// Drops answers that are too old, and the oldest of those that are too many or too large;
     /// returns how many.
-    pub fn sweep(&self, keep: Keep, now: Instant) -> usize {
+    pub fn sweep(&self, retention: Retention, now: Instant) -> usize {
         let mut inner = self.inner.lock();
         let mut ends = Vec::new();
         for (id, attempt) in inner.iter() {
-            if let Some(at) = *attempt.ended.lock() {
+            if let Some(at) = *attempt.ended_at.lock() {
                 ends.push((at, *id, attempt.bytes.load(Ordering::Relaxed)));
             }
         }
@@ -234,8 +237,8 @@
         let mut bytes: usize = ends.iter().map(|(_, _, bytes)| bytes).sum();
         let before = count;
         for (at, id, size) in ends {
-            let is_old = now.saturating_duration_since(at) > keep.time;
-            if !is_old && count <= keep.count && bytes <= keep.bytes {
+            let is_old = now.saturating_duration_since(at) > retention.max_age;
+            if !is_old && count <= retention.max_count && bytes <= retention.max_bytes {
                 break;
             }
             inner.remove(&id);
--- a/fw-side/src/process/core.rs
+++ b/fw-side/src/process/core.rs
@@ -19,17 +19,17 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+use super::at_most_once;
 use super::attempts;
-use super::changes;
+use super::cache_view;
+use super::dispatch_queue;
 use super::engine;
 use super::fences;
 use super::histories;
-use super::line;
 use super::meter;
-use super::once;
 use super::sessions;
+use crate::errors;
 use crate::options;
-use crate::refuse;
 
 /// Where a side stands in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,42 +56,42 @@
     /// Programs with engine memory.
     pub sessions: sessions::Sessions,
     /// The view of the engine's cache.
-    pub changes: changes::Changes,
+    pub cache_view: cache_view::CacheView,
     /// The engine's pace.
     pub meter: meter::Meter,
     /// The queue before the engine.
-    pub line: line::Line,
+    pub queue: dispatch_queue::DispatchQueue,
     /// At-most-once plain calls.
-    pub once: once::Once,
+    pub at_most_once: at_most_once::CallIds,
     /// Places for plain calls.
-    pub plain: Arc<Semaphore>,
+    pub plain_slots: Arc<Semaphore>,
     /// The engine.
     pub engine: engine::Client,
     /// The records in force.
     pub records: holder::Holder,
     /// Wakes the loop that releases from the queue.
-    pub work: Notify,
+    pub queue_changed: Notify,
     /// Wakes the loop that sends orders to free memory.
-    pub orders: Notify,
+    pub releases_changed: Notify,
     /// Runs under way.
     pub runs: TaskTracker,
     /// The HTTP port closes.
     pub closing: CancellationToken,
     /// The side was dropped: runs end without a word, as in a crash.
-    pub dead: CancellationToken,
+    pub aborted: CancellationToken,
     phase: watch::Sender<Phase>,
-    engine_leaves: AtomicBool,
+    engine_leaving: AtomicBool,
     down: AtomicBool,
     crashes: AtomicU64,
     /// The newest revision that a set was refused for, so that a broken set is logged once.
-    refused_set: Mutex<i64>,
+    last_unreadable_set: Mutex<i64>,
 }
 
 impl Core {
     /// The state of a side that was just started.
     pub fn new(opts: options::Options) -> Self {
         let cfg = &opts.settings;
-        let line = line::Options {
+        let queue_options = dispatch_queue::Options {
             queue: queue::Options {
                 capacity: cfg.queue.max_length,
                 ..queue::Options::default()
@@ -99,40 +99,43 @@
             batch: cfg.engine.batch,
             window: cfg.queue.window,
         };
-        let pauses = sessions::Pauses {
-            first: opts.release_pause,
-            longest: opts.release_pause_max,
+        let backoff = sessions::Backoff {
+            initial: opts.release_backoff,
+            max: opts.release_backoff_max,
         };
         Self {
             incarnation: rand::random(),
             fences: fences::Fences::default(),
             attempts: attempts::Attempts::default(),
             histories: histories::Histories::new(cfg.sessions.history_memory),
-            sessions: sessions::Sessions::new(pauses),
-            changes: changes::Changes::default(),
+            sessions: sessions::Sessions::new(backoff),
+            cache_view: cache_view::CacheView::default(),
             meter: meter::Meter::default(),
-            line: line::Line::new(line),
-            once: once::Once::new(opts.keep_once, opts.max_once),
-            plain: Arc::new(Semaphore::new(opts.plain_concurrency)),
+            queue: dispatch_queue::DispatchQueue::new(queue_options),
+            at_most_once: at_most_once::CallIds::new(
+                opts.at_most_once_retention,
+                opts.max_at_most_once,
+            ),
+            plain_slots: Arc::new(Semaphore::new(opts.plain_concurrency)),
             engine: engine::Client::new(&cfg.engine),
             records: holder::Holder::default(),
-            work: Notify::new(),
-            orders: Notify::new(),
+            queue_changed: Notify::new(),
+            releases_changed: Notify::new(),
             runs: TaskTracker::new(),
             closing: CancellationToken::new(),
-            dead: CancellationToken::new(),
+            aborted: CancellationToken::new(),
             phase: watch::Sender::new(Phase::Serving),
-            engine_leaves: AtomicBool::new(false),
+            engine_leaving: AtomicBool::new(false),
             down: AtomicBool::new(false),
             crashes: AtomicU64::new(0),
-            refused_set: Mutex::new(0),
+            last_unreadable_set: Mutex::new(0),
             opts,
         }
     }
 
     /// Whether new work is refused because the side or its upstream leaves.
     pub fn is_leaving(&self) -> bool {
-        *self.phase.borrow() == Phase::Leaving || self.engine_leaves.load(Ordering::Acquire)
+        *self.phase.borrow() == Phase::Leaving || self.engine_leaving.load(Ordering::Acquire)
     }
 
     /// Whether the upstream does not answer.
@@ -148,36 +151,36 @@
     }
 
     /// What the engine says of its own leaving.
-    pub fn engine_leaves(&self, leaves: bool) {
-        if self.engine_leaves.swap(leaves, Ordering::AcqRel) != leaves {
-            tracing::info!(leaves, "the engine says whether it leaves");
+    pub fn set_engine_leaving(&self, leaving: bool) {
+        if self.engine_leaving.swap(leaving, Ordering::AcqRel) != leaving {
+            tracing::info!(leaves = leaving, "the engine says whether it leaves");
         }
     }
 
     /// The upstream answers.
-    pub fn up(&self) {
+    pub fn mark_up(&self) {
         if self.down.swap(false, Ordering::AcqRel) {
             tracing::info!("the upstream answers again");
-            self.work.notify_one();
+            self.queue_changed.notify_one();
         }
     }
 
     /// The upstream is gone. Every attempt under way ends at once, with the truth about whether
     /// it ran; the side itself runs none again, since the request may be what crashed it.
-    pub fn crashed(&self, why: &str) {
+    pub fn mark_crashed(&self, why: &str) {
         if !self.down.swap(true, Ordering::AcqRel) {
             tracing::warn!(why, "the upstream is down");
-            self.lose_memory();
+            self.reset_engine_state();
         }
         self.abort_all(why);
     }
 
     /// The engine was restarted: it answers, but lost its memory and what it ran.
-    pub fn restarted(&self) {
+    pub fn handle_restart(&self) {
         // What ended at the crash was counted then; only a quick restart is news.
         if !self.is_down() {
             tracing::warn!("the engine was restarted");
-            self.lose_memory();
+            self.reset_engine_state();
             self.abort_all("it was restarted");
         }
     }
@@ -187,22 +190,22 @@
         self.crashes.load(Ordering::Acquire)
     }
 
-    fn lose_memory(&self) {
+    fn reset_engine_state(&self) {
         metrics::counter!("fw_side_upstream_crashes_total").increment(1);
         self.crashes.fetch_add(1, Ordering::AcqRel);
-        self.changes.reset();
-        self.sessions.lost();
+        self.cache_view.reset();
+        self.sessions.clear_idle();
     }
 
     fn abort_all(&self, why: &str) {
-        for attempt in self.attempts.under_way() {
-            let err = if self.line.remove(attempt.start.attempt) {
-                refuse::with(
+        for attempt in self.attempts.unfinished() {
+            let err = if self.queue.remove(attempt.start.attempt) {
+                errors::counted(
                     error::Kind::NoUpstream,
                     format!("the engine is down ({why}); the turn was not sent to it"),
                 )
             } else {
-                refuse::with(
+                errors::counted(
                     error::Kind::UpstreamCrashed,
                     format!("the engine crashed under the turn: {why}"),
                 )
@@ -218,9 +221,9 @@
 
     /// Ends an attempt with an error and frees its place.
     pub fn end(&self, attempt: &attempts::Attempt, kind: error::Kind, why: &str) {
-        self.line.remove(attempt.start.attempt);
-        attempt.abort(refuse::with(kind, why));
-        self.work.notify_one();
+        self.queue.remove(attempt.start.attempt);
+        attempt.abort(errors::counted(kind, why));
+        self.queue_changed.notify_one();
     }
 
     /// Refuses new work while the upstream cannot take it.
@@ -228,21 +231,21 @@
     /// # Errors
     ///
     /// `UpstreamLeaving` or `NoUpstream`.
-    pub fn admits(&self) -> Result<(), error::Error> {
+    pub fn check_available(&self) -> Result<(), error::Error> {
         if self.is_leaving() {
             let why = "the upstream is leaving; send to another";
-            return Err(refuse::with(error::Kind::UpstreamLeaving, why));
+            return Err(errors::counted(error::Kind::UpstreamLeaving, why));
         }
         if self.is_down() {
             let retry = self.opts.settings.engine.load_poll;
             let why = "the upstream does not answer; send to another";
-            return Err(refuse::with(error::Kind::NoUpstream, why).with_retry_after(retry));
+            return Err(errors::counted(error::Kind::NoUpstream, why).with_retry_after(retry));
         }
         Ok(())
     }
 
     /// Puts a newer set of records in force; an older or unreadable one changes nothing.
-    pub fn offer(&self, records: &side::Records) {
+    pub fn update_records(&self, records: &side::Records) {
         if records.revision <= self.records.revision() {
             return;
         }
@@ -250,13 +253,13 @@
             Ok(set) => {
                 self.records.offer(set);
             }
-            Err(err) => self.refuse_set(records.revision, &err),
+            Err(err) => self.log_unreadable_set(records.revision, &err),
         }
     }
 
-    fn refuse_set(&self, revision: i64, err: &serde_json::Error) {
+    fn log_unreadable_set(&self, revision: i64, err: &serde_json::Error) {
         metrics::counter!("fw_side_records_refused_total").increment(1);
-        let mut last = self.refused_set.lock();
+        let mut last = self.last_unreadable_set.lock();
         if *last < revision {
             *last = revision;
             tracing::warn!(revision, %err, "a set of records cannot be read");
@@ -265,31 +268,31 @@
 
     /// The load to report.
     pub fn load(&self, now: Instant) -> side::Load {
-        let fill = self.line.fill();
+        let occupancy = self.queue.occupancy();
         side::Load {
-            queued: fill.queued,
-            running: fill.running,
-            prefill: fill.prefill,
-            delay: fill.delay,
+            queued: occupancy.queued,
+            running: occupancy.running,
+            prefill: occupancy.prefill,
+            delay: occupancy.delay,
             ..self.meter.load(now)
         }
     }
 
     /// Whether nothing is under way and every answer has reached a reader.
     pub fn is_drained(&self) -> bool {
-        let plain = self.opts.plain_concurrency - self.plain.available_permits();
-        self.attempts.owed() == 0 && self.runs.is_empty() && plain == 0
+        let plain_calls = self.opts.plain_concurrency - self.plain_slots.available_permits();
+        self.attempts.unread_count() == 0 && self.runs.is_empty() && plain_calls == 0
     }
 
     /// Waits until [`Core::is_drained`], at most for `within`; false if that passed.
-    pub async fn drained(&self, within: Duration) -> bool {
-        const PAUSE: Duration = Duration::from_millis(10);
+    pub async fn wait_drained(&self, within: Duration) -> bool {
+        const CHECK_INTERVAL: Duration = Duration::from_millis(10);
         let deadline = Instant::now() + within;
         while !self.is_drained() {
             if Instant::now() >= deadline {
                 return false;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
         true
     }
--- a/fw-side/src/process/line.rs
+++ b/fw-side/src/process/dispatch_queue.rs
@@ -10,25 +10,25 @@
 use parking_lot::Mutex;
 
 use super::attempts;
-use crate::refuse;
+use crate::errors;
 
 /// Most jobs in the engine while it has not said its batch, and the settings do not either.
 const DEFAULT_BATCH: u32 = 32;
 
 #[derive(Clone, Debug)]
-struct Released {
+struct Entry {
     team: id::TeamId,
     prefill: id::Tokens,
     long: bool,
     alone: bool,
-    at: Instant,
+    since: Instant,
 }
 
 #[derive(Debug)]
 struct Inner {
     queue: queue::Queue,
-    released: HashMap<id::AttemptId, Released>,
-    waiting: HashMap<id::AttemptId, Released>,
+    dispatched: HashMap<id::AttemptId, Entry>,
+    waiting: HashMap<id::AttemptId, Entry>,
 }
 
 /// How the line releases.
@@ -44,7 +44,7 @@
 
 /// What the engine was last seen to do.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct EnginePace {
     /// Its batch; 0 if it has not said.
     pub batch: u32,
     /// Time of one step.
@@ -53,7 +53,7 @@
 
 /// How full the line is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Fill {
+pub struct Occupancy {
     /// Jobs waiting.
     pub queued: u32,
     /// Jobs in the engine.
@@ -66,20 +66,20 @@
 
 /// The queue with its clock.
 #[derive(Debug)]
-pub struct Line {
+pub struct DispatchQueue {
     started: Instant,
     opts: Options,
     inner: Mutex<Inner>,
 }
 
-impl Line {
+impl DispatchQueue {
     /// An empty line.
     pub fn new(opts: Options) -> Self {
         Self {
             started: Instant::now(),
             inner: Mutex::new(Inner {
                 queue: queue::Queue::new(opts.queue.clone()),
-                released: HashMap::new(),
+                dispatched: HashMap::new(),
                 waiting: HashMap::new(),
             }),
             opts,
@@ -111,40 +111,47 @@
             alone: start.alone,
         };
         let mut inner = self.inner.lock();
-        inner.queue.push(self.now(), job).map_err(refused)?;
-        let waiting = Released {
+        inner.queue.push(self.now(), job).map_err(refusal_error)?;
+        let waiting = Entry {
             team: start.team.clone(),
             prefill: missing,
             long: missing >= self.opts.queue.long_prompt,
             alone: start.alone,
-            at: attempt.arrived,
+            since: attempt.arrived_at,
         };
         inner.waiting.insert(start.attempt, waiting);
         Ok(())
     }
 
     /// The next attempt to run, if the engine has room for one.
-    pub fn pop(&self, pace: Pace) -> Option<id::AttemptId> {
+    pub fn pop(&self, pace: EnginePace) -> Option<id::AttemptId> {
         let mut inner = self.inner.lock();
-        let running = self.running(&inner, pace);
-        if self.opts.window.is_some_and(|most| running.jobs >= most) {
+        let running = self.running_jobs(&inner, pace);
+        if self
+            .opts
+            .window
+            .is_some_and(|window| running.jobs >= window)
+        {
             return None;
         }
         let id = inner.queue.pop(self.now(), &running)?;
         if let Some(job) = inner.waiting.remove(&id) {
-            let at = Instant::now();
-            inner.released.insert(id, Released { at, ..job });
+            let since = Instant::now();
+            inner.dispatched.insert(id, Entry { since, ..job });
         }
         Some(id)
     }
 
-    fn running(&self, inner: &Inner, pace: Pace) -> queue::Running {
-        let jobs = inner.released.values();
+    fn running_jobs(&self, inner: &Inner, pace: EnginePace) -> queue::Running {
+        let jobs = inner.dispatched.values();
         let in_prefill = jobs.clone().filter(|job| job.prefill > 0);
-        let said = [pace.batch, self.opts.batch, DEFAULT_BATCH];
+        let batch_sizes = [pace.batch, self.opts.batch, DEFAULT_BATCH];
         queue::Running {
-            jobs: count(inner.released.len()),
-            batch: said.into_iter().find(|batch| *batch > 0).unwrap_or(0),
+            jobs: count(inner.dispatched.len()),
+            batch: batch_sizes
+                .into_iter()
+                .find(|batch| *batch > 0)
+                .unwrap_or(0),
             prefill: jobs.clone().map(|job| job.prefill).sum(),
             long: count(in_prefill.filter(|job| job.long).count()),
             step: pace.step,
@@ -170,40 +177,40 @@
     }
 
     /// A released attempt's first token came: its prefill is over.
-    pub fn prefilled(&self, id: id::AttemptId) {
-        if let Some(job) = self.inner.lock().released.get_mut(&id) {
+    pub fn finish_prefill(&self, id: id::AttemptId) {
+        if let Some(job) = self.inner.lock().dispatched.get_mut(&id) {
             job.prefill = 0;
         }
     }
 
     /// A released attempt left the engine.
-    pub fn done(&self, id: id::AttemptId) {
+    pub fn finish(&self, id: id::AttemptId) {
         let mut inner = self.inner.lock();
-        if let Some(job) = inner.released.remove(&id) {
-            inner.queue.finished(&job.team, job.at.elapsed());
+        if let Some(job) = inner.dispatched.remove(&id) {
+            inner.queue.finished(&job.team, job.since.elapsed());
         }
     }
 
     /// How full the line is.
-    pub fn fill(&self) -> Fill {
+    pub fn occupancy(&self) -> Occupancy {
         let inner = self.inner.lock();
-        let jobs = inner.waiting.values().chain(inner.released.values());
-        Fill {
+        let jobs = inner.waiting.values().chain(inner.dispatched.values());
+        Occupancy {
             queued: count(inner.queue.len()),
-            running: count(inner.released.len()),
+            running: count(inner.dispatched.len()),
             prefill: jobs.map(|job| job.prefill).sum(),
             delay: inner.queue.recent_wait(),
         }
     }
 }
 
-fn refused(refused: fw_plan::Refusal) -> error::Error {
-    let why = match refused.kind {
+fn refusal_error(refusal: fw_plan::Refusal) -> error::Error {
+    let why = match refusal.kind {
         error::Kind::QueueFull => "the queue before the engine is full; try later or elsewhere",
         error::Kind::ShareExceeded => "the team has its share of the queue already; try later",
         _ => "the queue is too long for the deadline; allow more time or try elsewhere",
     };
-    refuse::with(refused.kind, why).with_retry_after(refused.retry_after)
+    errors::counted(refusal.kind, why).with_retry_after(refusal.retry_after)
 }
 
 fn count(len: usize) -> u32 {
--- a/fw-side/src/process/engine.rs
+++ b/fw-side/src/process/engine.rs
@@ -24,7 +24,7 @@
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Most bytes read of an error's body.
-const MAX_ERROR_BODY: usize = 2_048;
+const MAX_ERROR_BODY_BYTES: usize = 2_048;
 
 /// What the engine reports of itself. Unknown fields are ignored, missing ones are 0.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
@@ -62,7 +62,7 @@
 
 /// Whether an order reached the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum CommandResult {
     /// The engine carried it out, or there was nothing to do.
     Confirmed,
     /// No answer, or a refusal.
@@ -75,7 +75,7 @@
     base: String,
     streams: fw_http::Client,
     control: fw_http::Client,
-    fresh: fw_http::Options,
+    resume_options: fw_http::Options,
 }
 
 impl Client {
@@ -92,14 +92,14 @@
             body_timeout: CONTROL_TIMEOUT,
             ..fw_http::Options::default()
         };
-        let fresh = fw_http::Options {
+        let resume_options = fw_http::Options {
             connect_timeout: cfg.connect_timeout,
             head_timeout: cfg.between_tokens_timeout,
             ..fw_http::Options::default()
         };
         Self {
-            base: base_of(cfg.address),
-            fresh,
+            base: base_url(cfg.address),
+            resume_options,
             streams: fw_http::Client::new(streams),
             control: fw_http::Client::new(control),
         }
@@ -140,22 +140,22 @@
         let req = http::Request::get(uri)
             .header(header::CONNECTION, "close")
             .body(Full::default());
-        let fresh = fw_http::Client::new(self.fresh.clone());
+        let client = fw_http::Client::new(self.resume_options.clone());
         match req {
-            Ok(req) => fresh.stream(req).await,
+            Ok(req) => client.stream(req).await,
             Err(source) => Err(fw_http::Error::Build { source }),
         }
     }
 
     /// Cancels the completion `id`.
-    pub async fn cancel(&self, id: &str) -> Order {
-        self.order("/cancel", &json!({ "id": id })).await
+    pub async fn cancel(&self, id: &str) -> CommandResult {
+        self.send_command("/cancel", &json!({ "id": id })).await
     }
 
     /// Frees the memory of `program`. `fence` is for engines that check it.
-    pub async fn release(&self, program: &id::ProgramId, fence: id::Fence) -> Order {
+    pub async fn release(&self, program: &id::ProgramId, fence: id::Fence) -> CommandResult {
         let body = json!({ "program": program, "fence": fence });
-        self.order("/cache/release", &body).await
+        self.send_command("/cache/release", &body).await
     }
 
     /// Fetches the load report.
@@ -190,19 +190,19 @@
         }
     }
 
-    async fn order(&self, path: &str, body: &serde_json::Value) -> Order {
+    async fn send_command(&self, path: &str, body: &serde_json::Value) -> CommandResult {
         let uri = format!("{}{path}", self.base);
         match self.control.post_json(&uri, body).await {
-            Ok(answer) if answer.status.is_success() => Order::Confirmed,
+            Ok(answer) if answer.status.is_success() => CommandResult::Confirmed,
             // What the engine does not know needs neither cancelling nor freeing.
-            Ok(answer) if answer.status == http::StatusCode::NOT_FOUND => Order::Confirmed,
-            _ => Order::Unconfirmed,
+            Ok(answer) if answer.status == http::StatusCode::NOT_FOUND => CommandResult::Confirmed,
+            _ => CommandResult::Unconfirmed,
         }
     }
 }
 
 /// Whether nobody listens at the address, which a slow engine never shows.
-pub fn is_refused(err: &fw_http::Error) -> bool {
+pub fn is_connection_refused(err: &fw_http::Error) -> bool {
     let fw_http::Error::Connect { source, .. } = err else {
         return false;
     };
@@ -219,14 +219,14 @@
 
 /// The first bytes of an error's body, as text.
 pub async fn error_text(body: Incoming) -> String {
-    let whole = Limited::new(body, MAX_ERROR_BODY).collect();
+    let whole = Limited::new(body, MAX_ERROR_BODY_BYTES).collect();
     match tokio::time::timeout(CONTROL_TIMEOUT, whole).await {
         Ok(Ok(body)) => String::from_utf8_lossy(&body.to_bytes()).into_owned(),
         _ => String::new(),
     }
 }
 
-fn base_of(addr: SocketAddr) -> String {
+fn base_url(addr: SocketAddr) -> String {
     format!("http://{addr}")
 }
 
--- a/fw-side/src/process/fences.rs
+++ b/fw-side/src/process/fences.rs
@@ -22,15 +22,15 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct Newest {
     fence: id::Fence,
-    renewed: Instant,
+    renewed_at: Instant,
 }
 
 /// Fencing numbers by shard; at most [`id::SHARDS`] of them.
 #[derive(Debug, Default)]
 pub struct Fences {
-    shards: Mutex<HashMap<id::ShardId, Seen>>,
+    shards: Mutex<HashMap<id::ShardId, Newest>>,
 }
 
 impl Fences {
@@ -41,9 +41,9 @@
     /// some engines ignore the number and the side is the only way to its engine.
     pub fn renew(&self, shard: id::ShardId, fence: id::Fence, now: Instant) -> Check {
         let mut shards = self.shards.lock();
-        let seen = shards.entry(shard).or_insert(Seen {
+        let seen = shards.entry(shard).or_insert(Newest {
             fence,
-            renewed: now,
+            renewed_at: now,
         });
         if fence < seen.fence {
             return Check::Stale { newest: seen.fence };
@@ -52,9 +52,9 @@
             true => Check::Newer,
             false => Check::Current,
         };
-        *seen = Seen {
+        *seen = Newest {
             fence,
-            renewed: now,
+            renewed_at: now,
         };
         check
     }
@@ -73,9 +73,9 @@
     }
 
     /// How long ago the shard was renewed; `None` if it never was.
-    pub fn age(&self, shard: id::ShardId, now: Instant) -> Option<Duration> {
+    pub fn time_since_renewal(&self, shard: id::ShardId, now: Instant) -> Option<Duration> {
         let seen = self.shards.lock().get(&shard).copied()?;
-        Some(now.saturating_duration_since(seen.renewed))
+        Some(now.saturating_duration_since(seen.renewed_at))
     }
 
     /// The highest fencing number of any shard, for orders to the engine.
--- a/fw-side/src/process/held.rs
+++ b/fw-side/src/process/held.rs
@@ -14,22 +14,22 @@
 use super::fences;
 
 /// Bytes of messages in one reply: a third of the largest message, which JSON may double.
-const MAX_BYTES: usize = 8 << 20;
+const MAX_REPLY_BYTES: usize = 8 << 20;
 
 /// Shards of held answers named in one heartbeat.
-const MAX_SHARDS: usize = 64;
+const MAX_SHARDS_REPORTED: usize = 64;
 
 /// Shards with answers held for an earlier keeper than the present one.
 pub fn shards(attempts: &attempts::Attempts, fences: &fences::Fences) -> Vec<id::ShardId> {
     let held = held(attempts, fences);
     let shards: HashSet<_> = held.iter().map(|held| held.start.shard).collect();
-    shards.into_iter().take(MAX_SHARDS).collect()
+    shards.into_iter().take(MAX_SHARDS_REPORTED).collect()
 }
 
 /// What was answered under a present keeper is that keeper's own matter: it may be about to commit
 /// the turn, and would find it gone if the answer were taken for a held one.
 fn held(attempts: &attempts::Attempts, fences: &fences::Fences) -> Vec<Arc<attempts::Attempt>> {
-    let mut held = attempts.done();
+    let mut held = attempts.completed();
     held.retain(|held| {
         let start = &held.start;
         !start.single && fences.is_stale(start.shard, start.fence)
@@ -51,16 +51,16 @@
     for attempt in held {
         let texts = attempt.added.iter().map(|message| message.as_str().len());
         bytes += texts.sum::<usize>();
-        if bytes > MAX_BYTES && !reply.turns.is_empty() {
+        if bytes > MAX_REPLY_BYTES && !reply.turns.is_empty() {
             reply.more = true;
             break;
         }
-        reply.turns.extend(describe(&attempt));
+        reply.turns.extend(to_held(&attempt));
     }
     reply
 }
 
-fn describe(attempt: &Arc<attempts::Attempt>) -> Option<side::Held> {
+fn to_held(attempt: &Arc<attempts::Attempt>) -> Option<side::Held> {
     let start = &attempt.start;
     Some(side::Held {
         attempt: start.attempt,
--- a/fw-side/src/process/meter.rs
+++ b/fw-side/src/process/meter.rs
@@ -10,16 +10,16 @@
 use super::engine;
 
 /// Weight of the newest sample in smoothed values.
-const SMOOTHING: f64 = 0.1;
+const EWMA_WEIGHT: f64 = 0.1;
 
 /// Uncached prompt tokens below which a first token's time says little about prefill.
-const MIN_PREFILL_SAMPLE: id::Tokens = 256;
+const MIN_PREFILL_SAMPLE_TOKENS: id::Tokens = 256;
 
 #[derive(Debug, Default)]
 struct Inner {
     report: engine::Report,
-    reported: Option<Instant>,
-    token: Option<Instant>,
+    reported_at: Option<Instant>,
+    last_token_at: Option<Instant>,
     step: f64,
     prefill_rate: f64,
 }
@@ -32,37 +32,37 @@
 
 impl Meter {
     /// Takes in a report of the engine.
-    pub fn report(&self, report: engine::Report, now: Instant) {
+    pub fn record_report(&self, report: engine::Report, now: Instant) {
         let mut inner = self.inner.lock();
         inner.report = report;
-        inner.reported = Some(now);
+        inner.reported_at = Some(now);
     }
 
     /// Notes that some stream brought a token.
-    pub fn token(&self, now: Instant) {
-        self.inner.lock().token = Some(now);
+    pub fn record_token(&self, now: Instant) {
+        self.inner.lock().last_token_at = Some(now);
     }
 
     /// Whether some stream brought a token within the last `within`.
     pub fn is_streaming(&self, now: Instant, within: Duration) -> bool {
-        let token = self.inner.lock().token;
-        token.is_some_and(|at| now.saturating_duration_since(at) < within)
+        let last_token_at = self.inner.lock().last_token_at;
+        last_token_at.is_some_and(|at| now.saturating_duration_since(at) < within)
     }
 
     /// Takes in the time between two tokens of one stream.
-    pub fn step(&self, took: Duration) {
+    pub fn record_step(&self, elapsed: Duration) {
         let mut inner = self.inner.lock();
-        inner.step = smoothed(inner.step, took.as_secs_f64());
+        inner.step = ewma(inner.step, elapsed.as_secs_f64());
     }
 
     /// Takes in the time to a first token after `tokens` of prefill.
-    pub fn prefill(&self, tokens: id::Tokens, took: Duration) {
-        if tokens < MIN_PREFILL_SAMPLE || took.is_zero() {
+    pub fn record_prefill(&self, tokens: id::Tokens, elapsed: Duration) {
+        if tokens < MIN_PREFILL_SAMPLE_TOKENS || elapsed.is_zero() {
             return;
         }
         let mut inner = self.inner.lock();
-        let rate = tokens as f64 / took.as_secs_f64();
-        inner.prefill_rate = smoothed(inner.prefill_rate, rate);
+        let rate = tokens as f64 / elapsed.as_secs_f64();
+        inner.prefill_rate = ewma(inner.prefill_rate, rate);
     }
 
     /// Time between tokens, smoothed; zero if none was measured.
@@ -78,7 +78,9 @@
     /// The load with what only the engine and the measurements tell; the rest is zero.
     pub fn load(&self, now: Instant) -> side::Load {
         let inner = self.inner.lock();
-        let since = inner.reported.map(|at| now.saturating_duration_since(at));
+        let since = inner
+            .reported_at
+            .map(|at| now.saturating_duration_since(at));
         let age = Duration::from_millis(inner.report.age_ms);
         side::Load {
             step: Duration::from_secs_f64(inner.step),
@@ -92,9 +94,9 @@
     }
 }
 
-fn smoothed(old: f64, new: f64) -> f64 {
+fn ewma(old: f64, new: f64) -> f64 {
     if old == 0.0 {
         return new;
     }
-    old + (new - old) * SMOOTHING
+    old + (new - old) * EWMA_WEIGHT
 }
--- a/fw-side/src/process/mod.rs
+++ b/fw-side/src/process/mod.rs
@@ -1,15 +1,15 @@
 //! What lives as long as the process.
 
+pub mod at_most_once;
 pub mod attempts;
-pub mod changes;
+pub mod cache_view;
 pub mod core;
+pub mod dispatch_queue;
 pub mod engine;
 pub mod fences;
 pub mod held;
 pub mod histories;
-pub mod line;
 pub mod meter;
-pub mod once;
-pub mod poll;
 pub mod serve;
 pub mod sessions;
+pub mod tasks;
--- a/fw-side/src/process/serve.rs
+++ b/fw-side/src/process/serve.rs
@@ -19,18 +19,18 @@
 use tokio::task::JoinSet;
 
 use super::core;
-use super::poll;
+use super::tasks;
 use crate::connection::calls;
 use crate::connection::web;
+use crate::errors;
 use crate::options;
-use crate::refuse;
 use crate::request::plain;
 
 /// Time between two sweeps of the metrics recorder.
-const METRICS_UPKEEP: Duration = Duration::from_secs(5);
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Time for connections to send what was handed to them, when the side stops.
-const FLUSH: Duration = Duration::from_millis(400);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A running side. Dropped, it stops at once, as a crash does.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
 
 impl Drop for Side {
     fn drop(&mut self) {
-        self.core.dead.cancel();
+        self.core.aborted.cancel();
     }
 }
 
@@ -58,8 +58,8 @@
         let listen = &opts.settings.listen;
         let calls = TcpListener::bind(listen.calls).await?;
         let http = TcpListener::bind(listen.http).await?;
-        let metrics = opts.metrics.clone().unwrap_or_else(recorder);
-        refuse::register();
+        let metrics = opts.metrics.clone().unwrap_or_else(install_recorder);
+        errors::register();
         let core = Arc::new(core::Core::new(opts));
         let mut side = Self {
             calls: calls.local_addr()?,
@@ -69,7 +69,7 @@
             core,
         };
         side.serve(calls, http, metrics);
-        side.poll();
+        side.spawn_tasks();
         Ok(side)
     }
 
@@ -93,14 +93,14 @@
     pub async fn stop(mut self) -> bool {
         self.core.leave();
         let within = self.core.opts.settings.shutdown.drain_timeout;
-        let drained = self.core.drained(within).await;
+        let drained = self.core.wait_drained(within).await;
         if !drained {
             tracing::warn!(?within, "work under way did not end in time");
         }
         self.core.closing.cancel();
         // Answers are handed to connections by now, and may not have left them yet.
-        let _ = tokio::time::timeout(FLUSH, self.web.join_next()).await;
-        tokio::time::sleep(FLUSH / 4).await;
+        let _ = tokio::time::timeout(FLUSH_TIMEOUT, self.web.join_next()).await;
+        tokio::time::sleep(FLUSH_TIMEOUT / 4).await;
         self.tasks.shutdown().await;
         drained
     }
@@ -125,20 +125,20 @@
             .spawn(web::serve(http, web, self.core.closing.clone()));
         self.tasks.spawn(async move {
             loop {
-                tokio::time::sleep(METRICS_UPKEEP).await;
+                tokio::time::sleep(METRICS_UPKEEP_INTERVAL).await;
                 metrics.run_upkeep();
             }
         });
     }
 
-    fn poll(&mut self) {
+    fn spawn_tasks(&mut self) {
         let core = &self.core;
-        self.tasks.spawn(poll::release(core.clone()));
-        self.tasks.spawn(poll::watch(core.clone()));
-        self.tasks.spawn(poll::sweep(core.clone()));
+        self.tasks.spawn(tasks::dispatch(core.clone()));
+        self.tasks.spawn(tasks::monitor_upstream(core.clone()));
+        self.tasks.spawn(tasks::sweep(core.clone()));
         if core.opts.settings.engine.kind == side::Kind::Llm {
-            self.tasks.spawn(poll::follow_cache(core.clone()));
-            self.tasks.spawn(poll::free(core.clone()));
+            self.tasks.spawn(tasks::follow_cache(core.clone()));
+            self.tasks.spawn(tasks::release_memory(core.clone()));
         }
     }
 }
@@ -161,7 +161,7 @@
 
 /// The recorder of this process, installed by the first side in it. If the process has another
 /// recorder already, `/metrics` of the side stays empty and that other one has the counters.
-fn recorder() -> PrometheusHandle {
+fn install_recorder() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
     let install = || {
         let recorder = PrometheusBuilder::new().build_recorder();
--- a/fw-side/src/process/sessions.rs
+++ b/fw-side/src/process/sessions.rs
@@ -14,69 +14,69 @@
 use super::fences;
 
 /// Most programs asked after in one heartbeat.
-const MAX_ASKED: usize = 256;
+const MAX_IDLE_REPORTED: usize = 256;
 
 /// Most shards named as not renewed in one heartbeat.
-const MAX_UNRENEWED: usize = 512;
+const MAX_UNRENEWED_REPORTED: usize = 512;
 
 #[derive(Debug)]
 struct Session {
     shard: id::ShardId,
-    began: Instant,
-    used: Instant,
+    created_at: Instant,
+    last_used_at: Instant,
     running: u32,
     /// Known from the engine only: its keeper is asked after it with the next heartbeat.
-    in_doubt: bool,
+    unverified: bool,
     /// The program ended or moved while it ran: its memory is freed after the run.
-    gone: bool,
+    release_after_run: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Order {
-    due: Instant,
-    pause: Duration,
+struct PendingRelease {
+    due_at: Instant,
+    delay: Duration,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     sessions: HashMap<id::ProgramId, Session>,
-    orders: HashMap<id::ProgramId, Order>,
+    releases: HashMap<id::ProgramId, PendingRelease>,
 }
 
 /// Pauses between repeated orders.
 #[derive(Clone, Copy, Debug)]
-pub struct Pauses {
+pub struct Backoff {
     /// The first.
-    pub first: Duration,
+    pub initial: Duration,
     /// The longest.
-    pub longest: Duration,
+    pub max: Duration,
 }
 
 /// The sessions of one engine.
 #[derive(Debug)]
 pub struct Sessions {
-    pauses: Pauses,
+    backoff: Backoff,
     inner: Mutex<Inner>,
 }
 
 impl Sessions {
     /// No sessions yet.
-    pub fn new(pauses: Pauses) -> Self {
+    pub fn new(backoff: Backoff) -> Self {
         Self {
-            pauses,
+            backoff,
             inner: Mutex::default(),
         }
     }
 
     /// Notes that a run of `program` begins in the engine.
-    pub fn begin(&self, program: &id::ProgramId, shard: id::ShardId, now: Instant) {
+    pub fn begin_run(&self, program: &id::ProgramId, shard: id::ShardId, now: Instant) {
         let mut inner = self.inner.lock();
         // A waiting order to free would throw away what this run is about to use.
-        inner.orders.remove(program);
+        inner.releases.remove(program);
         let session = inner.session(program, shard, now);
-        session.used = now;
-        session.in_doubt = false;
-        session.gone = false;
+        session.last_used_at = now;
+        session.unverified = false;
+        session.release_after_run = false;
         session.running += 1;
     }
 
@@ -87,43 +87,43 @@
     /// of memory from before it was freed. Either program may have ended, so its keeper is asked.
     pub fn adopt(&self, program: &id::ProgramId, shard: id::ShardId, now: Instant) {
         let mut inner = self.inner.lock();
-        if !inner.orders.contains_key(program) {
+        if !inner.releases.contains_key(program) {
             let session = inner.session(program, shard, now);
-            session.in_doubt = session.running == 0 && session.began == now;
+            session.unverified = session.running == 0 && session.created_at == now;
         }
     }
 
     /// The engine says that it holds nothing of `program`.
-    pub fn evicted(&self, program: &id::ProgramId) {
+    pub fn record_eviction(&self, program: &id::ProgramId) {
         let mut inner = self.inner.lock();
-        inner.orders.remove(program);
+        inner.releases.remove(program);
         if inner.sessions.get(program).is_some_and(|s| s.running == 0) {
             inner.sessions.remove(program);
         }
     }
 
     /// Notes that a run of `program` left the engine.
-    pub fn end(&self, program: &id::ProgramId, now: Instant) {
+    pub fn end_run(&self, program: &id::ProgramId, now: Instant) {
         let mut inner = self.inner.lock();
         let Some(session) = inner.sessions.get_mut(program) else {
             return;
         };
-        session.used = now;
+        session.last_used_at = now;
         session.running = session.running.saturating_sub(1);
-        if session.gone && session.running == 0 {
-            inner.order(program, now, self.pauses.first);
+        if session.release_after_run && session.running == 0 {
+            inner.release(program, now, self.backoff.initial);
         }
     }
 
     /// Orders that the memory of `program` is freed, once no run of it is under way.
-    pub fn free(&self, program: &id::ProgramId, now: Instant) {
+    pub fn schedule_release(&self, program: &id::ProgramId, now: Instant) {
         let mut inner = self.inner.lock();
         let Some(session) = inner.sessions.get_mut(program) else {
             return;
         };
-        session.gone = true;
+        session.release_after_run = true;
         if session.running == 0 {
-            inner.order(program, now, self.pauses.first);
+            inner.release(program, now, self.backoff.initial);
         }
     }
 
@@ -131,54 +131,54 @@
     ///
     /// Guards against engine memory that stays held when a keeper dies and no other entry takes
     /// an interest in its programs: the free part of the cache would shrink for good.
-    pub fn lapse(&self, fences: &fences::Fences, ttl: Duration, now: Instant) -> usize {
-        let lapsed: Vec<_> = {
+    pub fn expire(&self, fences: &fences::Fences, ttl: Duration, now: Instant) -> usize {
+        let expired: Vec<_> = {
             let inner = self.inner.lock();
-            let is_lapsed = |session: &Session| {
-                let known = now.saturating_duration_since(session.began);
-                let renewed = fences.age(session.shard, now);
-                known.min(renewed.unwrap_or(known)) > ttl
+            let is_expired = |session: &Session| {
+                let age = now.saturating_duration_since(session.created_at);
+                let renewed = fences.time_since_renewal(session.shard, now);
+                age.min(renewed.unwrap_or(age)) > ttl
             };
             let sessions = inner.sessions.iter();
             sessions
-                .filter(|(_, session)| session.running == 0 && is_lapsed(session))
+                .filter(|(_, session)| session.running == 0 && is_expired(session))
                 .map(|(program, _)| program.clone())
                 .collect()
         };
-        for program in &lapsed {
-            self.free(program, now);
+        for program in &expired {
+            self.schedule_release(program, now);
         }
-        lapsed.len()
+        expired.len()
     }
 
     /// Idle programs of `shards`, to ask their keeper after. Each is asked after again only when
     /// `idle` has passed once more.
-    pub fn ask(
+    pub fn take_idle(
         &self,
         shards: &HashSet<id::ShardId>,
         idle: Duration,
         now: Instant,
     ) -> Vec<id::ProgramId> {
         let mut inner = self.inner.lock();
-        let mut asked = Vec::new();
+        let mut reported = Vec::new();
         for (program, session) in &mut inner.sessions {
-            let age = now.saturating_duration_since(session.used);
-            let is_idle = session.in_doubt || age >= idle;
+            let age = now.saturating_duration_since(session.last_used_at);
+            let is_idle = session.unverified || age >= idle;
             if session.running > 0 || !is_idle || !shards.contains(&session.shard) {
                 continue;
             }
-            session.used = now;
-            session.in_doubt = false;
-            asked.push(program.clone());
-            if asked.len() == MAX_ASKED {
+            session.last_used_at = now;
+            session.unverified = false;
+            reported.push(program.clone());
+            if reported.len() == MAX_IDLE_REPORTED {
                 break;
             }
         }
-        asked
+        reported
     }
 
     /// Shards with sessions that no heartbeat renewed within the last `within`.
-    pub fn unrenewed(
+    pub fn unrenewed_shards(
         &self,
         fences: &fences::Fences,
         within: Duration,
@@ -186,35 +186,39 @@
     ) -> Vec<id::ShardId> {
         let inner = self.inner.lock();
         let shards: HashSet<_> = inner.sessions.values().map(|s| s.shard).collect();
-        let is_old = |shard: &id::ShardId| fences.age(*shard, now).is_none_or(|age| age > within);
-        let old = shards.into_iter().filter(is_old);
-        old.take(MAX_UNRENEWED).collect()
+        let is_overdue = |shard: &id::ShardId| {
+            fences
+                .time_since_renewal(*shard, now)
+                .is_none_or(|age| age > within)
+        };
+        let overdue = shards.into_iter().filter(is_overdue);
+        overdue.take(MAX_UNRENEWED_REPORTED).collect()
     }
 
     /// Programs whose memory is to be freed now. Each is due again after a growing pause, until
     /// [`Sessions::freed`] confirms it.
-    pub fn due(&self, now: Instant) -> Vec<id::ProgramId> {
+    pub fn due_releases(&self, now: Instant) -> Vec<id::ProgramId> {
         let mut inner = self.inner.lock();
-        let longest = self.pauses.longest;
-        let orders = inner.orders.iter_mut();
-        let due = orders.filter(|(_, order)| order.due <= now);
-        due.map(|(program, order)| {
-            order.due = now + order.pause;
-            order.pause = (order.pause * 2).min(longest);
+        let max = self.backoff.max;
+        let releases = inner.releases.iter_mut();
+        let due = releases.filter(|(_, release)| release.due_at <= now);
+        due.map(|(program, release)| {
+            release.due_at = now + release.delay;
+            release.delay = (release.delay * 2).min(max);
             program.clone()
         })
         .collect()
     }
 
     /// The engine confirmed that it freed the memory of `program`.
-    pub fn freed(&self, program: &id::ProgramId) {
-        self.inner.lock().orders.remove(program);
+    pub fn confirm_release(&self, program: &id::ProgramId) {
+        self.inner.lock().releases.remove(program);
     }
 
     /// The engine lost all its memory: there is nothing left to free.
-    pub fn lost(&self) {
+    pub fn clear_idle(&self) {
         let mut inner = self.inner.lock();
-        inner.orders.clear();
+        inner.releases.clear();
         inner.sessions.retain(|_, session| session.running > 0);
     }
 
@@ -229,8 +233,8 @@
     }
 
     /// Orders to free that the engine has not confirmed.
-    pub fn unconfirmed(&self) -> usize {
-        self.inner.lock().orders.len()
+    pub fn unconfirmed_releases(&self) -> usize {
+        self.inner.lock().releases.len()
     }
 }
 
@@ -241,20 +245,22 @@
         shard: id::ShardId,
         now: Instant,
     ) -> &mut Session {
-        let fresh = || Session {
+        let new_session = || Session {
             shard,
-            began: now,
-            used: now,
+            created_at: now,
+            last_used_at: now,
             running: 0,
-            in_doubt: false,
-            gone: false,
+            unverified: false,
+            release_after_run: false,
         };
-        self.sessions.entry(program.clone()).or_insert_with(fresh)
+        self.sessions
+            .entry(program.clone())
+            .or_insert_with(new_session)
     }
 
-    fn order(&mut self, program: &id::ProgramId, now: Instant, pause: Duration) {
+    fn release(&mut self, program: &id::ProgramId, now: Instant, delay: Duration) {
         self.sessions.remove(program);
-        let order = Order { due: now, pause };
-        self.orders.insert(program.clone(), order);
+        let release = PendingRelease { due_at: now, delay };
+        self.releases.insert(program.clone(), release);
     }
 }
--- a/fw-side/src/process/poll.rs
+++ b/fw-side/src/process/tasks.rs
@@ -13,49 +13,51 @@
 
 use super::attempts;
 use super::core;
+use super::dispatch_queue;
 use super::engine;
-use super::line;
-use crate::refuse;
+use crate::errors;
 use crate::request::run;
 
 /// Longest time between two looks at the queue, for deadlines.
-const QUEUE_TICK: Duration = Duration::from_millis(50);
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time between two sweeps of sessions and answers, at most.
-const SWEEP: Duration = Duration::from_millis(500);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Orders to free memory that are sent together.
-const RELEASES: usize = 8;
+const CONCURRENT_RELEASES: usize = 8;
 
 /// Releases attempts from the queue into the engine.
-pub async fn release(core: Arc<core::Core>) {
+pub async fn dispatch(core: Arc<core::Core>) {
     loop {
         expire(&core);
         while !core.is_down() {
-            let pace = line::Pace {
+            let pace = dispatch_queue::EnginePace {
                 batch: core.meter.batch(),
                 step: core.meter.step_time(),
             };
-            let Some(id) = core.line.pop(pace) else { break };
-            begin(&core, id);
+            let Some(id) = core.queue.pop(pace) else {
+                break;
+            };
+            start_run(&core, id);
         }
-        let _ = tokio::time::timeout(QUEUE_TICK, core.work.notified()).await;
+        let _ = tokio::time::timeout(QUEUE_CHECK_INTERVAL, core.queue_changed.notified()).await;
     }
 }
 
-fn begin(core: &Arc<core::Core>, id: id::AttemptId) {
+fn start_run(core: &Arc<core::Core>, id: id::AttemptId) {
     match core.attempts.get(id) {
         Some(attempt) if !attempt.is_ended() => {
             core.runs.spawn(run::run(core.clone(), attempt));
         }
-        _ => core.line.done(id),
+        _ => core.queue.finish(id),
     }
 }
 
 fn expire(core: &core::Core) {
-    for id in core.line.expire() {
+    for id in core.queue.expire() {
         if let Some(attempt) = core.attempts.get(id) {
-            attempt.abort(refuse::with(
+            attempt.abort(errors::counted(
                 error::Kind::DeadlineUnmeetable,
                 "the turn waited until its deadline and was not sent; allow more time",
             ));
@@ -64,74 +66,74 @@
 }
 
 /// Watches whether the upstream answers, and how busy it is.
-pub async fn watch(core: Arc<core::Core>) {
-    let every = core.opts.settings.engine.load_poll;
-    let patience = core.opts.settings.engine.between_tokens_timeout;
+pub async fn monitor_upstream(core: Arc<core::Core>) {
+    let interval = core.opts.settings.engine.load_poll;
+    let idle_timeout = core.opts.settings.engine.between_tokens_timeout;
     let mut failed = 0;
     let mut incarnation = None;
     loop {
-        match look(&core).await {
-            Look::Up(report) => {
+        match probe(&core).await {
+            Probe::Up(report) => {
                 failed = 0;
                 let before = incarnation.replace(report.incarnation);
                 if before.is_some_and(|before| before != report.incarnation) {
-                    core.restarted();
+                    core.handle_restart();
                 }
-                core.engine_leaves(report.leaving);
-                core.meter.report(report, Instant::now());
-                core.up();
+                core.set_engine_leaving(report.leaving);
+                core.meter.record_report(report, Instant::now());
+                core.mark_up();
             }
-            Look::Refused => core.crashed("it refuses connections"),
+            Probe::Refused => core.mark_crashed("it refuses connections"),
             // A busy engine may be late with its report while its streams go on.
-            Look::Silent if core.meter.is_streaming(Instant::now(), patience) => {}
-            Look::Silent => {
+            Probe::Unresponsive if core.meter.is_streaming(Instant::now(), idle_timeout) => {}
+            Probe::Unresponsive => {
                 failed += 1;
-                if failed >= core.opts.failed_polls {
-                    core.crashed("it does not answer load polls");
+                if failed >= core.opts.max_failed_polls {
+                    core.mark_crashed("it does not answer load polls");
                 }
             }
         }
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
 /// What a look at the upstream showed.
-enum Look {
+enum Probe {
     Up(engine::Report),
     Refused,
-    Silent,
+    Unresponsive,
 }
 
-async fn look(core: &core::Core) -> Look {
+async fn probe(core: &core::Core) -> Probe {
     let cfg = &core.opts.settings.engine;
     if cfg.kind == side::Kind::Plain {
-        return connect(cfg).await;
+        return probe_connect(cfg).await;
     }
     match core.engine.load().await {
-        Ok(report) => Look::Up(report),
+        Ok(report) => Probe::Up(report),
         // An engine without load reports is up all the same.
-        Err(fw_http::Error::Json { .. }) => Look::Up(engine::Report::default()),
-        Err(err) if engine::is_refused(&err) => Look::Refused,
-        Err(_) => Look::Silent,
+        Err(fw_http::Error::Json { .. }) => Probe::Up(engine::Report::default()),
+        Err(err) if engine::is_connection_refused(&err) => Probe::Refused,
+        Err(_) => Probe::Unresponsive,
     }
 }
 
-async fn connect(cfg: &side::Engine) -> Look {
-    let connect = tokio::net::TcpStream::connect(cfg.address);
-    match tokio::time::timeout(cfg.connect_timeout, connect).await {
-        Ok(Ok(_)) => Look::Up(engine::Report::default()),
-        Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => Look::Refused,
-        _ => Look::Silent,
+async fn probe_connect(cfg: &side::Engine) -> Probe {
+    let connecting = tokio::net::TcpStream::connect(cfg.address);
+    match tokio::time::timeout(cfg.connect_timeout, connecting).await {
+        Ok(Ok(_)) => Probe::Up(engine::Report::default()),
+        Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => Probe::Refused,
+        _ => Probe::Unresponsive,
     }
 }
 
 /// Follows the engine's cache events.
 pub async fn follow_cache(core: Arc<core::Core>) {
-    let every = core.opts.settings.engine.cache_poll;
+    let interval = core.opts.settings.engine.cache_poll;
     let mut seen = 0;
     let mut crashes = core.crashes();
     loop {
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
         if core.crashes() != crashes {
             // A restarted engine numbers its events anew.
             crashes = core.crashes();
@@ -141,24 +143,24 @@
             continue;
         }
         if let Ok(events) = core.engine.cache_events(seen).await {
-            seen = take_events(&core, seen, &events);
+            seen = apply_events(&core, seen, &events);
         }
     }
 }
 
 /// Takes in events after `seen`; returns the number of the last.
-fn take_events(core: &core::Core, mut seen: u64, events: &[engine::CacheEvent]) -> u64 {
+fn apply_events(core: &core::Core, mut seen: u64, events: &[engine::CacheEvent]) -> u64 {
     let now = Instant::now();
     for event in events {
         // The first events seen need not be the engine's first: a side starts beside one that ran.
         if seen > 0 && event.seq != seen + 1 {
             metrics::counter!("fw_side_cache_gaps_total").increment(1);
-            core.changes.reset();
+            core.cache_view.reset();
         }
         seen = event.seq;
-        core.changes.note(&event.program, event.tokens);
+        core.cache_view.set_cached(&event.program, event.tokens);
         if event.tokens == 0 {
-            core.sessions.evicted(&event.program);
+            core.sessions.record_eviction(&event.program);
         } else {
             let shard = id::shard_of(&event.program);
             core.sessions.adopt(&event.program, shard, now);
@@ -168,29 +170,29 @@
 }
 
 /// Sends orders to free memory until the engine confirms them.
-pub async fn free(core: Arc<core::Core>) {
-    let tick = core.opts.release_pause / 4;
+pub async fn release_memory(core: Arc<core::Core>) {
+    let tick = core.opts.release_backoff / 4;
     loop {
-        let _ = tokio::time::timeout(tick, core.orders.notified()).await;
+        let _ = tokio::time::timeout(tick, core.releases_changed.notified()).await;
         if core.is_down() {
             continue;
         }
-        let due = core.sessions.due(Instant::now());
+        let due = core.sessions.due_releases(Instant::now());
         stream::iter(due)
-            .for_each_concurrent(RELEASES, |program| free_one(&core, program))
+            .for_each_concurrent(CONCURRENT_RELEASES, |program| release_one(&core, program))
             .await;
     }
 }
 
-async fn free_one(core: &core::Core, program: id::ProgramId) {
+async fn release_one(core: &core::Core, program: id::ProgramId) {
     let fence = core.fences.highest();
     match core.engine.release(&program, fence).await {
-        engine::Order::Confirmed => {
-            core.sessions.freed(&program);
-            core.changes.note(&program, 0);
+        engine::CommandResult::Confirmed => {
+            core.sessions.confirm_release(&program);
+            core.cache_view.set_cached(&program, 0);
             metrics::counter!("fw_side_releases_total").increment(1);
         }
-        engine::Order::Unconfirmed => {
+        engine::CommandResult::Unconfirmed => {
             metrics::counter!("fw_side_releases_unconfirmed_total").increment(1);
         }
     }
@@ -199,44 +201,44 @@
 /// Ends sessions that no keeper renews, and drops old answers.
 pub async fn sweep(core: Arc<core::Core>) {
     let cfg = &core.opts.settings.sessions;
-    let keep = attempts::Keep {
-        time: core.opts.keep_answer,
-        count: cfg.answers_kept,
-        bytes: core.opts.answer_bytes,
+    let retention = attempts::Retention {
+        max_age: core.opts.answer_retention,
+        max_count: cfg.answers_kept,
+        max_bytes: core.opts.answer_bytes,
     };
-    let every = SWEEP.min(cfg.ttl / 4);
+    let interval = SWEEP_INTERVAL.min(cfg.ttl / 4);
     loop {
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
         let now = Instant::now();
-        let lapsed = core.sessions.lapse(&core.fences, cfg.ttl, now);
-        if lapsed > 0 {
-            metrics::counter!("fw_side_sessions_lapsed_total").increment(lapsed as u64);
-            core.orders.notify_one();
+        let expired = core.sessions.expire(&core.fences, cfg.ttl, now);
+        if expired > 0 {
+            metrics::counter!("fw_side_sessions_lapsed_total").increment(expired as u64);
+            core.releases_changed.notify_one();
         }
-        let dropped = core.attempts.sweep(keep, now);
+        let dropped = core.attempts.sweep(retention, now);
         metrics::counter!("fw_side_answers_dropped_total").increment(dropped as u64);
-        gauges(&core);
+        update_gauges(&core);
     }
 }
 
-fn gauges(core: &core::Core) {
-    let fill = core.line.fill();
-    metrics::gauge!("fw_side_queued").set(f64::from(fill.queued));
-    metrics::gauge!("fw_side_running").set(f64::from(fill.running));
-    metrics::gauge!("fw_side_queue_delay_seconds").set(fill.delay.as_secs_f64());
+fn update_gauges(core: &core::Core) {
+    let occupancy = core.queue.occupancy();
+    metrics::gauge!("fw_side_queued").set(f64::from(occupancy.queued));
+    metrics::gauge!("fw_side_running").set(f64::from(occupancy.running));
+    metrics::gauge!("fw_side_queue_delay_seconds").set(occupancy.delay.as_secs_f64());
     metrics::gauge!("fw_side_sessions").set(core.sessions.len() as f64);
-    metrics::gauge!("fw_side_releases_waiting").set(core.sessions.unconfirmed() as f64);
+    metrics::gauge!("fw_side_releases_waiting").set(core.sessions.unconfirmed_releases() as f64);
     metrics::gauge!("fw_side_history_bytes").set(core.histories.bytes() as f64);
 }
 
 /// The shards of a heartbeat whose fencing numbers are current.
-pub fn renew(
+pub fn renew_shards(
     core: &core::Core,
     shards: &[(id::ShardId, id::Fence)],
     now: Instant,
 ) -> HashSet<id::ShardId> {
     let mut renewed = HashSet::with_capacity(shards.len());
-    let mut passed_on = HashSet::new();
+    let mut moved = HashSet::new();
     for (shard, fence) in shards {
         match core.fences.renew(*shard, *fence, now) {
             super::fences::Check::Current => {
@@ -244,23 +246,23 @@
             }
             super::fences::Check::Newer => {
                 renewed.insert(*shard);
-                passed_on.insert(*shard);
+                moved.insert(*shard);
             }
             super::fences::Check::Stale { .. } => {
                 metrics::counter!("fw_side_stale_renewals_total").increment(1);
             }
         }
     }
-    if !passed_on.is_empty() {
-        fence_off(core, &passed_on);
+    if !moved.is_empty() {
+        end_fenced_turns(core, &moved);
     }
     renewed
 }
 
 /// Ends the turns of earlier keepers of `shards`. Their keeper may be cut off and not know that it
 /// lost the shard: it would give out an answer that the new keeper's history does not have.
-pub fn fence_off(core: &core::Core, shards: &HashSet<id::ShardId>) {
-    for attempt in core.attempts.under_way() {
+pub fn end_fenced_turns(core: &core::Core, shards: &HashSet<id::ShardId>) {
+    for attempt in core.attempts.unfinished() {
         let start = &attempt.start;
         let is_stale = core.fences.is_stale(start.shard, start.fence);
         if shards.contains(&start.shard) && is_stale {
--- a/fw-side/src/request/body.rs
+++ b/fw-side/src/request/body.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::refuse;
+use crate::errors;
 
 /// Room for the fields besides messages and parameters, in bytes.
 const FIELDS: usize = 256;
@@ -69,6 +69,6 @@
     }
     serde_json::from_str(params).map_err(|err| {
         let why = format!("`params` must be a JSON object: {err}");
-        refuse::with(error::Kind::BadRequest, why)
+        errors::counted(error::Kind::BadRequest, why)
     })
 }
--- a/fw-side/src/request/plain.rs
+++ b/fw-side/src/request/plain.rs
@@ -27,8 +27,8 @@
 use snafu::Snafu;
 use tokio::sync::OwnedSemaphorePermit;
 
+use crate::errors;
 use crate::process::core;
-use crate::refuse;
 
 /// Id of the call, drawn by the entry: 16 hex digits.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("x-fw-attempt");
@@ -121,10 +121,10 @@
 ) -> Result<Response, error::Error> {
     let terms = terms(core, req.headers())?;
     check_path(core, req.uri().path())?;
-    core.admits()?;
+    core.check_available()?;
     let place = place(core, terms.within).await?;
     // The upstream may have begun to leave while the call waited for its place.
-    core.admits()?;
+    core.check_available()?;
     let guard = Guard::begin(core, &terms)?;
     let sent = send(core, lane, req, terms.within).await;
     match sent {
@@ -147,7 +147,7 @@
         return Ok(());
     }
     let why = format!("a model engine takes plain calls to {ENGINE_PATHS:?} only, not `{path}`");
-    Err(refuse::with(error::Kind::UnknownRoute, why))
+    Err(errors::counted(error::Kind::UnknownRoute, why))
 }
 
 fn terms(core: &core::Core, headers: &HeaderMap) -> Result<Terms, error::Error> {
@@ -157,7 +157,7 @@
     let once = headers.get(ONCE).is_some_and(|value| value == "1");
     if once && attempt.is_none() {
         let why = "a call with `x-fw-once: 1` needs `x-fw-attempt`";
-        return Err(refuse::with(error::Kind::BadRequest, why));
+        return Err(errors::counted(error::Kind::BadRequest, why));
     }
     let millis: Option<u64> = parsed(headers, &DEADLINE, |text| text.parse().ok())?;
     let usual = core.opts.settings.engine.first_token_timeout;
@@ -179,21 +179,21 @@
     let value = value.to_str().ok().and_then(parse);
     value.map(Some).ok_or_else(|| {
         let why = format!("header `{name}` must be a whole number (`x-fw-attempt`: hexadecimal)");
-        refuse::with(error::Kind::BadRequest, why)
+        errors::counted(error::Kind::BadRequest, why)
     })
 }
 
 /// Waits a little for one of the places that programs cannot take.
 async fn place(core: &core::Core, within: Duration) -> Result<OwnedSemaphorePermit, error::Error> {
-    let wait = core.opts.plain_wait.min(within);
-    let place = core.plain.clone().acquire_owned();
+    let wait = core.opts.plain_max_wait.min(within);
+    let place = core.plain_slots.clone().acquire_owned();
     match tokio::time::timeout(wait, place).await {
         Ok(Ok(place)) => Ok(place),
         _ => {
             let most = core.opts.plain_concurrency;
             let why = format!("{most} plain calls are under way here; try later or elsewhere");
-            let err = refuse::with(error::Kind::Overloaded, why);
-            Err(err.with_retry_after(core.opts.plain_wait))
+            let err = errors::counted(error::Kind::Overloaded, why);
+            Err(err.with_retry_after(core.opts.plain_max_wait))
         }
     }
 }
@@ -209,7 +209,7 @@
     fn begin(core: &Arc<core::Core>, terms: &Terms) -> Result<Self, error::Error> {
         let once = terms.attempt.filter(|_| terms.once);
         if let Some(id) = once {
-            core.once.begin(id, Instant::now())?;
+            core.at_most_once.begin(id, Instant::now())?;
         }
         Ok(Self {
             core: core.clone(),
@@ -219,7 +219,7 @@
 
     fn unsent(mut self) {
         if let Some(id) = self.once.take() {
-            self.core.once.unsent(id);
+            self.core.at_most_once.forget_unsent(id);
         }
     }
 }
@@ -227,7 +227,7 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         if let Some(id) = self.once {
-            self.core.once.end(id);
+            self.core.at_most_once.finish(id);
         }
     }
 }
@@ -244,14 +244,14 @@
         Ok(Err(err)) if is_unsent(&err) => {
             let why = "no connection to the upstream is made; nothing was sent";
             let retry = core.opts.settings.engine.load_poll;
-            let err = refuse::with(error::Kind::NoUpstream, why);
+            let err = errors::counted(error::Kind::NoUpstream, why);
             Err(Lost::Unsent(err.with_retry_after(retry)))
         }
-        Ok(Err(err)) => Err(Lost::Sent(refuse::with(
+        Ok(Err(err)) => Err(Lost::Sent(errors::counted(
             error::Kind::UpstreamCrashed,
             format!("the upstream closed the connection under the call: {err}"),
         ))),
-        Err(_) => Err(Lost::Sent(refuse::with(
+        Err(_) => Err(Lost::Sent(errors::counted(
             error::Kind::UpstreamTimeout,
             format!("the upstream did not answer within {within:?}"),
         ))),
@@ -280,7 +280,7 @@
     let path = parts.path_and_query.take();
     parts.path_and_query = path.or_else(|| Some(uri::PathAndQuery::from_static("/")));
     *req.uri_mut() = http::Uri::from_parts(parts)
-        .map_err(|err| refuse::with(error::Kind::BadRequest, err.to_string()))?;
+        .map_err(|err| errors::counted(error::Kind::BadRequest, err.to_string()))?;
     *req.version_mut() = http::Version::HTTP_11;
     strip(req.headers_mut());
     req.headers_mut().remove(ONCE);
--- a/fw-side/src/request/run.rs
+++ b/fw-side/src/request/run.rs
@@ -15,11 +15,11 @@
 use super::answer;
 use super::body;
 use super::events;
+use crate::errors;
 use crate::process::attempts;
 use crate::process::core;
 use crate::process::engine;
 use crate::process::histories;
-use crate::refuse;
 
 /// Times that a cancellation is sent until the engine confirms it.
 const CANCEL_TRIES: u32 = 5;
@@ -60,7 +60,7 @@
 pub async fn run(core: Arc<core::Core>, attempt: Arc<attempts::Attempt>) {
     let start = &attempt.start;
     core.sessions
-        .begin(&start.program, start.shard, Instant::now());
+        .begin_run(&start.program, start.shard, Instant::now());
     attempt.buffer.running();
     let mut run = Run {
         name: name_of(start.attempt),
@@ -78,8 +78,8 @@
     let outcome = tokio::select! {
         outcome = run.drive() => Some(outcome),
         () = attempt.stop.cancelled() => None,
-        () = core.dead.cancelled() => return,
-        () = tokio::time::sleep_until(deadline) => Some(Err(Fault::Failed(refuse::with(
+        () = core.aborted.cancelled() => return,
+        () = tokio::time::sleep_until(deadline) => Some(Err(Fault::Failed(errors::counted(
             error::Kind::DeadlineExceeded,
             "the caller's deadline passed while the turn ran; allow more time",
         )))),
@@ -91,9 +91,9 @@
     }
     // Only now is the place in the engine free again: a request that runs on there would share
     // the batch with the next one, unseen by the queue.
-    core.sessions.end(&start.program, Instant::now());
-    core.line.done(start.attempt);
-    core.work.notify_one();
+    core.sessions.end_run(&start.program, Instant::now());
+    core.queue.finish(start.attempt);
+    core.queue_changed.notify_one();
 }
 
 /// The engine's name of an attempt's request.
@@ -103,7 +103,7 @@
 
 async fn cancel(core: &core::Core, name: &str) {
     for _ in 0..CANCEL_TRIES {
-        if core.is_down() || core.engine.cancel(name).await == engine::Order::Confirmed {
+        if core.is_down() || core.engine.cancel(name).await == engine::CommandResult::Confirmed {
             return;
         }
         tokio::time::sleep(CANCEL_PAUSE).await;
@@ -125,7 +125,7 @@
         let mut next = match sent.await {
             Ok(head) => Some(accepted(head).await?),
             Err(err) if err.is_unsent() => {
-                let refused = engine::is_refused(&err);
+                let refused = engine::is_connection_refused(&err);
                 return Err(Fault::Unsent { refused });
             }
             // The connection is of no use any more, but the engine may have the request.
@@ -145,7 +145,7 @@
             } else {
                 silent + 1
             };
-            if silent > self.core.opts.resumes {
+            if silent > self.core.opts.max_resumes {
                 return Err(self.timed_out());
             }
             next = self.resume().await?;
@@ -195,7 +195,7 @@
         metrics::counter!("fw_side_resumes_total").increment(1);
         let head = match self.core.engine.resume(&self.name, self.received).await {
             Ok(head) => head,
-            Err(err) if engine::is_refused(&err) => {
+            Err(err) if engine::is_connection_refused(&err) => {
                 return Err(Fault::Crashed("it refuses connections".into()));
             }
             Err(_) => return Ok(None),
@@ -213,7 +213,7 @@
         if self.accepted {
             return Fault::Crashed(why.into());
         }
-        Fault::Failed(refuse::with(
+        Fault::Failed(errors::counted(
             error::Kind::UpstreamCrashed,
             "the connection to the engine failed, and the engine does not know the request",
         ))
@@ -239,15 +239,15 @@
 
     fn note_token(&mut self) {
         let now = Instant::now();
-        self.core.meter.token(now);
+        self.core.meter.record_token(now);
         if let Some(last) = self.last {
-            self.core.meter.step(now - last);
+            self.core.meter.record_step(now - last);
         }
         self.last = Some(now);
         if self.first.is_none() {
             self.first = Some(now);
-            self.core.line.prefilled(self.attempt.start.attempt);
-            self.core.work.notify_one();
+            self.core.queue.finish_prefill(self.attempt.start.attempt);
+            self.core.queue_changed.notify_one();
         }
     }
 
@@ -261,7 +261,7 @@
     }
 
     fn timed_out(&self) -> Fault {
-        Fault::Failed(refuse::with(
+        Fault::Failed(errors::counted(
             error::Kind::UpstreamTimeout,
             "the engine stopped sending, and reading on over new connections brought nothing",
         ))
@@ -272,17 +272,17 @@
             Some(Ok(())) => self.finish(),
             Some(Err(Fault::Unsent { refused })) => {
                 let why = "no connection to the engine is made; nothing was sent";
-                self.fail(refuse::with(error::Kind::NoUpstream, why));
+                self.fail(errors::counted(error::Kind::NoUpstream, why));
                 if refused {
-                    self.core.crashed("it refuses connections");
+                    self.core.mark_crashed("it refuses connections");
                 }
             }
             Some(Err(Fault::Crashed(why))) => {
-                self.fail(refuse::with(
+                self.fail(errors::counted(
                     error::Kind::UpstreamCrashed,
                     format!("the engine crashed under the turn: {why}"),
                 ));
-                self.core.crashed(&why);
+                self.core.mark_crashed(&why);
             }
             Some(Err(Fault::Failed(err))) => self.fail(err),
             // Whoever stopped the run ended the attempt before.
@@ -297,13 +297,13 @@
     fn finish(&self) {
         let message = match self.answer.message() {
             Ok(message) => message,
-            Err(err) => return self.fail(refuse::with(error::Kind::Internal, err.to_string())),
+            Err(err) => return self.fail(errors::counted(error::Kind::Internal, err.to_string())),
         };
         let usage = self.answer.usage();
         let first = self.first.unwrap_or_else(Instant::now);
         let first_token = first.saturating_duration_since(self.released);
         let missed = usage.prompt.saturating_sub(usage.cached);
-        self.core.meter.prefill(missed, first_token);
+        self.core.meter.record_prefill(missed, first_token);
         self.remember(&message, usage);
         let finish = attempt::Finish {
             message,
@@ -311,7 +311,7 @@
             usage,
             queued: self
                 .released
-                .saturating_duration_since(self.attempt.arrived),
+                .saturating_duration_since(self.attempt.arrived_at),
             first_token,
             ran: self.released.elapsed(),
         };
@@ -329,8 +329,8 @@
         prompt.push(message.clone());
         self.core.histories.put(program, prompt);
         self.core
-            .changes
-            .note(program, usage.prompt + usage.completion);
+            .cache_view
+            .set_cached(program, usage.prompt + usage.completion);
     }
 }
 
@@ -345,5 +345,5 @@
 }
 
 fn failed(why: &str) -> Fault {
-    Fault::Failed(refuse::with(error::Kind::UpstreamError, why))
+    Fault::Failed(errors::counted(error::Kind::UpstreamError, why))
 }
--- a/fw-side/tests/side/cancel_turn.rs
+++ b/fw-side/tests/side/cancel_turn.rs
@@ -40,7 +40,7 @@
     rig.start(&waiting).await;
     let cx = transport::context(rig::LONG);
     rig.client.cancel(cx, 2).await.unwrap();
-    expect_that!(rig.side.core().line.fill().queued, eq(0));
+    expect_that!(rig.side.core().queue.occupancy().queued, eq(0));
     rig.read_all(1).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     expect_that!(rig.engine.runs(waiting.digest), eq(0));
--- a/fw-side/tests/side/engine_faults.rs
+++ b/fw-side/tests/side/engine_faults.rs
@@ -118,7 +118,7 @@
     let now = std::time::Instant::now();
     let patience = Duration::from_secs(10);
     expect_false!(meter.is_streaming(now, patience));
-    meter.token(now);
+    meter.record_token(now);
     expect_true!(meter.is_streaming(now + patience / 2, patience));
     expect_false!(meter.is_streaming(now + patience, patience));
 }
--- a/fw-side/tests/side/engine_memory.rs
+++ b/fw-side/tests/side/engine_memory.rs
@@ -26,13 +26,16 @@
     rig.turn(&rig::first_turn("p", 1, "hello")).await;
     expect_that!(rig.engine.held().len(), eq(1));
     let core = rig.side.core().clone();
-    rig::until("a release is lost", || core.sessions.unconfirmed() == 1).await;
+    rig::until("a release is lost", || {
+        core.sessions.unconfirmed_releases() == 1
+    })
+    .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     expect_that!(rig.engine.held().len(), eq(1));
     rig.engine.lose_releases(false);
     rig::until("the memory is free", || rig.engine.held().is_empty()).await;
     rig::until("the order is confirmed", || {
-        core.sessions.unconfirmed() == 0
+        core.sessions.unconfirmed_releases() == 0
     })
     .await;
 }
@@ -57,7 +60,7 @@
 #[tokio::test]
 async fn a_program_that_its_keeper_forgot_is_freed() {
     let mut opts = rig::options();
-    opts.ask_after = Duration::from_millis(50);
+    opts.verify_idle_after = Duration::from_millis(50);
     let rig = rig::Rig::with(rig::quick(), opts).await;
     rig.turn(&rig::first_turn("p", 1, "hello")).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
--- a/fw-side/tests/side/plain_lane.rs
+++ b/fw-side/tests/side/plain_lane.rs
@@ -172,7 +172,7 @@
 async fn a_call_too_many_is_refused() {
     let mut opts = rig::options();
     opts.plain_concurrency = 1;
-    opts.plain_wait = Duration::from_millis(20);
+    opts.plain_max_wait = Duration::from_millis(20);
     let lane = Lane::new(opts).await;
     lane.service.slow(Duration::from_millis(500));
     let second = async {
@@ -247,7 +247,7 @@
     for kind in fw_base::error::Kind::ALL {
         let series = format!(
             "{}{{kind=\"{}\"}}",
-            fw_side::refuse::ERRORS,
+            fw_side::errors::COUNTER,
             kind.row().label
         );
         expect_that!(text, contains_substring(series));
--- a/fw-side/tests/side/rig.rs
+++ b/fw-side/tests/side/rig.rs
@@ -43,7 +43,7 @@
 /// Options whose timeouts suit a test.
 pub fn options() -> Options {
     let mut opts = Options {
-        release_pause: Duration::from_millis(20),
+        release_backoff: Duration::from_millis(20),
         ..Options::default()
     };
     opts.settings.engine.load_poll = Duration::from_millis(20);
