--- a/fw-side/src/connection/mod.rs
+++ b/fw-side/src/connection/mod.rs
@@ -1,4 +1,4 @@
 //! What lives for one connection: the services that callers meet.
 
-pub mod calls;
+pub mod rpc;
 pub mod web;
--- a/fw-side/src/connection/calls.rs
+++ b/fw-side/src/connection/rpc.rs
@@ -22,15 +22,15 @@
 /// Part of the session time after which a shard without renewal is named in heartbeats: early
 /// enough for its new keeper to renew it in time, and later than the longest pause between the
 /// heartbeats of one that does.
-const UNRENEWED_PART: u32 = 2;
+const UNRENEWED_TTL_DIVISOR: u32 = 2;
 
 /// The service, as one connection sees it.
 #[derive(Clone, Debug)]
-pub struct Calls {
+pub struct Service {
     core: Arc<core::Core>,
 }
 
-impl Calls {
+impl Service {
     /// The service over `core`.
     pub fn new(core: Arc<core::Core>) -> Self {
         Self { core }
@@ -58,7 +58,10 @@
     /// The digest is computed again from the text that goes to the engine. Guards against a
     /// history that was mixed with another on its way or in memory here: the digest that the
     /// keeper's journal committed would not match.
-    fn prompt(&self, req: &mut side::Start) -> Result<Option<histories::Prompt>, error::Error> {
+    fn build_prompt(
+        &self,
+        req: &mut side::Start,
+    ) -> Result<Option<histories::Prompt>, error::Error> {
         let Some(mut prompt) = self.core.histories.get(&req.program, req.base) else {
             return Ok(None);
         };
@@ -87,7 +90,7 @@
         self.check_fence(req.shard, req.fence)?;
         self.core.check_available()?;
         body::check_params(&req.params)?;
-        let Some(prompt) = self.prompt(&mut req)? else {
+        let Some(prompt) = self.build_prompt(&mut req)? else {
             metrics::counter!("fw_side_need_history_total").increment(1);
             return Ok(side::StartReply::NeedHistory);
         };
@@ -98,13 +101,13 @@
     fn queue(&self, req: side::Start, prompt: histories::Prompt) -> Result<(), error::Error> {
         let cached = self.core.cache_view.cached_tokens(&req.program);
         let missing = req.prompt_tokens.saturating_sub(cached);
-        let before = self.core.attempts.unfinished_of(&req.program);
+        let superseded = self.core.attempts.unfinished_of(&req.program);
         let attempt = attempts::Attempt::new(req, prompt, Instant::now());
         let attempt = Arc::new(attempt);
         let push = || self.core.queue.push(&attempt, missing);
         let inserted = self.core.attempts.insert(attempt.clone(), push)?;
         if inserted == attempts::Insert::New {
-            self.supersede(&before);
+            self.supersede(&superseded);
             self.core.queue_changed.notify_one();
         }
         Ok(())
@@ -112,8 +115,8 @@
 
     /// Ends earlier attempts of the program. A program has one turn under way at a time, so its
     /// keeper has given those up, or has lost the shard and cannot commit them.
-    fn supersede(&self, before: &[Arc<attempts::Attempt>]) {
-        for attempt in before {
+    fn supersede(&self, superseded: &[Arc<attempts::Attempt>]) {
+        for attempt in superseded {
             metrics::counter!("fw_side_superseded_total").increment(1);
             let why = "the program's keeper started another attempt";
             self.core.cancel(attempt, why);
@@ -121,12 +124,12 @@
     }
 }
 
-impl Calls {
+impl Service {
     /// Shards whose sessions nobody renews, and those with answers held for an earlier keeper. Their
     /// keeper has to hear of them: else the sessions are freed, and the answers lost.
-    fn unrenewed(&self, now: Instant) -> Vec<id::ShardId> {
+    fn shards_to_report(&self, now: Instant) -> Vec<id::ShardId> {
         let core = &self.core;
-        let within = core.opts.settings.sessions.ttl / UNRENEWED_PART;
+        let within = core.opts.settings.sessions.ttl / UNRENEWED_TTL_DIVISOR;
         let mut shards = core.sessions.unrenewed_shards(&core.fences, within, now);
         shards.extend(held::shards(&core.attempts, &core.fences));
         shards.sort_unstable();
@@ -135,7 +138,7 @@
     }
 }
 
-impl side::Side for Calls {
+impl side::Side for Service {
     async fn heartbeat(self, _: context::Context, req: side::Heartbeat) -> side::HeartbeatReply {
         let now = Instant::now();
         let core = &self.core;
@@ -147,9 +150,9 @@
             }
         }
         core.releases_changed.notify_one();
-        let since = core.cache_view.changes_since(req.cache_seen);
+        let delta = core.cache_view.changes_since(req.cache_seen);
         let cfg = &core.opts.settings.instance;
-        let who = match req.known == core.incarnation {
+        let identity = match req.known == core.incarnation {
             true => side::HeartbeatReply::default(),
             false => side::HeartbeatReply {
                 upstream: cfg.id.clone(),
@@ -164,14 +167,14 @@
             leaving: core.is_leaving(),
             down: core.is_down(),
             load: core.load(now),
-            cache_seq: since.seq,
-            cache_reset: since.reset,
-            cache: since.changes,
+            cache_seq: delta.seq,
+            cache_reset: delta.reset,
+            cache: delta.changes,
             asked: core
                 .sessions
                 .take_idle(&renewed, core.opts.verify_idle_after, now),
-            unrenewed: self.unrenewed(now),
-            ..who
+            unrenewed: self.shards_to_report(now),
+            ..identity
         }
     }
 
@@ -190,10 +193,10 @@
     async fn read(self, _: context::Context, req: attempt::Read) -> attempt::ReadReply {
         match self.core.attempts.get(req.attempt) {
             Some(attempt) => {
-                let most = self.core.opts.max_read_wait;
+                let max_wait = self.core.opts.max_read_wait;
                 let req = attempt::Read {
-                    wait: req.wait.min(most),
-                    gather: req.gather.min(most),
+                    wait: req.wait.min(max_wait),
+                    gather: req.gather.min(max_wait),
                     ..req
                 };
                 attempt.read(&req).await
--- a/fw-side/src/connection/web.rs
+++ b/fw-side/src/connection/web.rs
@@ -27,34 +27,37 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Pause after a failure to accept, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What the HTTP port serves from.
 #[derive(Clone, Debug)]
-pub struct Web {
+pub struct HttpState {
     /// The side.
     pub core: Arc<core::Core>,
     /// The lane of plain calls.
-    pub plain: plain::Lane,
+    pub plain: plain::Client,
     /// Renders `/metrics`.
     pub metrics: PrometheusHandle,
 }
 
 /// The routes. Every path that is not the side's own goes to the upstream.
-pub fn router(web: Web) -> Router {
+pub fn router(state: HttpState) -> Router {
     Router::new()
         .route("/healthz", routing::get(StatusCode::OK))
         .route("/readyz", routing::get(ready))
-        .route("/metrics", routing::get(render))
+        .route("/metrics", routing::get(metrics_text))
         .route("/leave", routing::post(leave))
         .fallback(forward)
-        .layer(middleware::from_fn_with_state(web.clone(), bypass))
-        .with_state(web)
+        .layer(middleware::from_fn_with_state(
+            state.clone(),
+            forward_entry_calls,
+        ))
+        .with_state(state)
 }
 
 /// Serves connections until `closing`, then lets those under way end. Dropped, it ends them all.
-pub async fn serve(listener: TcpListener, web: Web, closing: CancellationToken) {
-    let router = router(web);
+pub async fn serve(listener: TcpListener, state: HttpState, closing: CancellationToken) {
+    let router = router(state);
     let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -66,7 +69,7 @@
                 let serve = serve_one(socket, router.clone(), closing.clone());
                 connections.spawn(serve);
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
         while connections.try_join_next().is_some() {}
     }
@@ -95,29 +98,33 @@
 
 /// Forwards every call of an entry, which has the header `x-fw-attempt`, also where its path is one
 /// of the side's own: a caller's `POST /leave` must not make the side leave.
-async fn bypass(State(web): State<Web>, req: Request, next: middleware::Next) -> Response {
+async fn forward_entry_calls(
+    State(state): State<HttpState>,
+    req: Request,
+    next: middleware::Next,
+) -> Response {
     if req.headers().contains_key(plain::ATTEMPT) {
-        return plain::forward(&web.core, &web.plain, req).await;
+        return plain::forward(&state.core, &state.plain, req).await;
     }
     next.run(req).await
 }
 
-async fn ready(State(web): State<Web>) -> StatusCode {
-    if web.core.is_leaving() || web.core.is_down() {
+async fn ready(State(state): State<HttpState>) -> StatusCode {
+    if state.core.is_leaving() || state.core.is_down() {
         return StatusCode::SERVICE_UNAVAILABLE;
     }
     StatusCode::OK
 }
 
-async fn render(State(web): State<Web>) -> String {
-    web.metrics.render()
+async fn metrics_text(State(state): State<HttpState>) -> String {
+    state.metrics.render()
 }
 
-async fn leave(State(web): State<Web>) -> StatusCode {
-    web.core.leave();
+async fn leave(State(state): State<HttpState>) -> StatusCode {
+    state.core.leave();
     StatusCode::ACCEPTED
 }
 
-async fn forward(State(web): State<Web>, req: Request) -> Response {
-    plain::forward(&web.core, &web.plain, req).await
+async fn forward(State(state): State<HttpState>, req: Request) -> Response {
+    plain::forward(&state.core, &state.plain, req).await
 }
--- a/fw-side/src/process/serve.rs
+++ b/fw-side/src/process/serve.rs
@@ -20,7 +20,7 @@
 
 use super::core;
 use super::tasks;
-use crate::connection::calls;
+use crate::connection::rpc;
 use crate::connection::web;
 use crate::errors;
 use crate::options;
@@ -106,7 +106,7 @@
     }
 
     fn serve(&mut self, calls: TcpListener, http: TcpListener, metrics: PrometheusHandle) {
-        let service = calls::Calls::new(self.core.clone());
+        let service = rpc::Service::new(self.core.clone());
         self.tasks.spawn(async move {
             transport::accept(calls, |connection: transport::SideTransport| {
                 server::BaseChannel::with_defaults(connection)
@@ -116,13 +116,13 @@
             .await;
         });
         let cfg = &self.core.opts.settings.engine;
-        let web = web::Web {
+        let state = web::HttpState {
             core: self.core.clone(),
-            plain: plain::Lane::new(cfg.address, cfg.connect_timeout),
+            plain: plain::Client::new(cfg.address, cfg.connect_timeout),
             metrics: metrics.clone(),
         };
         self.web
-            .spawn(web::serve(http, web, self.core.closing.clone()));
+            .spawn(web::serve(http, state, self.core.closing.clone()));
         self.tasks.spawn(async move {
             loop {
                 tokio::time::sleep(METRICS_UPKEEP_INTERVAL).await;
--- a/fw-side/src/request/answer.rs
+++ b/fw-side/src/request/answer.rs
@@ -79,7 +79,7 @@
 
 /// What a chunk was.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ChunkKind {
     /// A part of the answer, to be passed on.
     Part {
         /// It carries text or a tool call.
@@ -98,20 +98,20 @@
 pub struct Answer {
     content: String,
     refusal: String,
-    tools: BTreeMap<u32, ToolCall>,
+    tool_calls: BTreeMap<u32, ToolCall>,
     finish_reason: Option<String>,
     usage: chat::Usage,
 }
 
 impl Answer {
     /// Takes in one chunk.
-    pub fn take(&mut self, text: &str) -> Taken {
+    pub fn apply_chunk(&mut self, text: &str) -> ChunkKind {
         let chunk: Chunk = match serde_json::from_str(text) {
             Ok(chunk) => chunk,
-            Err(err) => return Taken::Malformed(err.to_string()),
+            Err(err) => return ChunkKind::Malformed(err.to_string()),
         };
         if let Some(err) = chunk.error {
-            return Taken::Error(err.to_string());
+            return ChunkKind::Error(err.to_string());
         }
         if let Some(usage) = &chunk.usage {
             let details = usage.prompt_tokens_details.as_ref();
@@ -122,29 +122,29 @@
             };
         }
         let Some(choice) = chunk.choices.into_iter().next() else {
-            return Taken::Usage;
+            return ChunkKind::Usage;
         };
-        let has_content = self.take_delta(choice.delta);
+        let has_content = self.apply_delta(choice.delta);
         self.finish_reason = choice.finish_reason.or(self.finish_reason.take());
-        Taken::Part { has_content }
+        ChunkKind::Part { has_content }
     }
 
-    fn take_delta(&mut self, delta: Delta) -> bool {
+    fn apply_delta(&mut self, delta: Delta) -> bool {
         let content = delta.content.unwrap_or_default();
         let refusal = delta.refusal.unwrap_or_default();
         let has_text = !content.is_empty() || !refusal.is_empty();
-        let has_tools = !delta.tool_calls.is_empty();
+        let has_tool_calls = !delta.tool_calls.is_empty();
         self.content.push_str(&content);
         self.refusal.push_str(&refusal);
         for part in delta.tool_calls {
-            let call = self.tools.entry(part.index).or_default();
+            let call = self.tool_calls.entry(part.index).or_default();
             call.id.push_str(&part.id.unwrap_or_default());
             let function = part.function;
             call.name.push_str(&function.name.unwrap_or_default());
             call.arguments
                 .push_str(&function.arguments.unwrap_or_default());
         }
-        has_text || has_tools
+        has_text || has_tool_calls
     }
 
     /// Token counts, once the engine gave them.
@@ -166,14 +166,14 @@
         let mut message = json!({ "role": "assistant" });
         // Client libraries send a message without text back with `content` null or absent, and
         // both are dropped in canonical form; an empty text beside tool calls is as good as none.
-        if !self.content.is_empty() || self.tools.is_empty() {
+        if !self.content.is_empty() || self.tool_calls.is_empty() {
             message["content"] = json!(self.content);
         }
         if !self.refusal.is_empty() {
             message["refusal"] = json!(self.refusal);
         }
-        if !self.tools.is_empty() {
-            let calls: Vec<_> = self.tools.values().map(ToolCall::to_value).collect();
+        if !self.tool_calls.is_empty() {
+            let calls: Vec<_> = self.tool_calls.values().map(ToolCall::to_value).collect();
             message["tool_calls"] = json!(calls);
         }
         chat::Message::from_value(message)
--- a/fw-side/src/request/body.rs
+++ b/fw-side/src/request/body.rs
@@ -11,7 +11,7 @@
 use crate::errors;
 
 /// Room for the fields besides messages and parameters, in bytes.
-const FIELDS: usize = 256;
+const FIELDS_CAPACITY: usize = 256;
 
 /// What the body says besides the messages.
 #[derive(Clone, Copy, Debug)]
@@ -30,7 +30,7 @@
 ///
 /// `BadRequest` if they are no JSON object.
 pub fn check_params(params: &str) -> Result<(), error::Error> {
-    parse(params).map(|_| ())
+    parse_params(params).map(|_| ())
 }
 
 /// Writes the body. The messages' text is copied here and nowhere else.
@@ -39,7 +39,7 @@
 ///
 /// `BadRequest` if the parameters are no JSON object.
 pub fn write(opts: &Options<'_>, messages: &[chat::Message]) -> Result<Bytes, error::Error> {
-    let mut fields = parse(opts.params)?;
+    let mut fields = parse_params(opts.params)?;
     fields.remove("messages");
     fields.insert("model".into(), json!(opts.model));
     fields.insert("stream".into(), json!(true));
@@ -49,7 +49,7 @@
     }
     let head = Value::Object(fields).to_string();
     let texts = messages.iter().map(|message| message.as_str().len() + 1);
-    let mut buf = Vec::with_capacity(head.len() + FIELDS + texts.sum::<usize>());
+    let mut buf = Vec::with_capacity(head.len() + FIELDS_CAPACITY + texts.sum::<usize>());
     let open = head.strip_suffix('}').unwrap_or(&head);
     buf.extend_from_slice(open.as_bytes());
     buf.extend_from_slice(b",\"messages\":[");
@@ -63,7 +63,7 @@
     Ok(buf.into())
 }
 
-fn parse(params: &str) -> Result<Map<String, Value>, error::Error> {
+fn parse_params(params: &str) -> Result<Map<String, Value>, error::Error> {
     if params.is_empty() {
         return Ok(Map::new());
     }
--- a/fw-side/src/request/mod.rs
+++ b/fw-side/src/request/mod.rs
@@ -2,6 +2,6 @@
 
 pub mod answer;
 pub mod body;
-pub mod events;
 pub mod plain;
 pub mod run;
+pub mod sse;
--- a/fw-side/src/request/plain.rs
+++ b/fw-side/src/request/plain.rs
@@ -57,18 +57,18 @@
 /// The body of an answer stopped coming.
 #[derive(Debug, Snafu)]
 #[snafu(display("the upstream sent nothing for {after:?}"))]
-struct Silent {
+struct IdleTimeout {
     after: Duration,
 }
 
 /// Connections to the plain upstream.
 #[derive(Clone, Debug)]
-pub struct Lane {
+pub struct Client {
     pool: legacy::Client<HttpConnector, Body>,
     authority: uri::Authority,
 }
 
-impl Lane {
+impl Client {
     /// A lane to `addr`.
     ///
     /// # Panics
@@ -94,21 +94,21 @@
 
 /// What the headers of a call ask for.
 #[derive(Clone, Copy, Debug)]
-struct Terms {
+struct CallOptions {
     attempt: Option<id::AttemptId>,
-    once: bool,
-    within: Duration,
+    at_most_once: bool,
+    timeout: Duration,
 }
 
 /// How a call went without an answer of the upstream.
-enum Lost {
+enum SendError {
     Unsent(error::Error),
     Sent(error::Error),
 }
 
 /// Forwards a call, or refuses it with the truth about whether it ran.
-pub async fn forward(core: &Arc<core::Core>, lane: &Lane, req: Request) -> Response {
-    match try_forward(core, lane, req).await {
+pub async fn forward(core: &Arc<core::Core>, client: &Client, req: Request) -> Response {
+    match try_forward(core, client, req).await {
         Ok(answer) => answer,
         Err(err) => refusal(&err),
     }
@@ -116,24 +116,24 @@
 
 async fn try_forward(
     core: &Arc<core::Core>,
-    lane: &Lane,
+    client: &Client,
     req: Request,
 ) -> Result<Response, error::Error> {
-    let terms = terms(core, req.headers())?;
+    let options = call_options(core, req.headers())?;
     check_path(core, req.uri().path())?;
     core.check_available()?;
-    let place = place(core, terms.within).await?;
+    let slot = acquire_slot(core, options.timeout).await?;
     // The upstream may have begun to leave while the call waited for its place.
     core.check_available()?;
-    let guard = Guard::begin(core, &terms)?;
-    let sent = send(core, lane, req, terms.within).await;
+    let guard = OnceGuard::begin(core, &options)?;
+    let sent = send(core, client, req, options.timeout).await;
     match sent {
-        Ok(answer) => Ok(with_idle_timeout(core, answer, place, guard)),
-        Err(Lost::Unsent(err)) => {
-            guard.unsent();
+        Ok(answer) => Ok(with_idle_timeout(core, answer, slot, guard)),
+        Err(SendError::Unsent(err)) => {
+            guard.forget_unsent();
             Err(err)
         }
-        Err(Lost::Sent(err)) => Err(err),
+        Err(SendError::Sent(err)) => Err(err),
     }
 }
 
@@ -150,25 +150,27 @@
     Err(errors::counted(error::Kind::UnknownRoute, why))
 }
 
-fn terms(core: &core::Core, headers: &HeaderMap) -> Result<Terms, error::Error> {
-    let attempt = parsed(headers, &ATTEMPT, |text| {
+fn call_options(core: &core::Core, headers: &HeaderMap) -> Result<CallOptions, error::Error> {
+    let attempt = parse_header(headers, &ATTEMPT, |text| {
         id::AttemptId::from_str_radix(text, 16).ok()
     })?;
-    let once = headers.get(ONCE).is_some_and(|value| value == "1");
-    if once && attempt.is_none() {
+    let at_most_once = headers.get(ONCE).is_some_and(|value| value == "1");
+    if at_most_once && attempt.is_none() {
         let why = "a call with `x-fw-once: 1` needs `x-fw-attempt`";
         return Err(errors::counted(error::Kind::BadRequest, why));
     }
-    let millis: Option<u64> = parsed(headers, &DEADLINE, |text| text.parse().ok())?;
-    let usual = core.opts.settings.engine.first_token_timeout;
-    Ok(Terms {
+    let millis: Option<u64> = parse_header(headers, &DEADLINE, |text| text.parse().ok())?;
+    let max_timeout = core.opts.settings.engine.first_token_timeout;
+    Ok(CallOptions {
         attempt,
-        once,
-        within: millis.map_or(usual, Duration::from_millis).min(usual),
+        at_most_once,
+        timeout: millis
+            .map_or(max_timeout, Duration::from_millis)
+            .min(max_timeout),
     })
 }
 
-fn parsed<T>(
+fn parse_header<T>(
     headers: &HeaderMap,
     name: &HeaderName,
     parse: impl Fn(&str) -> Option<T>,
@@ -184,11 +186,14 @@
 }
 
 /// Waits a little for one of the places that programs cannot take.
-async fn place(core: &core::Core, within: Duration) -> Result<OwnedSemaphorePermit, error::Error> {
-    let wait = core.opts.plain_max_wait.min(within);
-    let place = core.plain_slots.clone().acquire_owned();
-    match tokio::time::timeout(wait, place).await {
-        Ok(Ok(place)) => Ok(place),
+async fn acquire_slot(
+    core: &core::Core,
+    timeout: Duration,
+) -> Result<OwnedSemaphorePermit, error::Error> {
+    let wait = core.opts.plain_max_wait.min(timeout);
+    let slot = core.plain_slots.clone().acquire_owned();
+    match tokio::time::timeout(wait, slot).await {
+        Ok(Ok(slot)) => Ok(slot),
         _ => {
             let most = core.opts.plain_concurrency;
             let why = format!("{most} plain calls are under way here; try later or elsewhere");
@@ -200,14 +205,14 @@
 
 /// Keeps the at-most-once mark of a call true however the call ends, also when its caller goes
 /// away and the call is dropped half-way.
-struct Guard {
+struct OnceGuard {
     core: Arc<core::Core>,
     once: Option<id::AttemptId>,
 }
 
-impl Guard {
-    fn begin(core: &Arc<core::Core>, terms: &Terms) -> Result<Self, error::Error> {
-        let once = terms.attempt.filter(|_| terms.once);
+impl OnceGuard {
+    fn begin(core: &Arc<core::Core>, options: &CallOptions) -> Result<Self, error::Error> {
+        let once = options.attempt.filter(|_| options.at_most_once);
         if let Some(id) = once {
             core.at_most_once.begin(id, Instant::now())?;
         }
@@ -217,14 +222,14 @@
         })
     }
 
-    fn unsent(mut self) {
+    fn forget_unsent(mut self) {
         if let Some(id) = self.once.take() {
             self.core.at_most_once.forget_unsent(id);
         }
     }
 }
 
-impl Drop for Guard {
+impl Drop for OnceGuard {
     fn drop(&mut self) {
         if let Some(id) = self.once {
             self.core.at_most_once.finish(id);
@@ -234,26 +239,26 @@
 
 async fn send(
     core: &core::Core,
-    lane: &Lane,
+    client: &Client,
     mut req: Request,
-    within: Duration,
-) -> Result<http::Response<hyper::body::Incoming>, Lost> {
-    readdress(lane, &mut req).map_err(Lost::Unsent)?;
-    match tokio::time::timeout(within, lane.pool.request(req)).await {
+    timeout: Duration,
+) -> Result<http::Response<hyper::body::Incoming>, SendError> {
+    rewrite_request(client, &mut req).map_err(SendError::Unsent)?;
+    match tokio::time::timeout(timeout, client.pool.request(req)).await {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(err)) if is_unsent(&err) => {
             let why = "no connection to the upstream is made; nothing was sent";
             let retry = core.opts.settings.engine.load_poll;
             let err = errors::counted(error::Kind::NoUpstream, why);
-            Err(Lost::Unsent(err.with_retry_after(retry)))
+            Err(SendError::Unsent(err.with_retry_after(retry)))
         }
-        Ok(Err(err)) => Err(Lost::Sent(errors::counted(
+        Ok(Err(err)) => Err(SendError::Sent(errors::counted(
             error::Kind::UpstreamCrashed,
             format!("the upstream closed the connection under the call: {err}"),
         ))),
-        Err(_) => Err(Lost::Sent(errors::counted(
+        Err(_) => Err(SendError::Sent(errors::counted(
             error::Kind::UpstreamTimeout,
-            format!("the upstream did not answer within {within:?}"),
+            format!("the upstream did not answer within {timeout:?}"),
         ))),
     }
 }
@@ -273,22 +278,22 @@
     false
 }
 
-fn readdress(lane: &Lane, req: &mut Request) -> Result<(), error::Error> {
+fn rewrite_request(client: &Client, req: &mut Request) -> Result<(), error::Error> {
     let mut parts = std::mem::take(req.uri_mut()).into_parts();
     parts.scheme = Some(uri::Scheme::HTTP);
-    parts.authority = Some(lane.authority.clone());
+    parts.authority = Some(client.authority.clone());
     let path = parts.path_and_query.take();
     parts.path_and_query = path.or_else(|| Some(uri::PathAndQuery::from_static("/")));
     *req.uri_mut() = http::Uri::from_parts(parts)
         .map_err(|err| errors::counted(error::Kind::BadRequest, err.to_string()))?;
     *req.version_mut() = http::Version::HTTP_11;
-    strip(req.headers_mut());
+    strip_hop_by_hop(req.headers_mut());
     req.headers_mut().remove(ONCE);
     req.headers_mut().remove(DEADLINE);
     Ok(())
 }
 
-fn strip(headers: &mut HeaderMap) {
+fn strip_hop_by_hop(headers: &mut HeaderMap) {
     for name in &HOP_BY_HOP {
         headers.remove(name);
     }
@@ -298,24 +303,24 @@
 fn with_idle_timeout(
     core: &core::Core,
     answer: http::Response<hyper::body::Incoming>,
-    place: OwnedSemaphorePermit,
-    guard: Guard,
+    slot: OwnedSemaphorePermit,
+    guard: OnceGuard,
 ) -> Response {
     let after = core.opts.settings.engine.between_tokens_timeout;
     let (mut head, body) = answer.into_parts();
-    strip(&mut head.headers);
+    strip_hop_by_hop(&mut head.headers);
     // Both belong to the side alone; an upstream must not be taken for it.
     head.headers.remove(ERROR);
     head.headers.remove(RAN);
     let body = Body::new(body).into_data_stream();
-    let held = (body, place, guard);
-    let chunks = stream::unfold(Some(held), move |held| async move {
-        let mut held = held?;
-        match tokio::time::timeout(after, held.0.next()).await {
-            Ok(Some(Ok(chunk))) => Some((Ok(chunk), Some(held))),
+    let state = (body, slot, guard);
+    let chunks = stream::unfold(Some(state), move |state| async move {
+        let mut state = state?;
+        match tokio::time::timeout(after, state.0.next()).await {
+            Ok(Some(Ok(chunk))) => Some((Ok(chunk), Some(state))),
             Ok(Some(Err(err))) => Some((Err(err), None)),
             Ok(None) => None,
-            Err(_) => Some((Err(axum::Error::new(Silent { after })), None)),
+            Err(_) => Some((Err(axum::Error::new(IdleTimeout { after })), None)),
         }
     });
     Response::from_parts(head, Body::from_stream(chunks))
--- a/fw-side/src/request/run.rs
+++ b/fw-side/src/request/run.rs
@@ -14,7 +14,7 @@
 
 use super::answer;
 use super::body;
-use super::events;
+use super::sse;
 use crate::errors;
 use crate::process::attempts;
 use crate::process::core;
@@ -22,13 +22,13 @@
 use crate::process::histories;
 
 /// Times that a cancellation is sent until the engine confirms it.
-const CANCEL_TRIES: u32 = 5;
+const MAX_CANCEL_ATTEMPTS: u32 = 5;
 /// Pause between them.
-const CANCEL_PAUSE: Duration = Duration::from_millis(200);
+const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// How a run went over its connections to the engine.
 #[derive(Debug)]
-enum Fault {
+enum RunError {
     /// No connection was made, so no byte was sent.
     Unsent {
         /// Nobody listens: the engine is not there.
@@ -45,15 +45,15 @@
     core: &'a core::Core,
     attempt: &'a attempts::Attempt,
     prompt: histories::Prompt,
-    name: String,
-    released: Instant,
+    request_id: String,
+    dispatched_at: Instant,
     answer: answer::Answer,
     /// The engine answered, so it has the request.
     accepted: bool,
     /// Events received from the engine.
-    received: usize,
-    first: Option<Instant>,
-    last: Option<Instant>,
+    received_events: usize,
+    first_token_at: Option<Instant>,
+    last_token_at: Option<Instant>,
 }
 
 /// Runs `attempt`, which was released from the queue, and ends it. Never sends it twice.
@@ -63,23 +63,23 @@
         .begin_run(&start.program, start.shard, Instant::now());
     attempt.buffer.running();
     let mut run = Run {
-        name: name_of(start.attempt),
+        request_id: request_id_of(start.attempt),
         core: &core,
         attempt: &attempt,
         prompt: attempt.take_prompt(),
-        released: Instant::now(),
+        dispatched_at: Instant::now(),
         answer: answer::Answer::default(),
         accepted: false,
-        received: 0,
-        first: None,
-        last: None,
+        received_events: 0,
+        first_token_at: None,
+        last_token_at: None,
     };
     let deadline = tokio::time::Instant::from_std(attempt.deadline());
     let outcome = tokio::select! {
-        outcome = run.drive() => Some(outcome),
+        outcome = run.execute() => Some(outcome),
         () = attempt.stop.cancelled() => None,
         () = core.aborted.cancelled() => return,
-        () = tokio::time::sleep_until(deadline) => Some(Err(Fault::Failed(errors::counted(
+        () = tokio::time::sleep_until(deadline) => Some(Err(RunError::Failed(errors::counted(
             error::Kind::DeadlineExceeded,
             "the caller's deadline passed while the turn ran; allow more time",
         )))),
@@ -87,7 +87,7 @@
     let needs_cancel = !matches!(outcome, Some(Ok(())));
     run.conclude(outcome);
     if needs_cancel {
-        cancel(&core, &run.name).await;
+        cancel(&core, &run.request_id).await;
     }
     // Only now is the place in the engine free again: a request that runs on there would share
     // the batch with the next one, unseen by the queue.
@@ -97,56 +97,61 @@
 }
 
 /// The engine's name of an attempt's request.
-fn name_of(attempt: id::AttemptId) -> String {
+fn request_id_of(attempt: id::AttemptId) -> String {
     format!("{attempt:016x}")
 }
 
-async fn cancel(core: &core::Core, name: &str) {
-    for _ in 0..CANCEL_TRIES {
-        if core.is_down() || core.engine.cancel(name).await == engine::CommandResult::Confirmed {
+async fn cancel(core: &core::Core, request_id: &str) {
+    for _ in 0..MAX_CANCEL_ATTEMPTS {
+        if core.is_down()
+            || core.engine.cancel(request_id).await == engine::CommandResult::Confirmed
+        {
             return;
         }
-        tokio::time::sleep(CANCEL_PAUSE).await;
+        tokio::time::sleep(CANCEL_RETRY_DELAY).await;
     }
     metrics::counter!("fw_side_cancels_unconfirmed_total").increment(1);
 }
 
 impl Run<'_> {
     /// Sends the request once and takes in its stream until it is whole.
-    async fn drive(&mut self) -> Result<(), Fault> {
+    async fn execute(&mut self) -> Result<(), RunError> {
         let start = &self.attempt.start;
         let opts = body::Options {
             model: &start.model,
             max_tokens: start.max_tokens,
             params: &start.params,
         };
-        let body = body::write(&opts, self.prompt.messages()).map_err(Fault::Failed)?;
-        let sent = self.core.engine.complete(&self.name, &start.program, body);
+        let body = body::write(&opts, self.prompt.messages()).map_err(RunError::Failed)?;
+        let sent = self
+            .core
+            .engine
+            .complete(&self.request_id, &start.program, body);
         let mut next = match sent.await {
-            Ok(head) => Some(accepted(head).await?),
+            Ok(head) => Some(open_stream(head).await?),
             Err(err) if err.is_unsent() => {
                 let refused = engine::is_connection_refused(&err);
-                return Err(Fault::Unsent { refused });
+                return Err(RunError::Unsent { refused });
             }
             // The connection is of no use any more, but the engine may have the request.
             Err(_) => None,
         };
         self.accepted = next.is_some();
-        let mut silent = 0;
+        let mut empty_reads = 0;
         loop {
-            let before = self.received;
+            let before = self.received_events;
             if let Some(body) = next.take()
-                && self.follow(body).await?
+                && self.read_stream(body).await?
             {
                 return Ok(());
             }
-            silent = if self.received > before {
+            empty_reads = if self.received_events > before {
                 0
             } else {
-                silent + 1
+                empty_reads + 1
             };
-            if silent > self.core.opts.max_resumes {
-                return Err(self.timed_out());
+            if empty_reads > self.core.opts.max_resumes {
+                return Err(self.timeout_error());
             }
             next = self.resume().await?;
         }
@@ -154,33 +159,33 @@
 
     /// Takes in one connection's part of the stream; true when the answer is whole, false when
     /// the connection broke or went silent.
-    async fn follow(&mut self, mut body: Incoming) -> Result<bool, Fault> {
-        let mut events = events::Events::default();
+    async fn read_stream(&mut self, mut body: Incoming) -> Result<bool, RunError> {
+        let mut decoder = sse::Decoder::default();
         loop {
             loop {
-                match events.cut() {
-                    events::Next::Data(data) => self.take(data)?,
-                    events::Next::Done => return self.whole().map(|()| true),
-                    events::Next::Incomplete => break,
-                    events::Next::Malformed => {
-                        return Err(failed("the engine's stream is malformed"));
+                match decoder.next_event() {
+                    sse::Decoded::Data(data) => self.handle_chunk(data)?,
+                    sse::Decoded::Done => return self.check_complete().map(|()| true),
+                    sse::Decoded::Incomplete => break,
+                    sse::Decoded::Malformed => {
+                        return Err(upstream_error("the engine's stream is malformed"));
                     }
                 }
             }
-            let patience = self.patience();
-            let Ok(Some(Ok(frame))) = tokio::time::timeout(patience, body.frame()).await else {
+            let idle_timeout = self.idle_timeout();
+            let Ok(Some(Ok(frame))) = tokio::time::timeout(idle_timeout, body.frame()).await else {
                 return Ok(false);
             };
             if let Some(bytes) = frame.data_ref() {
-                events.feed(bytes);
+                decoder.feed(bytes);
             }
         }
     }
 
     /// How long the stream may be silent.
-    fn patience(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         let cfg = &self.core.opts.settings.engine;
-        match self.first {
+        match self.first_token_at {
             None => cfg.first_token_timeout,
             Some(_) => cfg.between_tokens_timeout,
         }
@@ -191,100 +196,107 @@
     /// Guards against a connection that went silent for good while new ones work: the caller
     /// would wait for ever, and sending the request again would run the turn twice. The engine
     /// knows the request by its name and gives the chunks from the offset on.
-    async fn resume(&self) -> Result<Option<Incoming>, Fault> {
+    async fn resume(&self) -> Result<Option<Incoming>, RunError> {
         metrics::counter!("fw_side_resumes_total").increment(1);
-        let head = match self.core.engine.resume(&self.name, self.received).await {
+        let head = match self
+            .core
+            .engine
+            .resume(&self.request_id, self.received_events)
+            .await
+        {
             Ok(head) => head,
             Err(err) if engine::is_connection_refused(&err) => {
-                return Err(Fault::Crashed("it refuses connections".into()));
+                return Err(RunError::Crashed("it refuses connections".into()));
             }
             Err(_) => return Ok(None),
         };
         if head.status() == http::StatusCode::NOT_FOUND {
-            return Err(self.unknown_to_engine());
+            return Err(self.unknown_request_error());
         }
-        accepted(head).await.map(Some)
+        open_stream(head).await.map(Some)
     }
 
     /// An engine that took the request and does not know it any more was restarted. One that never
     /// answered may not have got it, or may have been restarted too: that concerns this turn only.
-    fn unknown_to_engine(&self) -> Fault {
+    fn unknown_request_error(&self) -> RunError {
         let why = "it does not know the request";
         if self.accepted {
-            return Fault::Crashed(why.into());
+            return RunError::Crashed(why.into());
         }
-        Fault::Failed(errors::counted(
+        RunError::Failed(errors::counted(
             error::Kind::UpstreamCrashed,
             "the connection to the engine failed, and the engine does not know the request",
         ))
     }
 
-    fn take(&mut self, data: String) -> Result<(), Fault> {
-        self.received += 1;
-        match self.answer.take(&data) {
-            answer::Taken::Part { has_content } => {
+    fn handle_chunk(&mut self, data: String) -> Result<(), RunError> {
+        self.received_events += 1;
+        match self.answer.apply_chunk(&data) {
+            answer::ChunkKind::Part { has_content } => {
                 if has_content {
-                    self.note_token();
+                    self.record_token();
                 }
                 self.attempt.push(attempt::Event::from(data));
                 Ok(())
             }
-            answer::Taken::Usage => Ok(()),
-            answer::Taken::Error(why) => Err(failed(&format!("the engine says: {why}"))),
-            answer::Taken::Malformed(why) => {
-                Err(failed(&format!("the engine sent no valid chunk: {why}")))
+            answer::ChunkKind::Usage => Ok(()),
+            answer::ChunkKind::Error(why) => {
+                Err(upstream_error(&format!("the engine says: {why}")))
             }
+            answer::ChunkKind::Malformed(why) => Err(upstream_error(&format!(
+                "the engine sent no valid chunk: {why}"
+            ))),
         }
     }
 
-    fn note_token(&mut self) {
+    fn record_token(&mut self) {
         let now = Instant::now();
         self.core.meter.record_token(now);
-        if let Some(last) = self.last {
-            self.core.meter.record_step(now - last);
+        if let Some(last_token_at) = self.last_token_at {
+            self.core.meter.record_step(now - last_token_at);
         }
-        self.last = Some(now);
-        if self.first.is_none() {
-            self.first = Some(now);
+        self.last_token_at = Some(now);
+        if self.first_token_at.is_none() {
+            self.first_token_at = Some(now);
             self.core.queue.finish_prefill(self.attempt.start.attempt);
             self.core.queue_changed.notify_one();
         }
     }
 
-    fn whole(&self) -> Result<(), Fault> {
+    fn check_complete(&self) -> Result<(), RunError> {
         match self.answer.finish_reason() {
             Some(_) => Ok(()),
-            None => Err(failed(
+            None => Err(upstream_error(
                 "the engine ended the stream without a finish reason",
             )),
         }
     }
 
-    fn timed_out(&self) -> Fault {
-        Fault::Failed(errors::counted(
+    fn timeout_error(&self) -> RunError {
+        RunError::Failed(errors::counted(
             error::Kind::UpstreamTimeout,
             "the engine stopped sending, and reading on over new connections brought nothing",
         ))
     }
 
-    fn conclude(&self, outcome: Option<Result<(), Fault>>) {
+    fn conclude(&self, outcome: Option<Result<(), RunError>>) {
         match outcome {
             Some(Ok(())) => self.finish(),
-            Some(Err(Fault::Unsent { refused })) => {
+            Some(Err(RunError::Unsent { refused })) => {
                 let why = "no connection to the engine is made; nothing was sent";
                 self.fail(errors::counted(error::Kind::NoUpstream, why));
                 if refused {
                     self.core.mark_crashed("it refuses connections");
                 }
             }
-            Some(Err(Fault::Crashed(why))) => {
+            Some(Err(RunError::Crashed(why))) => {
                 self.fail(errors::counted(
                     error::Kind::UpstreamCrashed,
                     format!("the engine crashed under the turn: {why}"),
                 ));
                 self.core.mark_crashed(&why);
             }
-            Some(Err(Fault::Failed(err))) => self.fail(err),
+            Some(Err(RunError::Failed(err))) => self.fail(err),
             // Whoever stopped the run ended the attempt before.
             None => {}
         }
@@ -300,30 +312,30 @@
             Err(err) => return self.fail(errors::counted(error::Kind::Internal, err.to_string())),
         };
         let usage = self.answer.usage();
-        let first = self.first.unwrap_or_else(Instant::now);
-        let first_token = first.saturating_duration_since(self.released);
-        let missed = usage.prompt.saturating_sub(usage.cached);
-        self.core.meter.record_prefill(missed, first_token);
-        self.remember(&message, usage);
+        let first_token_at = self.first_token_at.unwrap_or_else(Instant::now);
+        let first_token = first_token_at.saturating_duration_since(self.dispatched_at);
+        let uncached = usage.prompt.saturating_sub(usage.cached);
+        self.core.meter.record_prefill(uncached, first_token);
+        self.store_history(&message, usage);
         let finish = attempt::Finish {
             message,
             finish_reason: self.answer.finish_reason().unwrap_or("stop").to_owned(),
             usage,
             queued: self
-                .released
+                .dispatched_at
                 .saturating_duration_since(self.attempt.arrived_at),
             first_token,
-            ran: self.released.elapsed(),
+            ran: self.dispatched_at.elapsed(),
         };
         metrics::histogram!("fw_side_first_token_seconds").record(first_token.as_secs_f64());
-        metrics::counter!("fw_side_prefilled_tokens_total").increment(missed);
+        metrics::counter!("fw_side_prefilled_tokens_total").increment(uncached);
         metrics::counter!("fw_side_cached_tokens_total").increment(usage.cached);
         self.attempt.end(attempt::State::Done(Box::new(finish)));
     }
 
     /// Keeps the history for the next turn, and notes what the engine's cache holds of it now;
     /// the engine's own events say so later.
-    fn remember(&self, message: &chat::Message, usage: chat::Usage) {
+    fn store_history(&self, message: &chat::Message, usage: chat::Usage) {
         let program = &self.attempt.start.program;
         let mut prompt = self.prompt.clone();
         prompt.push(message.clone());
@@ -335,15 +347,17 @@
 }
 
 /// The stream of an answer whose status is good.
-async fn accepted(head: http::Response<Incoming>) -> Result<Incoming, Fault> {
+async fn open_stream(head: http::Response<Incoming>) -> Result<Incoming, RunError> {
     let status = head.status();
     if status.is_success() {
         return Ok(head.into_body());
     }
     let text = engine::error_text(head.into_body()).await;
-    Err(failed(&format!("the engine answered {status}: {text}")))
+    Err(upstream_error(&format!(
+        "the engine answered {status}: {text}"
+    )))
 }
 
-fn failed(why: &str) -> Fault {
-    Fault::Failed(errors::counted(error::Kind::UpstreamError, why))
+fn upstream_error(why: &str) -> RunError {
+    RunError::Failed(errors::counted(error::Kind::UpstreamError, why))
 }
--- a/fw-side/src/request/events.rs
+++ b/fw-side/src/request/sse.rs
@@ -3,11 +3,11 @@
 use bytes::BytesMut;
 
 /// Largest event, in bytes.
-const MAX_EVENT: usize = 4 << 20;
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
 /// What the bytes so far hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Decoded {
     /// The data of an event.
     Data(String),
     /// The event that ends the stream.
@@ -20,13 +20,13 @@
 
 /// Bytes that were not cut into events yet.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct Decoder {
     buf: BytesMut,
     /// Bytes of `buf` that are known to hold no line end.
     scanned: usize,
 }
 
-impl Events {
+impl Decoder {
     /// Appends bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
@@ -34,28 +34,28 @@
 
     /// Cuts out the next event. Each is one `data:` line, as OpenAI's API sends it; comments,
     /// empty lines and other fields are skipped.
-    pub fn cut(&mut self) -> Next {
+    pub fn next_event(&mut self) -> Decoded {
         while let Some(len) = self.line_end() {
             let line = self.buf.split_to(len + 1);
             self.scanned = 0;
             let Ok(line) = std::str::from_utf8(&line) else {
-                return Next::Malformed;
+                return Decoded::Malformed;
             };
             match line.trim_end().strip_prefix("data:").map(str::trim_start) {
-                Some("[DONE]") => return Next::Done,
-                Some(data) => return Next::Data(data.to_owned()),
+                Some("[DONE]") => return Decoded::Done,
+                Some(data) => return Decoded::Data(data.to_owned()),
                 None => {}
             }
         }
-        if self.buf.len() > MAX_EVENT {
-            return Next::Malformed;
+        if self.buf.len() > MAX_EVENT_BYTES {
+            return Decoded::Malformed;
         }
-        Next::Incomplete
+        Decoded::Incomplete
     }
 
     fn line_end(&mut self) -> Option<usize> {
-        let unseen = &self.buf[self.scanned..];
-        let found = unseen.iter().position(|byte| *byte == b'\n');
+        let unscanned = &self.buf[self.scanned..];
+        let found = unscanned.iter().position(|byte| *byte == b'\n');
         match found {
             Some(at) => Some(self.scanned + at),
             None => {
