--- a/fw-side/src/connection/mod.rs
+++ b/fw-side/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one connection: the services that callers meet.
+//! The services that connections are accepted for: RPC from entries, and HTTP.
 
 pub mod rpc;
 pub mod web;
--- a/fw-side/src/connection/rpc.rs
+++ b/fw-side/src/connection/rpc.rs
@@ -1,4 +1,4 @@
-//! The tarpc service that entries call.
+//! The tarpc service for entries.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -19,19 +19,19 @@
 use crate::process::tasks;
 use crate::request::body;
 
-/// Part of the session time after which a shard without renewal is named in heartbeats: early
-/// enough for its new keeper to renew it in time, and later than the longest pause between the
-/// heartbeats of one that does.
+/// Fraction of the session TTL after which an unrenewed shard is reported in heartbeats: early
+/// enough for its new keeper to renew it in time, and longer than the maximum interval between the
+/// heartbeats of a keeper that does renew it.
 const UNRENEWED_TTL_DIVISOR: u32 = 2;
 
-/// The service, as one connection sees it.
+/// The service, cloned for each connection.
 #[derive(Clone, Debug)]
 pub struct Service {
     core: Arc<core::Core>,
 }
 
 impl Service {
-    /// The service over `core`.
+    /// Creates the service over `core`.
     pub fn new(core: Arc<core::Core>) -> Self {
         Self { core }
     }
@@ -53,11 +53,11 @@
         }
     }
 
-    /// The whole prompt, or `None` if its base is not held here.
+    /// The complete prompt, or `None` if its base is not cached here.
     ///
-    /// The digest is computed again from the text that goes to the engine. Guards against a
-    /// history that was mixed with another on its way or in memory here: the digest that the
-    /// keeper's journal committed would not match.
+    /// The digest is recomputed from the text that is sent to the engine. Guards against a history
+    /// that was mixed up with another in transit or in the side's memory: it would not match the
+    /// digest that the keeper's journal committed.
     fn build_prompt(
         &self,
         req: &mut side::Start,
@@ -113,8 +113,8 @@
         Ok(())
     }
 
-    /// Ends earlier attempts of the program. A program has one turn under way at a time, so its
-    /// keeper has given those up, or has lost the shard and cannot commit them.
+    /// Ends earlier attempts of the program. A program has one turn in progress at a time, so its
+    /// keeper has abandoned those, or has lost the shard and cannot commit them.
     fn supersede(&self, superseded: &[Arc<attempts::Attempt>]) {
         for attempt in superseded {
             metrics::counter!("fw_side_superseded_total").increment(1);
@@ -125,8 +125,9 @@
 }
 
 impl Service {
-    /// Shards whose sessions nobody renews, and those with answers held for an earlier keeper. Their
-    /// keeper has to hear of them: else the sessions are freed, and the answers lost.
+    /// Shards with unrenewed sessions, and those with answers held for an earlier keeper. They are
+    /// reported to their current keeper; otherwise the sessions would expire and the answers would
+    /// be lost.
     fn shards_to_report(&self, now: Instant) -> Vec<id::ShardId> {
         let core = &self.core;
         let within = core.opts.settings.sessions.ttl / UNRENEWED_TTL_DIVISOR;
--- a/fw-side/src/connection/web.rs
+++ b/fw-side/src/connection/web.rs
@@ -1,4 +1,4 @@
-//! The HTTP port: health, metrics, the order to leave, and the plain lane.
+//! The HTTP server: health, metrics, the `/leave` command, and forwarding of plain calls.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -23,24 +23,24 @@
 use crate::process::core;
 use crate::request::plain;
 
-/// Longest wait for the head of a request on an open connection.
+/// Timeout for the head of a request on an open connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause after a failure to accept, such as too many open files.
+/// Delay after a failed accept, for example because of too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What the HTTP port serves from.
+/// State of the HTTP handlers.
 #[derive(Clone, Debug)]
 pub struct HttpState {
-    /// The side.
+    /// State of the side.
     pub core: Arc<core::Core>,
-    /// The lane of plain calls.
+    /// Client of the upstream, for plain calls.
     pub plain: plain::Client,
     /// Renders `/metrics`.
     pub metrics: PrometheusHandle,
 }
 
-/// The routes. Every path that is not the side's own goes to the upstream.
+/// The routes. Requests to all other paths are forwarded to the upstream.
 pub fn router(state: HttpState) -> Router {
     Router::new()
         .route("/healthz", routing::get(StatusCode::OK))
@@ -55,7 +55,8 @@
         .with_state(state)
 }
 
-/// Serves connections until `closing`, then lets those under way end. Dropped, it ends them all.
+/// Serves connections until `closing` is cancelled, then waits for the open ones to finish.
+/// Dropping the future aborts all of them.
 pub async fn serve(listener: TcpListener, state: HttpState, closing: CancellationToken) {
     let router = router(state);
     let mut connections = JoinSet::new();
@@ -78,7 +79,7 @@
 }
 
 async fn serve_one(socket: TcpStream, router: Router, closing: CancellationToken) {
-    // Without it the answer's last part may wait for an acknowledgement.
+    // With Nagle's algorithm the last part of a response may wait for an acknowledgement.
     let _ = socket.set_nodelay(true);
     let mut builder = http1::Builder::new();
     builder
@@ -86,7 +87,7 @@
         .header_read_timeout(HEAD_TIMEOUT);
     let service = TowerToHyperService::new(router);
     let mut connection = pin!(builder.serve_connection(rt::TokioIo::new(socket), service));
-    // A connection that fails has told its peer already.
+    // Errors of the connection have already been reported to the peer.
     tokio::select! {
         _ = connection.as_mut() => {}
         () = closing.cancelled() => {
@@ -96,8 +97,8 @@
     }
 }
 
-/// Forwards every call of an entry, which has the header `x-fw-attempt`, also where its path is one
-/// of the side's own: a caller's `POST /leave` must not make the side leave.
+/// Forwards every call of an entry, recognized by the header `x-fw-attempt`, even if its path is
+/// one of the side's own: a caller's `POST /leave` must not make the side leave.
 async fn forward_entry_calls(
     State(state): State<HttpState>,
     req: Request,
--- a/fw-side/src/lib.rs
+++ b/fw-side/src/lib.rs
@@ -1,9 +1,10 @@
-//! The process beside each upstream.
+//! The side: a sidecar process that runs next to each upstream.
 //!
-//! The side owns the queue in front of its upstream: it accepts turns from keepers under a current
-//! fencing number, releases them by priority, keeps their answers for readers by offset, frees
-//! engine memory of programs that no keeper renews, and forwards plain calls in a lane of their
-//! own. Modules are laid out by life span: [`request`], [`connection`] and [`process`].
+//! It owns the queue in front of its upstream. It accepts turns from keepers that present a current
+//! fencing number, dispatches them by priority, buffers their answers for readers by offset,
+//! releases the KV cache of programs that no keeper renews, and forwards plain calls with a
+//! concurrency limit of their own. Modules are grouped by lifetime: [`request`], [`connection`] and
+//! [`process`].
 //!
 //! ```
 //! # tokio::runtime::Runtime::new().expect("a runtime").block_on(async {
--- a/fw-side/src/options.rs
+++ b/fw-side/src/options.rs
@@ -1,40 +1,41 @@
-//! What a side is run with.
+//! Configuration of a side.
 
 use std::time::Duration;
 
 use fw_conf::side;
 use metrics_exporter_prometheus::PrometheusHandle;
 
-/// Settings of a side, and bounds that operators do not set.
+/// Settings of a side, and limits that are not part of the settings file.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// What the settings file says.
+    /// The settings file.
     pub settings: side::Settings,
-    /// Most plain calls under way together. Turns of programs never take these places.
+    /// Maximum number of concurrent plain calls. Turns of programs never occupy these slots.
     pub plain_concurrency: usize,
-    /// Longest wait of a plain call for a place.
+    /// Maximum time that a plain call waits for a slot.
     pub plain_max_wait: Duration,
-    /// Times that a silent engine stream is resumed without a new chunk before it is given up.
+    /// Number of resumptions of an idle engine stream without a new chunk before the turn fails.
     pub max_resumes: u32,
-    /// Failed load polls in a row after which the engine counts as down.
+    /// Consecutive failed load polls after which the engine counts as down.
     pub max_failed_polls: u32,
-    /// How long a program is idle before its keeper is asked whether it still exists.
+    /// Idle time after which the side asks a program's keeper whether the program still exists.
     pub verify_idle_after: Duration,
-    /// How long a finished answer is kept for its keeper.
+    /// How long a finished answer is retained for its keeper.
     pub answer_retention: Duration,
-    /// Most bytes of finished answers that are kept, with the messages that their turns added.
+    /// Maximum size in bytes of the retained answers, including the messages that their turns
+    /// added.
     pub answer_bytes: usize,
-    /// Longest time that a read waits for an event.
+    /// Maximum time that a read waits for an event.
     pub max_read_wait: Duration,
-    /// First pause before an unconfirmed release is sent again.
+    /// Initial delay before an unconfirmed release is sent again.
     pub release_backoff: Duration,
-    /// Longest pause before an unconfirmed release is sent again.
+    /// Maximum delay before an unconfirmed release is sent again.
     pub release_backoff_max: Duration,
-    /// How long the id of an at-most-once call is remembered.
+    /// How long the id of an at-most-once call is retained.
     pub at_most_once_retention: Duration,
-    /// Most ids of at-most-once calls that are remembered.
+    /// Maximum number of retained ids of at-most-once calls.
     pub max_at_most_once: usize,
-    /// Renders `/metrics`, where the embedding process has installed a recorder already.
+    /// Renders `/metrics` if the embedding process has already installed a metrics recorder.
     pub metrics: Option<PrometheusHandle>,
 }
 
--- a/fw-side/src/process/at_most_once.rs
+++ b/fw-side/src/process/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Ids of plain calls that must run at most once.
+//! Deduplication of plain calls that must run at most once, by their ids.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
     order: VecDeque<(Instant, id::AttemptId)>,
 }
 
-/// The calls seen lately.
+/// Ids of recent at-most-once calls.
 #[derive(Debug)]
 pub struct CallIds {
     retention: Duration,
@@ -32,7 +32,7 @@
 }
 
 impl CallIds {
-    /// Remembers at most `max` calls, each for `keep`.
+    /// Retains at most `max_ids` ids, each for `retention`.
     pub fn new(retention: Duration, max_ids: usize) -> Self {
         Self {
             retention,
@@ -41,15 +41,15 @@
         }
     }
 
-    /// Notes that the call is about to be sent.
+    /// Records that the call is about to be sent.
     ///
-    /// Guards against an entry that sends a call again because the answer's connection went
-    /// silent: the caller would be billed twice. The id is noted before a byte is sent, so a
-    /// second arrival finds it, whatever became of the first.
+    /// Guards against an entry that sends a call again because its connection stopped responding,
+    /// which would bill the caller twice. The id is recorded before the first byte is sent, so a
+    /// duplicate is detected whatever the outcome of the first call.
     ///
     /// # Errors
     ///
-    /// `KeyInUse` or `MayHaveRun` for a second arrival, `Overloaded` if no more can be remembered.
+    /// `KeyInUse` or `MayHaveRun` for a duplicate, `Overloaded` if no more ids can be retained.
     pub fn begin(&self, id: id::AttemptId, now: Instant) -> Result<(), error::Error> {
         let mut inner = self.inner.lock();
         inner.expire(now, self.retention);
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Notes that the call was sent and is over, however it ended.
+    /// Records that the call was sent and has ended, with any outcome.
     pub fn finish(&self, id: id::AttemptId) {
         if let Some(state) = self.inner.lock().calls.get_mut(&id) {
             *state = State::Ended;
         }
     }
 
-    /// Notes that no byte of the call was sent: it may come again.
+    /// Removes a call of which no byte was sent, so that it may be retried.
     pub fn forget_unsent(&self, id: id::AttemptId) {
         let mut inner = self.inner.lock();
         inner.calls.remove(&id);
--- a/fw-side/src/process/attempts.rs
+++ b/fw-side/src/process/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that the side knows, under way and finished.
+//! Table of the attempts accepted by the side, both in progress and finished.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,33 +19,34 @@
 
 use super::histories;
 
-/// Memory of one event besides its text, in bytes.
+/// Memory overhead of one event in addition to its text, in bytes.
 const EVENT_OVERHEAD: usize = 32;
 
-/// Bounds of the answers that are kept.
+/// Limits on the retained answers.
 #[derive(Clone, Copy, Debug)]
 pub struct Retention {
-    /// Longest time that an answer is kept.
+    /// Maximum age of an answer.
     pub max_age: Duration,
-    /// Most answers.
+    /// Maximum number of answers.
     pub max_count: usize,
-    /// Most bytes of their events and of the messages that their turns added.
+    /// Maximum size in bytes of their events and of the messages that their turns added.
     pub max_bytes: usize,
 }
 
 /// One attempt.
 #[derive(Debug)]
 pub struct Attempt {
-    /// What was asked; its messages were moved into `prompt`.
+    /// The request; its messages have been moved into `prompt`.
     pub start: side::Start,
     prompt: Mutex<histories::Prompt>,
-    /// The messages that the turn adds to the history; kept to its end and beyond, with the answer.
+    /// The messages that the turn adds to the history; retained with the answer after the turn has
+    /// ended.
     pub added: Vec<chat::Message>,
-    /// When it arrived.
+    /// Arrival time of the request.
     pub arrived_at: Instant,
-    /// The events and the end.
+    /// The events and the final state.
     pub buffer: buffer::Buffer,
-    /// Stops the run. The end is in `buffer` before this is cancelled.
+    /// Stops the run. The final state is written to `buffer` before this token is cancelled.
     pub stop: CancellationToken,
     ended_at: Mutex<Option<Instant>>,
     bytes: AtomicUsize,
@@ -54,7 +55,7 @@
 }
 
 impl Attempt {
-    /// An attempt that waits.
+    /// Creates an attempt that is not running yet.
     pub fn new(start: side::Start, prompt: histories::Prompt, arrived_at: Instant) -> Self {
         let messages = prompt.messages();
         let before = messages.len().saturating_sub(start.added as usize);
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Takes out the whole prompt, for the run; it is empty from then on.
+    /// Takes the prompt for the run, leaving an empty one.
     pub fn take_prompt(&self) -> histories::Prompt {
         std::mem::take(&mut *self.prompt.lock())
     }
@@ -86,12 +87,12 @@
         self.buffer.push([event]);
     }
 
-    /// When the caller's deadline passes.
+    /// The caller's deadline.
     pub fn deadline(&self) -> Instant {
         self.arrived_at + self.start.deadline
     }
 
-    /// Ends the attempt; the first end stands.
+    /// Ends the attempt with `state`. Later calls have no effect.
     pub fn end(&self, state: attempt::State) {
         let is_complete = matches!(state, attempt::State::Done(_));
         let mut ended_at = self.ended_at.lock();
@@ -101,7 +102,8 @@
             *ended_at = Some(Instant::now());
         }
         drop(ended_at);
-        // An answer is kept for long, and its prompt would keep a history from being evicted.
+        // Answers are retained for a long time; a retained prompt would keep the memory of its
+        // history in use after the history was evicted.
         drop(self.take_prompt());
     }
 
@@ -111,12 +113,12 @@
         self.stop.cancel();
     }
 
-    /// Whether it has ended.
+    /// Whether the attempt has ended.
     pub fn is_ended(&self) -> bool {
         self.ended_at.lock().is_some()
     }
 
-    /// The whole answer, if it has ended with one.
+    /// The complete answer, if the attempt succeeded.
     pub fn finish(&self) -> Option<attempt::Finish> {
         match self.buffer.state() {
             attempt::State::Done(finish) => Some(*finish),
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Reads events by offset.
+    /// Reads events from an offset.
     pub async fn read(&self, req: &attempt::Read) -> attempt::ReadReply {
         let reply = self.buffer.gather(req).await;
         if reply.state.is_final() {
@@ -133,36 +135,36 @@
         reply
     }
 
-    /// Whether its end still has to reach a reader.
+    /// Whether no reader has received the final state yet.
     fn has_unread_end(&self) -> bool {
         !self.end_read.load(Ordering::Acquire)
     }
 }
 
-/// What became of an offered attempt.
+/// Result of [`Attempts::insert`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Insert {
-    /// It is new.
+    /// The attempt was added.
     New,
-    /// It was known already.
+    /// An attempt with this id already exists.
     Duplicate,
 }
 
-/// Attempts by id. One lock: an engine takes a few calls a second, and no lock is held while a
-/// message is read or written.
+/// Attempts by id. A single lock suffices: an engine receives a few calls per second, and the lock
+/// is never held during I/O.
 #[derive(Debug, Default)]
 pub struct Attempts {
     inner: Mutex<HashMap<id::AttemptId, Arc<Attempt>>>,
 }
 
 impl Attempts {
-    /// The attempt with this id.
+    /// Returns the attempt with this id.
     pub fn get(&self, id: id::AttemptId) -> Option<Arc<Attempt>> {
         self.inner.lock().get(&id).cloned()
     }
 
-    /// Adds an attempt if it is not known and `accept` allows it. Both happen under one lock, so
-    /// that a call sent twice is queued once.
+    /// Adds an attempt if its id is new and `accept` succeeds. Both steps happen under one lock, so
+    /// that a duplicate request is queued only once.
     ///
     /// # Errors
     ///
@@ -182,7 +184,7 @@
         Ok(Insert::New)
     }
 
-    /// Forgets a finished attempt; one under way stays.
+    /// Removes a finished attempt; an attempt in progress stays.
     pub fn forget(&self, id: id::AttemptId) {
         let mut inner = self.inner.lock();
         if inner.get(&id).is_some_and(|attempt| attempt.is_ended()) {
@@ -190,17 +192,17 @@
         }
     }
 
-    /// Every attempt that has not ended.
+    /// All attempts that have not ended.
     pub fn unfinished(&self) -> Vec<Arc<Attempt>> {
         let inner = self.inner.lock();
         let open = inner.values().filter(|attempt| !attempt.is_ended());
         open.cloned().collect()
     }
 
-    /// Every attempt that has ended whole and was not forgotten.
+    /// All attempts that succeeded and have not been removed.
     pub fn completed(&self) -> Vec<Arc<Attempt>> {
         let inner = self.inner.lock();
-        // Each heartbeat asks; comparing states would copy every answer.
+        // Called for each heartbeat; reading the state from the buffer would copy every answer.
         let is_complete = |attempt: &&Arc<Attempt>| attempt.is_complete.load(Ordering::Acquire);
         let done = inner.values().filter(is_complete);
         done.cloned().collect()
@@ -213,7 +215,7 @@
         open
     }
 
-    /// Attempts that are under way, or whose end no reader has seen.
+    /// Number of attempts whose final state no reader has received, including those in progress.
     pub fn unread_count(&self) -> usize {
         let inner = self.inner.lock();
         inner
@@ -222,8 +224,8 @@
             .count()
     }
 
-    /// Drops answers that are too old, and the oldest of those that are too many or too large;
-    /// returns how many.
+    /// Drops answers beyond the maximum age, then the oldest ones until count and size are within
+    /// their limits. Returns the number of dropped answers.
     pub fn sweep(&self, retention: Retention, now: Instant) -> usize {
         let mut inner = self.inner.lock();
         let mut ends = Vec::new();
--- a/fw-side/src/process/cache_view.rs
+++ b/fw-side/src/process/cache_view.rs
@@ -1,4 +1,4 @@
-//! What the engine's cache holds of each program, and the log of its changes for entries.
+//! View of the engine's KV cache per program, with a change log from which entries update theirs.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -7,18 +7,18 @@
 use fw_wire::side;
 use parking_lot::Mutex;
 
-/// Changes kept for entries that have not seen them yet.
+/// Maximum number of changes kept for entries that have not received them yet.
 const MAX_LOG_LEN: usize = 8_192;
 
-/// Most changes in one heartbeat's answer; the rest follows with the next.
+/// Maximum number of changes in one heartbeat reply; the rest follows in the next reply.
 const MAX_REPLY_CHANGES: usize = 1_024;
 
-/// Changes that an entry has not seen yet.
+/// Changes that an entry has not received yet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delta {
     /// Sequence number after the changes.
     pub seq: u64,
-    /// The changes start anew: what was known before is void.
+    /// The changes are a full snapshot: the entry must discard its previous view.
     pub reset: bool,
     /// The changes.
     pub changes: Vec<side::CacheChange>,
@@ -30,7 +30,7 @@
     log: VecDeque<side::CacheChange>,
     /// Sequence number of the newest change.
     seq: u64,
-    /// Entries that have seen less than this start anew.
+    /// Entries with a lower sequence number get a full snapshot.
     valid_from: u64,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl CacheView {
-    /// Notes that the cache holds `tokens` of `program`.
+    /// Records that the cache holds `tokens` of `program`.
     pub fn set_cached(&self, program: &id::ProgramId, tokens: id::Tokens) {
         let mut inner = self.inner.lock();
         let before = inner.cached.get(program).copied().unwrap_or(0);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Forgets everything: the engine lost its cache, or events are missing.
+    /// Clears the view after the engine lost its cache or events were missed.
     pub fn reset(&self) {
         let mut inner = self.inner.lock();
         inner.cached.clear();
@@ -72,14 +72,15 @@
         inner.valid_from = inner.seq;
     }
 
-    /// Tokens held of `program`, as far as known.
+    /// Number of cached tokens of `program`; 0 if there is no record of it.
     pub fn cached_tokens(&self, program: &id::ProgramId) -> id::Tokens {
         self.inner.lock().cached.get(program).copied().unwrap_or(0)
     }
 
-    /// What an entry that has seen `seen` does not know yet.
+    /// Returns the changes after sequence number `seen`.
     ///
-    /// An entry that is new, is ahead (the side restarted) or fell behind the log starts anew.
+    /// The reply is a full snapshot if the entry is new, is ahead (the side has restarted) or has
+    /// fallen behind the log.
     pub fn changes_since(&self, seen: u64) -> Delta {
         let inner = self.inner.lock();
         let oldest = inner.seq - inner.log.len() as u64;
--- a/fw-side/src/process/core.rs
+++ b/fw-side/src/process/core.rs
@@ -1,4 +1,4 @@
-//! The state of a side that all its parts share.
+//! State shared by all tasks and connections of a side.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -31,64 +31,64 @@
 use crate::errors;
 use crate::options;
 
-/// Where a side stands in its life.
+/// Lifecycle phase of a side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes work.
+    /// It accepts new work.
     Serving,
-    /// It takes no new work and finishes what is under way.
+    /// It refuses new work and finishes the work in progress.
     Leaving,
 }
 
 /// The shared state.
 #[derive(Debug)]
 pub struct Core {
-    /// What the side was started with.
+    /// Configuration of the side.
     pub opts: options::Options,
-    /// Drawn at random at the start.
+    /// Random number drawn at the start; identifies this run of the process.
     pub incarnation: u64,
     /// Fencing numbers by shard.
     pub fences: fences::Fences,
-    /// Attempts under way and finished.
+    /// Attempts in progress and finished.
     pub attempts: attempts::Attempts,
-    /// Hot histories.
+    /// Histories of recently used programs.
     pub histories: histories::Histories,
-    /// Programs with engine memory.
+    /// Programs that hold KV cache in the engine.
     pub sessions: sessions::Sessions,
     /// The view of the engine's cache.
     pub cache_view: cache_view::CacheView,
-    /// The engine's pace.
+    /// Load measurements of the engine.
     pub meter: meter::Meter,
-    /// The queue before the engine.
+    /// The queue in front of the engine.
     pub queue: dispatch_queue::DispatchQueue,
-    /// At-most-once plain calls.
+    /// Ids of at-most-once plain calls.
     pub at_most_once: at_most_once::CallIds,
-    /// Places for plain calls.
+    /// Concurrency slots for plain calls.
     pub plain_slots: Arc<Semaphore>,
-    /// The engine.
+    /// Client of the engine.
     pub engine: engine::Client,
     /// The records in force.
     pub records: holder::Holder,
-    /// Wakes the loop that releases from the queue.
+    /// Wakes the task that dispatches from the queue.
     pub queue_changed: Notify,
-    /// Wakes the loop that sends orders to free memory.
+    /// Wakes the task that sends cache releases to the engine.
     pub releases_changed: Notify,
-    /// Runs under way.
+    /// Runs in progress.
     pub runs: TaskTracker,
-    /// The HTTP port closes.
+    /// Cancelled when the HTTP listener closes.
     pub closing: CancellationToken,
-    /// The side was dropped: runs end without a word, as in a crash.
+    /// Cancelled when the side is dropped: runs stop without reporting an end, as in a crash.
     pub aborted: CancellationToken,
     phase: watch::Sender<Phase>,
     engine_leaving: AtomicBool,
     down: AtomicBool,
     crashes: AtomicU64,
-    /// The newest revision that a set was refused for, so that a broken set is logged once.
+    /// The highest revision whose record set could not be parsed, so that it is logged only once.
     last_unreadable_set: Mutex<i64>,
 }
 
 impl Core {
-    /// The state of a side that was just started.
+    /// Creates the state of a newly started side.
     pub fn new(opts: options::Options) -> Self {
         let cfg = &opts.settings;
         let queue_options = dispatch_queue::Options {
@@ -133,31 +133,31 @@
         }
     }
 
-    /// Whether new work is refused because the side or its upstream leaves.
+    /// Whether new work is refused because the side or its upstream is leaving.
     pub fn is_leaving(&self) -> bool {
         *self.phase.borrow() == Phase::Leaving || self.engine_leaving.load(Ordering::Acquire)
     }
 
-    /// Whether the upstream does not answer.
+    /// Whether the upstream counts as down.
     pub fn is_down(&self) -> bool {
         self.down.load(Ordering::Acquire)
     }
 
-    /// Takes no new work from now on.
+    /// Stops accepting new work.
     pub fn leave(&self) {
         if self.phase.send_replace(Phase::Leaving) == Phase::Serving {
             tracing::info!("leaving: no new work is taken");
         }
     }
 
-    /// What the engine says of its own leaving.
+    /// Records whether the engine reports that it is leaving.
     pub fn set_engine_leaving(&self, leaving: bool) {
         if self.engine_leaving.swap(leaving, Ordering::AcqRel) != leaving {
             tracing::info!(leaves = leaving, "the engine says whether it leaves");
         }
     }
 
-    /// The upstream answers.
+    /// Marks the upstream as reachable.
     pub fn mark_up(&self) {
         if self.down.swap(false, Ordering::AcqRel) {
             tracing::info!("the upstream answers again");
@@ -165,8 +165,9 @@
         }
     }
 
-    /// The upstream is gone. Every attempt under way ends at once, with the truth about whether
-    /// it ran; the side itself runs none again, since the request may be what crashed it.
+    /// Marks the upstream as down and ends every attempt in progress, with an error that states
+    /// whether it may have run. The side does not retry any, since the request itself may have
+    /// caused the crash.
     pub fn mark_crashed(&self, why: &str) {
         if !self.down.swap(true, Ordering::AcqRel) {
             tracing::warn!(why, "the upstream is down");
@@ -175,9 +176,10 @@
         self.abort_all(why);
     }
 
-    /// The engine was restarted: it answers, but lost its memory and what it ran.
+    /// Handles an engine that is reachable but has restarted, so that its cache and runs are lost.
     pub fn handle_restart(&self) {
-        // What ended at the crash was counted then; only a quick restart is news.
+        // If the crash was detected, attempts were ended and counted then. This handles a restart
+        // that was too fast to be noticed as a crash.
         if !self.is_down() {
             tracing::warn!("the engine was restarted");
             self.reset_engine_state();
@@ -185,7 +187,7 @@
         }
     }
 
-    /// How often the upstream was found to have lost its memory.
+    /// Number of detected crashes and restarts of the upstream.
     pub fn crashes(&self) -> u64 {
         self.crashes.load(Ordering::Acquire)
     }
@@ -219,14 +221,14 @@
         self.end(attempt, error::Kind::Cancelled, why);
     }
 
-    /// Ends an attempt with an error and frees its place.
+    /// Ends an attempt with an error and removes it from the queue.
     pub fn end(&self, attempt: &attempts::Attempt, kind: error::Kind, why: &str) {
         self.queue.remove(attempt.start.attempt);
         attempt.abort(errors::counted(kind, why));
         self.queue_changed.notify_one();
     }
 
-    /// Refuses new work while the upstream cannot take it.
+    /// Returns an error while the upstream cannot accept new work.
     ///
     /// # Errors
     ///
@@ -244,7 +246,7 @@
         Ok(())
     }
 
-    /// Puts a newer set of records in force; an older or unreadable one changes nothing.
+    /// Applies a newer record set; an older or unreadable one is ignored.
     pub fn update_records(&self, records: &side::Records) {
         if records.revision <= self.records.revision() {
             return;
@@ -266,7 +268,7 @@
         }
     }
 
-    /// The load to report.
+    /// The load reported in heartbeats.
     pub fn load(&self, now: Instant) -> side::Load {
         let occupancy = self.queue.occupancy();
         side::Load {
@@ -278,13 +280,13 @@
         }
     }
 
-    /// Whether nothing is under way and every answer has reached a reader.
+    /// Whether no work is in progress and every answer has been delivered to a reader.
     pub fn is_drained(&self) -> bool {
         let plain_calls = self.opts.plain_concurrency - self.plain_slots.available_permits();
         self.attempts.unread_count() == 0 && self.runs.is_empty() && plain_calls == 0
     }
 
-    /// Waits until [`Core::is_drained`], at most for `within`; false if that passed.
+    /// Waits until [`Core::is_drained`], for at most `within`. Returns false on timeout.
     pub async fn wait_drained(&self, within: Duration) -> bool {
         const CHECK_INTERVAL: Duration = Duration::from_millis(10);
         let deadline = Instant::now() + within;
--- a/fw-side/src/process/dispatch_queue.rs
+++ b/fw-side/src/process/dispatch_queue.rs
@@ -1,4 +1,4 @@
-//! The queue before the engine, and what was released from it.
+//! The queue in front of the engine, and the jobs that were dispatched from it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::attempts;
 use crate::errors;
 
-/// Most jobs in the engine while it has not said its batch, and the settings do not either.
+/// Batch size that is assumed while neither the engine nor the settings state one.
 const DEFAULT_BATCH: u32 = 32;
 
 #[derive(Clone, Debug)]
@@ -31,40 +31,40 @@
     waiting: HashMap<id::AttemptId, Entry>,
 }
 
-/// How the line releases.
+/// Configuration of the queue.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Rules of the queue.
+    /// Ordering and limits of the queue.
     pub queue: queue::Options,
-    /// The engine's batch by the settings; 0 if it is not known.
+    /// Batch size of the engine according to the settings; 0 if not set.
     pub batch: u32,
-    /// Most jobs in the engine, if the settings say so.
+    /// Maximum number of jobs in the engine, if set.
     pub window: Option<u32>,
 }
 
-/// What the engine was last seen to do.
+/// Batch size and step time of the engine, as last measured.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EnginePace {
-    /// Its batch; 0 if it has not said.
+    /// Batch size; 0 if the engine has not reported it.
     pub batch: u32,
-    /// Time of one step.
+    /// Duration of one decoding step.
     pub step: Duration,
 }
 
-/// How full the line is.
+/// Number of jobs and amount of work in the queue and in the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Occupancy {
-    /// Jobs waiting.
+    /// Waiting jobs.
     pub queued: u32,
     /// Jobs in the engine.
     pub running: u32,
-    /// Prompt tokens that wait for prefill, in the queue and in the engine.
+    /// Prompt tokens that await prefill, in the queue and in the engine.
     pub prefill: id::Tokens,
-    /// Time from arrival to release, smoothed.
+    /// Smoothed time from arrival to dispatch.
     pub delay: Duration,
 }
 
-/// The queue with its clock.
+/// The queue, its clock and the dispatched jobs.
 #[derive(Debug)]
 pub struct DispatchQueue {
     started: Instant,
@@ -73,7 +73,7 @@
 }
 
 impl DispatchQueue {
-    /// An empty line.
+    /// Creates an empty queue.
     pub fn new(opts: Options) -> Self {
         Self {
             started: Instant::now(),
@@ -90,7 +90,7 @@
         self.started.elapsed()
     }
 
-    /// Queues an attempt whose prompt lacks `missing` tokens in the engine's cache.
+    /// Queues an attempt with `missing` prompt tokens that are not in the engine's cache.
     ///
     /// # Errors
     ///
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// The next attempt to run, if the engine has room for one.
+    /// Dispatches the next attempt, if the engine has room for one.
     pub fn pop(&self, pace: EnginePace) -> Option<id::AttemptId> {
         let mut inner = self.inner.lock();
         let running = self.running_jobs(&inner, pace);
@@ -159,14 +159,14 @@
         }
     }
 
-    /// Takes a waiting attempt out; false if it does not wait.
+    /// Removes a waiting attempt. Returns false if it is not waiting.
     pub fn remove(&self, id: id::AttemptId) -> bool {
         let mut inner = self.inner.lock();
         inner.waiting.remove(&id);
         inner.queue.remove(id)
     }
 
-    /// Takes out the attempts that can no longer start in time.
+    /// Removes and returns the attempts that can no longer start before their deadline.
     pub fn expire(&self) -> Vec<id::AttemptId> {
         let mut inner = self.inner.lock();
         let expired = inner.queue.expire(self.now());
@@ -176,14 +176,14 @@
         expired
     }
 
-    /// A released attempt's first token came: its prefill is over.
+    /// Records the first token of a dispatched attempt, which ends its prefill.
     pub fn finish_prefill(&self, id: id::AttemptId) {
         if let Some(job) = self.inner.lock().dispatched.get_mut(&id) {
             job.prefill = 0;
         }
     }
 
-    /// A released attempt left the engine.
+    /// Records that a dispatched attempt left the engine.
     pub fn finish(&self, id: id::AttemptId) {
         let mut inner = self.inner.lock();
         if let Some(job) = inner.dispatched.remove(&id) {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// How full the line is.
+    /// The current occupancy.
     pub fn occupancy(&self) -> Occupancy {
         let inner = self.inner.lock();
         let jobs = inner.waiting.values().chain(inner.dispatched.values());
--- a/fw-side/src/process/engine.rs
+++ b/fw-side/src/process/engine.rs
@@ -1,4 +1,4 @@
-//! Client of the engine beside the side.
+//! HTTP client of the model engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,43 +15,43 @@
 use serde::Deserialize;
 use serde_json::json;
 
-/// Header with the request's own name, for cancelling and resuming.
+/// Header with the request id, used to cancel and resume the request.
 const REQUEST_ID: &str = "x-request-id";
 /// Header with the program whose prefix cache the request uses.
 const PROGRAM: &str = "x-program";
 
-/// Longest wait for a short answer, such as a load report.
+/// Timeout of short requests, such as load reports.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Most bytes read of an error's body.
+/// Maximum number of bytes read from an error body.
 const MAX_ERROR_BODY_BYTES: usize = 2_048;
 
-/// What the engine reports of itself. Unknown fields are ignored, missing ones are 0.
+/// Load report of the engine. Unknown fields are ignored, missing ones are 0.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Report {
-    /// Another number means that the engine was restarted.
+    /// Number of the engine's run; a different one means that the engine was restarted.
     pub incarnation: u64,
-    /// Tokens of cache in use.
+    /// Cache in use, in tokens.
     pub cache_used: id::Tokens,
-    /// Tokens of cache there are.
+    /// Cache capacity, in tokens.
     pub cache_size: id::Tokens,
-    /// Most requests that run together.
+    /// Maximum batch size.
     pub batch: u32,
-    /// Age of the report when it was given, in milliseconds.
+    /// Age of the report when it was sent, in milliseconds.
     pub age_ms: u64,
-    /// The engine is leaving.
+    /// Whether the engine is leaving.
     pub leaving: bool,
 }
 
-/// A change of the engine's cache.
+/// A change in the engine's KV cache.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct CacheEvent {
-    /// Position in the engine's log, from 1; a jump means that events are missing.
+    /// Position in the engine's event log, starting at 1; a gap means that events were missed.
     pub seq: u64,
     /// The program.
     pub program: id::ProgramId,
-    /// Tokens held from now on.
+    /// Cached tokens after the change.
     pub tokens: id::Tokens,
 }
 
@@ -60,16 +60,16 @@
     events: Vec<CacheEvent>,
 }
 
-/// Whether an order reached the engine.
+/// Result of a command to the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandResult {
-    /// The engine carried it out, or there was nothing to do.
+    /// The engine executed it, or there was nothing to do.
     Confirmed,
-    /// No answer, or a refusal.
+    /// No response, or an error response.
     Unconfirmed,
 }
 
-/// Pools of connections to the engine: one for streams, one for short calls.
+/// Client with two connection pools: one for streams, one for short requests.
 #[derive(Debug)]
 pub struct Client {
     base: String,
@@ -79,7 +79,7 @@
 }
 
 impl Client {
-    /// A client of the engine in `cfg`.
+    /// Creates a client of the engine in `cfg`.
     pub fn new(cfg: &side::Engine) -> Self {
         let streams = fw_http::Options {
             connect_timeout: cfg.connect_timeout,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Sends a chat completion named `id`.
+    /// Sends a chat completion with the request id `id`.
     ///
     /// # Errors
     ///
@@ -124,8 +124,7 @@
         self.send(req).await
     }
 
-    /// Reads on the stream of the completion `id`, from the chunk at `offset`, over a connection
-    /// that is not the silent one.
+    /// Resumes the stream of the completion `id` at chunk `offset`, over a new connection.
     ///
     /// # Errors
     ///
@@ -136,7 +135,7 @@
         offset: usize,
     ) -> Result<http::Response<Incoming>, fw_http::Error> {
         let uri = format!("{}/streams/{id}?offset={offset}", self.base);
-        // A connection of the pool may be as silent as the one that is given up.
+        // A pooled connection may be as unresponsive as the abandoned one.
         let req = http::Request::get(uri)
             .header(header::CONNECTION, "close")
             .body(Full::default());
@@ -152,7 +151,7 @@
         self.send_command("/cancel", &json!({ "id": id })).await
     }
 
-    /// Frees the memory of `program`. `fence` is for engines that check it.
+    /// Releases the cache of `program`. `fence` is for engines that check fencing numbers.
     pub async fn release(&self, program: &id::ProgramId, fence: id::Fence) -> CommandResult {
         let body = json!({ "program": program, "fence": fence });
         self.send_command("/cache/release", &body).await
@@ -162,7 +161,7 @@
     ///
     /// # Errors
     ///
-    /// As [`fw_http::Client::get`], and when the answer is no report.
+    /// As [`fw_http::Client::get`], and when the response is not a load report.
     pub async fn load(&self) -> Result<Report, fw_http::Error> {
         let answer = self.control.get(&format!("{}/load", self.base)).await?;
         parse(&answer.body)
@@ -172,7 +171,7 @@
     ///
     /// # Errors
     ///
-    /// As [`fw_http::Client::get`], and when the answer is malformed.
+    /// As [`fw_http::Client::get`], and when the response is malformed.
     pub async fn cache_events(&self, from: u64) -> Result<Vec<CacheEvent>, fw_http::Error> {
         let uri = format!("{}/cache/events?from={from}", self.base);
         let answer = self.control.get(&uri).await?;
@@ -194,14 +193,16 @@
         let uri = format!("{}{path}", self.base);
         match self.control.post_json(&uri, body).await {
             Ok(answer) if answer.status.is_success() => CommandResult::Confirmed,
-            // What the engine does not know needs neither cancelling nor freeing.
+            // A request or program that is unknown to the engine needs neither cancelling nor
+            // releasing.
             Ok(answer) if answer.status == http::StatusCode::NOT_FOUND => CommandResult::Confirmed,
             _ => CommandResult::Unconfirmed,
         }
     }
 }
 
-/// Whether nobody listens at the address, which a slow engine never shows.
+/// Whether the connection was refused. A slow engine does not cause this error, so it means that no
+/// process listens at the address.
 pub fn is_connection_refused(err: &fw_http::Error) -> bool {
     let fw_http::Error::Connect { source, .. } = err else {
         return false;
@@ -217,7 +218,7 @@
     false
 }
 
-/// The first bytes of an error's body, as text.
+/// Reads the beginning of an error body as text.
 pub async fn error_text(body: Incoming) -> String {
     let whole = Limited::new(body, MAX_ERROR_BODY_BYTES).collect();
     match tokio::time::timeout(CONTROL_TIMEOUT, whole).await {
--- a/fw-side/src/process/held.rs
+++ b/fw-side/src/process/held.rs
@@ -1,8 +1,8 @@
-//! Answers that no keeper has made durable.
+//! Held answers: finished turns that are not durable yet.
 //!
-//! While the store does not answer, a finished turn is held by its keeper and by the side, so that
-//! either may die. A keeper that takes over a shard finds in the journal all but those turns, and
-//! asks the sides for them.
+//! While the store is unavailable, both the keeper and the side hold a finished turn, so that it
+//! survives the failure of either. These turns are missing from the journal that a keeper reads
+//! when it takes over a shard, so it requests them from the sides.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -13,21 +13,24 @@
 use super::attempts;
 use super::fences;
 
-/// Bytes of messages in one reply: a third of the largest message, which JSON may double.
+/// Maximum size in bytes of the messages in one reply: a third of the largest wire message, since
+/// JSON escaping may double the size.
 const MAX_REPLY_BYTES: usize = 8 << 20;
 
-/// Shards of held answers named in one heartbeat.
+/// Maximum number of shards with held answers reported in one heartbeat.
 const MAX_SHARDS_REPORTED: usize = 64;
 
-/// Shards with answers held for an earlier keeper than the present one.
+/// Shards with answers of turns that were started by an earlier keeper than the current one.
 pub fn shards(attempts: &attempts::Attempts, fences: &fences::Fences) -> Vec<id::ShardId> {
     let held = held(attempts, fences);
     let shards: HashSet<_> = held.iter().map(|held| held.start.shard).collect();
     shards.into_iter().take(MAX_SHARDS_REPORTED).collect()
 }
 
-/// What was answered under a present keeper is that keeper's own matter: it may be about to commit
-/// the turn, and would find it gone if the answer were taken for a held one.
+/// Answers of turns that were started by an earlier keeper.
+///
+/// Answers of the current keeper's turns are excluded: it may be about to commit such a turn, and
+/// would lose the answer if it were treated as a held one.
 fn held(attempts: &attempts::Attempts, fences: &fences::Fences) -> Vec<Arc<attempts::Attempt>> {
     let mut held = attempts.completed();
     held.retain(|held| {
@@ -37,7 +40,7 @@
     held
 }
 
-/// The held answers of `shards`, those of one program in the order of its turns.
+/// The held answers of `shards`; those of one program are in the order of its turns.
 pub fn reply(
     attempts: &attempts::Attempts,
     fences: &fences::Fences,
--- a/fw-side/src/process/histories.rs
+++ b/fw-side/src/process/histories.rs
@@ -1,4 +1,4 @@
-//! Histories of programs that ran here lately, so that entries send only new messages.
+//! Cache of the histories of recently run programs, so that entries send only new messages.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -8,11 +8,11 @@
 use fw_base::id;
 use parking_lot::Mutex;
 
-/// Memory of one message besides its text, in bytes: its digest, its pointer and its share of
-/// containers.
+/// Memory overhead of one message in addition to its text, in bytes: its digest, its pointer and
+/// its share of the containers.
 const MESSAGE_OVERHEAD: usize = 96;
 
-/// The messages of a prompt, with the digest after each. Cloning copies no text.
+/// The messages of a prompt, with the cumulative digest after each. Cloning does not copy text.
 #[derive(Clone, Debug, Default)]
 pub struct Prompt {
     messages: Vec<chat::Message>,
@@ -26,7 +26,7 @@
         self.messages.push(message);
     }
 
-    /// Digest of the whole.
+    /// Digest of all messages.
     pub fn digest(&self) -> digest::Digest {
         self.digests
             .last()
@@ -39,13 +39,13 @@
         &self.messages
     }
 
-    /// Memory in bytes.
+    /// Memory use in bytes.
     pub fn bytes(&self) -> usize {
         let texts = self.messages.iter().map(|message| message.as_str().len());
         texts.sum::<usize>() + self.messages.len() * MESSAGE_OVERHEAD
     }
 
-    /// The part whose digest is `base`.
+    /// The prefix whose digest is `base`.
     fn up_to(&self, base: digest::Digest) -> Option<Self> {
         let last = self.digests.iter().rposition(|digest| *digest == base)?;
         Some(Self {
@@ -70,7 +70,7 @@
     clock: u64,
 }
 
-/// Histories within a bound of memory; the least recently used go first.
+/// LRU cache of histories with a memory limit.
 #[derive(Debug)]
 pub struct Histories {
     max_bytes: usize,
@@ -78,7 +78,7 @@
 }
 
 impl Histories {
-    /// Holds at most `max_bytes`.
+    /// Creates a cache of at most `max_bytes`.
     pub fn new(max_bytes: usize) -> Self {
         Self {
             max_bytes,
@@ -86,8 +86,8 @@
         }
     }
 
-    /// The history of `program` whose digest is `base`. A longer one held here serves as well:
-    /// its last turn was not committed.
+    /// Returns the history of `program` whose digest is `base`. It may be a prefix of the cached
+    /// one, which is longer if its last turn was not committed.
     pub fn get(&self, program: &id::ProgramId, base: digest::Digest) -> Option<Prompt> {
         if base == digest::Digest::EMPTY {
             return Some(Prompt::default());
@@ -98,7 +98,7 @@
         Some(found)
     }
 
-    /// Holds `prompt` for `program`, in place of what was held.
+    /// Stores `prompt` for `program`, replacing the cached one.
     pub fn put(&self, program: &id::ProgramId, prompt: Prompt) {
         let mut inner = self.inner.lock();
         inner.remove(program);
@@ -116,12 +116,12 @@
         inner.insert(program, prompt, bytes);
     }
 
-    /// Forgets `program`.
+    /// Removes the history of `program`.
     pub fn remove(&self, program: &id::ProgramId) {
         self.inner.lock().remove(program);
     }
 
-    /// Memory in use, in bytes.
+    /// Total memory use in bytes.
     pub fn bytes(&self) -> usize {
         self.inner.lock().bytes
     }
--- a/fw-side/src/process/meter.rs
+++ b/fw-side/src/process/meter.rs
@@ -1,4 +1,5 @@
-//! How busy the upstream is, from its own late reports and from what passes through the side.
+//! Load of the upstream, from its own delayed reports and from measurements of the traffic that
+//! passes through the side.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,10 +10,11 @@
 
 use super::engine;
 
-/// Weight of the newest sample in smoothed values.
+/// Weight of a new sample in the moving averages.
 const EWMA_WEIGHT: f64 = 0.1;
 
-/// Uncached prompt tokens below which a first token's time says little about prefill.
+/// Uncached prompt tokens below which the time to first token is too noisy a measure of the prefill
+/// rate.
 const MIN_PREFILL_SAMPLE_TOKENS: id::Tokens = 256;
 
 #[derive(Debug, Default)]
@@ -31,31 +33,31 @@
 }
 
 impl Meter {
-    /// Takes in a report of the engine.
+    /// Records a report of the engine.
     pub fn record_report(&self, report: engine::Report, now: Instant) {
         let mut inner = self.inner.lock();
         inner.report = report;
         inner.reported_at = Some(now);
     }
 
-    /// Notes that some stream brought a token.
+    /// Records that a stream delivered a token.
     pub fn record_token(&self, now: Instant) {
         self.inner.lock().last_token_at = Some(now);
     }
 
-    /// Whether some stream brought a token within the last `within`.
+    /// Whether any stream delivered a token within the last `within`.
     pub fn is_streaming(&self, now: Instant, within: Duration) -> bool {
         let last_token_at = self.inner.lock().last_token_at;
         last_token_at.is_some_and(|at| now.saturating_duration_since(at) < within)
     }
 
-    /// Takes in the time between two tokens of one stream.
+    /// Records the time between two tokens of one stream.
     pub fn record_step(&self, elapsed: Duration) {
         let mut inner = self.inner.lock();
         inner.step = ewma(inner.step, elapsed.as_secs_f64());
     }
 
-    /// Takes in the time to a first token after `tokens` of prefill.
+    /// Records the time to first token for `tokens` of prefill.
     pub fn record_prefill(&self, tokens: id::Tokens, elapsed: Duration) {
         if tokens < MIN_PREFILL_SAMPLE_TOKENS || elapsed.is_zero() {
             return;
@@ -65,17 +67,18 @@
         inner.prefill_rate = ewma(inner.prefill_rate, rate);
     }
 
-    /// Time between tokens, smoothed; zero if none was measured.
+    /// Smoothed time between tokens; zero if there is no sample.
     pub fn step_time(&self) -> Duration {
         Duration::from_secs_f64(self.inner.lock().step)
     }
 
-    /// Most calls that the engine runs together, as it says; 0 if it has not said.
+    /// Maximum batch size that the engine reported; 0 if it has not reported one.
     pub fn batch(&self) -> u32 {
         self.inner.lock().report.batch
     }
 
-    /// The load with what only the engine and the measurements tell; the rest is zero.
+    /// The load fields that come from the engine's reports and from measurements; the others are
+    /// zero.
     pub fn load(&self, now: Instant) -> side::Load {
         let inner = self.inner.lock();
         let since = inner
--- a/fw-side/src/process/mod.rs
+++ b/fw-side/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process.
+//! State and tasks with the lifetime of the process.
 
 pub mod at_most_once;
 pub mod attempts;
--- a/fw-side/src/process/serve.rs
+++ b/fw-side/src/process/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a side, and stops it without cutting off what is under way.
+//! Startup and graceful shutdown of a side.
 
 use std::future::Future;
 use std::io;
@@ -26,13 +26,13 @@
 use crate::options;
 use crate::request::plain;
 
-/// Time between two sweeps of the metrics recorder.
+/// Interval of the metrics recorder's upkeep.
 const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time for connections to send what was handed to them, when the side stops.
+/// Time for connections to flush their buffered data when the side stops.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A running side. Dropped, it stops at once, as a crash does.
+/// A running side. Dropping it stops it immediately, as a crash would.
 #[derive(Debug)]
 pub struct Side {
     core: Arc<core::Core>,
@@ -49,7 +49,7 @@
 }
 
 impl Side {
-    /// Binds the addresses of the settings and starts to serve.
+    /// Binds the addresses in the settings and starts serving.
     ///
     /// # Errors
     ///
@@ -73,23 +73,23 @@
         Ok(side)
     }
 
-    /// Where entries call.
+    /// Address of the RPC service for entries.
     pub fn calls(&self) -> SocketAddr {
         self.calls
     }
 
-    /// Where plain calls and `/metrics` are served.
+    /// Address of the HTTP server for plain calls and `/metrics`.
     pub fn http(&self) -> SocketAddr {
         self.http
     }
 
-    /// The state, for tests and the demo.
+    /// The shared state, for tests and the demo.
     pub fn core(&self) -> &Arc<core::Core> {
         &self.core
     }
 
-    /// Takes no new work, finishes what is under way and stops. Returns whether all of it ended
-    /// within the drain timeout of the settings.
+    /// Stops accepting new work, finishes the work in progress and shuts down. Returns whether all
+    /// of it ended within the configured drain timeout.
     pub async fn stop(mut self) -> bool {
         self.core.leave();
         let within = self.core.opts.settings.shutdown.drain_timeout;
@@ -98,7 +98,7 @@
             tracing::warn!(?within, "work under way did not end in time");
         }
         self.core.closing.cancel();
-        // Answers are handed to connections by now, and may not have left them yet.
+        // Answers have been passed to the connections, which may not have sent them yet.
         let _ = tokio::time::timeout(FLUSH_TIMEOUT, self.web.join_next()).await;
         tokio::time::sleep(FLUSH_TIMEOUT / 4).await;
         self.tasks.shutdown().await;
@@ -143,7 +143,8 @@
     }
 }
 
-/// Runs a side until `shutdown` comes, then stops it. Returns whether all work under way ended.
+/// Runs a side until `shutdown` completes, then stops it. Returns whether all work in progress
+/// ended.
 ///
 /// # Errors
 ///
@@ -159,14 +160,14 @@
     Ok(side.stop().await)
 }
 
-/// The recorder of this process, installed by the first side in it. If the process has another
-/// recorder already, `/metrics` of the side stays empty and that other one has the counters.
+/// Installs the metrics recorder of this process, once. If the process already has another
+/// recorder, `/metrics` of the side stays empty and the other recorder receives the counters.
 fn install_recorder() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
     let install = || {
         let recorder = PrometheusBuilder::new().build_recorder();
         let handle = recorder.handle();
-        // It fails only where another recorder is installed.
+        // Fails only if another recorder is installed.
         let _ = metrics::set_global_recorder(recorder);
         handle
     };
--- a/fw-side/src/process/sessions.rs
+++ b/fw-side/src/process/sessions.rs
@@ -1,7 +1,7 @@
-//! Programs that hold engine memory, and the orders to free it.
+//! Sessions: programs that hold KV cache in the engine, and the pending releases of that cache.
 //!
-//! A session lives while some heartbeat renews its shard. An order to free is repeated until the
-//! engine confirms it, so that a lost one holds no memory.
+//! A session lives while heartbeats renew its shard. A release is repeated until the engine
+//! confirms it, so that a lost request does not leak cache.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -13,10 +13,10 @@
 
 use super::fences;
 
-/// Most programs asked after in one heartbeat.
+/// Maximum number of idle programs reported in one heartbeat.
 const MAX_IDLE_REPORTED: usize = 256;
 
-/// Most shards named as not renewed in one heartbeat.
+/// Maximum number of unrenewed shards reported in one heartbeat.
 const MAX_UNRENEWED_REPORTED: usize = 512;
 
 #[derive(Debug)]
@@ -25,9 +25,9 @@
     created_at: Instant,
     last_used_at: Instant,
     running: u32,
-    /// Known from the engine only: its keeper is asked after it with the next heartbeat.
+    /// Reported only by the engine; the next heartbeat reply asks its keeper whether it exists.
     unverified: bool,
-    /// The program ended or moved while it ran: its memory is freed after the run.
+    /// The program ended or moved during a run: its cache is released after the run.
     release_after_run: bool,
 }
 
@@ -43,12 +43,12 @@
     releases: HashMap<id::ProgramId, PendingRelease>,
 }
 
-/// Pauses between repeated orders.
+/// Delays between repeated releases.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    /// The first.
+    /// Delay before the first repetition.
     pub initial: Duration,
-    /// The longest.
+    /// Maximum delay.
     pub max: Duration,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl Sessions {
-    /// No sessions yet.
+    /// Creates an empty table.
     pub fn new(backoff: Backoff) -> Self {
         Self {
             backoff,
@@ -68,10 +68,10 @@
         }
     }
 
-    /// Notes that a run of `program` begins in the engine.
+    /// Records that a run of `program` begins in the engine.
     pub fn begin_run(&self, program: &id::ProgramId, shard: id::ShardId, now: Instant) {
         let mut inner = self.inner.lock();
-        // A waiting order to free would throw away what this run is about to use.
+        // A pending release would evict the cache that this run is about to use.
         inner.releases.remove(program);
         let session = inner.session(program, shard, now);
         session.last_used_at = now;
@@ -80,11 +80,11 @@
         session.running += 1;
     }
 
-    /// Takes over a program whose memory the engine says it holds and that is not known here.
+    /// Adds a session for a program that the engine reports as cached and that has none here.
     ///
-    /// Guards against a side that was restarted: it has no sessions, while the engine beside it
-    /// still holds the memory of every program that ran before; and against a late event that tells
-    /// of memory from before it was freed. Either program may have ended, so its keeper is asked.
+    /// Guards against a restart of the side, after which it has no sessions while the engine still
+    /// caches every program that ran before; and against a delayed event that reports cache from
+    /// before its release. In both cases the program may have ended, so its keeper is asked.
     pub fn adopt(&self, program: &id::ProgramId, shard: id::ShardId, now: Instant) {
         let mut inner = self.inner.lock();
         if !inner.releases.contains_key(program) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The engine says that it holds nothing of `program`.
+    /// Records that the engine no longer caches `program`.
     pub fn record_eviction(&self, program: &id::ProgramId) {
         let mut inner = self.inner.lock();
         inner.releases.remove(program);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Notes that a run of `program` left the engine.
+    /// Records that a run of `program` left the engine.
     pub fn end_run(&self, program: &id::ProgramId, now: Instant) {
         let mut inner = self.inner.lock();
         let Some(session) = inner.sessions.get_mut(program) else {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Orders that the memory of `program` is freed, once no run of it is under way.
+    /// Schedules the release of `program`'s cache, once no run of it is in progress.
     pub fn schedule_release(&self, program: &id::ProgramId, now: Instant) {
         let mut inner = self.inner.lock();
         let Some(session) = inner.sessions.get_mut(program) else {
@@ -127,10 +127,10 @@
         }
     }
 
-    /// Frees every session whose shard was not renewed for `ttl`; returns how many.
+    /// Releases every session whose shard was not renewed for `ttl`. Returns their number.
     ///
-    /// Guards against engine memory that stays held when a keeper dies and no other entry takes
-    /// an interest in its programs: the free part of the cache would shrink for good.
+    /// Guards against a cache leak when a keeper dies and no other entry takes over its programs:
+    /// the free part of the cache would shrink permanently.
     pub fn expire(&self, fences: &fences::Fences, ttl: Duration, now: Instant) -> usize {
         let expired: Vec<_> = {
             let inner = self.inner.lock();
@@ -151,8 +151,8 @@
         expired.len()
     }
 
-    /// Idle programs of `shards`, to ask their keeper after. Each is asked after again only when
-    /// `idle` has passed once more.
+    /// Idle programs of `shards`, whose keepers are to be asked whether they still exist. Each is
+    /// returned again only after `idle` has passed once more.
     pub fn take_idle(
         &self,
         shards: &HashSet<id::ShardId>,
@@ -177,7 +177,7 @@
         reported
     }
 
-    /// Shards with sessions that no heartbeat renewed within the last `within`.
+    /// Shards with sessions that were not renewed within the last `within`.
     pub fn unrenewed_shards(
         &self,
         fences: &fences::Fences,
@@ -195,8 +195,8 @@
         overdue.take(MAX_UNRENEWED_REPORTED).collect()
     }
 
-    /// Programs whose memory is to be freed now. Each is due again after a growing pause, until
-    /// [`Sessions::freed`] confirms it.
+    /// Programs whose cache is to be released now. Each is due again after an increasing delay,
+    /// until [`Sessions::confirm_release`] is called.
     pub fn due_releases(&self, now: Instant) -> Vec<id::ProgramId> {
         let mut inner = self.inner.lock();
         let max = self.backoff.max;
@@ -210,29 +210,29 @@
         .collect()
     }
 
-    /// The engine confirmed that it freed the memory of `program`.
+    /// Records that the engine confirmed the release of `program`'s cache.
     pub fn confirm_release(&self, program: &id::ProgramId) {
         self.inner.lock().releases.remove(program);
     }
 
-    /// The engine lost all its memory: there is nothing left to free.
+    /// Removes all releases and idle sessions after the engine lost its cache.
     pub fn clear_idle(&self) {
         let mut inner = self.inner.lock();
         inner.releases.clear();
         inner.sessions.retain(|_, session| session.running > 0);
     }
 
-    /// Sessions held.
+    /// Number of sessions.
     pub fn len(&self) -> usize {
         self.inner.lock().sessions.len()
     }
 
-    /// Whether no session is held.
+    /// Whether there are no sessions.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Orders to free that the engine has not confirmed.
+    /// Number of releases that the engine has not confirmed.
     pub fn unconfirmed_releases(&self) -> usize {
         self.inner.lock().releases.len()
     }
--- a/fw-side/src/process/tasks.rs
+++ b/fw-side/src/process/tasks.rs
@@ -1,4 +1,5 @@
-//! The loops of a side: release from the queue, watch the upstream, free its memory, sweep.
+//! Background tasks of a side: dispatch from the queue, health checks of the upstream, release of
+//! its cache, and expiry of sessions and answers.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -18,16 +19,16 @@
 use crate::errors;
 use crate::request::run;
 
-/// Longest time between two looks at the queue, for deadlines.
+/// Maximum time between two checks of the queue for expired deadlines.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two sweeps of sessions and answers, at most.
+/// Maximum time between two sweeps of sessions and answers.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Orders to free memory that are sent together.
+/// Maximum number of concurrent cache releases.
 const CONCURRENT_RELEASES: usize = 8;
 
-/// Releases attempts from the queue into the engine.
+/// Dispatches attempts from the queue to the engine.
 pub async fn dispatch(core: Arc<core::Core>) {
     loop {
         expire(&core);
@@ -65,7 +66,7 @@
     }
 }
 
-/// Watches whether the upstream answers, and how busy it is.
+/// Monitors the availability and the load of the upstream.
 pub async fn monitor_upstream(core: Arc<core::Core>) {
     let interval = core.opts.settings.engine.load_poll;
     let idle_timeout = core.opts.settings.engine.between_tokens_timeout;
@@ -84,7 +85,7 @@
                 core.mark_up();
             }
             Probe::Refused => core.mark_crashed("it refuses connections"),
-            // A busy engine may be late with its report while its streams go on.
+            // A busy engine may delay its report while its streams continue.
             Probe::Unresponsive if core.meter.is_streaming(Instant::now(), idle_timeout) => {}
             Probe::Unresponsive => {
                 failed += 1;
@@ -97,7 +98,7 @@
     }
 }
 
-/// What a look at the upstream showed.
+/// Result of a health check of the upstream.
 enum Probe {
     Up(engine::Report),
     Refused,
@@ -111,7 +112,7 @@
     }
     match core.engine.load().await {
         Ok(report) => Probe::Up(report),
-        // An engine without load reports is up all the same.
+        // An engine that does not support load reports is up as well.
         Err(fw_http::Error::Json { .. }) => Probe::Up(engine::Report::default()),
         Err(err) if engine::is_connection_refused(&err) => Probe::Refused,
         Err(_) => Probe::Unresponsive,
@@ -135,7 +136,7 @@
     loop {
         tokio::time::sleep(interval).await;
         if core.crashes() != crashes {
-            // A restarted engine numbers its events anew.
+            // A restarted engine numbers its events from the beginning.
             crashes = core.crashes();
             seen = 0;
         }
@@ -148,11 +149,12 @@
     }
 }
 
-/// Takes in events after `seen`; returns the number of the last.
+/// Applies the events after `seen`. Returns the number of the last one.
 fn apply_events(core: &core::Core, mut seen: u64, events: &[engine::CacheEvent]) -> u64 {
     let now = Instant::now();
     for event in events {
-        // The first events seen need not be the engine's first: a side starts beside one that ran.
+        // The first received event need not be the engine's first: the side may have started later
+        // than the engine.
         if seen > 0 && event.seq != seen + 1 {
             metrics::counter!("fw_side_cache_gaps_total").increment(1);
             core.cache_view.reset();
@@ -169,7 +171,7 @@
     seen
 }
 
-/// Sends orders to free memory until the engine confirms them.
+/// Sends cache releases until the engine confirms them.
 pub async fn release_memory(core: Arc<core::Core>) {
     let tick = core.opts.release_backoff / 4;
     loop {
@@ -198,7 +200,7 @@
     }
 }
 
-/// Ends sessions that no keeper renews, and drops old answers.
+/// Expires sessions that no keeper renews, and drops old answers.
 pub async fn sweep(core: Arc<core::Core>) {
     let cfg = &core.opts.settings.sessions;
     let retention = attempts::Retention {
@@ -231,7 +233,7 @@
     metrics::gauge!("fw_side_history_bytes").set(core.histories.bytes() as f64);
 }
 
-/// The shards of a heartbeat whose fencing numbers are current.
+/// Renews the shards of a heartbeat. Returns those whose fencing numbers are current.
 pub fn renew_shards(
     core: &core::Core,
     shards: &[(id::ShardId, id::Fence)],
@@ -259,8 +261,8 @@
     renewed
 }
 
-/// Ends the turns of earlier keepers of `shards`. Their keeper may be cut off and not know that it
-/// lost the shard: it would give out an answer that the new keeper's history does not have.
+/// Ends the turns of earlier keepers of `shards`. An earlier keeper may be partitioned and unaware
+/// that it lost the shard: it would deliver an answer that the new keeper's history lacks.
 pub fn end_fenced_turns(core: &core::Core, shards: &HashSet<id::ShardId>) {
     for attempt in core.attempts.unfinished() {
         let start = &attempt.start;
--- a/fw-side/src/request/answer.rs
+++ b/fw-side/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! The assistant's message, put together from the chunks of a stream.
+//! Assembles the assistant's message from the chunks of a stream.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// The parts of a `chat.completion.chunk` that the side reads.
+/// The fields of a `chat.completion.chunk` that the side reads.
 #[derive(Debug, Deserialize)]
 struct Chunk {
     #[serde(default)]
@@ -77,23 +77,23 @@
     arguments: String,
 }
 
-/// What a chunk was.
+/// Kind of a received chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChunkKind {
-    /// A part of the answer, to be passed on.
+    /// A part of the answer, to be forwarded.
     Part {
-        /// It carries text or a tool call.
+        /// Whether it contains text or a tool call.
         has_content: bool,
     },
-    /// The usage alone, which travels with the end of the attempt.
+    /// Only the usage, which is sent with the final state of the attempt.
     Usage,
-    /// An error of the engine in the midst of the stream.
+    /// An error that the engine reported within the stream.
     Error(String),
-    /// Not a chunk.
+    /// Not a valid chunk.
     Malformed(String),
 }
 
-/// An answer so far.
+/// The answer received so far.
 #[derive(Debug, Default)]
 pub struct Answer {
     content: String,
@@ -104,7 +104,7 @@
 }
 
 impl Answer {
-    /// Takes in one chunk.
+    /// Parses and applies one chunk.
     pub fn apply_chunk(&mut self, text: &str) -> ChunkKind {
         let chunk: Chunk = match serde_json::from_str(text) {
             Ok(chunk) => chunk,
@@ -147,25 +147,25 @@
         has_text || has_tool_calls
     }
 
-    /// Token counts, once the engine gave them.
+    /// Token counts; zero until the engine has sent them.
     pub fn usage(&self) -> chat::Usage {
         self.usage
     }
 
-    /// Why generation ended, if it did.
+    /// Finish reason of the generation, if it has ended.
     pub fn finish_reason(&self) -> Option<&str> {
         self.finish_reason.as_deref()
     }
 
-    /// The message as it enters the history.
+    /// The message in the form that is added to the history.
     ///
     /// # Errors
     ///
     /// As [`chat::Message::from_value`].
     pub fn message(&self) -> Result<chat::Message, chat::ParseError> {
         let mut message = json!({ "role": "assistant" });
-        // Client libraries send a message without text back with `content` null or absent, and
-        // both are dropped in canonical form; an empty text beside tool calls is as good as none.
+        // Client libraries return a message without text with `content` null or absent, and the
+        // canonical form drops both. Empty text next to tool calls is therefore omitted.
         if !self.content.is_empty() || self.tool_calls.is_empty() {
             message["content"] = json!(self.content);
         }
--- a/fw-side/src/request/body.rs
+++ b/fw-side/src/request/body.rs
@@ -1,4 +1,4 @@
-//! The body of a chat completion, written once.
+//! Serialization of the body of a chat completion, with a single copy of the messages.
 
 use bytes::Bytes;
 use fw_base::chat;
@@ -10,17 +10,17 @@
 
 use crate::errors;
 
-/// Room for the fields besides messages and parameters, in bytes.
+/// Buffer capacity for the fields other than messages and parameters, in bytes.
 const FIELDS_CAPACITY: usize = 256;
 
-/// What the body says besides the messages.
+/// The fields of the body other than the messages.
 #[derive(Clone, Copy, Debug)]
 pub struct Options<'a> {
-    /// The model.
+    /// Name of the model.
     pub model: &'a str,
-    /// Most tokens to generate; 0 sets no bound.
+    /// Maximum number of tokens to generate; 0 for no limit.
     pub max_tokens: id::Tokens,
-    /// The caller's other fields: a JSON object as text.
+    /// The caller's other fields, as the text of a JSON object.
     pub params: &'a str,
 }
 
@@ -28,16 +28,16 @@
 ///
 /// # Errors
 ///
-/// `BadRequest` if they are no JSON object.
+/// `BadRequest` if they are not a JSON object.
 pub fn check_params(params: &str) -> Result<(), error::Error> {
     parse_params(params).map(|_| ())
 }
 
-/// Writes the body. The messages' text is copied here and nowhere else.
+/// Writes the body. This is the only place that copies the text of the messages.
 ///
 /// # Errors
 ///
-/// `BadRequest` if the parameters are no JSON object.
+/// `BadRequest` if the parameters are not a JSON object.
 pub fn write(opts: &Options<'_>, messages: &[chat::Message]) -> Result<Bytes, error::Error> {
     let mut fields = parse_params(opts.params)?;
     fields.remove("messages");
--- a/fw-side/src/request/mod.rs
+++ b/fw-side/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one request.
+//! State and logic with the lifetime of one request.
 
 pub mod answer;
 pub mod body;
--- a/fw-side/src/request/run.rs
+++ b/fw-side/src/request/run.rs
@@ -1,4 +1,4 @@
-//! One run of an attempt in the engine.
+//! Execution of one attempt in the engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,26 +21,26 @@
 use crate::process::engine;
 use crate::process::histories;
 
-/// Times that a cancellation is sent until the engine confirms it.
+/// Maximum number of times that a cancellation is sent while the engine does not confirm it.
 const MAX_CANCEL_ATTEMPTS: u32 = 5;
-/// Pause between them.
+/// Delay between cancellations.
 const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How a run went over its connections to the engine.
+/// Failure of a run.
 #[derive(Debug)]
 enum RunError {
-    /// No connection was made, so no byte was sent.
+    /// No connection was established, so no byte was sent.
     Unsent {
-        /// Nobody listens: the engine is not there.
+        /// The connection was refused: no process listens at the engine's address.
         refused: bool,
     },
-    /// The engine went away, or lost what it was doing.
+    /// The engine is gone, or lost the request.
     Crashed(String),
-    /// The engine's answer, or its lack, ends this attempt only.
+    /// A failure that concerns only this attempt.
     Failed(error::Error),
 }
 
-/// A run under way.
+/// State of a run.
 struct Run<'a> {
     core: &'a core::Core,
     attempt: &'a attempts::Attempt,
@@ -48,15 +48,15 @@
     request_id: String,
     dispatched_at: Instant,
     answer: answer::Answer,
-    /// The engine answered, so it has the request.
+    /// The engine sent a response, so it has received the request.
     accepted: bool,
-    /// Events received from the engine.
+    /// Number of events received from the engine.
     received_events: usize,
     first_token_at: Option<Instant>,
     last_token_at: Option<Instant>,
 }
 
-/// Runs `attempt`, which was released from the queue, and ends it. Never sends it twice.
+/// Runs a dispatched `attempt` to its end. The request is never sent twice.
 pub async fn run(core: Arc<core::Core>, attempt: Arc<attempts::Attempt>) {
     let start = &attempt.start;
     core.sessions
@@ -89,14 +89,14 @@
     if needs_cancel {
         cancel(&core, &run.request_id).await;
     }
-    // Only now is the place in the engine free again: a request that runs on there would share
-    // the batch with the next one, unseen by the queue.
+    // The slot in the engine is free only after the cancellation: a request that still runs would
+    // share the batch with the next one without being counted by the queue.
     core.sessions.end_run(&start.program, Instant::now());
     core.queue.finish(start.attempt);
     core.queue_changed.notify_one();
 }
 
-/// The engine's name of an attempt's request.
+/// Request id of an attempt in the engine.
 fn request_id_of(attempt: id::AttemptId) -> String {
     format!("{attempt:016x}")
 }
@@ -114,7 +114,7 @@
 }
 
 impl Run<'_> {
-    /// Sends the request once and takes in its stream until it is whole.
+    /// Sends the request once and reads its stream until it is complete.
     async fn execute(&mut self) -> Result<(), RunError> {
         let start = &self.attempt.start;
         let opts = body::Options {
@@ -133,7 +133,7 @@
                 let refused = engine::is_connection_refused(&err);
                 return Err(RunError::Unsent { refused });
             }
-            // The connection is of no use any more, but the engine may have the request.
+            // The connection has failed, but the engine may have received the request.
             Err(_) => None,
         };
         self.accepted = next.is_some();
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Takes in one connection's part of the stream; true when the answer is whole, false when
-    /// the connection broke or went silent.
+    /// Reads the stream from one connection. Returns true when the answer is complete, and false
+    /// when the connection failed or exceeded the idle timeout.
     async fn read_stream(&mut self, mut body: Incoming) -> Result<bool, RunError> {
         let mut decoder = sse::Decoder::default();
         loop {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// How long the stream may be silent.
+    /// Idle timeout of the stream.
     fn idle_timeout(&self) -> Duration {
         let cfg = &self.core.opts.settings.engine;
         match self.first_token_at {
@@ -191,11 +191,11 @@
         }
     }
 
-    /// Reads the stream on over a new connection.
+    /// Resumes the stream over a new connection.
     ///
-    /// Guards against a connection that went silent for good while new ones work: the caller
-    /// would wait for ever, and sending the request again would run the turn twice. The engine
-    /// knows the request by its name and gives the chunks from the offset on.
+    /// Guards against a connection that stops responding permanently while new ones work: the
+    /// caller would wait forever, and sending the request again would run the turn twice. The
+    /// engine identifies the request by its id and sends the chunks from the offset on.
     async fn resume(&self) -> Result<Option<Incoming>, RunError> {
         metrics::counter!("fw_side_resumes_total").increment(1);
         let head = match self
@@ -216,8 +216,9 @@
         open_stream(head).await.map(Some)
     }
 
-    /// An engine that took the request and does not know it any more was restarted. One that never
-    /// answered may not have got it, or may have been restarted too: that concerns this turn only.
+    /// Error for a request that is unknown to the engine. If the engine had accepted it, the engine
+    /// was restarted. If it never responded, it may not have received the request, or may have been
+    /// restarted too: this fails only the one turn.
     fn unknown_request_error(&self) -> RunError {
         let why = "it does not know the request";
         if self.accepted {
@@ -297,7 +298,7 @@
                 self.core.mark_crashed(&why);
             }
             Some(Err(RunError::Failed(err))) => self.fail(err),
-            // Whoever stopped the run ended the attempt before.
+            // The attempt was ended before its run was stopped.
             None => {}
         }
     }
@@ -333,8 +334,8 @@
         self.attempt.end(attempt::State::Done(Box::new(finish)));
     }
 
-    /// Keeps the history for the next turn, and notes what the engine's cache holds of it now;
-    /// the engine's own events say so later.
+    /// Stores the history for the next turn, and updates the view of the engine's cache without
+    /// waiting for the engine's own events.
     fn store_history(&self, message: &chat::Message, usage: chat::Usage) {
         let program = &self.attempt.start.program;
         let mut prompt = self.prompt.clone();
@@ -346,7 +347,7 @@
     }
 }
 
-/// The stream of an answer whose status is good.
+/// The body of a response with a success status, or an error for any other status.
 async fn open_stream(head: http::Response<Incoming>) -> Result<Incoming, RunError> {
     let status = head.status();
     if status.is_success() {
--- a/fw-side/src/request/sse.rs
+++ b/fw-side/src/request/sse.rs
@@ -1,11 +1,11 @@
-//! Server-sent events of a stream, cut out of its bytes as they come.
+//! Incremental decoder for server-sent events.
 
 use bytes::BytesMut;
 
-/// Largest event, in bytes.
+/// Maximum size of an event, in bytes.
 const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// What the bytes so far hold.
+/// Result of decoding the next event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decoded {
     /// The data of an event.
@@ -14,26 +14,26 @@
     Done,
     /// More bytes are needed.
     Incomplete,
-    /// An event is too large, or is no UTF-8.
+    /// An event is too large, or is not valid UTF-8.
     Malformed,
 }
 
-/// Bytes that were not cut into events yet.
+/// Decoder state: the bytes that have not been decoded yet.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buf: BytesMut,
-    /// Bytes of `buf` that are known to hold no line end.
+    /// Length of the prefix of `buf` that contains no line end.
     scanned: usize,
 }
 
 impl Decoder {
-    /// Appends bytes.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// Cuts out the next event. Each is one `data:` line, as OpenAI's API sends it; comments,
-    /// empty lines and other fields are skipped.
+    /// Decodes the next event. Each is one `data:` line, as sent by OpenAI's API; comments, empty
+    /// lines and other fields are skipped.
     pub fn next_event(&mut self) -> Decoded {
         while let Some(len) = self.line_end() {
             let line = self.buf.split_to(len + 1);
--- a/fw-side/tests/side/fencing_check.rs
+++ b/fw-side/tests/side/fencing_check.rs
@@ -71,8 +71,8 @@
     expect_that!(rig::refusal(&reply), some(eq(error::Kind::BadRequest)));
 }
 
-// A keeper is cut off while its turn runs, and another entry takes over the program's shard. Left to
-// end, the answer would reach the caller through the old keeper, and the new one's history would
+// A keeper is cut off while its turn runs, and another entry takes over the program's shard. Left
+// to end, the answer would reach the caller through the old keeper, and the new one's history would
 // lack it. The new keeper's first heartbeat must end the turn.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
