--- a/fw-side/src/connection/rpc.rs
+++ b/fw-side/src/connection/rpc.rs
@@ -45,7 +45,7 @@
             }
             fences::Check::Stale { newest } => {
                 let why = format!(
-                    "fencing number {fence} of shard {shard} is older than {newest}: \
+                    "fencing number {fence} of shard {shard} is lower than {newest}: \
                      another entry keeps the shard"
                 );
                 Err(errors::counted(error::Kind::StaleFence, why))
@@ -84,7 +84,7 @@
             return Ok(side::StartReply::Accepted);
         }
         if req.shard != id::shard_of(&req.program) {
-            let why = format!("`shard` {} is not that of `program`", req.shard);
+            let why = format!("`shard` {} is not the shard of `program`", req.shard);
             return Err(errors::counted(error::Kind::BadRequest, why));
         }
         self.check_fence(req.shard, req.fence)?;
--- a/fw-side/src/process/at_most_once.rs
+++ b/fw-side/src/process/at_most_once.rs
@@ -56,16 +56,16 @@
         match inner.calls.get(&id) {
             Some(State::InProgress) => Err(errors::counted(
                 error::Kind::KeyInUse,
-                "a call with this `x-fw-attempt` is under way; read its outcome instead",
+                "a call with this `x-fw-attempt` is in progress; read its outcome instead",
             )),
             Some(State::Ended) => Err(errors::counted(
                 error::Kind::MayHaveRun,
-                "a call with this `x-fw-attempt` was sent before; it is not sent again",
+                "a call with this `x-fw-attempt` has already been sent; it is not sent again",
             )),
             None if inner.calls.len() >= self.max_ids => Err(errors::counted(
                 error::Kind::Overloaded,
                 format!(
-                    "{} at-most-once calls are remembered; try later",
+                    "the limit of {} at-most-once call ids is reached; retry later",
                     self.max_ids
                 ),
             )),
--- a/fw-side/src/process/core.rs
+++ b/fw-side/src/process/core.rs
@@ -146,14 +146,14 @@
     /// Stops accepting new work.
     pub fn leave(&self) {
         if self.phase.send_replace(Phase::Leaving) == Phase::Serving {
-            tracing::info!("leaving: no new work is taken");
+            tracing::info!("leaving: new work is refused");
         }
     }
 
     /// Records whether the engine reports that it is leaving.
     pub fn set_engine_leaving(&self, leaving: bool) {
         if self.engine_leaving.swap(leaving, Ordering::AcqRel) != leaving {
-            tracing::info!(leaves = leaving, "the engine says whether it leaves");
+            tracing::info!(leaves = leaving, "the engine changed whether it is leaving");
         }
     }
 
@@ -209,7 +209,7 @@
             } else {
                 errors::counted(
                     error::Kind::UpstreamCrashed,
-                    format!("the engine crashed under the turn: {why}"),
+                    format!("the engine crashed during the turn: {why}"),
                 )
             };
             attempt.abort(err);
@@ -235,12 +235,12 @@
     /// `UpstreamLeaving` or `NoUpstream`.
     pub fn check_available(&self) -> Result<(), error::Error> {
         if self.is_leaving() {
-            let why = "the upstream is leaving; send to another";
+            let why = "the upstream is leaving; use another";
             return Err(errors::counted(error::Kind::UpstreamLeaving, why));
         }
         if self.is_down() {
             let retry = self.opts.settings.engine.load_poll;
-            let why = "the upstream does not answer; send to another";
+            let why = "the upstream is not responding; use another";
             return Err(errors::counted(error::Kind::NoUpstream, why).with_retry_after(retry));
         }
         Ok(())
@@ -264,7 +264,7 @@
         let mut last = self.last_unreadable_set.lock();
         if *last < revision {
             *last = revision;
-            tracing::warn!(revision, %err, "a set of records cannot be read");
+            tracing::warn!(revision, %err, "a record set cannot be parsed");
         }
     }
 
--- a/fw-side/src/process/dispatch_queue.rs
+++ b/fw-side/src/process/dispatch_queue.rs
@@ -206,9 +206,9 @@
 
 fn refusal_error(refusal: fw_plan::Refusal) -> error::Error {
     let why = match refusal.kind {
-        error::Kind::QueueFull => "the queue before the engine is full; try later or elsewhere",
-        error::Kind::ShareExceeded => "the team has its share of the queue already; try later",
-        _ => "the queue is too long for the deadline; allow more time or try elsewhere",
+        error::Kind::QueueFull => "the engine's queue is full; retry later or on another upstream",
+        error::Kind::ShareExceeded => "the team has used up its share of the queue; retry later",
+        _ => "the queue is too long for the deadline; allow more time or use another upstream",
     };
     errors::counted(refusal.kind, why).with_retry_after(refusal.retry_after)
 }
--- a/fw-side/src/process/serve.rs
+++ b/fw-side/src/process/serve.rs
@@ -95,7 +95,10 @@
         let within = self.core.opts.settings.shutdown.drain_timeout;
         let drained = self.core.wait_drained(within).await;
         if !drained {
-            tracing::warn!(?within, "work under way did not end in time");
+            tracing::warn!(
+                ?within,
+                "work in progress did not end within the drain timeout"
+            );
         }
         self.core.closing.cancel();
         // Answers have been passed to the connections, which may not have sent them yet.
--- a/fw-side/src/process/tasks.rs
+++ b/fw-side/src/process/tasks.rs
@@ -60,7 +60,7 @@
         if let Some(attempt) = core.attempts.get(id) {
             attempt.abort(errors::counted(
                 error::Kind::DeadlineUnmeetable,
-                "the turn waited until its deadline and was not sent; allow more time",
+                "the turn was still queued at its deadline and was not sent; allow more time",
             ));
         }
     }
--- a/fw-side/src/request/plain.rs
+++ b/fw-side/src/request/plain.rs
@@ -57,7 +57,7 @@
 
 /// Idle timeout of a response body.
 #[derive(Debug, Snafu)]
-#[snafu(display("the upstream sent nothing for {after:?}"))]
+#[snafu(display("the upstream sent no data for {after:?}"))]
 struct IdleTimeout {
     after: Duration,
 }
@@ -148,7 +148,7 @@
     if !is_engine || ENGINE_PATHS.contains(&path) {
         return Ok(());
     }
-    let why = format!("a model engine takes plain calls to {ENGINE_PATHS:?} only, not `{path}`");
+    let why = format!("a model engine serves plain calls only to {ENGINE_PATHS:?}, not `{path}`");
     Err(errors::counted(error::Kind::UnknownRoute, why))
 }
 
@@ -158,7 +158,7 @@
     })?;
     let at_most_once = headers.get(ONCE).is_some_and(|value| value == "1");
     if at_most_once && attempt.is_none() {
-        let why = "a call with `x-fw-once: 1` needs `x-fw-attempt`";
+        let why = "a call with `x-fw-once: 1` requires `x-fw-attempt`";
         return Err(errors::counted(error::Kind::BadRequest, why));
     }
     let millis: Option<u64> = parse_header(headers, &DEADLINE, |text| text.parse().ok())?;
@@ -182,7 +182,7 @@
     };
     let value = value.to_str().ok().and_then(parse);
     value.map(Some).ok_or_else(|| {
-        let why = format!("header `{name}` must be a whole number (`x-fw-attempt`: hexadecimal)");
+        let why = format!("header `{name}` must be an integer (`x-fw-attempt`: hexadecimal)");
         errors::counted(error::Kind::BadRequest, why)
     })
 }
@@ -198,7 +198,8 @@
         Ok(Ok(slot)) => Ok(slot),
         _ => {
             let most = core.opts.plain_concurrency;
-            let why = format!("{most} plain calls are under way here; try later or elsewhere");
+            let why =
+                format!("{most} plain calls are in progress; retry later or on another upstream");
             let err = errors::counted(error::Kind::Overloaded, why);
             Err(err.with_retry_after(core.opts.plain_max_wait))
         }
@@ -249,14 +250,14 @@
     match tokio::time::timeout(timeout, client.pool.request(req)).await {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(err)) if is_unsent(&err) => {
-            let why = "no connection to the upstream is made; nothing was sent";
+            let why = "could not connect to the upstream; nothing was sent";
             let retry = core.opts.settings.engine.load_poll;
             let err = errors::counted(error::Kind::NoUpstream, why);
             Err(SendError::Unsent(err.with_retry_after(retry)))
         }
         Ok(Err(err)) => Err(SendError::Sent(errors::counted(
             error::Kind::UpstreamCrashed,
-            format!("the upstream closed the connection under the call: {err}"),
+            format!("the connection to the upstream failed during the call: {err}"),
         ))),
         Err(_) => Err(SendError::Sent(errors::counted(
             error::Kind::UpstreamTimeout,
--- a/fw-side/src/request/run.rs
+++ b/fw-side/src/request/run.rs
@@ -81,7 +81,7 @@
         () = core.aborted.cancelled() => return,
         () = tokio::time::sleep_until(deadline) => Some(Err(RunError::Failed(errors::counted(
             error::Kind::DeadlineExceeded,
-            "the caller's deadline passed while the turn ran; allow more time",
+            "the caller's deadline passed during the run; allow more time",
         )))),
     };
     let needs_cancel = !matches!(outcome, Some(Ok(())));
@@ -220,13 +220,13 @@
     /// was restarted. If it never responded, it may not have received the request, or may have been
     /// restarted too: this fails only the one turn.
     fn unknown_request_error(&self) -> RunError {
-        let why = "it does not know the request";
+        let why = "the request is unknown to it";
         if self.accepted {
             return RunError::Crashed(why.into());
         }
         RunError::Failed(errors::counted(
             error::Kind::UpstreamCrashed,
-            "the connection to the engine failed, and the engine does not know the request",
+            "the connection to the engine failed, and the request is unknown to the engine",
         ))
     }
 
@@ -241,11 +241,11 @@
                 Ok(())
             }
             answer::ChunkKind::Usage => Ok(()),
-            answer::ChunkKind::Error(why) => {
-                Err(upstream_error(&format!("the engine says: {why}")))
-            }
+            answer::ChunkKind::Error(why) => Err(upstream_error(&format!(
+                "the engine reported an error: {why}"
+            ))),
             answer::ChunkKind::Malformed(why) => Err(upstream_error(&format!(
-                "the engine sent no valid chunk: {why}"
+                "the engine sent an invalid chunk: {why}"
             ))),
         }
     }
@@ -276,7 +276,7 @@
     fn timeout_error(&self) -> RunError {
         RunError::Failed(errors::counted(
             error::Kind::UpstreamTimeout,
-            "the engine stopped sending, and reading on over new connections brought nothing",
+            "the engine stopped sending, and resuming over new connections yielded no data",
         ))
     }
 
@@ -284,7 +284,7 @@
         match outcome {
             Some(Ok(())) => self.finish(),
             Some(Err(RunError::Unsent { refused })) => {
-                let why = "no connection to the engine is made; nothing was sent";
+                let why = "could not connect to the engine; nothing was sent";
                 self.fail(errors::counted(error::Kind::NoUpstream, why));
                 if refused {
                     self.core.mark_crashed("it refuses connections");
@@ -293,7 +293,7 @@
             Some(Err(RunError::Crashed(why))) => {
                 self.fail(errors::counted(
                     error::Kind::UpstreamCrashed,
-                    format!("the engine crashed under the turn: {why}"),
+                    format!("the engine crashed during the turn: {why}"),
                 ));
                 self.core.mark_crashed(&why);
             }
