--- a/fw-keep/src/program/mod.rs
+++ b/fw-keep/src/program/mod.rs
@@ -1,7 +1,7 @@
-//! The life cycle of one program: idle, running, idle again, and at last ended.
+//! State machine of one program: idle, running and ended.
 //!
-//! A turn enters the history when it is finished, never before, so that whatever happens to an
-//! attempt leaves the history as it was.
+//! A turn enters the history only when it is finished, so that a failed attempt leaves the history
+//! unchanged.
 
 mod turn;
 
@@ -24,22 +24,22 @@
 pub use crate::program::turn::Saved;
 pub use crate::program::turn::Turn;
 
-/// Bytes of message text for one token, for estimates before an engine has counted.
+/// Assumed bytes of message text per token, for estimates before an engine has counted the tokens.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// How a program stands.
+/// Status of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// No turn is under way.
+    /// No turn is running.
     Idle,
-    /// A turn is under way.
+    /// A turn is running.
     Running,
-    /// It takes no further turn.
+    /// The program was ended and accepts no further turn.
     Ended,
 }
 
 impl Status {
-    /// The word for it towards callers.
+    /// The status's name in the API.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Idle => "idle",
@@ -49,7 +49,7 @@
     }
 }
 
-/// The turn under way.
+/// The running turn.
 #[derive(Clone, Debug, PartialEq)]
 struct Running {
     attempt: id::AttemptId,
@@ -78,13 +78,13 @@
     state: State,
     ledger: ledger::Ledger,
     limits: ledger::Limits,
-    touched: Duration,
+    last_used_at: Duration,
 }
 
-/// Where the messages of a request stand relative to the committed history.
-enum Place {
-    Next(Vec<chat::Message>),
-    Last,
+/// Whether a request is for the next turn or repeats the last committed one.
+enum RequestKind {
+    NextTurn(Vec<chat::Message>),
+    Repetition,
 }
 
 impl Program {
@@ -99,7 +99,7 @@
             state: State::Idle,
             ledger: ledger::Ledger::default(),
             limits: ledger::Limits::default(),
-            touched: now,
+            last_used_at: now,
         }
     }
 
@@ -113,7 +113,7 @@
         self.parent.as_ref()
     }
 
-    /// How it stands.
+    /// Its status.
     pub fn status(&self) -> Status {
         match self.state {
             State::Idle => Status::Idle,
@@ -142,27 +142,27 @@
         self.last.as_ref()
     }
 
-    /// The attempt under way.
+    /// The running attempt.
     pub fn attempt(&self) -> Option<id::AttemptId> {
         self.running().map(|running| running.attempt)
     }
 
-    /// What it spent and has reserved.
+    /// The amounts that it has spent and reserved.
     pub fn ledger(&self) -> &ledger::Ledger {
         &self.ledger
     }
 
-    /// Tokens that the budget still allows; `None` if it sets no bound.
+    /// Tokens that the budget has left; `None` if it sets no limit.
     pub fn tokens_left(&self) -> Option<id::Tokens> {
         self.ledger.tokens_left(&self.limits)
     }
 
-    /// When it was last used, as the caller's `now` of that time.
-    pub fn touched(&self) -> Duration {
-        self.touched
+    /// Time of its last use, as the `now` that was passed then.
+    pub fn last_used_at(&self) -> Duration {
+        self.last_used_at
     }
 
-    /// Asks for a turn.
+    /// Requests a turn.
     pub fn begin(&mut self, begin: Begin, now: Duration) -> Outcome {
         match self.try_begin(begin, now) {
             Ok(outcome) => outcome,
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Commits the turn of `attempt`; `None` if that attempt is not the one under way, which is
-    /// so for late and crossed answers.
+    /// Commits the turn of `attempt`; `None` if that attempt is not the running one, as with
+    /// answers that arrive late or out of order.
     pub fn finish(
         &mut self,
         attempt: id::AttemptId,
@@ -201,11 +201,12 @@
         Some(turn)
     }
 
-    /// Gives up the turn of `attempt`, which may then be asked for again under the same number.
-    /// Returns what it is charged; `None` if that attempt is not the one under way.
+    /// Abandons the turn of `attempt`, which may then be requested again under the same number.
+    /// Returns the amount charged; `None` if that attempt is not the running one.
     ///
-    /// An attempt that may have run is charged all that it had reserved: the true amount is not
-    /// known, and a program that could make its turns fail would otherwise spend without bound.
+    /// An attempt that may have run is charged all the tokens that it had reserved: the true amount
+    /// is unknown, and a program that could make its turns fail would otherwise spend without
+    /// limit.
     pub fn fail(
         &mut self,
         attempt: id::AttemptId,
@@ -223,22 +224,22 @@
             },
         };
         self.ledger.settle(attempt, used);
-        self.touched = now;
+        self.last_used_at = now;
         Some(used)
     }
 
-    /// Ends the program and returns the attempt to cancel, if a turn is under way.
+    /// Ends the program and returns the attempt to cancel, if a turn is running.
     pub fn end(&mut self, now: Duration) -> Option<id::AttemptId> {
         let attempt = self.attempt();
         if let Some(attempt) = attempt {
             self.ledger.settle(attempt, ledger::Amount::default());
         }
         self.state = State::Ended;
-        self.touched = now;
+        self.last_used_at = now;
         attempt
     }
 
-    /// Sets aside budget for a sub-agent's attempt.
+    /// Reserves budget for a sub-agent's attempt.
     ///
     /// # Errors
     ///
@@ -246,32 +247,32 @@
     pub fn reserve(
         &mut self,
         attempt: id::AttemptId,
-        want: ledger::Want,
+        request: ledger::Request,
     ) -> Result<ledger::Grant, error::Error> {
-        self.check_alive()?;
-        self.ledger.reserve(attempt, want, &self.limits)
+        self.check_not_ended()?;
+        self.ledger.reserve(attempt, request, &self.limits)
     }
 
-    /// Adds what was spent without a turn.
+    /// Adds an amount that was spent without a committed turn.
     pub fn charge(&mut self, used: ledger::Amount) {
         self.ledger.charge(used);
     }
 
-    /// Replaces a sub-agent's reservation by what it used.
+    /// Replaces a sub-agent's reservation by the amount that it used.
     pub fn settle(&mut self, attempt: id::AttemptId, used: ledger::Amount) {
         self.ledger.settle(attempt, used);
     }
 
-    /// Whether `turn` continues this program exactly where it stands.
+    /// Whether `turn` is the next turn and follows exactly the committed history.
     pub fn continues(&self, turn: &Committed) -> bool {
         turn.turn == self.turn() + 1 && turn.base == self.digest
     }
 
-    /// The turn that was answered under an earlier keeper, if it continues the history and nothing
-    /// is under way.
-    pub(crate) fn resume(&self, held: Held) -> Option<Turn> {
+    /// The turn that was answered under an earlier keeper, if it continues the history and no turn
+    /// is running.
+    pub(crate) fn recover_turn(&self, held: Held) -> Option<Turn> {
         let is_next = held.turn == self.turn() + 1 && held.team == self.team;
-        // Digests chain over all messages: an equal one means the very same history.
+        // Digests are chained over all messages: equal digests mean equal histories.
         let continues = held.base == self.digest;
         if !is_next || !continues || self.status() != Status::Idle {
             return None;
@@ -303,10 +304,10 @@
         self.digest = turn.committed.prompt.extend(&turn.committed.answer.message);
         self.last = Some(turn.committed.clone());
         self.ledger.charge(turn.spent);
-        self.touched = now;
+        self.last_used_at = now;
     }
 
-    /// Puts together a program that a snapshot describes.
+    /// Restores a program from a snapshot.
     pub fn restore(saved: Saved) -> Self {
         let ended = saved.ended;
         Self {
@@ -318,11 +319,11 @@
             state: if ended { State::Ended } else { State::Idle },
             ledger: ledger::Ledger::new(saved.spent),
             limits: ledger::Limits::default(),
-            touched: saved.touched,
+            last_used_at: saved.last_used_at,
         }
     }
 
-    /// What a snapshot keeps of the program: all that is committed, nothing that is under way.
+    /// The program's state for a snapshot: all that is committed, without a running turn.
     pub fn save(&self) -> Saved {
         Saved {
             team: self.team.clone(),
@@ -331,7 +332,7 @@
             last: self.last.clone(),
             spent: self.ledger.spent(),
             ended: self.state == State::Ended,
-            touched: self.touched,
+            last_used_at: self.last_used_at,
         }
     }
 
@@ -352,7 +353,7 @@
         }
     }
 
-    fn check_alive(&self) -> Result<(), error::Error> {
+    fn check_not_ended(&self) -> Result<(), error::Error> {
         match self.state {
             State::Ended => Err(error::Error::new(
                 Kind::ProgramEnded,
@@ -374,29 +375,33 @@
 
     fn try_begin(&mut self, begin: Begin, now: Duration) -> Result<Outcome, error::Error> {
         self.check_team(&begin.team)?;
-        self.check_alive()?;
-        self.touched = now;
-        match self.place(&begin)? {
-            Place::Last => self.replay(&begin),
-            Place::Next(messages) => self.next(begin, messages, now),
+        self.check_not_ended()?;
+        self.last_used_at = now;
+        match self.classify(&begin)? {
+            RequestKind::Repetition => self.replay(&begin),
+            RequestKind::NextTurn(messages) => self.start_next(begin, messages, now),
         }
     }
 
-    /// Tells a repetition of the last committed turn from the next one.
-    fn place(&self, begin: &Begin) -> Result<Place, error::Error> {
+    /// Distinguishes a repetition of the last committed turn from the next turn.
+    fn classify(&self, begin: &Begin) -> Result<RequestKind, error::Error> {
         if let Some(turn) = begin.turn {
-            return self.place_numbered(begin, turn);
+            return self.classify_numbered(begin, turn);
         }
         match begin.history {
-            History::Full => self.place_full(begin),
-            History::Delta => self.place_delta(begin),
+            History::Full => self.classify_full(begin),
+            History::Delta => self.classify_delta(begin),
         }
     }
 
-    fn place_numbered(&self, begin: &Begin, turn: id::Turn) -> Result<Place, error::Error> {
+    fn classify_numbered(
+        &self,
+        begin: &Begin,
+        turn: id::Turn,
+    ) -> Result<RequestKind, error::Error> {
         let committed = self.turn();
         if turn == committed && turn > 0 {
-            return Ok(Place::Last);
+            return Ok(RequestKind::Repetition);
         }
         if turn != committed + 1 {
             let next = committed + 1;
@@ -406,27 +411,27 @@
             ));
         }
         match begin.history {
-            History::Full => self.after_history(begin).map(Place::Next),
+            History::Full => self.strip_history(begin).map(RequestKind::NextTurn),
             History::Delta => {
                 self.check_base(begin)?;
-                Ok(Place::Next(begin.messages.clone()))
+                Ok(RequestKind::NextTurn(begin.messages.clone()))
             }
         }
     }
 
-    /// A client library that knows nothing of turns repeats a call by sending the same messages.
-    fn place_full(&self, begin: &Begin) -> Result<Place, error::Error> {
+    /// A client library without support for turns retries a call by sending the same messages.
+    fn classify_full(&self, begin: &Begin) -> Result<RequestKind, error::Error> {
         if self.repeats_last(begin) {
-            return Ok(Place::Last);
+            return Ok(RequestKind::Repetition);
         }
-        self.after_history(begin).map(Place::Next)
+        self.strip_history(begin).map(RequestKind::NextTurn)
     }
 
-    /// Messages alone don't tell a repetition from a next turn that says the same again.
-    fn place_delta(&self, begin: &Begin) -> Result<Place, error::Error> {
+    /// Messages alone don't distinguish a repetition from a next turn with the same messages.
+    fn classify_delta(&self, begin: &Begin) -> Result<RequestKind, error::Error> {
         let Some(base) = begin.base else {
             if self.turn() == 0 {
-                return Ok(Place::Next(begin.messages.clone()));
+                return Ok(RequestKind::NextTurn(begin.messages.clone()));
             }
             return Err(error::Error::new(
                 Kind::BadRequest,
@@ -435,10 +440,10 @@
         };
         let repeats = |last: &Committed| last.base == base;
         if base != self.digest && self.last.as_ref().is_some_and(repeats) {
-            return Ok(Place::Last);
+            return Ok(RequestKind::Repetition);
         }
         self.check_base(begin)?;
-        Ok(Place::Next(begin.messages.clone()))
+        Ok(RequestKind::NextTurn(begin.messages.clone()))
     }
 
     fn repeats_last(&self, begin: &Begin) -> bool {
@@ -450,20 +455,20 @@
         same_len && Digest::EMPTY.extend_all(&begin.messages) == last.prompt
     }
 
-    /// The messages after the committed history, which the request must begin with. The digest
-    /// covers every message in order, so a history of another program can't pass for this one's.
-    fn after_history(&self, begin: &Begin) -> Result<Vec<chat::Message>, error::Error> {
-        let held = self.history.len();
-        let Some((before, after)) = begin.messages.split_at_checked(held) else {
+    /// The messages after the committed history, with which the request must begin. The digest
+    /// covers every message in order, so the history of another program is not accepted.
+    fn strip_history(&self, begin: &Begin) -> Result<Vec<chat::Message>, error::Error> {
+        let committed = self.history.len();
+        let Some((before, after)) = begin.messages.split_at_checked(committed) else {
             let sent = begin.messages.len();
             return Err(mismatch(format!(
-                "the committed history has {held} messages, and the request only {sent}; send all \
-                 of it, or `x-history: delta`"
+                "the committed history has {committed} messages, and the request has only {sent}; \
+                 send all of it, or `x-history: delta`"
             )));
         };
         if Digest::EMPTY.extend_all(before) != self.digest {
             return Err(mismatch(format!(
-                "the first {held} messages differ from the committed history; read it at \
+                "the first {committed} messages differ from the committed history; read it at \
                  GET /v1/programs/{{id}}"
             )));
         }
@@ -483,14 +488,14 @@
 
     fn replay(&self, begin: &Begin) -> Result<Outcome, error::Error> {
         let Some(last) = &self.last else {
-            return Err(changed(0));
+            return Err(turn_changed(0));
         };
         let prompt = match begin.history {
             History::Full => Digest::EMPTY.extend_all(&begin.messages),
             History::Delta => last.base.extend_all(&begin.messages),
         };
         if prompt != last.prompt || begin.params != last.params {
-            return Err(changed(last.turn));
+            return Err(turn_changed(last.turn));
         }
         Ok(Outcome::Replay {
             attempt: last.attempt,
@@ -499,7 +504,7 @@
         })
     }
 
-    fn next(
+    fn start_next(
         &mut self,
         begin: Begin,
         messages: Vec<chat::Message>,
@@ -515,12 +520,12 @@
             return running.attach(prompt, begin.params);
         }
         self.limits = begin.limits;
-        let prompt_tokens = self.estimate(&messages);
-        let want = ledger::Want {
+        let prompt_tokens = self.estimate_prompt(&messages);
+        let request = ledger::Request {
             prompt: prompt_tokens,
             completion: begin.max_tokens,
         };
-        let grant = self.ledger.reserve(begin.attempt, want, &begin.limits)?;
+        let grant = self.ledger.reserve(begin.attempt, request, &begin.limits)?;
         let turn = self.turn() + 1;
         self.state = State::Running(Box::new(Running {
             attempt: begin.attempt,
@@ -542,19 +547,19 @@
         }))
     }
 
-    fn estimate(&self, messages: &[chat::Message]) -> id::Tokens {
-        let held = self.last.as_ref().map_or(0, |last| {
+    fn estimate_prompt(&self, messages: &[chat::Message]) -> id::Tokens {
+        let counted = self.last.as_ref().map_or(0, |last| {
             last.answer.usage.prompt + last.answer.usage.completion
         });
         let added: u64 = messages.iter().map(|m| m.as_str().len() as u64).sum();
-        held + added.div_ceil(BYTES_PER_TOKEN)
+        counted + added.div_ceil(BYTES_PER_TOKEN)
     }
 }
 
 impl Running {
     fn attach(&self, prompt: Digest, params: Digest) -> Result<Outcome, error::Error> {
         if prompt != self.prompt || params != self.params {
-            return Err(changed(self.turn));
+            return Err(turn_changed(self.turn));
         }
         Ok(Outcome::Attach {
             attempt: self.attempt,
@@ -567,9 +572,9 @@
     error::Error::new(Kind::HistoryMismatch, message)
 }
 
-fn changed(turn: id::Turn) -> error::Error {
+fn turn_changed(turn: id::Turn) -> error::Error {
     error::Error::new(
         Kind::TurnChanged,
-        format!("turn {turn} was sent before with another body; send it unchanged or go on"),
+        format!("turn {turn} was sent with another body; send it unchanged or start the next turn"),
     )
 }
--- a/fw-keep/src/shard/load.rs
+++ b/fw-keep/src/shard/load.rs
@@ -1,4 +1,4 @@
-//! Builds a shard from its journal.
+//! Restores a shard from its journal.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -12,23 +12,26 @@
 use crate::program::Program;
 use crate::shard::Shard;
 
-/// What a damaged journal leaves in doubt.
+/// Damage of a journal, which may have lost changes of any program or claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Damage {
     pub(super) reason: String,
-    /// Programs that a later turn has shown to be whole.
-    pub(super) whole: HashSet<id::ProgramId>,
+    /// Programs that a later turn has proven to be complete.
+    pub(super) intact: HashSet<id::ProgramId>,
 }
 
 impl Shard {
-    /// The shard that a journal describes. What was open under the former holder has an unknown
-    /// outcome.
+    /// Restores the shard from the items of its journal. Claims that were open under the former
+    /// holder have an unknown outcome.
     pub fn load(id: id::ShardId, items: Vec<replay::Item>) -> Self {
         let mut shard = Self::new(id);
         for item in items {
             shard.replay(item);
         }
-        shard.claims.values_mut().for_each(claim::Claim::orphan);
+        shard
+            .claims
+            .values_mut()
+            .for_each(claim::Claim::mark_orphaned);
         shard
     }
 
@@ -38,25 +41,26 @@
                 self.programs.clear();
                 self.claims.clear();
                 self.damage = None;
-                self.replay_all(entries);
+                self.replay_entries(entries);
             }
-            replay::Item::Group(entries) => self.replay_all(entries),
-            replay::Item::Damage(corrupt) => self.damage_by(&corrupt.to_string()),
+            replay::Item::Group(entries) => self.replay_entries(entries),
+            replay::Item::Damage(corrupt) => self.mark_damaged(&corrupt.to_string()),
         }
     }
 
-    fn replay_all(&mut self, entries: Vec<Entry>) {
+    fn replay_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             self.replay_entry(entry);
         }
     }
 
-    /// Changes of any program or claim may be missing here, so all are in doubt. A program whose
-    /// next turn continues exactly what is known of it has lost nothing.
-    fn damage_by(&mut self, reason: &str) {
+    /// Marks all programs and claims as possibly incomplete, as changes of any of them may be
+    /// missing at this point. A program whose next turn follows exactly its restored history has
+    /// lost nothing.
+    fn mark_damaged(&mut self, reason: &str) {
         self.damage = Some(Damage {
             reason: reason.to_owned(),
-            whole: HashSet::new(),
+            intact: HashSet::new(),
         });
     }
 
@@ -67,19 +71,19 @@
         turn: &program::Turn,
         at: Duration,
     ) {
-        let known = self.programs.entry(program.clone()).or_insert(fresh);
-        if !known.continues(&turn.committed) {
+        let state = self.programs.entry(program.clone()).or_insert(fresh);
+        if !state.continues(&turn.committed) {
             let number = turn.committed.turn;
-            let had = known.turn();
-            let reason = format!("turn {number} of `{program}` does not follow its turn {had}");
+            let last = state.turn();
+            let reason = format!("turn {number} of `{program}` does not follow its turn {last}");
             if self.damage.is_none() {
-                self.damage_by(&reason);
+                self.mark_damaged(&reason);
             }
             return;
         }
-        known.apply(turn, at);
+        state.apply(turn, at);
         if let Some(damage) = &mut self.damage {
-            damage.whole.insert(program);
+            damage.intact.insert(program);
         }
     }
 
@@ -93,13 +97,13 @@
                 at,
             } => self.replay_turn(program, Program::new(team, parent, at), &turn, at),
             Entry::Charge { program, amount } => {
-                if let Some(known) = self.programs.get_mut(&program) {
-                    known.charge(amount);
+                if let Some(state) = self.programs.get_mut(&program) {
+                    state.charge(amount);
                 }
             }
             Entry::End { program, at } => {
-                if let Some(known) = self.programs.get_mut(&program) {
-                    known.end(at);
+                if let Some(state) = self.programs.get_mut(&program) {
+                    state.end(at);
                 }
             }
             Entry::Forget { program } => {
@@ -115,7 +119,7 @@
             }
             Entry::Done { key, answer, at } => {
                 if let Some(claim) = self.claims.get_mut(&key) {
-                    claim.done(answer, at);
+                    claim.record_answer(answer, at);
                 }
             }
             Entry::Free { key } => {
--- a/fw-keep/tests/keep/commit_answers.rs
+++ b/fw-keep/tests/keep/commit_answers.rs
@@ -1,4 +1,4 @@
-//! A group commit ends right whatever happens to its answers.
+//! Group commits end with the correct verdicts when answers are lost or writes are delayed.
 
 use fw_keep::commit;
 use fw_keep::commit::Commit;
@@ -25,13 +25,13 @@
 }
 
 fn entries(count: usize) -> Vec<Entry> {
-    let forget = |n| Entry::Forget {
+    let entry = |n| Entry::Forget {
         program: format!("p{n}").into(),
     };
-    (0..count).map(forget).collect()
+    (0..count).map(entry).collect()
 }
 
-fn own(store: &mut Memory, shard: u16, lease: kv::LeaseId) -> i64 {
+fn acquire(store: &mut Memory, shard: u16, lease: kv::LeaseId) -> i64 {
     let txn = kv::Txn {
         then: vec![kv::Op::Put {
             key: keys::owner(ROOT, shard),
@@ -48,7 +48,7 @@
         let mut store = Memory::new();
         let lease = store.grant();
         let writers = (0..shards).map(|shard| {
-            let fence = own(&mut store, shard, lease);
+            let fence = acquire(&mut store, shard, lease);
             Writer::new(ROOT, shard, fence, Head::default(), None, opts)
         });
         let writers = writers.collect();
@@ -73,7 +73,7 @@
         self.store.txn(&txn).unwrap()
     }
 
-    /// Runs the commit to its end with every answer arriving.
+    /// Runs the commit to its end without losing an answer.
     fn run(&mut self, commit: &mut Commit) -> Vec<Verdict> {
         for _ in 0..100 {
             let txn = match commit.step() {
@@ -81,9 +81,9 @@
                 Step::Write(txn) | Step::Read(txn) => txn,
             };
             let answer = self.store.txn(&txn).unwrap();
-            commit.on(Reply::Answer(answer));
+            commit.handle_reply(Reply::Answer(answer));
         }
-        panic!("the commit does not end");
+        panic!("the commit does not finish");
     }
 
     fn head(&self, shard: u16) -> Head {
@@ -110,7 +110,7 @@
     let mut holder = holder(50);
     let mut commit = commit(holder.jobs(1, 3));
     let answer = holder.write(&commit);
-    commit.on(Reply::Answer(answer));
+    commit.handle_reply(Reply::Answer(answer));
     expect_that!(commit.step(), eq(&Step::Done));
     expect_that!(commit.take_verdicts().len(), eq(50));
 }
@@ -135,42 +135,42 @@
         };
         assert!(txn.then.len() <= 120 && txn.otherwise.len() <= 128 && txn.compares.len() <= 128);
         let answer = holder.store.txn(&txn).unwrap();
-        commit.on(Reply::Answer(answer));
+        commit.handle_reply(Reply::Answer(answer));
     }
     expect_that!(commit.take_verdicts().len(), eq(200));
 }
 
-/// The store took the group and its answer was lost. Written again blindly, the group would fail
-/// its own conditions and look like one of a holder that lost its shard.
+/// The store applied the group and its answer was lost. If the group were written again without a
+/// read, it would fail its own conditions, as if the holder had lost its shard.
 #[gtest]
 fn a_lost_answer_is_resolved_by_reading_back() {
     let mut holder = holder(3);
     let mut commit = commit(holder.jobs(1, 3));
     holder.write(&commit);
-    commit.on(Reply::Unknown);
+    commit.handle_reply(Reply::Unknown);
     expect_that!(commit.step(), pat!(Step::Read(anything())));
-    commit.on(Reply::Unknown);
+    commit.handle_reply(Reply::Unknown);
     let verdicts = holder.run(&mut commit);
     expect_that!(
         verdicts,
         unordered_elements_are![eq(&committed(0)), eq(&committed(1)), eq(&committed(2))]
     );
-    expect_that!(holder.head(0).next, eq(1));
+    expect_that!(holder.head(0).next_seq, eq(1));
 }
 
-/// The answer was lost and the store had not taken the group: it is written again, once.
+/// The answer was lost and the store had not applied the group: it is written again, once.
 #[gtest]
-fn a_lost_call_is_made_again() {
+fn a_write_that_was_not_applied_is_sent_again() {
     let mut holder = holder(1);
     let mut commit = commit(holder.jobs(1, 3));
-    commit.on(Reply::Unknown);
+    commit.handle_reply(Reply::Unknown);
     let verdicts = holder.run(&mut commit);
     expect_that!(verdicts, elements_are![eq(&committed(0))]);
 }
 
-/// A write is slow on its way: it is given up, found not to be there, and made again. Then the
-/// first copy arrives as well, after later groups. Applied, it would set the journal's end back,
-/// and the groups after it would be lost to the next keeper.
+/// A write is delayed in the network: it times out, a read does not find it, and it is sent again.
+/// Then the first copy arrives too, after later groups. If it were applied, it would move the
+/// journal's end back, and the next keeper would lose the groups after it.
 #[gtest]
 fn a_delayed_copy_is_not_applied_after_later_groups() {
     let mut holder = holder(1);
@@ -178,17 +178,17 @@
     let Step::Write(delayed) = first.step() else {
         panic!("nothing to write");
     };
-    first.on(Reply::Unknown);
+    first.handle_reply(Reply::Unknown);
     holder.run(&mut first);
     let mut second = commit(holder.jobs(2, 3));
     holder.run(&mut second);
-    let arrived = holder.store.txn(&delayed).unwrap();
-    expect_that!(arrived.succeeded, eq(false));
-    expect_that!(holder.head(0).next, eq(2));
+    let late = holder.store.txn(&delayed).unwrap();
+    expect_that!(late.succeeded, eq(false));
+    expect_that!(holder.head(0).next_seq, eq(2));
 }
 
-/// As before, and a snapshot has deleted the first group's segment meanwhile, so that "the segment
-/// does not exist yet" holds again for the delayed copy.
+/// As before, but a snapshot has deleted the first group's segment in the meantime, so the
+/// condition that the segment does not exist yet would hold again for the delayed copy.
 #[gtest]
 fn a_delayed_copy_is_not_applied_after_a_snapshot() {
     let mut holder = holder(1);
@@ -196,7 +196,7 @@
     let Step::Write(delayed) = first.step() else {
         panic!("nothing to write");
     };
-    first.on(Reply::Unknown);
+    first.handle_reply(Reply::Unknown);
     holder.run(&mut first);
     let job = holder.writers[0].snapshot(&entries(1), 2);
     holder.run(&mut commit(vec![job]));
@@ -205,39 +205,39 @@
     expect_that!(holder.head(0).generation, eq(2));
 }
 
-/// The delayed copy arrives between the look and the repetition, whose conditions then fail. That
-/// failure means success, and the holder must not give its shard up for it.
+/// The delayed copy arrives between the read and the retry, whose conditions then fail. The group
+/// is committed all the same, and the holder must not give up its shard.
 #[gtest]
-fn a_copy_that_arrives_before_the_repetition_counts() {
+fn a_delayed_copy_applied_before_the_retry_counts() {
     let mut holder = holder(1);
     let mut commit = commit(holder.jobs(1, 3));
     let Step::Write(delayed) = commit.step() else {
         panic!("nothing to write");
     };
-    commit.on(Reply::Unknown);
-    let Step::Read(look) = commit.step() else {
+    commit.handle_reply(Reply::Unknown);
+    let Step::Read(read) = commit.step() else {
         panic!("nothing to read");
     };
-    let seen = holder.store.txn(&look).unwrap();
-    commit.on(Reply::Answer(seen));
+    let stored = holder.store.txn(&read).unwrap();
+    commit.handle_reply(Reply::Answer(stored));
     holder.store.txn(&delayed).unwrap();
     let verdicts = holder.run(&mut commit);
     expect_that!(verdicts, elements_are![eq(&committed(0))]);
 }
 
-/// A holder is paused past its lease; another has the shard when it wakes and writes. The shards
-/// that it still holds must not suffer from the one that it lost.
+/// A holder is paused past its lease and writes after another holder has acquired one of its
+/// shards. The commits of the shards that it still holds must not be affected.
 #[gtest]
 fn a_stale_holder_loses_its_shard_and_keeps_the_others() {
     let mut holder = holder(3);
     let jobs = holder.jobs(1, 3);
-    let gone = kv::Txn {
+    let delete_owner = kv::Txn {
         then: vec![kv::Op::delete(keys::owner(ROOT, 1))],
         ..kv::Txn::default()
     };
-    holder.store.txn(&gone).unwrap();
+    holder.store.txn(&delete_owner).unwrap();
     let lease = holder.store.grant();
-    own(&mut holder.store, 1, lease);
+    acquire(&mut holder.store, 1, lease);
     let verdicts = holder.run(&mut commit(jobs));
     expect_that!(
         verdicts,
@@ -251,7 +251,7 @@
 }
 
 #[gtest]
-fn a_lapsed_holder_may_take_its_shard_again_and_go_on() {
+fn a_lapsed_holder_may_reacquire_its_shard_and_continue() {
     let mut holder = holder(1);
     let jobs = holder.jobs(1, 3);
     let (store, lease) = (&mut holder.store, holder.lease);
@@ -261,25 +261,25 @@
         panic!("{verdicts:?}");
     };
     let lease = holder.store.grant();
-    let fence = own(&mut holder.store, 0, lease);
-    let again = Job {
+    let fence = acquire(&mut holder.store, 0, lease);
+    let retry = Job {
         fence,
         ..job.clone()
     };
-    let verdicts = holder.run(&mut commit(vec![again]));
+    let verdicts = holder.run(&mut commit(vec![retry]));
     expect_that!(verdicts, elements_are![eq(&committed(0))]);
 }
 
-/// Something that holds no shard has written to a journal. Going on would bury it.
+/// A writer that does not hold the shard has written to its journal. Continuing would hide that.
 #[gtest]
-fn a_head_changed_by_a_stranger_is_reported() {
+fn a_head_changed_by_a_foreign_writer_is_reported() {
     let mut holder = holder(1);
     let jobs = holder.jobs(1, 3);
-    let strange = kv::Txn {
+    let foreign = kv::Txn {
         then: vec![kv::Op::put(keys::head(ROOT, 0), b"strange".to_vec())],
         ..kv::Txn::default()
     };
-    holder.store.txn(&strange).unwrap();
+    holder.store.txn(&foreign).unwrap();
     let verdicts = holder.run(&mut commit(jobs));
     expect_that!(verdicts, elements_are![eq(&Verdict::Foreign { shard: 0 })]);
 }
--- a/fw-keep/tests/keep/memory_store.rs
+++ b/fw-keep/tests/keep/memory_store.rs
@@ -1,4 +1,5 @@
-//! The stand-in store's state without its network, driven by the client's types.
+//! An in-memory store: the state machine of the stand-in store without its network, with the types
+//! of the store's client.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,24 +8,24 @@
 use fw_fake::store::mvcc::Mvcc;
 use fw_store::kv;
 
-/// A store whose clock is given by the test.
+/// A store whose leases end only when the test revokes them.
 #[derive(Debug)]
 pub struct Memory {
     mvcc: Mvcc,
-    zero: Instant,
+    start: Instant,
 }
 
 impl Memory {
     pub fn new() -> Self {
         Self {
             mvcc: Mvcc::default(),
-            zero: Instant::now(),
+            start: Instant::now(),
         }
     }
 
     /// A lease that lasts until it is revoked.
     pub fn grant(&mut self) -> kv::LeaseId {
-        self.mvcc.grant(Duration::from_secs(1), self.zero)
+        self.mvcc.grant(Duration::from_secs(1), self.start)
     }
 
     pub fn revoke(&mut self, lease: kv::LeaseId) {
@@ -35,10 +36,10 @@
         self.range(&kv::Range::one(key)).kvs.pop()
     }
 
-    pub fn range(&self, range: &kv::Range) -> kv::Ranged {
+    pub fn range(&self, range: &kv::Range) -> kv::RangeReply {
         match self.mvcc.read(&read(range)).unwrap() {
             mvcc::Reply::Got { kvs, .. } => got(kvs),
-            _ => kv::Ranged::default(),
+            _ => kv::RangeReply::default(),
         }
     }
 
@@ -102,11 +103,11 @@
         mvcc::Reply::Deleted(count) => kv::Reply::Deleted {
             count: i64::try_from(count).unwrap(),
         },
-        mvcc::Reply::Got { kvs, .. } => kv::Reply::Got(got(kvs)),
+        mvcc::Reply::Got { kvs, .. } => kv::Reply::Range(got(kvs)),
     }
 }
 
-fn got(kvs: Vec<mvcc::Kv>) -> kv::Ranged {
+fn got(kvs: Vec<mvcc::Kv>) -> kv::RangeReply {
     let kvs = kvs.into_iter().map(|kv| kv::Kv {
         key: String::from_utf8(kv.key).unwrap(),
         value: kv.value,
@@ -115,8 +116,8 @@
         version: kv.version,
         lease: kv.lease,
     });
-    kv::Ranged {
+    kv::RangeReply {
         kvs: kvs.collect(),
-        ..kv::Ranged::default()
+        ..kv::RangeReply::default()
     }
 }
--- a/fw-keep/tests/keep/program_budget.rs
+++ b/fw-keep/tests/keep/program_budget.rs
@@ -1,4 +1,4 @@
-//! A budget holds, also while several turns spend it at the same time.
+//! Budgets are enforced, also when several turns spend concurrently.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use fw_keep::ledger::Amount;
 use fw_keep::ledger::Ledger;
 use fw_keep::ledger::Limits;
-use fw_keep::ledger::Want;
+use fw_keep::ledger::Request;
 use fw_keep::program::Begin;
 use fw_keep::program::Outcome;
 use fw_keep::program::Program;
@@ -25,20 +25,20 @@
     }
 }
 
-fn want(prompt: u64, completion: u64) -> Want {
-    Want {
+fn request(prompt: u64, completion: u64) -> Request {
+    Request {
         prompt,
         completion: Some(completion),
     }
 }
 
-/// A program starts five sub-agents at once. Each looks at the budget before any has spent: without
-/// reservations all five would be let through, and the budget would be spent five times.
+/// A program starts five sub-agents at once, and each checks the budget before any of them has
+/// spent. Without reservations all five would be admitted, and the budget spent five times.
 #[gtest]
 fn concurrent_sub_agents_share_one_budget() {
     let mut ledger = Ledger::default();
     let limits = limits(100, 1_000);
-    let grants = (1..=5).map(|attempt| ledger.reserve(attempt, want(100, 300), &limits));
+    let grants = (1..=5).map(|attempt| ledger.reserve(attempt, request(100, 300), &limits));
     let granted: Vec<u64> = grants
         .flatten()
         .filter_map(|grant| grant.completion)
@@ -49,10 +49,10 @@
 }
 
 #[gtest]
-fn what_was_not_used_comes_back() {
+fn an_unused_reservation_is_returned() {
     let mut ledger = Ledger::default();
     let limits = limits(10, 1_000);
-    ledger.reserve(1, want(100, 900), &limits).unwrap();
+    ledger.reserve(1, request(100, 900), &limits).unwrap();
     expect_that!(ledger.tokens_left(&limits), some(eq(0)));
     let used = Amount {
         turns: 1,
@@ -65,16 +65,16 @@
 }
 
 #[gtest]
-fn turns_and_time_are_bounded_too() {
+fn turns_and_time_are_bounded() {
     let mut ledger = Ledger::default();
     let limits = Limits {
         turns: Some(1),
         tokens: None,
         time: Some(Duration::from_secs(10)),
     };
-    let grant = ledger.reserve(1, want(1, 1), &limits).unwrap();
+    let grant = ledger.reserve(1, request(1, 1), &limits).unwrap();
     expect_that!(grant.time, some(eq(Duration::from_secs(10))));
-    let second = ledger.reserve(2, want(1, 1), &limits);
+    let second = ledger.reserve(2, request(1, 1), &limits);
     expect_that!(
         second.map_err(|err| err.kind),
         err(eq(Kind::BudgetExhausted))
@@ -84,12 +84,12 @@
         time: Duration::from_secs(10),
         ..Amount::default()
     });
-    let late = ledger.reserve(3, want(1, 1), &limits);
+    let late = ledger.reserve(3, request(1, 1), &limits);
     expect_that!(late.map_err(|err| err.kind), err(eq(Kind::BudgetExhausted)));
 }
 
-/// A program's turns fail again and again after they ran. Charged nothing, it could spend engine
-/// time without end; so a turn that may have run costs what it had reserved.
+/// A program's turns fail repeatedly after they ran. Without a charge it could use engine time
+/// without limit, so a turn that may have run is charged its reservation.
 #[gtest]
 fn a_turn_that_may_have_run_is_charged_and_one_that_did_not_is_not() {
     let mut program = Program::new("team".into(), None, NOW);
--- a/fw-wire/src/transport.rs
+++ b/fw-wire/src/transport.rs
@@ -18,11 +18,11 @@
 use crate::peer;
 use crate::side;
 
-/// Largest message, in bytes: a history of 750,000 tokens is about 4 MB of text, and JSON escapes
+/// Maximum message size, in bytes. A history of 750,000 tokens is about 4 MB of text, and JSON escapes
 /// may double it.
 pub const MAX_FRAME: usize = 32 << 20;
 
-/// A client, and whether its connection is open.
+/// A client and the state of its connection.
 #[derive(Clone, Debug)]
 pub struct Connected<C> {
     /// The client to call.
@@ -31,8 +31,7 @@
 }
 
 impl<C> Connected<C> {
-    /// Whether the connection has not ended, as far as is known here. A call over one that has ended
-    /// is not sent.
+    /// Whether the connection is not known to have ended. A call over one that has ended is not sent.
     pub fn is_open(&self) -> bool {
         !self.dispatch.is_finished()
     }
@@ -52,15 +51,15 @@
 ///
 /// # Errors
 ///
-/// When no connection is made within `within`.
+/// When no connection is made within `timeout`.
 pub async fn connect_side(
     addr: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> io::Result<Connected<side::SideClient>> {
     let mut connect = tarpc::serde_transport::tcp::connect(addr, Json::default);
     connect.config_mut().max_frame_length(MAX_FRAME);
-    let transport = tokio::time::timeout(within, connect).await??;
-    send_at_once(transport.get_ref());
+    let transport = tokio::time::timeout(timeout, connect).await??;
+    set_nodelay(transport.get_ref());
     let new = side::SideClient::new(tarpc::client::Config::default(), transport);
     Ok(Connected::spawn(new))
 }
@@ -69,30 +68,30 @@
 ///
 /// # Errors
 ///
-/// When no connection is made within `within`.
+/// When no connection is made within `timeout`.
 pub async fn connect_peer(
     addr: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> io::Result<Connected<peer::PeerClient>> {
     let mut connect = tarpc::serde_transport::tcp::connect(addr, Json::default);
     connect.config_mut().max_frame_length(MAX_FRAME);
-    let transport = tokio::time::timeout(within, connect).await??;
-    send_at_once(transport.get_ref());
+    let transport = tokio::time::timeout(timeout, connect).await??;
+    set_nodelay(transport.get_ref());
     let new = peer::PeerClient::new(tarpc::client::Config::default(), transport);
     Ok(Connected::spawn(new))
 }
 
-/// Sends small messages without delay. Otherwise the second of two waits until the peer has
-/// acknowledged the first, which takes it up to 40 ms.
-fn send_at_once(socket: &TcpStream) {
-    // It fails only on a socket that is closed already, which the next message will show.
+/// Disables Nagle's algorithm. Otherwise the second of two small messages waits until the peer has
+/// acknowledged the first, which takes up to 40 ms.
+fn set_nodelay(socket: &TcpStream) {
+    // This fails only on a closed socket, which the next message detects.
     let _ = socket.set_nodelay(true);
 }
 
-/// A context whose deadline lies `within` from now.
-pub fn context(within: Duration) -> tarpc::context::Context {
+/// A context whose deadline is `timeout` from now.
+pub fn context(timeout: Duration) -> tarpc::context::Context {
     let mut cx = tarpc::context::current();
-    cx.deadline = std::time::Instant::now() + within;
+    cx.deadline = std::time::Instant::now() + timeout;
     cx
 }
 
@@ -104,17 +103,17 @@
     Json<ClientMessage<Req>, Response<Resp>>,
 >;
 
-/// A connection from an entry to a side, as the side sees it.
+/// The server end of a connection from an entry to a side.
 pub type SideTransport = Framed<side::SideRequest, side::SideResponse>;
 
-/// A connection from an entry to another, as the called one sees it.
+/// The server end of a connection from one entry to another.
 pub type PeerTransport = Framed<peer::PeerRequest, peer::PeerResponse>;
 
-/// Accepts connections on `listener` and runs `each` for every one, until the returned future is
-/// dropped, which also ends the connections.
+/// Accepts connections on `listener` and runs `handle` for each, until the returned future is dropped,
+/// which also closes the connections.
 ///
-/// `each` builds its channel itself, because a service's futures are known to be `Send` only where
-/// the service's type is:
+/// `handle` builds its channel itself, because the compiler can prove that a service's futures are
+/// `Send` only where the service's type is known:
 ///
 /// ```ignore
 /// transport::accept(listener, |connection: transport::SideTransport| {
@@ -123,7 +122,7 @@
 ///         .for_each_concurrent(None, |answer| answer)
 /// })
 /// ```
-pub async fn accept<Req, Resp, F, Fut>(listener: TcpListener, each: F)
+pub async fn accept<Req, Resp, F, Fut>(listener: TcpListener, handle: F)
 where
     Req: DeserializeOwned,
     Resp: Serialize,
@@ -137,10 +136,10 @@
     incoming.config_mut().max_frame_length(MAX_FRAME);
     let mut connections = JoinSet::new();
     while let Some(accepted) = incoming.next().await {
-        // A peer that closes before it is accepted costs that connection only.
+        // A peer that closes its connection before it is accepted does not affect the others.
         let Ok(transport) = accepted else { continue };
-        send_at_once(transport.get_ref());
-        connections.spawn(each(transport));
+        set_nodelay(transport.get_ref());
+        connections.spawn(handle(transport));
         while connections.try_join_next().is_some() {}
     }
 }
