--- a/fw-side/examples/overhead.rs
+++ b/fw-side/examples/overhead.rs
@@ -39,9 +39,9 @@
 const CONCURRENCY: [u64; 3] = [1, 32, 256];
 const PLAIN_CALLS: u64 = 20_000;
 const TURNS: u64 = 3_000;
-const LONG: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 /// Ticks a second of the processor times in `/proc`.
-const TICKS: f64 = 100.0;
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
 /// A side as a process; killed when dropped.
 struct Process {
@@ -82,8 +82,8 @@
     async fn wait_until_ready(&self) -> Outcome<()> {
         let client = fw_http::Client::default();
         let uri = format!("http://{}/readyz", self.http);
-        let within = Instant::now() + LONG;
-        while Instant::now() < within {
+        let deadline = Instant::now() + TIMEOUT;
+        while Instant::now() < deadline {
             if client.get(&uri).await.is_ok_and(|it| it.status == 200) {
                 return Ok(());
             }
@@ -98,7 +98,7 @@
         let fields = stat.rsplit(')').next().unwrap_or_default();
         let ticks = fields.split_whitespace().skip(11).take(2);
         let ticks: Result<Vec<f64>, _> = ticks.map(str::parse).collect();
-        Ok(ticks?.iter().sum::<f64>() / TICKS)
+        Ok(ticks?.iter().sum::<f64>() / CLOCK_TICKS_PER_SECOND)
     }
 
     /// Resident memory now, in MB.
@@ -122,31 +122,31 @@
 }
 
 /// Times of calls, sorted.
-struct Times(Vec<Duration>);
+struct SortedLatencies(Vec<Duration>);
 
-impl Times {
-    fn at(&self, part: f64) -> f64 {
+impl SortedLatencies {
+    fn quantile(&self, quantile: f64) -> f64 {
         let last = self.0.len().saturating_sub(1);
-        let index = (last as f64 * part) as usize;
+        let index = (last as f64 * quantile) as usize;
         self.0.get(index).map_or(0.0, Duration::as_secs_f64) * 1e3
     }
 }
 
 /// Makes `total` calls, `width` at a time.
-async fn measure<F, Fut>(width: u64, total: u64, call: F) -> Outcome<Times>
+async fn measure<F, Fut>(concurrency: u64, total: u64, call: F) -> Outcome<SortedLatencies>
 where
     F: Fn(u64) -> Fut + Clone + Send + 'static,
     Fut: Future<Output = Outcome<Duration>> + Send,
 {
     let mut workers = tokio::task::JoinSet::new();
-    for worker in 0..width {
+    for worker in 0..concurrency {
         let call = call.clone();
         workers.spawn(async move {
             let mut times = Vec::new();
             let mut number = worker;
             while number < total {
                 times.push(call(number).await?);
-                number += width;
+                number += concurrency;
             }
             Outcome::Ok(times)
         });
@@ -156,7 +156,7 @@
         times.extend(worker??);
     }
     times.sort_unstable();
-    Ok(Times(times))
+    Ok(SortedLatencies(times))
 }
 
 async fn plain_call(client: fw_http::Client, uri: String) -> Outcome<Duration> {
@@ -197,7 +197,7 @@
     let began = Instant::now();
     let program = start.program.clone();
     let attempt = start.attempt;
-    let reply = client.start(transport::context(LONG), start).await?;
+    let reply = client.start(transport::context(TIMEOUT), start).await?;
     if !matches!(reply, side::StartReply::Accepted) {
         return Err(format!("{program}: {reply:?}").into());
     }
@@ -207,10 +207,10 @@
         let req = attempt::Read {
             attempt,
             offset,
-            wait: LONG / 2,
+            wait: TIMEOUT / 2,
             gather: Duration::ZERO,
         };
-        let reply = client.read(transport::context(LONG), req).await?;
+        let reply = client.read(transport::context(TIMEOUT), req).await?;
         offset += u32::try_from(reply.events.len())?;
         if !reply.events.is_empty() {
             first.get_or_insert_with(|| began.elapsed());
@@ -221,7 +221,7 @@
             _ => {}
         }
     }
-    client.forget(transport::context(LONG), attempt).await?;
+    client.forget(transport::context(TIMEOUT), attempt).await?;
     first.ok_or_else(|| "no event came".into())
 }
 
@@ -244,7 +244,7 @@
         messages,
         params: Arc::from("{}"),
         max_tokens: 8,
-        deadline: LONG,
+        deadline: TIMEOUT,
         team: "t".into(),
         share: 1.0,
         attained: Duration::ZERO,
@@ -256,7 +256,7 @@
 
 /// Prints what a program with a history of 750,000 tokens costs: a first turn that carries it all,
 /// and a second one that carries only its new message.
-async fn long_history() -> Outcome<()> {
+async fn print_long_history_cost() -> Outcome<()> {
     const MESSAGES: u64 = 400;
     const MESSAGE_BYTES: usize = 7_500;
     let engine = engine::Engine::spawn(engine::Options {
@@ -266,7 +266,9 @@
         ..engine::Options::default()
     })?;
     let process = Process::spawn("llm", engine.addr(), "long").await?;
-    let client = transport::connect_side(process.calls, LONG).await?.client;
+    let client = transport::connect_side(process.calls, TIMEOUT)
+        .await?
+        .client;
     let text = "x".repeat(MESSAGE_BYTES);
     let message = |_| chat::Message::text("user", &text);
     let messages: Vec<_> = (0..MESSAGES).map(message).collect();
@@ -303,13 +305,20 @@
 }
 
 /// One line of the table.
-fn row(table: &mut String, what: &str, width: u64, direct: &Times, through: &Times, cost: &Cost) {
-    let (d50, s50) = (direct.at(0.5), through.at(0.5));
-    let (d99, s99) = (direct.at(0.99), through.at(0.99));
+fn add_row(
+    table: &mut String,
+    kind: &str,
+    concurrency: u64,
+    direct: &SortedLatencies,
+    through_side: &SortedLatencies,
+    cost: &Cost,
+) {
+    let (d50, s50) = (direct.quantile(0.5), through_side.quantile(0.5));
+    let (d99, s99) = (direct.quantile(0.99), through_side.quantile(0.99));
     // Writing to a string does not fail.
     let _ = writeln!(
         table,
-        "| {what} | {width} | {d50:.2} | {s50:.2} | {:.2} | {d99:.2} | {s99:.2} | {:.2} | {:.0} | {:.1} |",
+        "| {kind} | {concurrency} | {d50:.2} | {s50:.2} | {:.2} | {d99:.2} | {s99:.2} | {:.2} | {:.0} | {:.1} |",
         s50 / d50,
         s99 / d99,
         cost.cpu * 1e6,
@@ -326,17 +335,17 @@
 async fn plain_rows(table: &mut String) -> Outcome<()> {
     let service = plain::Service::spawn(plain::Options::default())?;
     let process = Process::spawn("plain", service.addr(), "plain").await?;
-    for width in CONCURRENCY {
+    for concurrency in CONCURRENCY {
         let client = fw_http::Client::default();
-        let straight = format!("http://{}/page", service.addr());
+        let direct_uri = format!("http://{}/page", service.addr());
         let pool = client.clone();
-        let direct = measure(width, PLAIN_CALLS, move |_| {
-            plain_call(pool.clone(), straight.clone())
+        let direct = measure(concurrency, PLAIN_CALLS, move |_| {
+            plain_call(pool.clone(), direct_uri.clone())
         })
         .await?;
         let before = process.cpu()?;
         let uri = format!("http://{}/page", process.http);
-        let through = measure(width, PLAIN_CALLS, move |_| {
+        let through_side = measure(concurrency, PLAIN_CALLS, move |_| {
             plain_call(client.clone(), uri.clone())
         })
         .await?;
@@ -344,20 +353,20 @@
             cpu: (process.cpu()? - before) / PLAIN_CALLS as f64,
             memory: process.memory()?,
         };
-        row(table, "plain", width, &direct, &through, &cost);
+        add_row(table, "plain", concurrency, &direct, &through_side, &cost);
     }
     Ok(())
 }
 
 /// Prints what a side without work spends.
-async fn idle(process: &Process) -> Outcome<()> {
-    const FOR: Duration = Duration::from_secs(5);
+async fn print_idle_cost(process: &Process) -> Outcome<()> {
+    const DURATION: Duration = Duration::from_secs(5);
     let before = process.cpu()?;
-    tokio::time::sleep(FOR).await;
-    let part = (process.cpu()? - before) / FOR.as_secs_f64();
+    tokio::time::sleep(DURATION).await;
+    let fraction = (process.cpu()? - before) / DURATION.as_secs_f64();
     println!(
         "idle: {:.1}% of a core, {:.1} MB",
-        part * 100.0,
+        fraction * 100.0,
         process.memory()?
     );
     Ok(())
@@ -371,20 +380,22 @@
         ..engine::Options::default()
     })?;
     let process = Process::spawn("llm", engine.addr(), "llm").await?;
-    idle(&process).await?;
+    print_idle_cost(&process).await?;
     let mut first_number = 0;
-    for width in CONCURRENCY {
-        let turns = TURNS.min(width * 100);
+    for concurrency in CONCURRENCY {
+        let turns = TURNS.min(concurrency * 100);
         let client = fw_http::Client::default();
         let uri = format!("http://{}/v1/chat/completions", engine.addr());
-        let direct = measure(width, turns, move |number| {
+        let direct = measure(concurrency, turns, move |number| {
             direct_turn(client.clone(), uri.clone(), number)
         })
         .await?;
         let before = process.cpu()?;
-        let client = transport::connect_side(process.calls, LONG).await?.client;
+        let client = transport::connect_side(process.calls, TIMEOUT)
+            .await?
+            .client;
         let from = first_number;
-        let through = measure(width, turns, move |number| {
+        let through_side = measure(concurrency, turns, move |number| {
             let client = client.clone();
             async move { side_turn(&client, start(from + number)).await }
         })
@@ -394,7 +405,14 @@
             cpu: (process.cpu()? - before) / turns as f64,
             memory: process.memory()?,
         };
-        row(table, "first token", width, &direct, &through, &cost);
+        add_row(
+            table,
+            "first token",
+            concurrency,
+            &direct,
+            &through_side,
+            &cost,
+        );
     }
     Ok(())
 }
@@ -406,7 +424,7 @@
          | side p99 ms | ratio | side CPU us/call | side RSS MB |\n\
          |---|---|---|---|---|---|---|---|---|---|\n",
     );
-    long_history().await?;
+    print_long_history_cost().await?;
     plain_rows(&mut table).await?;
     turn_rows(&mut table).await?;
     println!("{table}");
--- a/fw-side/tests/side/engine_faults.rs
+++ b/fw-side/tests/side/engine_faults.rs
@@ -15,10 +15,10 @@
 // The side must read on over a new connection; sent again, the turn would run twice.
 #[gtest]
 #[tokio::test]
-async fn a_silent_engine_stream_is_resumed() {
+async fn a_stalled_engine_stream_is_resumed() {
     let mut opts = rig::options();
     opts.settings.engine.between_tokens_timeout = Duration::from_millis(200);
-    let rig = rig::Rig::with(rig::slow(), opts).await;
+    let rig = rig::Rig::with(rig::slow_engine(), opts).await;
     let start = rig::first_turn("p", 1, "hello");
     rig.start_streaming(&start).await;
     rig.engine.silence();
@@ -41,7 +41,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_crash_fails_every_turn_under_way() {
-    let rig = rig::Rig::new(rig::slow()).await;
+    let rig = rig::Rig::new(rig::slow_engine()).await;
     for attempt in 1..4 {
         let program = format!("p{attempt}");
         let start = rig::first_turn(&program, attempt, &program);
@@ -50,17 +50,23 @@
     rig.engine.crash();
     for attempt in 1..4 {
         let state = rig.read_all(attempt).await.state;
-        expect_that!(rig::failure(&state), some(eq(error::Kind::UpstreamCrashed)));
+        expect_that!(
+            rig::error_kind(&state),
+            some(eq(error::Kind::UpstreamCrashed))
+        );
     }
     let beat = rig.heartbeat(side::Heartbeat::default()).await;
     expect_true!(beat.down);
     let refused = rig.start(&rig::first_turn("late", 9, "late")).await;
-    expect_that!(rig::refusal(&refused), some(eq(error::Kind::NoUpstream)));
+    expect_that!(
+        rig::refusal_kind(&refused),
+        some(eq(error::Kind::NoUpstream))
+    );
 
     rig.engine.restart().unwrap();
     let core = rig.side.core().clone();
-    rig::until("the side sees the engine again", || !core.is_down()).await;
-    rig.turn(&rig::first_turn("late", 10, "late")).await;
+    rig::wait_until("the side sees the engine again", || !core.is_down()).await;
+    rig.run_turn(&rig::first_turn("late", 10, "late")).await;
 }
 
 // A single request crashes each engine that runs it. The side must not send it again when the
@@ -70,20 +76,23 @@
 async fn a_poison_request_is_not_run_again() {
     let rig = rig::Rig::new(engine::Options {
         restart_after: Some(Duration::from_millis(50)),
-        ..rig::quick()
+        ..rig::fast_engine()
     })
     .await;
     rig.engine.poison(Some("venom"));
     let start = rig::first_turn("p", 1, "venom");
     rig.start(&start).await;
     let state = rig.read_all(1).await.state;
-    expect_that!(rig::failure(&state), some(eq(error::Kind::UpstreamCrashed)));
+    expect_that!(
+        rig::error_kind(&state),
+        some(eq(error::Kind::UpstreamCrashed))
+    );
     let core = rig.side.core().clone();
-    rig::until("the engine is back", || !core.is_down()).await;
+    rig::wait_until("the engine is back", || !core.is_down()).await;
     rig.start(&start).await;
     expect_that!(rig.engine.runs(start.digest), eq(1));
     expect_that!(
-        rig.turn(&rig::first_turn("q", 2, "healthy"))
+        rig.run_turn(&rig::first_turn("q", 2, "healthy"))
             .await
             .usage
             .completion,
@@ -98,14 +107,17 @@
 async fn a_frozen_engine_counts_as_down() {
     let mut opts = rig::options();
     opts.settings.engine.between_tokens_timeout = Duration::from_millis(200);
-    let rig = rig::Rig::with(rig::slow(), opts).await;
+    let rig = rig::Rig::with(rig::slow_engine(), opts).await;
     let start = rig::first_turn("p", 1, "hello");
     rig.start_streaming(&start).await;
     rig.engine.freeze(true);
     let state = rig.read_all(1).await.state;
-    expect_that!(rig::failure(&state), some(eq(error::Kind::UpstreamTimeout)));
+    expect_that!(
+        rig::error_kind(&state),
+        some(eq(error::Kind::UpstreamTimeout))
+    );
     let core = rig.side.core().clone();
-    rig::until("the side sees it", || core.is_down()).await;
+    rig::wait_until("the side sees it", || core.is_down()).await;
     expect_true!(rig.heartbeat(side::Heartbeat::default()).await.down);
 }
 
@@ -116,31 +128,34 @@
 async fn a_streaming_engine_without_reports_is_not_down() {
     let meter = fw_side::process::meter::Meter::default();
     let now = std::time::Instant::now();
-    let patience = Duration::from_secs(10);
-    expect_false!(meter.is_streaming(now, patience));
+    let idle_timeout = Duration::from_secs(10);
+    expect_false!(meter.is_streaming(now, idle_timeout));
     meter.record_token(now);
-    expect_true!(meter.is_streaming(now + patience / 2, patience));
-    expect_false!(meter.is_streaming(now + patience, patience));
+    expect_true!(meter.is_streaming(now + idle_timeout / 2, idle_timeout));
+    expect_false!(meter.is_streaming(now + idle_timeout, idle_timeout));
 }
 
 // The engine answers a request with an error. Only that turn fails.
 #[gtest]
 #[tokio::test]
 async fn an_error_status_fails_one_turn() {
-    let rig = rig::Rig::new(rig::quick()).await;
+    let rig = rig::Rig::new(rig::fast_engine()).await;
     rig.engine.fail_with(Some(500));
     rig.start(&rig::first_turn("p", 1, "hello")).await;
     let state = rig.read_all(1).await.state;
-    expect_that!(rig::failure(&state), some(eq(error::Kind::UpstreamError)));
+    expect_that!(
+        rig::error_kind(&state),
+        some(eq(error::Kind::UpstreamError))
+    );
     rig.engine.fail_with(None);
-    rig.turn(&rig::first_turn("p", 2, "hello")).await;
+    rig.run_turn(&rig::first_turn("p", 2, "hello")).await;
 }
 
 // A turn runs past its caller's deadline. It ends, and the engine stops working on it.
 #[gtest]
 #[tokio::test]
 async fn a_turn_past_its_deadline_is_stopped() {
-    let rig = rig::Rig::new(rig::slow()).await;
+    let rig = rig::Rig::new(rig::slow_engine()).await;
     let start = side::Start {
         deadline: Duration::from_millis(500),
         ..rig::first_turn("p", 1, "hello")
@@ -148,8 +163,8 @@
     rig.start(&start).await;
     let state = rig.read_all(1).await.state;
     expect_that!(
-        rig::failure(&state),
+        rig::error_kind(&state),
         some(eq(error::Kind::DeadlineExceeded))
     );
-    rig::until("the engine is idle", || rig.engine.under_way() == 0).await;
+    rig::wait_until("the engine is idle", || rig.engine.under_way() == 0).await;
 }
--- a/fw-side/tests/side/engine_memory.rs
+++ b/fw-side/tests/side/engine_memory.rs
@@ -21,20 +21,20 @@
 #[gtest]
 #[tokio::test]
 async fn memory_of_a_dead_keepers_program_is_freed() {
-    let rig = rig::Rig::with(rig::quick(), short_sessions()).await;
+    let rig = rig::Rig::with(rig::fast_engine(), short_sessions()).await;
     rig.engine.lose_releases(true);
-    rig.turn(&rig::first_turn("p", 1, "hello")).await;
+    rig.run_turn(&rig::first_turn("p", 1, "hello")).await;
     expect_that!(rig.engine.held().len(), eq(1));
     let core = rig.side.core().clone();
-    rig::until("a release is lost", || {
+    rig::wait_until("a release is lost", || {
         core.sessions.unconfirmed_releases() == 1
     })
     .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     expect_that!(rig.engine.held().len(), eq(1));
     rig.engine.lose_releases(false);
-    rig::until("the memory is free", || rig.engine.held().is_empty()).await;
-    rig::until("the order is confirmed", || {
+    rig::wait_until("the memory is free", || rig.engine.held().is_empty()).await;
+    rig::wait_until("the order is confirmed", || {
         core.sessions.unconfirmed_releases() == 0
     })
     .await;
@@ -45,10 +45,10 @@
 #[gtest]
 #[tokio::test]
 async fn memory_of_a_renewed_program_stays() {
-    let rig = rig::Rig::with(rig::quick(), short_sessions()).await;
-    rig.turn(&rig::first_turn("p", 1, "hello")).await;
+    let rig = rig::Rig::with(rig::fast_engine(), short_sessions()).await;
+    rig.run_turn(&rig::first_turn("p", 1, "hello")).await;
     for _ in 0..20 {
-        rig.heartbeat(rig::renewing("p", rig::FENCE)).await;
+        rig.heartbeat(rig::renewal("p", rig::FENCE)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     expect_that!(rig.engine.held().len(), eq(1));
@@ -61,35 +61,35 @@
 async fn a_program_that_its_keeper_forgot_is_freed() {
     let mut opts = rig::options();
     opts.verify_idle_after = Duration::from_millis(50);
-    let rig = rig::Rig::with(rig::quick(), opts).await;
-    rig.turn(&rig::first_turn("p", 1, "hello")).await;
+    let rig = rig::Rig::with(rig::fast_engine(), opts).await;
+    rig.run_turn(&rig::first_turn("p", 1, "hello")).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let foreign = rig.heartbeat(rig::renewing("other", rig::FENCE)).await;
+    let foreign = rig.heartbeat(rig::renewal("other", rig::FENCE)).await;
     expect_that!(foreign.asked, is_empty());
-    let reply = rig.heartbeat(rig::renewing("p", rig::FENCE)).await;
+    let reply = rig.heartbeat(rig::renewal("p", rig::FENCE)).await;
     expect_that!(reply.asked, elements_are![eq("p")]);
     let gone = side::Heartbeat {
         gone: reply.asked,
-        ..rig::renewing("p", rig::FENCE)
+        ..rig::renewal("p", rig::FENCE)
     };
     rig.heartbeat(gone).await;
-    rig::until("the memory is free", || rig.engine.held().is_empty()).await;
+    rig::wait_until("the memory is free", || rig.engine.held().is_empty()).await;
 }
 
 // The side is restarted and knows no session, while the engine beside it holds the memory of a
 // program that is gone. The new side must find and free it.
 #[gtest]
 #[tokio::test]
-async fn a_restarted_side_frees_what_its_predecessor_left() {
-    let rig = rig::Rig::with(rig::quick(), short_sessions()).await;
-    rig.turn(&rig::first_turn("p", 1, "hello")).await;
+async fn a_restarted_side_releases_the_cache_of_its_predecessor() {
+    let rig = rig::Rig::with(rig::fast_engine(), short_sessions()).await;
+    rig.run_turn(&rig::first_turn("p", 1, "hello")).await;
     drop(rig.client);
     drop(rig.side);
     let mut opts = short_sessions();
     opts.settings.engine.address = rig.engine.addr();
     let _side = fw_side::Side::spawn(opts).await.unwrap();
     expect_that!(rig.engine.held().len(), eq(1));
-    rig::until("the memory is free", || rig.engine.held().is_empty()).await;
+    rig::wait_until("the memory is free", || rig.engine.held().is_empty()).await;
 }
 
 // The engine's cache events come late and with gaps. An entry must not go on believing in a cache
@@ -99,20 +99,21 @@
 async fn a_gap_in_cache_events_resets_the_view() {
     let rig = rig::Rig::new(engine::Options {
         cache_gap: 3,
-        ..rig::quick()
+        ..rig::fast_engine()
     })
     .await;
-    rig.turn(&rig::first_turn("a", 1, "hello")).await;
+    rig.run_turn(&rig::first_turn("a", 1, "hello")).await;
     let before = rig.heartbeat(side::Heartbeat::default()).await;
     expect_that!(before.cache.len(), eq(1));
     for (attempt, program) in (2..).zip(["b", "c", "d"]) {
-        rig.turn(&rig::first_turn(program, attempt, "hello")).await;
+        rig.run_turn(&rig::first_turn(program, attempt, "hello"))
+            .await;
     }
     let seen = |cache_seen| side::Heartbeat {
         cache_seen,
         ..side::Heartbeat::default()
     };
-    let within = tokio::time::Instant::now() + rig::LONG;
+    let within = tokio::time::Instant::now() + rig::TIMEOUT;
     let after = loop {
         let reply = rig.heartbeat(seen(before.cache_seq)).await;
         if reply.cache_reset {
@@ -130,13 +131,13 @@
 #[gtest]
 #[tokio::test]
 async fn a_crash_resets_the_view() {
-    let rig = rig::Rig::new(rig::quick()).await;
-    rig.turn(&rig::first_turn("p", 1, "hello")).await;
+    let rig = rig::Rig::new(rig::fast_engine()).await;
+    rig.run_turn(&rig::first_turn("p", 1, "hello")).await;
     let before = rig.heartbeat(side::Heartbeat::default()).await;
     expect_that!(before.cache.len(), eq(1));
     rig.engine.crash();
     let core = rig.side.core().clone();
-    rig::until("the crash is seen", || core.is_down()).await;
+    rig::wait_until("the crash is seen", || core.is_down()).await;
     let after = rig
         .heartbeat(side::Heartbeat {
             cache_seen: before.cache_seq,
--- a/fw-side/tests/side/fencing_check.rs
+++ b/fw-side/tests/side/fencing_check.rs
@@ -13,10 +13,10 @@
 use crate::rig;
 
 /// An engine that ignores fencing numbers.
-fn unchecked() -> engine::Options {
+fn without_fence_check() -> engine::Options {
     engine::Options {
         checks_fence: false,
-        ..rig::quick()
+        ..rig::fast_engine()
     }
 }
 
@@ -25,36 +25,36 @@
 #[gtest]
 #[tokio::test]
 async fn a_stale_keeper_is_refused() {
-    let rig = rig::Rig::new(unchecked()).await;
+    let rig = rig::Rig::new(without_fence_check()).await;
     let newer = rig::FENCE + 1;
-    rig.heartbeat(rig::renewing("p", newer)).await;
+    rig.heartbeat(rig::renewal("p", newer)).await;
     let stale = rig::first_turn("p", 1, "hello");
     let reply = rig.start(&stale).await;
-    expect_that!(rig::refusal(&reply), some(eq(error::Kind::StaleFence)));
+    expect_that!(rig::refusal_kind(&reply), some(eq(error::Kind::StaleFence)));
     expect_that!(rig.engine.runs(stale.digest), eq(0));
     let current = side::Start {
         fence: newer,
         ..stale
     };
-    rig.turn(&current).await;
+    rig.run_turn(&current).await;
 }
 
 // The same keeper wakes and orders the program's memory to be freed, under its successor's hands.
 #[gtest]
 #[tokio::test]
 async fn a_stale_keeper_frees_no_memory() {
-    let rig = rig::Rig::new(unchecked()).await;
-    rig.turn(&rig::first_turn("p", 1, "hello")).await;
-    rig.heartbeat(rig::renewing("p", rig::FENCE + 1)).await;
+    let rig = rig::Rig::new(without_fence_check()).await;
+    rig.run_turn(&rig::first_turn("p", 1, "hello")).await;
+    rig.heartbeat(rig::renewal("p", rig::FENCE + 1)).await;
     for (fence, left) in [(rig::FENCE, 1), (rig::FENCE + 1, 0)] {
         let req = side::Release {
             programs: vec![("p".into(), fence)],
         };
-        let cx = transport::context(rig::LONG);
+        let cx = transport::context(rig::TIMEOUT);
         rig.client.release(cx, req).await.unwrap();
         expect_that!(rig.side.core().sessions.len(), eq(left));
     }
-    rig::until("the memory is free", || rig.engine.held().is_empty()).await;
+    rig::wait_until("the memory is free", || rig.engine.held().is_empty()).await;
 }
 
 // A message names a shard that its program does not hash to. The check of another shard's number
@@ -62,13 +62,13 @@
 #[gtest]
 #[tokio::test]
 async fn a_wrong_shard_is_refused() {
-    let rig = rig::Rig::new(rig::quick()).await;
+    let rig = rig::Rig::new(rig::fast_engine()).await;
     let start = side::Start {
         shard: (id::shard_of("p") + 1) % id::SHARDS,
         ..rig::first_turn("p", 1, "hello")
     };
     let reply = rig.start(&start).await;
-    expect_that!(rig::refusal(&reply), some(eq(error::Kind::BadRequest)));
+    expect_that!(rig::refusal_kind(&reply), some(eq(error::Kind::BadRequest)));
 }
 
 // A keeper is cut off while its turn runs, and another entry takes over the program's shard. Left
@@ -84,7 +84,7 @@
     .await;
     let start = rig::first_turn("p", 1, "ask");
     rig.start_streaming(&start).await;
-    rig.heartbeat(rig::renewing("p", start.fence + 1)).await;
+    rig.heartbeat(rig::renewal("p", start.fence + 1)).await;
     let ended = rig.read_all(1).await;
     let kind = match ended.state {
         attempt::State::Failed(err) => Some(err.kind),
--- a/fw-side/tests/side/leave_drain.rs
+++ b/fw-side/tests/side/leave_drain.rs
@@ -14,14 +14,14 @@
 #[gtest]
 #[tokio::test]
 async fn a_leaving_side_takes_no_new_work() {
-    let rig = rig::Rig::new(rig::slow()).await;
+    let rig = rig::Rig::new(rig::slow_engine()).await;
     rig.start_streaming(&rig::first_turn("p", 1, "hello")).await;
     let uri = format!("http://{}/leave", rig.side.http());
     let client = fw_http::Client::default();
     client.post_json(&uri, &()).await.unwrap();
     let refused = rig.start(&rig::first_turn("q", 2, "late")).await;
     expect_that!(
-        rig::refusal(&refused),
+        rig::refusal_kind(&refused),
         some(eq(error::Kind::UpstreamLeaving))
     );
     expect_true!(rig.heartbeat(side::Heartbeat::default()).await.leaving);
@@ -34,14 +34,14 @@
 // The engine itself says that it leaves, before any list does.
 #[gtest]
 #[tokio::test]
-async fn an_engine_that_says_it_leaves_gets_no_new_work() {
-    let rig = rig::Rig::new(rig::quick()).await;
+async fn an_engine_that_reports_leaving_gets_no_new_work() {
+    let rig = rig::Rig::new(rig::fast_engine()).await;
     rig.engine.leave(true);
     let core = rig.side.core().clone();
-    rig::until("the side has heard it", || core.is_leaving()).await;
+    rig::wait_until("the side has heard it", || core.is_leaving()).await;
     let refused = rig.start(&rig::first_turn("p", 1, "late")).await;
     expect_that!(
-        rig::refusal(&refused),
+        rig::refusal_kind(&refused),
         some(eq(error::Kind::UpstreamLeaving))
     );
 }
@@ -51,7 +51,7 @@
 #[gtest]
 #[tokio::test]
 async fn a_stopped_side_finishes_the_turn_under_way() {
-    let rig = rig::Rig::new(rig::slow()).await;
+    let rig = rig::Rig::new(rig::slow_engine()).await;
     let start = rig::first_turn("p", 1, "hello");
     rig.start_streaming(&start).await;
     let rig::Rig {
@@ -62,8 +62,8 @@
     let stopped = tokio::spawn(side.stop());
     let mut offset = 0;
     let state = loop {
-        let cx = fw_wire::transport::context(rig::LONG);
-        let wait = rig::LONG;
+        let cx = fw_wire::transport::context(rig::TIMEOUT);
+        let wait = rig::TIMEOUT;
         let req = attempt::Read {
             attempt: 1,
             offset,
--- a/fw-side/tests/side/overload_refusal.rs
+++ b/fw-side/tests/side/overload_refusal.rs
@@ -12,13 +12,13 @@
 // as not run and with a time to retry, and run all that it accepted.
 #[gtest]
 #[tokio::test]
-async fn a_full_queue_refuses_and_runs_what_it_took() {
+async fn a_full_queue_refuses_and_runs_accepted_turns() {
     let mut opts = rig::options();
     opts.settings.queue.max_length = 4;
     opts.settings.queue.window = Some(2);
     let engine = fw_fake::engine::Options {
         step: Duration::from_millis(5),
-        ..rig::quick()
+        ..rig::fast_engine()
     };
     let rig = rig::Rig::with(engine, opts).await;
     let mut accepted = Vec::new();
@@ -42,7 +42,7 @@
     expect_that!(accepted, not(is_empty()));
     for start in &accepted {
         let reply = rig.read_all(start.attempt).await;
-        expect_that!(rig::failure(&reply.state), none());
+        expect_that!(rig::error_kind(&reply.state), none());
         expect_that!(rig.engine.runs(start.digest), eq(1));
     }
 }
@@ -53,7 +53,7 @@
 async fn a_turn_that_waits_too_long_did_not_run() {
     let mut opts = rig::options();
     opts.settings.queue.window = Some(1);
-    let rig = rig::Rig::with(rig::slow(), opts).await;
+    let rig = rig::Rig::with(rig::slow_engine(), opts).await;
     rig.start_streaming(&rig::first_turn("p", 1, "long")).await;
     let start = side::Start {
         deadline: Duration::from_millis(100),
@@ -62,7 +62,7 @@
     rig.start(&start).await;
     let state = rig.read_all(2).await.state;
     expect_that!(
-        rig::failure(&state),
+        rig::error_kind(&state),
         some(eq(error::Kind::DeadlineUnmeetable))
     );
     expect_that!(rig.engine.runs(start.digest), eq(0));
--- a/fw-side/tests/side/records_force.rs
+++ b/fw-side/tests/side/records_force.rs
@@ -24,8 +24,11 @@
 #[gtest]
 #[tokio::test]
 async fn an_older_set_changes_nothing() {
-    let rig = rig::Rig::new(rig::quick()).await;
-    let offer = |records| rig.client.records(transport::context(rig::LONG), records);
+    let rig = rig::Rig::new(rig::fast_engine()).await;
+    let offer = |records| {
+        rig.client
+            .records(transport::context(rig::TIMEOUT), records)
+    };
     expect_that!(offer(set_at(7)).await.unwrap(), eq(7));
     expect_that!(offer(set_at(5)).await.unwrap(), eq(7));
     let torn = side::Records {
--- a/fw-side/tests/side/rig.rs
+++ b/fw-side/tests/side/rig.rs
@@ -15,13 +15,13 @@
 use fw_wire::transport;
 
 /// Longest wait for anything that is bound to happen.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The fencing number of a keeper's first lease.
 pub const FENCE: id::Fence = 10;
 
 /// An engine without pauses between steps.
-pub fn quick() -> engine::Options {
+pub fn fast_engine() -> engine::Options {
     engine::Options {
         step: Duration::ZERO,
         prefill: Duration::ZERO,
@@ -32,11 +32,11 @@
 }
 
 /// An engine whose answers take long enough for faults to meet them.
-pub fn slow() -> engine::Options {
+pub fn slow_engine() -> engine::Options {
     engine::Options {
         step: Duration::from_millis(10),
         answer: 400,
-        ..quick()
+        ..fast_engine()
     }
 }
 
@@ -48,7 +48,7 @@
     };
     opts.settings.engine.load_poll = Duration::from_millis(20);
     opts.settings.engine.cache_poll = Duration::from_millis(20);
-    opts.settings.shutdown.drain_timeout = LONG;
+    opts.settings.shutdown.drain_timeout = TIMEOUT;
     opts
 }
 
@@ -68,7 +68,7 @@
         let engine = engine::Engine::spawn(engine).unwrap();
         opts.settings.engine.address = engine.addr();
         let side = Side::spawn(opts).await.unwrap();
-        let client = transport::connect_side(side.calls(), LONG)
+        let client = transport::connect_side(side.calls(), TIMEOUT)
             .await
             .unwrap()
             .client;
@@ -80,12 +80,12 @@
     }
 
     pub async fn start(&self, start: &side::Start) -> side::StartReply {
-        let cx = transport::context(LONG);
+        let cx = transport::context(TIMEOUT);
         self.client.start(cx, start.clone()).await.unwrap()
     }
 
     pub async fn read(&self, attempt: id::AttemptId, offset: u32) -> attempt::ReadReply {
-        let cx = transport::context(LONG);
+        let cx = transport::context(TIMEOUT);
         let wait = Duration::from_secs(5);
         let req = attempt::Read {
             attempt,
@@ -99,7 +99,7 @@
     /// Reads an attempt to its end.
     pub async fn read_all(&self, attempt: id::AttemptId) -> attempt::ReadReply {
         let mut events: Vec<attempt::Event> = Vec::new();
-        let within = tokio::time::Instant::now() + LONG;
+        let within = tokio::time::Instant::now() + TIMEOUT;
         while tokio::time::Instant::now() < within {
             let reply = self.read(attempt, events.len() as u32).await;
             events.extend(reply.events);
@@ -112,7 +112,7 @@
     }
 
     /// Runs a turn to its end and gives its answer.
-    pub async fn turn(&self, start: &side::Start) -> attempt::Finish {
+    pub async fn run_turn(&self, start: &side::Start) -> attempt::Finish {
         assert!(matches!(
             self.start(start).await,
             side::StartReply::Accepted
@@ -129,23 +129,23 @@
             self.start(start).await,
             side::StartReply::Accepted
         ));
-        self.turn_streams(start.attempt).await;
+        self.wait_streaming(start.attempt).await;
     }
 
     /// Waits for the first event of a turn that was started before.
-    pub async fn turn_streams(&self, attempt: id::AttemptId) {
+    pub async fn wait_streaming(&self, attempt: id::AttemptId) {
         let reply = self.read(attempt, 0).await;
         assert!(!reply.events.is_empty(), "no event came: {:?}", reply.state);
     }
 
     pub async fn heartbeat(&self, beat: side::Heartbeat) -> side::HeartbeatReply {
-        let cx = transport::context(LONG);
+        let cx = transport::context(TIMEOUT);
         self.client.heartbeat(cx, beat).await.unwrap()
     }
 }
 
 /// A heartbeat that renews the shard of `program`.
-pub fn renewing(program: &str, fence: id::Fence) -> side::Heartbeat {
+pub fn renewal(program: &str, fence: id::Fence) -> side::Heartbeat {
     side::Heartbeat {
         from: "entry-1".into(),
         shards: vec![(id::shard_of(program), fence)],
@@ -203,8 +203,8 @@
 }
 
 /// Waits until `holds`, which is bound to come true.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let within = tokio::time::Instant::now() + LONG;
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let within = tokio::time::Instant::now() + TIMEOUT;
     while !holds() {
         assert!(
             tokio::time::Instant::now() < within,
@@ -215,7 +215,7 @@
 }
 
 /// The kind of error that an attempt ended with.
-pub fn failure(state: &attempt::State) -> Option<error::Kind> {
+pub fn error_kind(state: &attempt::State) -> Option<error::Kind> {
     match state {
         attempt::State::Failed(err) => Some(err.kind),
         _ => None,
@@ -223,7 +223,7 @@
 }
 
 /// The kind of error that a start was refused with.
-pub fn refusal(reply: &side::StartReply) -> Option<error::Kind> {
+pub fn refusal_kind(reply: &side::StartReply) -> Option<error::Kind> {
     match reply {
         side::StartReply::Refused(err) => Some(err.kind),
         _ => None,
--- a/fw-side/tests/side/stream_path.rs
+++ b/fw-side/tests/side/stream_path.rs
@@ -17,8 +17,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_is_streamed_whole() {
-    let rig = rig::Rig::new(rig::quick()).await;
+async fn an_answer_is_streamed_completely() {
+    let rig = rig::Rig::new(rig::fast_engine()).await;
     let start = rig::first_turn("p", 1, "hello");
     assert!(matches!(
         rig.start(&start).await,
@@ -41,11 +41,11 @@
 #[gtest]
 #[tokio::test]
 async fn a_later_turn_needs_only_its_new_messages() {
-    let rig = rig::Rig::new(rig::quick()).await;
+    let rig = rig::Rig::new(rig::fast_engine()).await;
     let first = rig::first_turn("p", 1, "hello");
-    let answer = rig.turn(&first).await;
+    let answer = rig.run_turn(&first).await;
     let second = rig::next_turn(&first, &answer.message, 2, "more");
-    let answer = rig.turn(&second).await;
+    let answer = rig.run_turn(&second).await;
     expect_that!(
         answer.message.content(),
         eq(engine::answer_to(second.digest, 24).as_str())
@@ -55,8 +55,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_history_that_is_not_held_is_asked_for() {
-    let rig = rig::Rig::new(rig::quick()).await;
+async fn a_history_that_is_not_cached_is_requested() {
+    let rig = rig::Rig::new(rig::fast_engine()).await;
     let first = rig::first_turn("p", 1, "hello");
     let answer = fw_base::chat::Message::text("assistant", "from elsewhere");
     let second = rig::next_turn(&first, &answer, 2, "more");
@@ -70,13 +70,13 @@
 #[gtest]
 #[tokio::test]
 async fn a_turn_that_was_not_committed_runs_on_the_older_history() {
-    let rig = rig::Rig::new(rig::quick()).await;
+    let rig = rig::Rig::new(rig::fast_engine()).await;
     let first = rig::first_turn("p", 1, "hello");
-    let answer = rig.turn(&first).await;
+    let answer = rig.run_turn(&first).await;
     let lost = rig::next_turn(&first, &answer.message, 2, "lost");
-    rig.turn(&lost).await;
+    rig.run_turn(&lost).await;
     let again = rig::next_turn(&first, &answer.message, 3, "again");
-    let answer = rig.turn(&again).await;
+    let answer = rig.run_turn(&again).await;
     expect_that!(
         answer.message.content(),
         eq(engine::answer_to(again.digest, 24).as_str())
@@ -88,7 +88,7 @@
 #[gtest]
 #[tokio::test]
 async fn the_same_attempt_started_twice_runs_once() {
-    let rig = rig::Rig::new(rig::quick()).await;
+    let rig = rig::Rig::new(rig::fast_engine()).await;
     let start = rig::first_turn("p", 1, "hello");
     for _ in 0..3 {
         rig.start(&start).await;
@@ -122,11 +122,11 @@
 #[gtest]
 #[tokio::test]
 async fn a_reader_attaches_again_by_offset() {
-    let mut rig = rig::Rig::new(rig::slow()).await;
+    let mut rig = rig::Rig::new(rig::slow_engine()).await;
     let start = rig::first_turn("p", 1, "hello");
     rig.start_streaming(&start).await;
     let before = rig.read(1, 0).await.events;
-    let again = transport::connect_side(rig.side.calls(), rig::LONG).await;
+    let again = transport::connect_side(rig.side.calls(), rig::TIMEOUT).await;
     rig.client = again.unwrap().client;
     let mut whole = before.clone();
     loop {
@@ -146,14 +146,17 @@
 #[gtest]
 #[tokio::test]
 async fn messages_of_a_foreign_history_are_refused() {
-    let rig = rig::Rig::new(rig::quick()).await;
+    let rig = rig::Rig::new(rig::fast_engine()).await;
     let mine = rig::first_turn("p", 1, "mine");
     let foreign = side::Start {
         messages: rig::first_turn("q", 2, "foreign").messages,
         ..mine.clone()
     };
     let reply = rig.start(&foreign).await;
-    expect_that!(rig::refusal(&reply), some(eq(error::Kind::HistoryMismatch)));
+    expect_that!(
+        rig::refusal_kind(&reply),
+        some(eq(error::Kind::HistoryMismatch))
+    );
     let sent = digest::Digest::EMPTY.extend_all(&foreign.messages);
     expect_that!(rig.engine.runs(sent), eq(0));
 }
@@ -165,13 +168,13 @@
 async fn kept_answers_are_bounded() {
     let mut opts = rig::options();
     opts.answer_bytes = 20_000;
-    let rig = rig::Rig::with(rig::quick(), opts).await;
+    let rig = rig::Rig::with(rig::fast_engine(), opts).await;
     for attempt in 1..10 {
-        rig.turn(&rig::first_turn(&format!("p{attempt}"), attempt, "hello"))
+        rig.run_turn(&rig::first_turn(&format!("p{attempt}"), attempt, "hello"))
             .await;
     }
     let core = rig.side.core().clone();
-    rig::until("the oldest is dropped", || core.attempts.get(1).is_none()).await;
+    rig::wait_until("the oldest is dropped", || core.attempts.get(1).is_none()).await;
     expect_true!(core.attempts.get(9).is_some());
 }
 
@@ -179,11 +182,11 @@
 #[gtest]
 #[tokio::test]
 async fn an_answer_is_kept_until_it_is_forgotten() {
-    let rig = rig::Rig::new(rig::quick()).await;
-    rig.turn(&rig::first_turn("p", 1, "hello")).await;
+    let rig = rig::Rig::new(rig::fast_engine()).await;
+    rig.run_turn(&rig::first_turn("p", 1, "hello")).await;
     let kept = rig.read_all(1).await;
     expect_true!(matches!(kept.state, attempt::State::Done(_)));
-    let cx = transport::context(rig::LONG);
+    let cx = transport::context(rig::TIMEOUT);
     rig.client.forget(cx, 1).await.unwrap();
     let gone = rig.read_all(1).await;
     expect_true!(matches!(gone.state, attempt::State::Unknown));
