--- a/fw-side/examples/overhead.rs
+++ b/fw-side/examples/overhead.rs
@@ -1,13 +1,14 @@
-//! What a side adds to a plain request and to a first token, against going straight to the
-//! stand-in upstream, at 1, 32 and 256 concurrent calls; and what it costs.
+//! Benchmark of the overhead of a side: the latency that it adds to a plain request and to a first
+//! token, compared with direct calls to the simulated upstream, at 1, 32 and 256 concurrent calls;
+//! and its use of processor time and memory.
 //!
 //! ```text
 //! cargo build --release -p foxtailweir-side
 //! cargo run --release -p fw-side --example overhead
 //! ```
 //!
-//! The side runs as a process of its own, so that its processor time and memory are its alone; the
-//! stand-ins and the callers share this one.
+//! The side runs in a separate process, so that its processor time and memory can be measured; the
+//! simulated upstreams and the callers share this process.
 
 use std::error::Error;
 use std::fmt::Write as _;
@@ -40,10 +41,10 @@
 const PLAIN_CALLS: u64 = 20_000;
 const TURNS: u64 = 3_000;
 const TIMEOUT: Duration = Duration::from_secs(60);
-/// Ticks a second of the processor times in `/proc`.
+/// Unit of the processor times in `/proc`.
 const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
-/// A side as a process; killed when dropped.
+/// A side in a separate process, which is killed on drop.
 struct Process {
     child: Child,
     calls: SocketAddr,
@@ -52,7 +53,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may already have exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -92,7 +93,7 @@
         Err("the side did not get ready".into())
     }
 
-    /// Processor time so far, in seconds.
+    /// Processor time used so far, in seconds.
     fn cpu(&self) -> Outcome<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let fields = stat.rsplit(')').next().unwrap_or_default();
@@ -101,7 +102,7 @@
         Ok(ticks?.iter().sum::<f64>() / CLOCK_TICKS_PER_SECOND)
     }
 
-    /// Resident memory now, in MB.
+    /// Current resident memory, in MB.
     fn memory(&self) -> Outcome<f64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -121,7 +122,7 @@
     Ok(TcpListener::bind(("127.0.0.1", 0))?.local_addr()?)
 }
 
-/// Times of calls, sorted.
+/// Latencies of calls, in ascending order.
 struct SortedLatencies(Vec<Duration>);
 
 impl SortedLatencies {
@@ -132,7 +133,7 @@
     }
 }
 
-/// Makes `total` calls, `width` at a time.
+/// Makes `total` calls, `concurrency` at a time.
 async fn measure<F, Fut>(concurrency: u64, total: u64, call: F) -> Outcome<SortedLatencies>
 where
     F: Fn(u64) -> Fut + Clone + Send + 'static,
@@ -174,7 +175,7 @@
     vec![chat::Message::text("user", &text)]
 }
 
-/// Time to the first content straight from the engine; the answer is read to its end.
+/// Time to first token of a direct call to the engine. The answer is read to its end.
 async fn direct_turn(client: fw_http::Client, uri: String, number: u64) -> Outcome<Duration> {
     let began = Instant::now();
     let list: Vec<serde_json::Value> = messages(number)
@@ -192,7 +193,7 @@
     first.ok_or_else(|| "no chunk came".into())
 }
 
-/// Time to the first event through the side; the answer is read to its end.
+/// Time to the first event through the side. The answer is read to its end.
 async fn side_turn(client: &side::SideClient, start: side::Start) -> Outcome<Duration> {
     let began = Instant::now();
     let program = start.program.clone();
@@ -254,8 +255,8 @@
     }
 }
 
-/// Prints what a program with a history of 750,000 tokens costs: a first turn that carries it all,
-/// and a second one that carries only its new message.
+/// Prints the cost of a program with a history of 750,000 tokens: of a first turn that carries the
+/// full history, and of a second one that carries only its new message.
 async fn print_long_history_cost() -> Outcome<()> {
     const MESSAGES: u64 = 400;
     const MESSAGE_BYTES: usize = 7_500;
@@ -304,7 +305,7 @@
     Ok(())
 }
 
-/// One line of the table.
+/// Adds a row to the table.
 fn add_row(
     table: &mut String,
     kind: &str,
@@ -315,7 +316,7 @@
 ) {
     let (d50, s50) = (direct.quantile(0.5), through_side.quantile(0.5));
     let (d99, s99) = (direct.quantile(0.99), through_side.quantile(0.99));
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _ = writeln!(
         table,
         "| {kind} | {concurrency} | {d50:.2} | {s50:.2} | {:.2} | {d99:.2} | {s99:.2} | {:.2} | {:.0} | {:.1} |",
@@ -326,7 +327,7 @@
     );
 }
 
-/// What the side spent on one call, in seconds, and holds, in MB.
+/// Processor time of the side per call, in seconds, and its memory, in MB.
 struct Cost {
     cpu: f64,
     memory: f64,
@@ -358,7 +359,7 @@
     Ok(())
 }
 
-/// Prints what a side without work spends.
+/// Prints the processor time and memory of an idle side.
 async fn print_idle_cost(process: &Process) -> Outcome<()> {
     const DURATION: Duration = Duration::from_secs(5);
     let before = process.cpu()?;
@@ -373,7 +374,8 @@
 }
 
 async fn turn_rows(table: &mut String) -> Outcome<()> {
-    // A batch that takes all calls, so that neither way queues and only the side's own part shows.
+    // The batch is large enough for all calls, so that neither path queues and only the overhead of
+    // the side is measured.
     let engine = engine::Engine::spawn(engine::Options {
         batch: 512,
         prefill: Duration::ZERO,
--- a/fw-side/tests/side/cancel_turn.rs
+++ b/fw-side/tests/side/cancel_turn.rs
@@ -1,4 +1,4 @@
-//! Cancelled turns.
+//! Cancellation of turns.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 
 use crate::rig;
 
-// A shopkeeper closes the page while its draft is written. The engine must stop, and the place of
-// the turn in the engine must serve the next one.
+// A caller cancels a turn while its answer is generated. The engine must stop, and the slot of the
+// turn must become available to the next one.
 #[gtest]
 #[tokio::test]
 async fn a_cancelled_turn_frees_its_slot() {
@@ -28,7 +28,7 @@
     expect_that!(rig.engine.counts().cancelled, eq(1));
 }
 
-// A turn is cancelled while it waits. It must leave the queue and never reach the engine.
+// A turn is cancelled while it is queued. It must leave the queue and never reach the engine.
 #[gtest]
 #[tokio::test]
 async fn a_turn_cancelled_in_the_queue_never_runs() {
@@ -46,8 +46,8 @@
     expect_that!(rig.engine.runs(waiting.digest), eq(0));
 }
 
-// A keeper gives a turn up and starts another attempt of it here. The program must have one run
-// under way, or the engine works twice and two answers cross.
+// A keeper abandons an attempt and starts another one of the same turn. Only one run of the program
+// may be in progress; otherwise the engine works twice and two answers may be mixed up.
 #[gtest]
 #[tokio::test]
 async fn a_new_attempt_ends_the_one_before() {
--- a/fw-side/tests/side/engine_faults.rs
+++ b/fw-side/tests/side/engine_faults.rs
@@ -1,4 +1,4 @@
-//! Crashes, silence and errors of the engine under a turn.
+//! Crashes, stalls and errors of the engine during a turn.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 
 use crate::rig;
 
-// An editor waits for a page and nothing comes any more: the connection between side and engine
-// went silent in the midst of the answer, while the engine works on and new connections work.
-// The side must read on over a new connection; sent again, the turn would run twice.
+// The connection between side and engine stops delivering data during an answer, while the engine
+// continues and new connections work. The side must resume over a new connection; sending the
+// request again would run the turn twice.
 #[gtest]
 #[tokio::test]
 async fn a_stalled_engine_stream_is_resumed() {
@@ -35,9 +35,9 @@
     expect_that!(rig.engine.counts().resumed, gt(0));
 }
 
-// The engine's process dies under several turns. Their keepers must hear so at once, and that the
-// turns may have run; heartbeats say that the upstream is down, and new turns are refused as not
-// run until it is back.
+// The engine's process dies during several turns. Their keepers must be notified immediately, with
+// an error stating that the turns may have run. Heartbeats report that the upstream is down, and
+// new turns are refused as not run until it is back.
 #[gtest]
 #[tokio::test]
 async fn a_crash_fails_every_turn_under_way() {
@@ -70,7 +70,7 @@
 }
 
 // A single request crashes each engine that runs it. The side must not send it again when the
-// engine is back, and must say that it may have run, so that its keeper can suspect it.
+// engine is back, and must report that it may have run, so that its keeper can suspect it.
 #[gtest]
 #[tokio::test]
 async fn a_poison_request_is_not_run_again() {
@@ -100,8 +100,8 @@
     );
 }
 
-// The engine accepts connections and answers nothing. A caller must not wait for ever, and
-// heartbeats say that it is down.
+// The engine accepts connections and does not respond. A caller must not wait forever, and
+// heartbeats must report that the engine is down.
 #[gtest]
 #[tokio::test]
 async fn a_frozen_engine_counts_as_down() {
@@ -121,8 +121,8 @@
     expect_true!(rig.heartbeat(side::Heartbeat::default()).await.down);
 }
 
-// The engine's load report is late for a long time while its streams go on: it is busy, not dead.
-// Its turns must not be failed.
+// The engine's load report is delayed for a long time while its streams continue: it is busy, not
+// down. Its turns must not fail.
 #[gtest]
 #[tokio::test]
 async fn a_streaming_engine_without_reports_is_not_down() {
@@ -135,7 +135,7 @@
     expect_false!(meter.is_streaming(now + idle_timeout, idle_timeout));
 }
 
-// The engine answers a request with an error. Only that turn fails.
+// The engine responds to a request with an error. Only that turn fails.
 #[gtest]
 #[tokio::test]
 async fn an_error_status_fails_one_turn() {
@@ -151,7 +151,7 @@
     rig.run_turn(&rig::first_turn("p", 2, "hello")).await;
 }
 
-// A turn runs past its caller's deadline. It ends, and the engine stops working on it.
+// A turn runs past its caller's deadline. It must end, and the engine must stop working on it.
 #[gtest]
 #[tokio::test]
 async fn a_turn_past_its_deadline_is_stopped() {
--- a/fw-side/tests/side/engine_memory.rs
+++ b/fw-side/tests/side/engine_memory.rs
@@ -1,4 +1,4 @@
-//! Engine memory of programs that are gone, and the view of the cache.
+//! Release of the engine's cache for ended programs, and the view of the cache.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 
 use crate::rig;
 
-/// Options with a short session time.
+/// Options with a short session TTL.
 fn short_sessions() -> Options {
     let mut opts = rig::options();
     opts.settings.sessions.ttl = Duration::from_millis(500);
     opts
 }
 
-// An entry dies and nobody takes an interest in its programs. Their memory must be freed, though
-// nobody orders it, and though the first orders to the engine are lost.
+// An entry dies and no other entry takes over its programs. Their cache must be released without a
+// request from a keeper, even though the first releases sent to the engine are lost.
 #[gtest]
 #[tokio::test]
 async fn memory_of_a_dead_keepers_program_is_freed() {
@@ -40,8 +40,8 @@
     .await;
 }
 
-// A program pauses for a tool while its keeper lives. Its memory must stay, or its next turn
-// would wait for the whole prefill.
+// A program pauses for a tool while its keeper is alive. Its cache must be retained; otherwise its
+// next turn would wait for a full prefill.
 #[gtest]
 #[tokio::test]
 async fn memory_of_a_renewed_program_stays() {
@@ -54,8 +54,8 @@
     expect_that!(rig.engine.held().len(), eq(1));
 }
 
-// The keeper's order to free a program was lost. The side asks after it when it is idle, and
-// frees it when the keeper does not know it any more.
+// The keeper's release of a program was lost. Once the program is idle, the side asks its keeper
+// whether it exists, and releases its cache when the keeper reports it as gone.
 #[gtest]
 #[tokio::test]
 async fn a_program_that_its_keeper_forgot_is_freed() {
@@ -76,8 +76,8 @@
     rig::wait_until("the memory is free", || rig.engine.held().is_empty()).await;
 }
 
-// The side is restarted and knows no session, while the engine beside it holds the memory of a
-// program that is gone. The new side must find and free it.
+// The side restarts without sessions, while the engine still caches a program that has ended. The
+// new side must detect and release it.
 #[gtest]
 #[tokio::test]
 async fn a_restarted_side_releases_the_cache_of_its_predecessor() {
@@ -92,8 +92,8 @@
     rig::wait_until("the memory is free", || rig.engine.held().is_empty()).await;
 }
 
-// The engine's cache events come late and with gaps. An entry must not go on believing in a cache
-// whose loss it missed: after a gap its view starts anew.
+// The engine's cache events arrive late and with gaps. An entry must not keep relying on cache
+// whose loss it missed: after a gap its view must be reset.
 #[gtest]
 #[tokio::test]
 async fn a_gap_in_cache_events_resets_the_view() {
@@ -126,8 +126,8 @@
     expect_false!(next.cache_reset);
 }
 
-// The engine crashes and loses its cache. Entries must hear so, or they would send programs here
-// for a cache that is gone.
+// The engine crashes and loses its cache. Entries must be notified, or they would send programs
+// here for a cache that no longer exists.
 #[gtest]
 #[tokio::test]
 async fn a_crash_resets_the_view() {
--- a/fw-side/tests/side/fencing_check.rs
+++ b/fw-side/tests/side/fencing_check.rs
@@ -1,4 +1,4 @@
-//! Keepers that act on a shard they have lost.
+//! Rejection of keepers that act on a shard they have lost.
 
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
     }
 }
 
-// A keeper is paused, loses its shard to another entry, wakes and starts a turn as if nothing had
-// happened. The engine would run it: the side must refuse it as not run.
+// A keeper is suspended, loses its shard to another entry, resumes and starts a turn without
+// noticing the loss. The engine would run it, so the side must refuse it as not run.
 #[gtest]
 #[tokio::test]
 async fn a_stale_keeper_is_refused() {
@@ -39,7 +39,8 @@
     rig.run_turn(&current).await;
 }
 
-// The same keeper wakes and orders the program's memory to be freed, under its successor's hands.
+// The same keeper resumes and requests the release of the program's cache, which its successor
+// uses.
 #[gtest]
 #[tokio::test]
 async fn a_stale_keeper_frees_no_memory() {
@@ -57,8 +58,8 @@
     rig::wait_until("the memory is free", || rig.engine.held().is_empty()).await;
 }
 
-// A message names a shard that its program does not hash to. The check of another shard's number
-// would let it pass.
+// A request contains a shard that its program does not hash to. Checking the fencing number of that
+// other shard would accept it.
 #[gtest]
 #[tokio::test]
 async fn a_wrong_shard_is_refused() {
@@ -71,9 +72,9 @@
     expect_that!(rig::refusal_kind(&reply), some(eq(error::Kind::BadRequest)));
 }
 
-// A keeper is cut off while its turn runs, and another entry takes over the program's shard. Left
-// to end, the answer would reach the caller through the old keeper, and the new one's history would
-// lack it. The new keeper's first heartbeat must end the turn.
+// A keeper is partitioned while its turn runs, and another entry takes over the program's shard. If
+// the turn were allowed to end, the answer would reach the caller through the old keeper while the
+// new one's history lacked it. The new keeper's first heartbeat must end the turn.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_keeper_ends_the_turns_of_the_old_one() {
--- a/fw-side/tests/side/leave_drain.rs
+++ b/fw-side/tests/side/leave_drain.rs
@@ -1,4 +1,4 @@
-//! Upstreams that leave, and sides that stop.
+//! Leaving upstreams and graceful shutdown of sides.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 
 use crate::rig;
 
-// An instance is about to be replaced and its side is told so. New turns must be refused at once
-// as not run, entries must hear it, and the turn under way must end whole.
+// An instance is about to be replaced, and its side receives a `/leave` request. New turns must be
+// refused immediately as not run, entries must be notified, and the turn in progress must complete.
 #[gtest]
 #[tokio::test]
 async fn a_leaving_side_takes_no_new_work() {
@@ -31,7 +31,7 @@
     expect_true!(matches!(whole, attempt::State::Done(_)));
 }
 
-// The engine itself says that it leaves, before any list does.
+// The engine itself reports that it is leaving, before any list of upstreams does.
 #[gtest]
 #[tokio::test]
 async fn an_engine_that_reports_leaving_gets_no_new_work() {
@@ -46,8 +46,8 @@
     );
 }
 
-// The side's process is told to stop in the midst of an answer. It must not exit before the
-// answer is whole and its keeper has read it.
+// The side's process is asked to stop during an answer. It must not exit before the answer is
+// complete and its keeper has read it.
 #[gtest]
 #[tokio::test]
 async fn a_stopped_side_finishes_the_turn_under_way() {
--- a/fw-side/tests/side/main.rs
+++ b/fw-side/tests/side/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the side against stand-in upstreams, over real sockets.
+//! Tests of the side against simulated upstreams, over real sockets.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod cancel_turn;
--- a/fw-side/tests/side/overload_refusal.rs
+++ b/fw-side/tests/side/overload_refusal.rs
@@ -1,4 +1,4 @@
-//! More turns than the queue takes.
+//! Refusal of turns that exceed the queue's limits.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 
 use crate::rig;
 
-// Callers send more than the engine can do. The side must refuse what it cannot queue at once,
-// as not run and with a time to retry, and run all that it accepted.
+// Callers send more turns than the engine can serve. The side must refuse those that it cannot
+// queue, immediately, as not run and with a retry time, and run all that it accepted.
 #[gtest]
 #[tokio::test]
 async fn a_full_queue_refuses_and_runs_accepted_turns() {
@@ -47,7 +47,7 @@
     }
 }
 
-// A turn waits behind a long one until its own deadline. It must be refused as not run.
+// A turn is queued behind a long one until its own deadline. It must be refused as not run.
 #[gtest]
 #[tokio::test]
 async fn a_turn_that_waits_too_long_did_not_run() {
--- a/fw-side/tests/side/plain_lane.rs
+++ b/fw-side/tests/side/plain_lane.rs
@@ -1,4 +1,4 @@
-//! Plain calls through the side.
+//! Forwarding of plain calls by the side.
 
 use std::time::Duration;
 
@@ -64,8 +64,9 @@
     expect_that!(runs[0].path, eq("/publish?page=1"));
 }
 
-// The answer to a publish call is lost between side and entry, and the entry sends it again under
-// the same attempt. The page must be published once, and the refusal must not claim "not run".
+// The response to a publish call is lost between side and entry, and the entry sends the call again
+// with the same attempt id. The page must be published once, and the refusal must not state "not
+// run".
 #[gtest]
 #[tokio::test]
 async fn a_duplicate_call_does_not_run() {
@@ -77,7 +78,7 @@
     expect_that!(rig_plain.service.runs_of("k"), eq(1));
 }
 
-// The same, while the first call is still under way at a slow tool.
+// The same, while the first call is still in progress at a slow tool.
 #[gtest]
 #[tokio::test]
 async fn a_concurrent_duplicate_does_not_run() {
@@ -96,8 +97,8 @@
     expect_that!(rig_plain.service.runs_of("k"), eq(1));
 }
 
-// The tool crashes after it billed a renewal and before it answered. The side cannot know, and
-// must say "maybe"; the same attempt must not be sent again when the tool is back.
+// The tool crashes after it billed a renewal and before it responded. The side cannot tell, and
+// must report "maybe"; the same attempt must not be sent again when the tool is back.
 #[gtest]
 #[tokio::test]
 async fn a_crash_after_the_run_is_reported_as_maybe() {
@@ -115,13 +116,13 @@
     expect_that!(rig_plain.service.runs_of("k"), eq(1));
 }
 
-// The tool is down and no connection is made. "Not run" is true, and the same attempt may come
-// again and run.
+// The tool is down and no connection is established. "Not run" is correct, and a retry with the
+// same attempt id must run.
 #[gtest]
 #[tokio::test]
 async fn a_call_that_was_not_sent_may_come_again() {
     let mut opts = rig::options();
-    // The side must find out by the call itself.
+    // No load poll may detect the crash before the call does.
     opts.settings.engine.load_poll = Duration::from_secs(60);
     let rig_plain = PlainRig::new(opts).await;
     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -135,7 +136,7 @@
     expect_that!(rig_plain.service.runs_of("k"), eq(1));
 }
 
-// A tool hangs. The call ends at its deadline, and is told as one that may have run.
+// A tool hangs. The call must end at its deadline, and be reported as one that may have run.
 #[gtest]
 #[tokio::test]
 async fn a_hanging_tool_ends_at_the_deadline() {
@@ -150,7 +151,7 @@
     expect_that!(ran_header(&answer), some(eq("maybe")));
 }
 
-// Programs fill the queue of the engine. Plain calls beside them must be answered all the same.
+// Programs fill the engine's queue. Plain calls must still be served.
 #[gtest]
 #[tokio::test]
 async fn programs_take_no_slots_of_plain_calls() {
@@ -169,7 +170,7 @@
     expect_that!(answer.status.as_u16(), eq(200));
 }
 
-// More plain calls come than there are places. The one too many is refused as not run.
+// More plain calls arrive than there are slots. The excess call must be refused as not run.
 #[gtest]
 #[tokio::test]
 async fn a_call_over_the_limit_is_refused() {
@@ -192,7 +193,7 @@
     expect_that!(rig_plain.service.runs_of("k"), eq(1));
 }
 
-// A side is told to stop while a call is under way. The caller must get its whole answer.
+// A side is asked to stop while a call is in progress. The caller must get the complete response.
 #[gtest]
 #[tokio::test]
 async fn a_stop_cuts_off_no_plain_call() {
@@ -211,8 +212,8 @@
     expect_that!(&answer.body[..], eq(b"\"page\""));
 }
 
-// A route covers every path, and a caller posts to `/leave`. The call belongs to the service behind
-// the side; taken as an order to the side, any caller could empty the fleet.
+// A route covers every path, and a caller posts to `/leave`. The call is meant for the service
+// behind the side; if the side executed it, any caller could drain the fleet.
 #[gtest]
 #[tokio::test]
 async fn a_forwarded_call_cannot_control_the_side() {
@@ -227,7 +228,8 @@
     expect_that!(rig_plain.service.runs().len(), eq(1));
 }
 
-// A route by mistake leads to a model engine, and a caller frees another program's memory there.
+// A misconfigured route leads to a model engine, and a caller tries to release another program's
+// cache there.
 #[gtest]
 #[tokio::test]
 async fn a_plain_call_cannot_control_the_engine() {
--- a/fw-side/tests/side/records_force.rs
+++ b/fw-side/tests/side/records_force.rs
@@ -1,4 +1,4 @@
-//! Records that entries hand to the side.
+//! Record sets that entries send to the side.
 
 use fw_record::document;
 use fw_record::key;
@@ -19,8 +19,8 @@
     }
 }
 
-// Two entries hand their records to the side; the one that lags comes last. A change that is in
-// force must not revert.
+// Two entries send their record sets to the side, the outdated one last. A change that is in force
+// must not be reverted, and an unparsable set must be ignored.
 #[gtest]
 #[tokio::test]
 async fn an_older_set_changes_nothing() {
--- a/fw-side/tests/side/rig.rs
+++ b/fw-side/tests/side/rig.rs
@@ -1,4 +1,4 @@
-//! A side between a test, which plays the keeper, and a stand-in engine.
+//! Test rig: a side between the test, which acts as the keeper, and a simulated engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use fw_wire::side;
 use fw_wire::transport;
 
-/// Longest wait for anything that is bound to happen.
+/// Timeout for conditions that must become true.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The fencing number of a keeper's first lease.
 pub const FENCE: id::Fence = 10;
 
-/// An engine without pauses between steps.
+/// An engine without delays.
 pub fn fast_engine() -> engine::Options {
     engine::Options {
         step: Duration::ZERO,
@@ -31,7 +31,7 @@
     }
 }
 
-/// An engine whose answers take long enough for faults to meet them.
+/// An engine whose answers take long enough for a fault to occur during them.
 pub fn slow_engine() -> engine::Options {
     engine::Options {
         step: Duration::from_millis(10),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Options whose timeouts suit a test.
+/// Options with timeouts for tests.
 pub fn options() -> Options {
     let mut opts = Options {
         release_backoff: Duration::from_millis(20),
@@ -52,7 +52,7 @@
     opts
 }
 
-/// The parts together.
+/// The engine, its side and a client of the side.
 pub struct Rig {
     pub engine: engine::Engine,
     pub side: Side,
@@ -111,7 +111,7 @@
         panic!("the attempt did not end");
     }
 
-    /// Runs a turn to its end and gives its answer.
+    /// Runs a turn to its end and returns its answer.
     pub async fn run_turn(&self, start: &side::Start) -> attempt::Finish {
         assert!(matches!(
             self.start(start).await,
@@ -132,7 +132,7 @@
         self.wait_streaming(start.attempt).await;
     }
 
-    /// Waits for the first event of a turn that was started before.
+    /// Waits for the first event of a started turn.
     pub async fn wait_streaming(&self, attempt: id::AttemptId) {
         let reply = self.read(attempt, 0).await;
         assert!(!reply.events.is_empty(), "no event came: {:?}", reply.state);
@@ -202,7 +202,7 @@
     }
 }
 
-/// Waits until `holds`, which is bound to come true.
+/// Waits until `holds` returns true; panics after [`TIMEOUT`].
 pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let within = tokio::time::Instant::now() + TIMEOUT;
     while !holds() {
@@ -214,7 +214,7 @@
     }
 }
 
-/// The kind of error that an attempt ended with.
+/// The kind of error that an attempt failed with, if it failed.
 pub fn error_kind(state: &attempt::State) -> Option<error::Kind> {
     match state {
         attempt::State::Failed(err) => Some(err.kind),
@@ -222,7 +222,7 @@
     }
 }
 
-/// The kind of error that a start was refused with.
+/// The kind of error that a start was refused with, if it was refused.
 pub fn refusal_kind(reply: &side::StartReply) -> Option<error::Kind> {
     match reply {
         side::StartReply::Refused(err) => Some(err.kind),
--- a/fw-side/tests/side/stream_path.rs
+++ b/fw-side/tests/side/stream_path.rs
@@ -1,4 +1,4 @@
-//! A turn from start to its whole answer, and the turns after it.
+//! Turns from start to complete answer, including follow-up turns of a program.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -66,7 +66,7 @@
 }
 
 // A turn was answered, but its commit failed, and the keeper runs it again on the older history.
-// The side holds a longer history by then; it must run the turn on the part that was committed.
+// The side then caches a longer history, and must run the turn on the committed prefix.
 #[gtest]
 #[tokio::test]
 async fn a_turn_that_was_not_committed_runs_on_the_older_history() {
@@ -83,8 +83,8 @@
     );
 }
 
-// The keeper's call to start a turn is answered, the answer is lost, and it calls again.
-// The turn must run once.
+// The response to a keeper's start request is lost, and the keeper sends the request again. The
+// turn must run once.
 #[gtest]
 #[tokio::test]
 async fn the_same_attempt_started_twice_runs_once() {
@@ -98,8 +98,8 @@
     expect_that!(rig.engine.runs(start.digest), eq(1));
 }
 
-// The two calls to start a turn arrive over two connections at one moment, and both find that the
-// attempt is not known yet. Only one may reach the queue.
+// Two requests to start the same attempt arrive concurrently over two connections, before the
+// attempt is registered. Only one may reach the queue.
 #[gtest]
 fn of_two_racing_starts_one_is_queued() {
     let attempts = attempts::Attempts::default();
@@ -117,8 +117,8 @@
     expect_that!(queued, eq(1));
 }
 
-// The keeper's connection to the side goes silent in the midst of an answer. It connects anew and
-// reads on from the next event: the whole answer must be there, and the turn must not run again.
+// The keeper's connection to the side stops responding during an answer. The keeper reconnects and
+// reads on from the next event: it must get the complete answer, and the turn must not run again.
 #[gtest]
 #[tokio::test]
 async fn a_reader_attaches_again_by_offset() {
@@ -141,8 +141,9 @@
     expect_that!(rig.engine.runs(start.digest), eq(1));
 }
 
-// Two programs' messages are mixed up on their way: a turn comes with the digest of one history
-// and the messages of another. An officer would see another claimant's case; the side must refuse.
+// The messages of two programs are mixed up in transit: a turn arrives with the digest of one
+// history and the messages of another. A caller would see another caller's data, so the side must
+// refuse it.
 #[gtest]
 #[tokio::test]
 async fn messages_of_a_foreign_history_are_refused() {
@@ -161,8 +162,8 @@
     expect_that!(rig.engine.runs(sent), eq(0));
 }
 
-// Keepers do not fetch or forget answers for a while. The side must not grow without bound: the
-// oldest answers go, the newest stay.
+// Keepers do not fetch or forget answers for a while. The memory of the side must stay bounded: it
+// drops the oldest answers and keeps the newest.
 #[gtest]
 #[tokio::test]
 async fn kept_answers_are_bounded() {
@@ -178,7 +179,7 @@
     expect_true!(core.attempts.get(9).is_some());
 }
 
-// A finished answer is kept until its keeper made it durable, and not longer.
+// A finished answer is retained until its keeper has made it durable, and no longer.
 #[gtest]
 #[tokio::test]
 async fn an_answer_is_kept_until_it_is_forgotten() {
