--- a/fw-side/examples/overhead.rs
+++ b/fw-side/examples/overhead.rs
@@ -90,7 +90,7 @@
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        Err("the side did not get ready".into())
+        Err("the side did not become ready".into())
     }
 
     /// Processor time used so far, in seconds.
@@ -190,7 +190,7 @@
         frame?;
         first.get_or_insert_with(|| began.elapsed());
     }
-    first.ok_or_else(|| "no chunk came".into())
+    first.ok_or_else(|| "no chunk received".into())
 }
 
 /// Time to the first event through the side. The answer is read to its end.
@@ -223,7 +223,7 @@
         }
     }
     client.forget(transport::context(TIMEOUT), attempt).await?;
-    first.ok_or_else(|| "no event came".into())
+    first.ok_or_else(|| "no event received".into())
 }
 
 fn start(number: u64) -> side::Start {
--- a/fw-side/tests/side/engine_faults.rs
+++ b/fw-side/tests/side/engine_faults.rs
@@ -24,7 +24,7 @@
     rig.engine.silence();
     let reply = rig.read_all(1).await;
     let attempt::State::Done(finish) = reply.state else {
-        panic!("not whole: {:?}", reply.state);
+        panic!("incomplete answer: {:?}", reply.state);
     };
     expect_that!(
         finish.message.content(),
@@ -65,7 +65,7 @@
 
     rig.engine.restart().unwrap();
     let core = rig.side.core().clone();
-    rig::wait_until("the side sees the engine again", || !core.is_down()).await;
+    rig::wait_until("the side detects the engine", || !core.is_down()).await;
     rig.run_turn(&rig::first_turn("late", 10, "late")).await;
 }
 
@@ -117,7 +117,7 @@
         some(eq(error::Kind::UpstreamTimeout))
     );
     let core = rig.side.core().clone();
-    rig::wait_until("the side sees it", || core.is_down()).await;
+    rig::wait_until("the side detects it", || core.is_down()).await;
     expect_true!(rig.heartbeat(side::Heartbeat::default()).await.down);
 }
 
--- a/fw-side/tests/side/engine_memory.rs
+++ b/fw-side/tests/side/engine_memory.rs
@@ -33,8 +33,8 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     expect_that!(rig.engine.held().len(), eq(1));
     rig.engine.lose_releases(false);
-    rig::wait_until("the memory is free", || rig.engine.held().is_empty()).await;
-    rig::wait_until("the order is confirmed", || {
+    rig::wait_until("the cache is released", || rig.engine.held().is_empty()).await;
+    rig::wait_until("the release is confirmed", || {
         core.sessions.unconfirmed_releases() == 0
     })
     .await;
@@ -73,7 +73,7 @@
         ..rig::renewal("p", rig::FENCE)
     };
     rig.heartbeat(gone).await;
-    rig::wait_until("the memory is free", || rig.engine.held().is_empty()).await;
+    rig::wait_until("the cache is released", || rig.engine.held().is_empty()).await;
 }
 
 // The side restarts without sessions, while the engine still caches a program that has ended. The
@@ -89,7 +89,7 @@
     opts.settings.engine.address = rig.engine.addr();
     let _side = fw_side::Side::spawn(opts).await.unwrap();
     expect_that!(rig.engine.held().len(), eq(1));
-    rig::wait_until("the memory is free", || rig.engine.held().is_empty()).await;
+    rig::wait_until("the cache is released", || rig.engine.held().is_empty()).await;
 }
 
 // The engine's cache events arrive late and with gaps. An entry must not keep relying on cache
@@ -119,7 +119,7 @@
         if reply.cache_reset {
             break reply;
         }
-        assert!(tokio::time::Instant::now() < within, "no reset came");
+        assert!(tokio::time::Instant::now() < within, "no reset received");
         tokio::time::sleep(Duration::from_millis(20)).await;
     };
     let next = rig.heartbeat(seen(after.cache_seq)).await;
@@ -137,7 +137,7 @@
     expect_that!(before.cache.len(), eq(1));
     rig.engine.crash();
     let core = rig.side.core().clone();
-    rig::wait_until("the crash is seen", || core.is_down()).await;
+    rig::wait_until("the crash is detected", || core.is_down()).await;
     let after = rig
         .heartbeat(side::Heartbeat {
             cache_seen: before.cache_seq,
--- a/fw-side/tests/side/fencing_check.rs
+++ b/fw-side/tests/side/fencing_check.rs
@@ -55,7 +55,7 @@
         rig.client.release(cx, req).await.unwrap();
         expect_that!(rig.side.core().sessions.len(), eq(left));
     }
-    rig::wait_until("the memory is free", || rig.engine.held().is_empty()).await;
+    rig::wait_until("the cache is released", || rig.engine.held().is_empty()).await;
 }
 
 // A request contains a shard that its program does not hash to. Checking the fencing number of that
--- a/fw-side/tests/side/leave_drain.rs
+++ b/fw-side/tests/side/leave_drain.rs
@@ -38,7 +38,7 @@
     let rig = rig::Rig::new(rig::fast_engine()).await;
     rig.engine.leave(true);
     let core = rig.side.core().clone();
-    rig::wait_until("the side has heard it", || core.is_leaving()).await;
+    rig::wait_until("the side detects it", || core.is_leaving()).await;
     let refused = rig.start(&rig::first_turn("p", 1, "late")).await;
     expect_that!(
         rig::refusal_kind(&refused),
--- a/fw-side/tests/side/rig.rs
+++ b/fw-side/tests/side/rig.rs
@@ -119,7 +119,7 @@
         ));
         match self.read_all(start.attempt).await.state {
             attempt::State::Done(finish) => *finish,
-            other => panic!("the turn did not end whole: {other:?}"),
+            other => panic!("the turn failed: {other:?}"),
         }
     }
 
@@ -135,7 +135,11 @@
     /// Waits for the first event of a started turn.
     pub async fn wait_streaming(&self, attempt: id::AttemptId) {
         let reply = self.read(attempt, 0).await;
-        assert!(!reply.events.is_empty(), "no event came: {:?}", reply.state);
+        assert!(
+            !reply.events.is_empty(),
+            "no event received: {:?}",
+            reply.state
+        );
     }
 
     pub async fn heartbeat(&self, beat: side::Heartbeat) -> side::HeartbeatReply {
@@ -208,7 +212,7 @@
     while !holds() {
         assert!(
             tokio::time::Instant::now() < within,
-            "never came true: {what}"
+            "timed out waiting until {what}"
         );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
--- a/fw-side/tests/side/stream_path.rs
+++ b/fw-side/tests/side/stream_path.rs
@@ -26,7 +26,7 @@
     ));
     let reply = rig.read_all(1).await;
     let attempt::State::Done(finish) = reply.state else {
-        panic!("not whole: {:?}", reply.state);
+        panic!("incomplete answer: {:?}", reply.state);
     };
     // A chunk for the role, one for each of 24 tokens and one for the end.
     expect_that!(reply.events.len(), eq(26));
