--- a/fw-side/src/process/serve.rs
+++ b/fw-side/src/process/serve.rs
@@ -141,7 +141,7 @@
         self.tasks.spawn(tasks::sweep(core.clone()));
         if core.opts.settings.engine.kind == side::Kind::Llm {
             self.tasks.spawn(tasks::follow_cache(core.clone()));
-            self.tasks.spawn(tasks::release_memory(core.clone()));
+            self.tasks.spawn(tasks::release_cache(core.clone()));
         }
     }
 }
--- a/fw-side/src/process/tasks.rs
+++ b/fw-side/src/process/tasks.rs
@@ -172,7 +172,7 @@
 }
 
 /// Sends cache releases until the engine confirms them.
-pub async fn release_memory(core: Arc<core::Core>) {
+pub async fn release_cache(core: Arc<core::Core>) {
     let tick = core.opts.release_backoff / 4;
     loop {
         let _ = tokio::time::timeout(tick, core.releases_changed.notified()).await;
--- a/fw-side/tests/side/plain_lane.rs
+++ b/fw-side/tests/side/plain_lane.rs
@@ -54,12 +54,12 @@
 #[gtest]
 #[tokio::test]
 async fn a_call_is_forwarded_unchanged() {
-    let rig_plain = PlainRig::new(rig::options()).await;
-    let answer = rig_plain.call_once("1f", "page").await;
+    let rig = PlainRig::new(rig::options()).await;
+    let answer = rig.call_once("1f", "page").await;
     expect_that!(answer.status.as_u16(), eq(200));
     expect_that!(&answer.body[..], eq(b"page"));
     expect_that!(error_header(&answer), none());
-    let runs = rig_plain.service.runs();
+    let runs = rig.service.runs();
     expect_that!(runs.len(), eq(1));
     expect_that!(runs[0].path, eq("/publish?page=1"));
 }
@@ -70,31 +70,28 @@
 #[gtest]
 #[tokio::test]
 async fn a_duplicate_call_does_not_run() {
-    let rig_plain = PlainRig::new(rig::options()).await;
-    rig_plain.call_once("1", "page").await;
-    let again = rig_plain.call_once("1", "page").await;
+    let rig = PlainRig::new(rig::options()).await;
+    rig.call_once("1", "page").await;
+    let again = rig.call_once("1", "page").await;
     expect_that!(error_header(&again), some(eq("may_have_run")));
     expect_that!(ran_header(&again), some(eq("maybe")));
-    expect_that!(rig_plain.service.runs_of("k"), eq(1));
+    expect_that!(rig.service.runs_of("k"), eq(1));
 }
 
 // The same, while the first call is still in progress at a slow tool.
 #[gtest]
 #[tokio::test]
 async fn a_concurrent_duplicate_does_not_run() {
-    let rig_plain = PlainRig::new(rig::options()).await;
-    rig_plain.service.slow(Duration::from_millis(300));
+    let rig = PlainRig::new(rig::options()).await;
+    rig.service.slow(Duration::from_millis(300));
     let meanwhile = async {
-        rig::wait_until("the first call runs", || {
-            rig_plain.service.runs_of("k") == 1
-        })
-        .await;
-        rig_plain.call_once("1", "page").await
+        rig::wait_until("the first call runs", || rig.service.runs_of("k") == 1).await;
+        rig.call_once("1", "page").await
     };
-    let (first, second) = tokio::join!(rig_plain.call_once("1", "page"), meanwhile);
+    let (first, second) = tokio::join!(rig.call_once("1", "page"), meanwhile);
     expect_that!(first.status.as_u16(), eq(200));
     expect_that!(error_header(&second), some(eq("key_in_use")));
-    expect_that!(rig_plain.service.runs_of("k"), eq(1));
+    expect_that!(rig.service.runs_of("k"), eq(1));
 }
 
 // The tool crashes after it billed a renewal and before it responded. The side cannot tell, and
@@ -102,18 +99,18 @@
 #[gtest]
 #[tokio::test]
 async fn a_crash_after_the_run_is_reported_as_maybe() {
-    let rig_plain = PlainRig::new(rig::options()).await;
-    rig_plain.service.fault(plain::Fault::CrashAfter);
-    let lost = rig_plain.call_once("1", "renewal").await;
+    let rig = PlainRig::new(rig::options()).await;
+    rig.service.fault(plain::Fault::CrashAfter);
+    let lost = rig.call_once("1", "renewal").await;
     expect_that!(error_header(&lost), some(eq("upstream_crashed")));
     expect_that!(ran_header(&lost), some(eq("maybe")));
-    rig_plain.service.fault(plain::Fault::None);
-    rig_plain.service.restart().unwrap();
-    let core = rig_plain.side.core().clone();
+    rig.service.fault(plain::Fault::None);
+    rig.service.restart().unwrap();
+    let core = rig.side.core().clone();
     rig::wait_until("the tool is back", || !core.is_down()).await;
-    let again = rig_plain.call_once("1", "renewal").await;
+    let again = rig.call_once("1", "renewal").await;
     expect_that!(error_header(&again), some(eq("may_have_run")));
-    expect_that!(rig_plain.service.runs_of("k"), eq(1));
+    expect_that!(rig.service.runs_of("k"), eq(1));
 }
 
 // The tool is down and no connection is established. "Not run" is correct, and a retry with the
@@ -124,29 +121,29 @@
     let mut opts = rig::options();
     // No load poll may detect the crash before the call does.
     opts.settings.engine.load_poll = Duration::from_secs(60);
-    let rig_plain = PlainRig::new(opts).await;
+    let rig = PlainRig::new(opts).await;
     tokio::time::sleep(Duration::from_millis(50)).await;
-    rig_plain.service.crash();
-    let refused = rig_plain.call_once("1", "page").await;
+    rig.service.crash();
+    let refused = rig.call_once("1", "page").await;
     expect_that!(error_header(&refused), some(eq("no_upstream")));
     expect_that!(ran_header(&refused), some(eq("no")));
-    rig_plain.service.restart().unwrap();
-    let again = rig_plain.call_once("1", "page").await;
+    rig.service.restart().unwrap();
+    let again = rig.call_once("1", "page").await;
     expect_that!(again.status.as_u16(), eq(200));
-    expect_that!(rig_plain.service.runs_of("k"), eq(1));
+    expect_that!(rig.service.runs_of("k"), eq(1));
 }
 
 // A tool hangs. The call must end at its deadline, and be reported as one that may have run.
 #[gtest]
 #[tokio::test]
 async fn a_hanging_tool_ends_at_the_deadline() {
-    let rig_plain = PlainRig::new(rig::options()).await;
-    rig_plain.service.fault(plain::Fault::Hang);
-    let req = http::Request::get(format!("http://{}/status", rig_plain.side.http()))
+    let rig = PlainRig::new(rig::options()).await;
+    rig.service.fault(plain::Fault::Hang);
+    let req = http::Request::get(format!("http://{}/status", rig.side.http()))
         .header("x-fw-deadline-ms", "100")
         .body(Full::default())
         .unwrap();
-    let answer = rig_plain.client.call(req).await.unwrap();
+    let answer = rig.client.call(req).await.unwrap();
     expect_that!(answer.status.as_u16(), eq(504));
     expect_that!(ran_header(&answer), some(eq("maybe")));
 }
@@ -177,33 +174,30 @@
     let mut opts = rig::options();
     opts.plain_concurrency = 1;
     opts.plain_max_wait = Duration::from_millis(20);
-    let rig_plain = PlainRig::new(opts).await;
-    rig_plain.service.slow(Duration::from_millis(500));
+    let rig = PlainRig::new(opts).await;
+    rig.service.slow(Duration::from_millis(500));
     let second = async {
-        rig::wait_until("the first call runs", || {
-            rig_plain.service.runs_of("k") == 1
-        })
-        .await;
-        rig_plain.call_once("2", "page").await
+        rig::wait_until("the first call runs", || rig.service.runs_of("k") == 1).await;
+        rig.call_once("2", "page").await
     };
-    let (first, second) = tokio::join!(rig_plain.call_once("1", "page"), second);
+    let (first, second) = tokio::join!(rig.call_once("1", "page"), second);
     expect_that!(first.status.as_u16(), eq(200));
     expect_that!(error_header(&second), some(eq("overloaded")));
     expect_that!(ran_header(&second), some(eq("no")));
-    expect_that!(rig_plain.service.runs_of("k"), eq(1));
+    expect_that!(rig.service.runs_of("k"), eq(1));
 }
 
 // A side is asked to stop while a call is in progress. The caller must get the complete response.
 #[gtest]
 #[tokio::test]
 async fn a_stop_cuts_off_no_plain_call() {
-    let rig_plain = PlainRig::new(rig::options()).await;
-    rig_plain.service.slow(Duration::from_millis(300));
+    let rig = PlainRig::new(rig::options()).await;
+    rig.service.slow(Duration::from_millis(300));
     let PlainRig {
         service,
         side,
         client,
-    } = rig_plain;
+    } = rig;
     let uri = format!("http://{}/publish", side.http());
     let call = tokio::spawn(async move { client.post_json(&uri, &"page").await });
     rig::wait_until("the call runs", || !service.runs().is_empty()).await;
@@ -217,15 +211,15 @@
 #[gtest]
 #[tokio::test]
 async fn a_forwarded_call_cannot_control_the_side() {
-    let rig_plain = PlainRig::new(rig::options()).await;
-    let req = http::Request::post(format!("http://{}/leave", rig_plain.side.http()))
+    let rig = PlainRig::new(rig::options()).await;
+    let req = http::Request::post(format!("http://{}/leave", rig.side.http()))
         .header("x-fw-attempt", "1")
         .body(Full::default())
         .unwrap();
-    let answer = rig_plain.client.call(req).await.unwrap();
+    let answer = rig.client.call(req).await.unwrap();
     expect_that!(answer.status.as_u16(), eq(200));
-    expect_false!(rig_plain.side.core().is_leaving());
-    expect_that!(rig_plain.service.runs().len(), eq(1));
+    expect_false!(rig.side.core().is_leaving());
+    expect_that!(rig.service.runs().len(), eq(1));
 }
 
 // A misconfigured route leads to a model engine, and a caller tries to release another program's
@@ -248,9 +242,9 @@
 #[gtest]
 #[tokio::test]
 async fn every_kind_of_error_has_a_counter() {
-    let rig_plain = PlainRig::new(rig::options()).await;
-    let uri = format!("http://{}/metrics", rig_plain.side.http());
-    let answer = rig_plain.client.get(&uri).await.unwrap();
+    let rig = PlainRig::new(rig::options()).await;
+    let uri = format!("http://{}/metrics", rig.side.http());
+    let answer = rig.client.get(&uri).await.unwrap();
     let text = String::from_utf8(answer.body.to_vec()).unwrap();
     for kind in fw_base::error::Kind::ALL {
         let series = format!(
