--- a/fw-side/src/connection/rpc.rs
+++ b/fw-side/src/connection/rpc.rs
@@ -19,9 +19,9 @@
 use crate::process::tasks;
 use crate::request::body;
 
-/// Fraction of the session TTL after which an unrenewed shard is reported in heartbeats: early
-/// enough for its new keeper to renew it in time, and longer than the maximum interval between the
-/// heartbeats of a keeper that does renew it.
+/// Divisor of the session TTL. The quotient is the time after which an unrenewed shard is reported
+/// in heartbeats: early enough for its new keeper to renew it in time, and longer than the maximum
+/// interval between the heartbeats of a keeper that does renew it.
 const UNRENEWED_TTL_DIVISOR: u32 = 2;
 
 /// The service, cloned for each connection.
