--- a/fw-side/src/connection/calls.rs
+++ b/fw-side/src/connection/rpc.rs
@@ -1,4 +1,4 @@
-//! The tarpc service that entries call.
+//! The tarpc service for entries.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,28 +10,28 @@
 use fw_wire::side;
 use tarpc::context;
 
+use crate::errors;
 use crate::process::attempts;
 use crate::process::core;
 use crate::process::fences;
 use crate::process::held;
 use crate::process::histories;
-use crate::process::poll;
-use crate::refuse;
+use crate::process::tasks;
 use crate::request::body;
 
-/// Part of the session time after which a shard without renewal is named in heartbeats: early
-/// enough for its new keeper to renew it in time, and later than the longest pause between the
-/// heartbeats of one that does.
-const UNRENEWED_PART: u32 = 2;
+/// Divisor of the session TTL. The quotient is the time after which an unrenewed shard is reported
+/// in heartbeats: early enough for its new keeper to renew it in time, and longer than the maximum
+/// interval between the heartbeats of a keeper that does renew it.
+const UNRENEWED_TTL_DIVISOR: u32 = 2;
 
-/// The service, as one connection sees it.
+/// The service, cloned for each connection.
 #[derive(Clone, Debug)]
-pub struct Calls {
+pub struct Service {
     core: Arc<core::Core>,
 }
 
-impl Calls {
-    /// The service over `core`.
+impl Service {
+    /// Creates the service over `core`.
     pub fn new(core: Arc<core::Core>) -> Self {
         Self { core }
     }
@@ -40,25 +40,28 @@
         match self.core.fences.renew(shard, fence, Instant::now()) {
             fences::Check::Current => Ok(()),
             fences::Check::Newer => {
-                poll::fence_off(&self.core, &HashSet::from([shard]));
+                tasks::end_fenced_turns(&self.core, &HashSet::from([shard]));
                 Ok(())
             }
             fences::Check::Stale { newest } => {
                 let why = format!(
-                    "fencing number {fence} of shard {shard} is older than {newest}: \
+                    "fencing number {fence} of shard {shard} is lower than {newest}: \
                      another entry keeps the shard"
                 );
-                Err(refuse::with(error::Kind::StaleFence, why))
+                Err(errors::counted(error::Kind::StaleFence, why))
             }
         }
     }
 
-    /// The whole prompt, or `None` if its base is not held here.
+    /// The complete prompt, or `None` if its base is not cached here.
     ///
-    /// The digest is computed again from the text that goes to the engine. Guards against a
-    /// history that was mixed with another on its way or in memory here: the digest that the
-    /// keeper's journal committed would not match.
-    fn prompt(&self, req: &mut side::Start) -> Result<Option<histories::Prompt>, error::Error> {
+    /// The digest is recomputed from the text that is sent to the engine. Guards against a history
+    /// that was mixed up with another in transit or in the side's memory: it would not match the
+    /// digest that the keeper's journal committed.
+    fn build_prompt(
+        &self,
+        req: &mut side::Start,
+    ) -> Result<Option<histories::Prompt>, error::Error> {
         let Some(mut prompt) = self.core.histories.get(&req.program, req.base) else {
             return Ok(None);
         };
@@ -71,7 +74,7 @@
                 prompt.digest(),
                 req.digest
             );
-            return Err(refuse::with(error::Kind::HistoryMismatch, why));
+            return Err(errors::counted(error::Kind::HistoryMismatch, why));
         }
         Ok(Some(prompt))
     }
@@ -81,13 +84,13 @@
             return Ok(side::StartReply::Accepted);
         }
         if req.shard != id::shard_of(&req.program) {
-            let why = format!("`shard` {} is not that of `program`", req.shard);
-            return Err(refuse::with(error::Kind::BadRequest, why));
+            let why = format!("`shard` {} is not the shard of `program`", req.shard);
+            return Err(errors::counted(error::Kind::BadRequest, why));
         }
         self.check_fence(req.shard, req.fence)?;
-        self.core.admits()?;
+        self.core.check_available()?;
         body::check_params(&req.params)?;
-        let Some(prompt) = self.prompt(&mut req)? else {
+        let Some(prompt) = self.build_prompt(&mut req)? else {
             metrics::counter!("fw_side_need_history_total").increment(1);
             return Ok(side::StartReply::NeedHistory);
         };
@@ -96,24 +99,24 @@
     }
 
     fn queue(&self, req: side::Start, prompt: histories::Prompt) -> Result<(), error::Error> {
-        let held = self.core.changes.held(&req.program);
-        let missing = req.prompt_tokens.saturating_sub(held);
-        let before = self.core.attempts.of_program(&req.program);
+        let cached = self.core.cache_view.cached_tokens(&req.program);
+        let missing = req.prompt_tokens.saturating_sub(cached);
+        let superseded = self.core.attempts.unfinished_of(&req.program);
         let attempt = attempts::Attempt::new(req, prompt, Instant::now());
         let attempt = Arc::new(attempt);
-        let push = || self.core.line.push(&attempt, missing);
+        let push = || self.core.queue.push(&attempt, missing);
         let inserted = self.core.attempts.insert(attempt.clone(), push)?;
         if inserted == attempts::Insert::New {
-            self.supersede(&before);
-            self.core.work.notify_one();
+            self.supersede(&superseded);
+            self.core.queue_changed.notify_one();
         }
         Ok(())
     }
 
-    /// Ends earlier attempts of the program. A program has one turn under way at a time, so its
-    /// keeper has given those up, or has lost the shard and cannot commit them.
-    fn supersede(&self, before: &[Arc<attempts::Attempt>]) {
-        for attempt in before {
+    /// Ends earlier attempts of the program. A program has one turn in progress at a time, so its
+    /// keeper has abandoned those, or has lost the shard and cannot commit them.
+    fn supersede(&self, superseded: &[Arc<attempts::Attempt>]) {
+        for attempt in superseded {
             metrics::counter!("fw_side_superseded_total").increment(1);
             let why = "the program's keeper started another attempt";
             self.core.cancel(attempt, why);
@@ -121,13 +124,14 @@
     }
 }
 
-impl Calls {
-    /// Shards whose sessions nobody renews, and those with answers held for an earlier keeper. Their
-    /// keeper has to hear of them: else the sessions are freed, and the answers lost.
-    fn unrenewed(&self, now: Instant) -> Vec<id::ShardId> {
+impl Service {
+    /// Shards with unrenewed sessions, and those with answers held for an earlier keeper. They are
+    /// reported to their current keeper; otherwise the sessions would expire and the answers would
+    /// be lost.
+    fn shards_to_report(&self, now: Instant) -> Vec<id::ShardId> {
         let core = &self.core;
-        let within = core.opts.settings.sessions.ttl / UNRENEWED_PART;
-        let mut shards = core.sessions.unrenewed(&core.fences, within, now);
+        let within = core.opts.settings.sessions.ttl / UNRENEWED_TTL_DIVISOR;
+        let mut shards = core.sessions.unrenewed_shards(&core.fences, within, now);
         shards.extend(held::shards(&core.attempts, &core.fences));
         shards.sort_unstable();
         shards.dedup();
@@ -135,21 +139,21 @@
     }
 }
 
-impl side::Side for Calls {
+impl side::Side for Service {
     async fn heartbeat(self, _: context::Context, req: side::Heartbeat) -> side::HeartbeatReply {
         let now = Instant::now();
         let core = &self.core;
-        let renewed = poll::renew(core, &req.shards, now);
+        let renewed = tasks::renew_shards(core, &req.shards, now);
         for program in &req.gone {
             if renewed.contains(&id::shard_of(program)) {
-                core.sessions.free(program, now);
+                core.sessions.schedule_release(program, now);
                 core.histories.remove(program);
             }
         }
-        core.orders.notify_one();
-        let since = core.changes.since(req.cache_seen);
+        core.releases_changed.notify_one();
+        let delta = core.cache_view.changes_since(req.cache_seen);
         let cfg = &core.opts.settings.instance;
-        let who = match req.known == core.incarnation {
+        let identity = match req.known == core.incarnation {
             true => side::HeartbeatReply::default(),
             false => side::HeartbeatReply {
                 upstream: cfg.id.clone(),
@@ -164,17 +168,19 @@
             leaving: core.is_leaving(),
             down: core.is_down(),
             load: core.load(now),
-            cache_seq: since.seq,
-            cache_reset: since.reset,
-            cache: since.changes,
-            asked: core.sessions.ask(&renewed, core.opts.ask_after, now),
-            unrenewed: self.unrenewed(now),
-            ..who
+            cache_seq: delta.seq,
+            cache_reset: delta.reset,
+            cache: delta.changes,
+            asked: core
+                .sessions
+                .take_idle(&renewed, core.opts.verify_idle_after, now),
+            unrenewed: self.shards_to_report(now),
+            ..identity
         }
     }
 
     async fn records(self, _: context::Context, req: side::Records) -> id::Revision {
-        self.core.offer(&req);
+        self.core.update_records(&req);
         self.core.records.revision()
     }
 
@@ -188,10 +194,10 @@
     async fn read(self, _: context::Context, req: attempt::Read) -> attempt::ReadReply {
         match self.core.attempts.get(req.attempt) {
             Some(attempt) => {
-                let most = self.core.opts.max_wait;
+                let max_wait = self.core.opts.max_read_wait;
                 let req = attempt::Read {
-                    wait: req.wait.min(most),
-                    gather: req.gather.min(most),
+                    wait: req.wait.min(max_wait),
+                    gather: req.gather.min(max_wait),
                     ..req
                 };
                 attempt.read(&req).await
@@ -231,12 +237,12 @@
         for (program, fence) in &req.programs {
             let shard = id::shard_of(program);
             if self.core.fences.check(shard, *fence) == fences::Check::Current {
-                self.core.sessions.free(program, now);
+                self.core.sessions.schedule_release(program, now);
                 self.core.histories.remove(program);
             } else {
                 metrics::counter!("fw_side_stale_releases_total").increment(1);
             }
         }
-        self.core.orders.notify_one();
+        self.core.releases_changed.notify_one();
     }
 }
--- a/fw-side/src/connection/web.rs
+++ b/fw-side/src/connection/web.rs
@@ -1,4 +1,4 @@
-//! The HTTP port: health, metrics, the order to leave, and the plain lane.
+//! The HTTP server: health, metrics, the `/leave` command, and forwarding of plain calls.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -23,38 +23,42 @@
 use crate::process::core;
 use crate::request::plain;
 
-/// Longest wait for the head of a request on an open connection.
+/// Timeout for the head of a request on an open connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause after a failure to accept, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example because of too many open files.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What the HTTP port serves from.
+/// State of the HTTP handlers.
 #[derive(Clone, Debug)]
-pub struct Web {
-    /// The side.
+pub struct HttpState {
+    /// State of the side.
     pub core: Arc<core::Core>,
-    /// The lane of plain calls.
-    pub plain: plain::Lane,
+    /// Client of the upstream, for plain calls.
+    pub plain: plain::Client,
     /// Renders `/metrics`.
     pub metrics: PrometheusHandle,
 }
 
-/// The routes. Every path that is not the side's own goes to the upstream.
-pub fn router(web: Web) -> Router {
+/// The routes. Requests to all other paths are forwarded to the upstream.
+pub fn router(state: HttpState) -> Router {
     Router::new()
         .route("/healthz", routing::get(StatusCode::OK))
         .route("/readyz", routing::get(ready))
-        .route("/metrics", routing::get(render))
+        .route("/metrics", routing::get(metrics_text))
         .route("/leave", routing::post(leave))
         .fallback(forward)
-        .layer(middleware::from_fn_with_state(web.clone(), bypass))
-        .with_state(web)
+        .layer(middleware::from_fn_with_state(
+            state.clone(),
+            forward_entry_calls,
+        ))
+        .with_state(state)
 }
 
-/// Serves connections until `closing`, then lets those under way end. Dropped, it ends them all.
-pub async fn serve(listener: TcpListener, web: Web, closing: CancellationToken) {
-    let router = router(web);
+/// Serves connections until `closing` is cancelled, then waits for the open ones to finish.
+/// Dropping the future aborts all of them.
+pub async fn serve(listener: TcpListener, state: HttpState, closing: CancellationToken) {
+    let router = router(state);
     let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -66,7 +70,7 @@
                 let serve = serve_one(socket, router.clone(), closing.clone());
                 connections.spawn(serve);
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
         while connections.try_join_next().is_some() {}
     }
@@ -75,7 +79,7 @@
 }
 
 async fn serve_one(socket: TcpStream, router: Router, closing: CancellationToken) {
-    // Without it the answer's last part may wait for an acknowledgement.
+    // With Nagle's algorithm the last part of a response may wait for an acknowledgement.
     let _ = socket.set_nodelay(true);
     let mut builder = http1::Builder::new();
     builder
@@ -83,7 +87,7 @@
         .header_read_timeout(HEAD_TIMEOUT);
     let service = TowerToHyperService::new(router);
     let mut connection = pin!(builder.serve_connection(rt::TokioIo::new(socket), service));
-    // A connection that fails has told its peer already.
+    // Errors of the connection have already been reported to the peer.
     tokio::select! {
         _ = connection.as_mut() => {}
         () = closing.cancelled() => {
@@ -93,31 +97,35 @@
     }
 }
 
-/// Forwards every call of an entry, which has the header `x-fw-attempt`, also where its path is one
-/// of the side's own: a caller's `POST /leave` must not make the side leave.
-async fn bypass(State(web): State<Web>, req: Request, next: middleware::Next) -> Response {
+/// Forwards every call of an entry, recognized by the header `x-fw-attempt`, even if its path is
+/// one of the side's own: a caller's `POST /leave` must not make the side leave.
+async fn forward_entry_calls(
+    State(state): State<HttpState>,
+    req: Request,
+    next: middleware::Next,
+) -> Response {
     if req.headers().contains_key(plain::ATTEMPT) {
-        return plain::forward(&web.core, &web.plain, req).await;
+        return plain::forward(&state.core, &state.plain, req).await;
     }
     next.run(req).await
 }
 
-async fn ready(State(web): State<Web>) -> StatusCode {
-    if web.core.is_leaving() || web.core.is_down() {
+async fn ready(State(state): State<HttpState>) -> StatusCode {
+    if state.core.is_leaving() || state.core.is_down() {
         return StatusCode::SERVICE_UNAVAILABLE;
     }
     StatusCode::OK
 }
 
-async fn render(State(web): State<Web>) -> String {
-    web.metrics.render()
+async fn metrics_text(State(state): State<HttpState>) -> String {
+    state.metrics.render()
 }
 
-async fn leave(State(web): State<Web>) -> StatusCode {
-    web.core.leave();
+async fn leave(State(state): State<HttpState>) -> StatusCode {
+    state.core.leave();
     StatusCode::ACCEPTED
 }
 
-async fn forward(State(web): State<Web>, req: Request) -> Response {
-    plain::forward(&web.core, &web.plain, req).await
+async fn forward(State(state): State<HttpState>, req: Request) -> Response {
+    plain::forward(&state.core, &state.plain, req).await
 }
--- a/fw-side/src/process/line.rs
+++ b/fw-side/src/process/dispatch_queue.rs
@@ -1,4 +1,4 @@
-//! The queue before the engine, and what was released from it.
+//! The queue in front of the engine, and the jobs that were dispatched from it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,76 +10,76 @@
 use parking_lot::Mutex;
 
 use super::attempts;
-use crate::refuse;
+use crate::errors;
 
-/// Most jobs in the engine while it has not said its batch, and the settings do not either.
+/// Batch size that is assumed while neither the engine nor the settings state one.
 const DEFAULT_BATCH: u32 = 32;
 
 #[derive(Clone, Debug)]
-struct Released {
+struct Entry {
     team: id::TeamId,
     prefill: id::Tokens,
     long: bool,
     alone: bool,
-    at: Instant,
+    since: Instant,
 }
 
 #[derive(Debug)]
 struct Inner {
     queue: queue::Queue,
-    released: HashMap<id::AttemptId, Released>,
-    waiting: HashMap<id::AttemptId, Released>,
+    dispatched: HashMap<id::AttemptId, Entry>,
+    waiting: HashMap<id::AttemptId, Entry>,
 }
 
-/// How the line releases.
+/// Configuration of the queue.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Rules of the queue.
+    /// Ordering and limits of the queue.
     pub queue: queue::Options,
-    /// The engine's batch by the settings; 0 if it is not known.
+    /// Batch size of the engine according to the settings; 0 if not set.
     pub batch: u32,
-    /// Most jobs in the engine, if the settings say so.
+    /// Maximum number of jobs in the engine, if set.
     pub window: Option<u32>,
 }
 
-/// What the engine was last seen to do.
+/// Batch size and step time of the engine, as last measured.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
-    /// Its batch; 0 if it has not said.
+pub struct EnginePace {
+    /// Batch size; 0 if the engine has not reported it.
     pub batch: u32,
-    /// Time of one step.
+    /// Duration of one decoding step.
     pub step: Duration,
 }
 
-/// How full the line is.
+/// Number of jobs and amount of work in the queue and in the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Fill {
-    /// Jobs waiting.
+pub struct Occupancy {
+    /// Waiting jobs.
     pub queued: u32,
     /// Jobs in the engine.
     pub running: u32,
-    /// Prompt tokens that wait for prefill, in the queue and in the engine.
+    /// Prompt tokens that await prefill, in the queue and in the engine.
     pub prefill: id::Tokens,
-    /// Time from arrival to release, smoothed.
+    /// Smoothed time from arrival to dispatch.
     pub delay: Duration,
 }
 
-/// The queue with its clock.
+/// The queue, its clock and the dispatched jobs.
 #[derive(Debug)]
-pub struct Line {
+pub struct DispatchQueue {
     started: Instant,
     opts: Options,
     inner: Mutex<Inner>,
 }
 
-impl Line {
-    /// An empty line.
+impl DispatchQueue {
+    /// Creates an empty queue.
     pub fn new(opts: Options) -> Self {
         Self {
             started: Instant::now(),
             inner: Mutex::new(Inner {
                 queue: queue::Queue::new(opts.queue.clone()),
-                released: HashMap::new(),
+                dispatched: HashMap::new(),
                 waiting: HashMap::new(),
             }),
             opts,
@@ -90,7 +90,7 @@
         self.started.elapsed()
     }
 
-    /// Queues an attempt whose prompt lacks `missing` tokens in the engine's cache.
+    /// Queues an attempt with `missing` prompt tokens that are not in the engine's cache.
     ///
     /// # Errors
     ///
@@ -111,40 +111,47 @@
             alone: start.alone,
         };
         let mut inner = self.inner.lock();
-        inner.queue.push(self.now(), job).map_err(refused)?;
-        let waiting = Released {
+        inner.queue.push(self.now(), job).map_err(refusal_error)?;
+        let waiting = Entry {
             team: start.team.clone(),
             prefill: missing,
             long: missing >= self.opts.queue.long_prompt,
             alone: start.alone,
-            at: attempt.arrived,
+            since: attempt.arrived_at,
         };
         inner.waiting.insert(start.attempt, waiting);
         Ok(())
     }
 
-    /// The next attempt to run, if the engine has room for one.
-    pub fn pop(&self, pace: Pace) -> Option<id::AttemptId> {
+    /// Dispatches the next attempt, if the engine has room for one.
+    pub fn pop(&self, pace: EnginePace) -> Option<id::AttemptId> {
         let mut inner = self.inner.lock();
-        let running = self.running(&inner, pace);
-        if self.opts.window.is_some_and(|most| running.jobs >= most) {
+        let running = self.running_jobs(&inner, pace);
+        if self
+            .opts
+            .window
+            .is_some_and(|window| running.jobs >= window)
+        {
             return None;
         }
         let id = inner.queue.pop(self.now(), &running)?;
         if let Some(job) = inner.waiting.remove(&id) {
-            let at = Instant::now();
-            inner.released.insert(id, Released { at, ..job });
+            let since = Instant::now();
+            inner.dispatched.insert(id, Entry { since, ..job });
         }
         Some(id)
     }
 
-    fn running(&self, inner: &Inner, pace: Pace) -> queue::Running {
-        let jobs = inner.released.values();
+    fn running_jobs(&self, inner: &Inner, pace: EnginePace) -> queue::Running {
+        let jobs = inner.dispatched.values();
         let in_prefill = jobs.clone().filter(|job| job.prefill > 0);
-        let said = [pace.batch, self.opts.batch, DEFAULT_BATCH];
+        let batch_sizes = [pace.batch, self.opts.batch, DEFAULT_BATCH];
         queue::Running {
-            jobs: count(inner.released.len()),
-            batch: said.into_iter().find(|batch| *batch > 0).unwrap_or(0),
+            jobs: count(inner.dispatched.len()),
+            batch: batch_sizes
+                .into_iter()
+                .find(|batch| *batch > 0)
+                .unwrap_or(0),
             prefill: jobs.clone().map(|job| job.prefill).sum(),
             long: count(in_prefill.filter(|job| job.long).count()),
             step: pace.step,
@@ -152,14 +159,14 @@
         }
     }
 
-    /// Takes a waiting attempt out; false if it does not wait.
+    /// Removes a waiting attempt. Returns false if it is not waiting.
     pub fn remove(&self, id: id::AttemptId) -> bool {
         let mut inner = self.inner.lock();
         inner.waiting.remove(&id);
         inner.queue.remove(id)
     }
 
-    /// Takes out the attempts that can no longer start in time.
+    /// Removes and returns the attempts that can no longer start before their deadline.
     pub fn expire(&self) -> Vec<id::AttemptId> {
         let mut inner = self.inner.lock();
         let expired = inner.queue.expire(self.now());
@@ -169,41 +176,41 @@
         expired
     }
 
-    /// A released attempt's first token came: its prefill is over.
-    pub fn prefilled(&self, id: id::AttemptId) {
-        if let Some(job) = self.inner.lock().released.get_mut(&id) {
+    /// Records the first token of a dispatched attempt, which ends its prefill.
+    pub fn finish_prefill(&self, id: id::AttemptId) {
+        if let Some(job) = self.inner.lock().dispatched.get_mut(&id) {
             job.prefill = 0;
         }
     }
 
-    /// A released attempt left the engine.
-    pub fn done(&self, id: id::AttemptId) {
+    /// Records that a dispatched attempt left the engine.
+    pub fn finish(&self, id: id::AttemptId) {
         let mut inner = self.inner.lock();
-        if let Some(job) = inner.released.remove(&id) {
-            inner.queue.finished(&job.team, job.at.elapsed());
+        if let Some(job) = inner.dispatched.remove(&id) {
+            inner.queue.finished(&job.team, job.since.elapsed());
         }
     }
 
-    /// How full the line is.
-    pub fn fill(&self) -> Fill {
+    /// The current occupancy.
+    pub fn occupancy(&self) -> Occupancy {
         let inner = self.inner.lock();
-        let jobs = inner.waiting.values().chain(inner.released.values());
-        Fill {
+        let jobs = inner.waiting.values().chain(inner.dispatched.values());
+        Occupancy {
             queued: count(inner.queue.len()),
-            running: count(inner.released.len()),
+            running: count(inner.dispatched.len()),
             prefill: jobs.map(|job| job.prefill).sum(),
             delay: inner.queue.recent_wait(),
         }
     }
 }
 
-fn refused(refused: fw_plan::Refusal) -> error::Error {
-    let why = match refused.kind {
-        error::Kind::QueueFull => "the queue before the engine is full; try later or elsewhere",
-        error::Kind::ShareExceeded => "the team has its share of the queue already; try later",
-        _ => "the queue is too long for the deadline; allow more time or try elsewhere",
+fn refusal_error(refusal: fw_plan::Refusal) -> error::Error {
+    let why = match refusal.kind {
+        error::Kind::QueueFull => "the engine's queue is full; retry later or on another upstream",
+        error::Kind::ShareExceeded => "the team has used up its share of the queue; retry later",
+        _ => "the queue is too long for the deadline; allow more time or use another upstream",
     };
-    refuse::with(refused.kind, why).with_retry_after(refused.retry_after)
+    errors::counted(refusal.kind, why).with_retry_after(refusal.retry_after)
 }
 
 fn count(len: usize) -> u32 {
--- a/fw-side/src/request/mod.rs
+++ b/fw-side/src/request/mod.rs
@@ -1,7 +1,7 @@
-//! What lives for one request.
+//! State and logic with the lifetime of one request.
 
 pub mod answer;
 pub mod body;
-pub mod events;
 pub mod plain;
 pub mod run;
+pub mod sse;
