--- a/fw-side/src/request/answer.rs
+++ b/fw-side/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! The assistant's message, put together from the chunks of a stream.
+//! Assembles the assistant's message from the chunks of a stream.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// The parts of a `chat.completion.chunk` that the side reads.
+/// The fields of a `chat.completion.chunk` that the side reads.
 #[derive(Debug, Deserialize)]
 struct Chunk {
     #[serde(default)]
@@ -77,41 +77,41 @@
     arguments: String,
 }
 
-/// What a chunk was.
+/// Kind of a received chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// A part of the answer, to be passed on.
+pub enum ChunkKind {
+    /// A part of the answer, to be forwarded.
     Part {
-        /// It carries text or a tool call.
+        /// Whether it contains text or a tool call.
         has_content: bool,
     },
-    /// The usage alone, which travels with the end of the attempt.
+    /// Only the usage, which is sent with the final state of the attempt.
     Usage,
-    /// An error of the engine in the midst of the stream.
+    /// An error that the engine reported within the stream.
     Error(String),
-    /// Not a chunk.
+    /// Not a valid chunk.
     Malformed(String),
 }
 
-/// An answer so far.
+/// The answer received so far.
 #[derive(Debug, Default)]
 pub struct Answer {
     content: String,
     refusal: String,
-    tools: BTreeMap<u32, ToolCall>,
+    tool_calls: BTreeMap<u32, ToolCall>,
     finish_reason: Option<String>,
     usage: chat::Usage,
 }
 
 impl Answer {
-    /// Takes in one chunk.
-    pub fn take(&mut self, text: &str) -> Taken {
+    /// Parses and applies one chunk.
+    pub fn apply_chunk(&mut self, text: &str) -> ChunkKind {
         let chunk: Chunk = match serde_json::from_str(text) {
             Ok(chunk) => chunk,
-            Err(err) => return Taken::Malformed(err.to_string()),
+            Err(err) => return ChunkKind::Malformed(err.to_string()),
         };
         if let Some(err) = chunk.error {
-            return Taken::Error(err.to_string());
+            return ChunkKind::Error(err.to_string());
         }
         if let Some(usage) = &chunk.usage {
             let details = usage.prompt_tokens_details.as_ref();
@@ -122,58 +122,58 @@
             };
         }
         let Some(choice) = chunk.choices.into_iter().next() else {
-            return Taken::Usage;
+            return ChunkKind::Usage;
         };
-        let has_content = self.take_delta(choice.delta);
+        let has_content = self.apply_delta(choice.delta);
         self.finish_reason = choice.finish_reason.or(self.finish_reason.take());
-        Taken::Part { has_content }
+        ChunkKind::Part { has_content }
     }
 
-    fn take_delta(&mut self, delta: Delta) -> bool {
+    fn apply_delta(&mut self, delta: Delta) -> bool {
         let content = delta.content.unwrap_or_default();
         let refusal = delta.refusal.unwrap_or_default();
         let has_text = !content.is_empty() || !refusal.is_empty();
-        let has_tools = !delta.tool_calls.is_empty();
+        let has_tool_calls = !delta.tool_calls.is_empty();
         self.content.push_str(&content);
         self.refusal.push_str(&refusal);
         for part in delta.tool_calls {
-            let call = self.tools.entry(part.index).or_default();
+            let call = self.tool_calls.entry(part.index).or_default();
             call.id.push_str(&part.id.unwrap_or_default());
             let function = part.function;
             call.name.push_str(&function.name.unwrap_or_default());
             call.arguments
                 .push_str(&function.arguments.unwrap_or_default());
         }
-        has_text || has_tools
+        has_text || has_tool_calls
     }
 
-    /// Token counts, once the engine gave them.
+    /// Token counts; zero until the engine has sent them.
     pub fn usage(&self) -> chat::Usage {
         self.usage
     }
 
-    /// Why generation ended, if it did.
+    /// Finish reason of the generation, if it has ended.
     pub fn finish_reason(&self) -> Option<&str> {
         self.finish_reason.as_deref()
     }
 
-    /// The message as it enters the history.
+    /// The message in the form that is added to the history.
     ///
     /// # Errors
     ///
     /// As [`chat::Message::from_value`].
     pub fn message(&self) -> Result<chat::Message, chat::ParseError> {
         let mut message = json!({ "role": "assistant" });
-        // Client libraries send a message without text back with `content` null or absent, and
-        // both are dropped in canonical form; an empty text beside tool calls is as good as none.
-        if !self.content.is_empty() || self.tools.is_empty() {
+        // Client libraries return a message without text with `content` null or absent, and the
+        // canonical form drops both. Empty text next to tool calls is therefore omitted.
+        if !self.content.is_empty() || self.tool_calls.is_empty() {
             message["content"] = json!(self.content);
         }
         if !self.refusal.is_empty() {
             message["refusal"] = json!(self.refusal);
         }
-        if !self.tools.is_empty() {
-            let calls: Vec<_> = self.tools.values().map(ToolCall::to_value).collect();
+        if !self.tool_calls.is_empty() {
+            let calls: Vec<_> = self.tool_calls.values().map(ToolCall::to_value).collect();
             message["tool_calls"] = json!(calls);
         }
         chat::Message::from_value(message)
--- a/fw-side/tests/side/leave_drain.rs
+++ b/fw-side/tests/side/leave_drain.rs
@@ -1,4 +1,4 @@
-//! Upstreams that leave, and sides that stop.
+//! Leaving upstreams and graceful shutdown of sides.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 
 use crate::rig;
 
-// An instance is about to be replaced and its side is told so. New turns must be refused at once
-// as not run, entries must hear it, and the turn under way must end whole.
+// An instance is about to be replaced, and its side receives a `/leave` request. New turns must be
+// refused immediately as not run, entries must be notified, and the turn in progress must complete.
 #[gtest]
 #[tokio::test]
 async fn a_leaving_side_takes_no_new_work() {
-    let rig = rig::Rig::new(rig::slow()).await;
+    let rig = rig::Rig::new(rig::slow_engine()).await;
     rig.start_streaming(&rig::first_turn("p", 1, "hello")).await;
     let uri = format!("http://{}/leave", rig.side.http());
     let client = fw_http::Client::default();
     client.post_json(&uri, &()).await.unwrap();
     let refused = rig.start(&rig::first_turn("q", 2, "late")).await;
     expect_that!(
-        rig::refusal(&refused),
+        rig::refusal_kind(&refused),
         some(eq(error::Kind::UpstreamLeaving))
     );
     expect_true!(rig.heartbeat(side::Heartbeat::default()).await.leaving);
@@ -31,27 +31,27 @@
     expect_true!(matches!(whole, attempt::State::Done(_)));
 }
 
-// The engine itself says that it leaves, before any list does.
+// The engine itself reports that it is leaving, before any list of upstreams does.
 #[gtest]
 #[tokio::test]
-async fn an_engine_that_says_it_leaves_gets_no_new_work() {
-    let rig = rig::Rig::new(rig::quick()).await;
+async fn an_engine_that_reports_leaving_gets_no_new_work() {
+    let rig = rig::Rig::new(rig::fast_engine()).await;
     rig.engine.leave(true);
     let core = rig.side.core().clone();
-    rig::until("the side has heard it", || core.is_leaving()).await;
+    rig::wait_until("the side detects it", || core.is_leaving()).await;
     let refused = rig.start(&rig::first_turn("p", 1, "late")).await;
     expect_that!(
-        rig::refusal(&refused),
+        rig::refusal_kind(&refused),
         some(eq(error::Kind::UpstreamLeaving))
     );
 }
 
-// The side's process is told to stop in the midst of an answer. It must not exit before the
-// answer is whole and its keeper has read it.
+// The side's process is asked to stop during an answer. It must not exit before the answer is
+// complete and its keeper has read it.
 #[gtest]
 #[tokio::test]
 async fn a_stopped_side_finishes_the_turn_under_way() {
-    let rig = rig::Rig::new(rig::slow()).await;
+    let rig = rig::Rig::new(rig::slow_engine()).await;
     let start = rig::first_turn("p", 1, "hello");
     rig.start_streaming(&start).await;
     let rig::Rig {
@@ -62,8 +62,8 @@
     let stopped = tokio::spawn(side.stop());
     let mut offset = 0;
     let state = loop {
-        let cx = fw_wire::transport::context(rig::LONG);
-        let wait = rig::LONG;
+        let cx = fw_wire::transport::context(rig::TIMEOUT);
+        let wait = rig::TIMEOUT;
         let req = attempt::Read {
             attempt: 1,
             offset,
