--- a/foxtailweir/src/command/role.rs
+++ b/foxtailweir/src/command/role.rs
@@ -114,7 +114,7 @@
             listen::serve_pages(listener, page).await;
         }
         Err(err) => {
-            tracing::error!(%addr, %err, "cannot bind the metrics address; no metrics are served")
+            tracing::error!(%addr, %err, "no metrics are served")
         }
     }
 }
