--- a/foxtailweir/tests/foxtailweir/operating_page.rs
+++ b/foxtailweir/tests/foxtailweir/operating_page.rs
@@ -32,7 +32,7 @@
         let name = key::Name::parse(kind, file["name"].as_str().unwrap()).unwrap();
         let json = file["record"].to_string();
         let doc = document::Document::from_operator(name, json.as_bytes()).unwrap();
-        expect_that!(doc.unknown(), is_empty());
+        expect_that!(doc.unknown_fields(), is_empty());
     }
     let kinds: Vec<_> = examples().iter().map(|file| file["kind"].clone()).collect();
     for kind in key::Kind::ALL {
--- a/fw-entry/src/turn/plan.rs
+++ b/fw-entry/src/turn/plan.rs
@@ -65,11 +65,11 @@
             },
             max_tokens: tokens(req, service),
             share: records::share_of(&records, &req.team),
-            cancel_when_gone: service.on_gone == service::OnGone::Cancel,
+            cancel_when_gone: service.on_gone == service::OnDisconnect::Cancel,
             place: place::Options {
                 cache_weight: match service.keep {
-                    service::Keep::Latency => 1.0,
-                    service::Keep::Cache => CACHE_WEIGHT,
+                    service::MemoryPriority::Latency => 1.0,
+                    service::MemoryPriority::Cache => CACHE_WEIGHT,
                 },
                 ..place::Options::default()
             },
--- a/fw-entry/src/version/watch.rs
+++ b/fw-entry/src/version/watch.rs
@@ -129,7 +129,7 @@
 }
 
 async fn read_store(entry: &entry::Entry) {
-    let outcome = match load::all(&entry.store, &entry.records.current()).await {
+    let outcome = match load::read_all(&entry.store, &entry.records.current()).await {
         Ok(set) => {
             entry.records.holder.offer(set);
             "ok"
--- a/fw-local/examples/capacity/records.rs
+++ b/fw-local/examples/capacity/records.rs
@@ -69,7 +69,7 @@
                     ..kv::Kv::default()
                 },
             };
-            std::hint::black_box(set.changed(1_000_000 + i64::from(n), &[event]));
+            std::hint::black_box(set.with_events(1_000_000 + i64::from(n), &[event]));
         }
     });
     busy.as_secs_f64() * 1e6 / f64::from(CHANGES)
--- a/fw-record/src/admin.rs
+++ b/fw-record/src/admin.rs
@@ -26,7 +26,7 @@
 
 /// An answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// The body.
@@ -34,9 +34,9 @@
 }
 
 /// Answers a request.
-pub async fn handle(client: &Client, req: Request<'_>, opts: &write::Options) -> Answer {
+pub async fn handle(client: &Client, req: Request<'_>, opts: &write::Options) -> Response {
     match dispatch(client, req, opts).await {
-        Ok(body) => Answer { status: 200, body },
+        Ok(body) => Response { status: 200, body },
         Err(refusal) => refusal.answer(),
     }
 }
@@ -104,7 +104,7 @@
 }
 
 impl Refusal {
-    fn answer(self) -> Answer {
+    fn answer(self) -> Response {
         match self {
             Self::Request(message) => {
                 let err = error::Error::new(error::Kind::BadRequest, message);
@@ -128,11 +128,11 @@
     }
 }
 
-fn answer(err: &error::Error, mut body: Value) -> Answer {
+fn answer(err: &error::Error, mut body: Value) -> Response {
     let row = err.kind.row();
     metrics::counter!(REFUSALS, "kind" => row.label).increment(1);
     body["error"] = json!({ "kind": row.label, "message": err.message, "ran": row.ran });
-    Answer {
+    Response {
         status: row.status,
         body,
     }
--- a/fw-record/src/document.rs
+++ b/fw-record/src/document.rs
@@ -167,7 +167,7 @@
     }
 
     /// The fields as operators see and edit them: without those of the other version.
-    pub fn shown(&self) -> Map<String, Value> {
+    pub fn operator_fields(&self) -> Map<String, Value> {
         let mut shown = self.raw.clone();
         schema::strip(&mut shown, fields(self.name.kind), self.schema);
         shown
@@ -189,8 +189,8 @@
     }
 
     /// Names of fields that no version knows. They are kept, and may be spelling mistakes.
-    pub fn unknown(&self) -> Vec<String> {
-        schema::unknown(&self.raw, fields(self.name.kind))
+    pub fn unknown_fields(&self) -> Vec<String> {
+        schema::unknown_fields(&self.raw, fields(self.name.kind))
     }
 }
 
--- a/fw-record/src/load.rs
+++ b/fw-record/src/load.rs
@@ -19,7 +19,7 @@
 /// # Errors
 ///
 /// When the store does not answer.
-pub async fn all(client: &client::Client, previous: &set::Set) -> Result<set::Set> {
+pub async fn read_all(client: &client::Client, previous: &set::Set) -> Result<set::Set> {
     let found = client.range(&kv::Range::prefix(key::RECORDS)).await?;
     from_kvs(client, previous, &found.kvs).await
 }
@@ -29,7 +29,7 @@
     previous: &set::Set,
     kvs: &[kv::Kv],
 ) -> Result<set::Set> {
-    let mut set = previous.replaced(set::revision_of(kvs), kvs);
+    let mut set = previous.with_records(set::revision_of(kvs), kvs);
     for problem in set.problems().to_vec() {
         if set.version(&problem.name).is_none()
             && let Some(version) = last_good(client, &problem.name).await?
@@ -90,6 +90,6 @@
     }
     let current = holder.current();
     if batch.revision > current.revision() {
-        holder.offer(current.changed(batch.revision, &batch.events));
+        holder.offer(current.with_events(batch.revision, &batch.events));
     }
 }
--- a/fw-record/src/schema.rs
+++ b/fw-record/src/schema.rs
@@ -160,7 +160,7 @@
 }
 
 /// Names at the top of `map` that neither version knows.
-pub fn unknown(map: &Map<String, Value>, fields: &[Field]) -> Vec<String> {
+pub fn unknown_fields(map: &Map<String, Value>, fields: &[Field]) -> Vec<String> {
     let is_known = |name: &str| {
         let mut names = fields
             .iter()
--- a/fw-record/src/set.rs
+++ b/fw-record/src/set.rs
@@ -100,11 +100,11 @@
     ///
     /// A record that cannot be read is left out and named in [`Set::problems`].
     pub fn from_kvs(revision: id::Revision, kvs: &[kv::Kv]) -> Self {
-        Self::default().replaced(revision, kvs)
+        Self::default().with_records(revision, kvs)
     }
 
     /// As [`Set::from_kvs`]; of a record that cannot be read, the version in `self` stays.
-    pub fn replaced(&self, revision: id::Revision, kvs: &[kv::Kv]) -> Self {
+    pub fn with_records(&self, revision: id::Revision, kvs: &[kv::Kv]) -> Self {
         let mut draft = Draft::default();
         for kv in kvs {
             draft.put(kv, self);
@@ -113,7 +113,7 @@
     }
 
     /// The set after the changes that a watch of [`key::RECORDS`] saw up to `revision`.
-    pub fn changed(&self, revision: id::Revision, events: &[watch::Event]) -> Self {
+    pub fn with_events(&self, revision: id::Revision, events: &[watch::Event]) -> Self {
         let mut draft = Draft {
             versions: self.0.versions.clone(),
             problems: self.problems().to_vec(),
--- a/fw-record/src/write.rs
+++ b/fw-record/src/write.rs
@@ -165,7 +165,7 @@
     opts: &Options,
 ) -> Result<Accepted> {
     let doc = document::Document::from_operator(name.clone(), json)?;
-    let unknown = doc.unknown();
+    let unknown = doc.unknown_fields();
     let change = Change::new(name, Some(doc), expected);
     let revision = change.run(client, opts).await?;
     Ok(Accepted { revision, unknown })
@@ -234,7 +234,7 @@
 
 fn stored(name: &key::Name, revision: id::Revision, value: &[u8]) -> Stored {
     let (record, problem) = match envelope::Envelope::document(name.clone(), value) {
-        Ok(doc) => (doc.shown(), None),
+        Ok(doc) => (doc.operator_fields(), None),
         Err(err) => {
             let raw = envelope::Envelope::parse(value).unwrap_or_default();
             (raw.record, Some(err.to_string()))
@@ -466,7 +466,7 @@
         }
         let theirs = theirs.map(|kv| Box::new(stored(&name, kv.mod_revision, &kv.value)));
         Error::Conflict {
-            yours: self.doc.as_ref().map(document::Document::shown),
+            yours: self.doc.as_ref().map(document::Document::operator_fields),
             theirs,
             name,
         }
--- a/fw-record/tests/record/bad_input.rs
+++ b/fw-record/tests/record/bad_input.rs
@@ -231,7 +231,7 @@
         if let Ok(doc) = document::Document::from_operator(name.clone(), json.as_bytes()) {
             let again = document::Document::from_raw(name.clone(), doc.raw().clone()).unwrap();
             prop_assert_eq!(again.record(), doc.record());
-            let shown = Value::Object(doc.shown()).to_string();
+            let shown = Value::Object(doc.operator_fields()).to_string();
             let shown = document::Document::from_operator(name.clone(), shown.as_bytes()).unwrap();
             prop_assert_eq!(shown.record(), doc.record());
             let upgraded = doc.upgraded();
--- a/fw-record/tests/record/load_follow.rs
+++ b/fw-record/tests/record/load_follow.rs
@@ -99,9 +99,9 @@
     let gone = write::delete(&client, &name(), made.revision, &opts)
         .await
         .unwrap();
-    let before = load::all(&client, &set::Set::default()).await.unwrap();
+    let before = load::read_all(&client, &set::Set::default()).await.unwrap();
     store.put("/fw/other", "x");
-    let after = load::all(&client, &set::Set::default()).await.unwrap();
+    let after = load::read_all(&client, &set::Set::default()).await.unwrap();
     expect_eq!(before.revision(), gone.revision);
     expect_eq!(after.revision(), gone.revision);
 }
@@ -121,7 +121,7 @@
         .await
         .unwrap();
     store.put(&name().key(), "{}");
-    let set = load::all(&client, &set::Set::default()).await.unwrap();
+    let set = load::read_all(&client, &set::Set::default()).await.unwrap();
     expect_eq!(set.problems()[0].name, name());
     expect_eq!(set.team("t").unwrap().share, 2.0);
 }
--- a/fw-record/tests/record/old_new.rs
+++ b/fw-record/tests/record/old_new.rs
@@ -113,10 +113,15 @@
             json["colour"] = json!({"of": "a later version"});
             let doc = doc(kind, "a", &json);
             let upgraded = doc.upgraded();
-            for raw in [doc.raw(), &doc.shown(), upgraded.raw(), &upgraded.shown()] {
+            for raw in [
+                doc.raw(),
+                &doc.operator_fields(),
+                upgraded.raw(),
+                &upgraded.operator_fields(),
+            ] {
                 expect_eq!(raw.get("colour"), json.get("colour"));
             }
-            expect_eq!(doc.unknown(), vec!["colour".to_owned()]);
+            expect_eq!(doc.unknown_fields(), vec!["colour".to_owned()]);
         }
     }
 }
@@ -136,7 +141,7 @@
 fn operators_see_what_they_wrote() {
     for (kind, old, new) in pairs() {
         for json in [old, new] {
-            expect_eq!(Value::Object(doc(kind, "a", &json).shown()), json);
+            expect_eq!(Value::Object(doc(kind, "a", &json).operator_fields()), json);
         }
     }
 }
--- a/fw-record/tests/record/set_lookup.rs
+++ b/fw-record/tests/record/set_lookup.rs
@@ -97,13 +97,13 @@
     let other = kv_of(key::Kind::Team, "u", 6, &share(3.0));
     let set = set::Set::from_kvs(6, &[good, other]);
     let bad = kv_of(key::Kind::Team, "t", 7, &share(-1.0));
-    let set = set.changed(7, &[put(bad)]);
+    let set = set.with_events(7, &[put(bad)]);
     expect_eq!(set.team("t").unwrap().share, 2.0);
     expect_eq!(set.team("u").unwrap().share, 3.0);
     expect_eq!(set.problems()[0].name.name, "t");
     expect_that!(set.problems()[0].reason, contains_substring("`share`"));
     let mended = kv_of(key::Kind::Team, "t", 8, &share(4.0));
-    let set = set.changed(8, &[put(mended)]);
+    let set = set.with_events(8, &[put(mended)]);
     expect_eq!(set.team("t").unwrap().share, 4.0);
     expect_that!(set.problems(), is_empty());
 }
@@ -113,7 +113,7 @@
     // As before, but the process reads all records anew, as after a compaction.
     let good = kv_of(key::Kind::Team, "t", 5, &share(2.0));
     let bad = kv_of(key::Kind::Team, "t", 7, &share(-1.0));
-    let set = set::Set::from_kvs(5, &[good]).replaced(7, &[bad]);
+    let set = set::Set::from_kvs(5, &[good]).with_records(7, &[bad]);
     expect_eq!(set.team("t").unwrap().share, 2.0);
     expect_that!(set.problems(), len(eq(1)));
     expect_eq!(set.revision(), 7);
@@ -138,7 +138,7 @@
     let set = set::Set::from_kvs(7, &[kv_of(key::Kind::Team, "t", 7, &share(2.0))]);
     let late = put(kv_of(key::Kind::Team, "t", 5, &share(1.0)));
     let newer = put(kv_of(key::Kind::Team, "u", 9, &share(3.0)));
-    let set = set.changed(9, &[late, newer]);
+    let set = set.with_events(9, &[late, newer]);
     expect_eq!(set.team("t").unwrap().share, 2.0);
     expect_eq!(set.team("u").unwrap().share, 3.0);
 }
