--- a/fw-record/src/admin.rs
+++ b/fw-record/src/admin.rs
@@ -112,14 +112,14 @@
             }
             Self::Write(err) => {
                 let shown = error::Error::new(err.kind(), err.to_string());
-                answer(&shown, both(*err))
+                answer(&shown, conflict_versions(*err))
             }
         }
     }
 }
 
 /// Both versions of a conflict.
-fn both(err: write::Error) -> Value {
+fn conflict_versions(err: write::Error) -> Value {
     match err {
         write::Error::Conflict { yours, theirs, .. } => {
             json!({ "yours": yours, "theirs": theirs })
--- a/fw-record/src/budget.rs
+++ b/fw-record/src/budget.rs
@@ -7,8 +7,8 @@
 use smol_str::SmolStr;
 
 use crate::field;
+use crate::schema::Encoding;
 use crate::schema::Field;
-use crate::schema::Form;
 
 /// Stands for every service or team.
 pub const ANY: &str = "*";
@@ -18,17 +18,17 @@
 const TURNS: Field = Field {
     v1: Some("turns"),
     v2: &["program", "turns"],
-    form: Form::Same,
+    encoding: Encoding::Same,
 };
 const TOKENS: Field = Field {
     v1: Some("tokens"),
     v2: &["program", "tokens"],
-    form: Form::Same,
+    encoding: Encoding::Same,
 };
 const TIME: Field = Field {
     v1: Some("time_ms"),
     v2: &["program", "time"],
-    form: Form::Millis,
+    encoding: Encoding::Millis,
 };
 
 /// Every field of the kind.
@@ -74,19 +74,19 @@
             time: fields.duration(&TIME, TIME_BOUNDS)?,
         };
         if budget.turns.is_none() && budget.tokens.is_none() && budget.time.is_none() {
-            return Err(fields.refuse(&TURNS, "set, or else one of tokens and time"));
+            return Err(fields.invalid(&TURNS, "set, or else one of tokens and time"));
         }
         Ok(budget)
     }
 
     /// Whether it holds for programs of `team` on `service`.
     pub fn covers(&self, service: &str, team: &str) -> bool {
-        let matches = |own: &str, asked: &str| own == ANY || own == asked;
+        let matches = |own: &str, requested: &str| own == ANY || own == requested;
         matches(&self.service, service) && matches(&self.team, team)
     }
 
     /// How closely it is aimed: by team and service, by team, by service, at all.
-    pub fn rank(&self) -> u8 {
+    pub fn specificity(&self) -> u8 {
         let team = u8::from(self.team != ANY);
         let service = u8::from(self.service != ANY);
         2 * team + service
--- a/fw-record/src/field.rs
+++ b/fw-record/src/field.rs
@@ -9,13 +9,13 @@
 use smol_str::SmolStr;
 use snafu::Snafu;
 
+use crate::schema::Encoding;
 use crate::schema::Field;
-use crate::schema::Form;
+use crate::schema::NEUTRAL_WEIGHT;
 use crate::schema::Schema;
-use crate::schema::USUAL_WEIGHT;
 
 /// Most bytes of a refused value that a message repeats.
-const SHOWN: usize = 60;
+const MAX_EXCERPT_BYTES: usize = 60;
 
 /// Why a record is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -38,7 +38,7 @@
     ) -> Self {
         let found = match found {
             None => "missing".to_owned(),
-            Some(value) => shorten(value.to_string()),
+            Some(value) => excerpt(value.to_string()),
         };
         Self {
             field: field.into(),
@@ -74,7 +74,7 @@
     }
 
     /// The error that `field` is not as `expected`.
-    pub fn refuse(&self, field: &Field, expected: impl Into<String>) -> Error {
+    pub fn invalid(&self, field: &Field, expected: impl Into<String>) -> Error {
         Error::new(field.name(self.schema), expected, self.find(field).1)
     }
 
@@ -91,7 +91,7 @@
         let fits = |text: &&str| (1..=max).contains(&text.len());
         match value.as_str().filter(fits) {
             Some(text) => Ok(Some(text.into())),
-            None => Err(self.refuse(field, format!("a text of 1 to {max} bytes"))),
+            None => Err(self.invalid(field, format!("a text of 1 to {max} bytes"))),
         }
     }
 
@@ -109,7 +109,7 @@
         });
         texts.ok_or_else(|| {
             let expected = format!("an array of at most {max} texts of 1 to {max_len} bytes");
-            self.refuse(field, expected)
+            self.invalid(field, expected)
         })
     }
 
@@ -118,7 +118,7 @@
         match self.find(field).1 {
             None => Ok(default),
             Some(Value::Bool(flag)) => Ok(*flag),
-            Some(_) => Err(self.refuse(field, "true or false")),
+            Some(_) => Err(self.invalid(field, "true or false")),
         }
     }
 
@@ -135,7 +135,7 @@
                     .iter()
                     .map(|(word, _)| format!("`{word}`"))
                     .collect();
-                Err(self.refuse(field, words.join(" or ")))
+                Err(self.invalid(field, words.join(" or ")))
             }
         }
     }
@@ -149,7 +149,7 @@
             Some(count) => Ok(Some(count)),
             None => {
                 let (low, high) = bounds.into_inner();
-                Err(self.refuse(field, format!("a whole number from {low} to {high}")))
+                Err(self.invalid(field, format!("a whole number from {low} to {high}")))
             }
         }
     }
@@ -161,7 +161,7 @@
             return Ok(None);
         };
         let unit = match schema {
-            Schema::V1 => USUAL_WEIGHT,
+            Schema::V1 => NEUTRAL_WEIGHT,
             Schema::V2 => 1.0,
         };
         let share = value.as_f64().map(|number| number / unit);
@@ -169,7 +169,7 @@
             Some(share) => Ok(Some(share)),
             None => {
                 let (low, high) = (bounds.start() * unit, bounds.end() * unit);
-                Err(self.refuse(field, format!("a number from {low} to {high}")))
+                Err(self.invalid(field, format!("a number from {low} to {high}")))
             }
         }
     }
@@ -184,27 +184,31 @@
         let Some(value) = value else {
             return Ok(None);
         };
-        let time = match (schema, field.form) {
-            (Schema::V1, Form::Seconds) => value.as_u64().map(Duration::from_secs),
+        let time = match (schema, field.encoding) {
+            (Schema::V1, Encoding::Seconds) => value.as_u64().map(Duration::from_secs),
             (Schema::V1, _) => value.as_u64().map(Duration::from_millis),
-            (Schema::V2, _) => duration_of_text(value),
+            (Schema::V2, _) => parse_duration(value),
         };
         match time.filter(|time| bounds.contains(time)) {
             Some(time) => Ok(Some(time)),
-            None => Err(self.refuse(field, expected_duration(schema, field.form, &bounds))),
+            None => Err(self.invalid(field, expected_duration(schema, field.encoding, &bounds))),
         }
     }
 }
 
 /// A duration such as `30s` or `1h 30m`.
-pub fn duration_of_text(value: &Value) -> Option<Duration> {
+pub fn parse_duration(value: &Value) -> Option<Duration> {
     humantime::parse_duration(value.as_str()?).ok()
 }
 
-fn expected_duration(schema: Schema, form: Form, bounds: &RangeInclusive<Duration>) -> String {
+fn expected_duration(
+    schema: Schema,
+    encoding: Encoding,
+    bounds: &RangeInclusive<Duration>,
+) -> String {
     let (low, high) = (*bounds.start(), *bounds.end());
-    match (schema, form) {
-        (Schema::V1, Form::Seconds) => {
+    match (schema, encoding) {
+        (Schema::V1, Encoding::Seconds) => {
             let (low, high) = (low.as_secs(), high.as_secs());
             format!("a whole number of seconds from {low} to {high}")
         }
@@ -220,9 +224,9 @@
     }
 }
 
-fn shorten(mut text: String) -> String {
-    if text.len() > SHOWN {
-        let end = text.floor_char_boundary(SHOWN);
+fn excerpt(mut text: String) -> String {
+    if text.len() > MAX_EXCERPT_BYTES {
+        let end = text.floor_char_boundary(MAX_EXCERPT_BYTES);
         text.truncate(end);
         text.push_str("...");
     }
--- a/fw-record/src/load.rs
+++ b/fw-record/src/load.rs
@@ -72,7 +72,7 @@
     let mut watch = client.watch(key::RECORDS, found.revision + 1);
     loop {
         match watch.next().await {
-            Ok(batch) => take(holder, &batch),
+            Ok(batch) => apply(holder, &batch),
             Err(err @ Error::Compacted { .. }) => return Err(err),
             Err(err) if watch.age() > client.options().watch_idle_timeout => {
                 tracing::warn!(%err, age = ?watch.age(), "the watch of the records fails; they are read anew");
@@ -84,7 +84,7 @@
     }
 }
 
-fn take(holder: &holder::Holder, batch: &watch::Batch) {
+fn apply(holder: &holder::Holder, batch: &watch::Batch) {
     if batch.events.is_empty() {
         return;
     }
--- a/fw-record/src/route.rs
+++ b/fw-record/src/route.rs
@@ -8,25 +8,25 @@
 use smol_str::SmolStr;
 
 use crate::field;
+use crate::schema::Encoding;
 use crate::schema::Field;
-use crate::schema::Form;
 
 const PATH: Field = Field::same(&["path"]);
 const SERVICE: Field = Field::same(&["service"]);
 const REPEATABLE: Field = Field {
     v1: Some("repeatable"),
     v2: &["methods", "repeatable"],
-    form: Form::Same,
+    encoding: Encoding::Same,
 };
 const TIMEOUT: Field = Field {
     v1: Some("timeout_ms"),
     v2: &["timeout", "total"],
-    form: Form::Millis,
+    encoding: Encoding::Millis,
 };
 const HEDGE: Field = Field {
     v1: Some("hedge_ms"),
     v2: &["hedge", "after"],
-    form: Form::Millis,
+    encoding: Encoding::Millis,
 };
 
 /// Every field of the kind.
@@ -76,7 +76,7 @@
     pub fn read(name: &str, fields: &field::Reader<'_>) -> field::Result<Self> {
         let service = fields.text(&SERVICE, id::MAX_NAME)?;
         let service =
-            service.ok_or_else(|| fields.refuse(&SERVICE, "the name of a plain service"))?;
+            service.ok_or_else(|| fields.invalid(&SERVICE, "the name of a plain service"))?;
         Ok(Self {
             name: name.into(),
             path: read_path(fields)?,
@@ -114,7 +114,7 @@
     let is_dotted = path.split('/').any(|part| matches!(part, "." | ".."));
     if !path.starts_with('/') || !is_clean || is_dotted {
         let expected = "a path that begins with `/`, without `?`, `#`, `%`, `.` or `..`";
-        return Err(fields.refuse(&PATH, expected));
+        return Err(fields.invalid(&PATH, expected));
     }
     let path = match path.trim_end_matches('/') {
         "" => "/",
@@ -122,7 +122,7 @@
     };
     if RESERVED.iter().any(|reserved| is_below(path, reserved)) {
         let expected = format!("outside of {}, which entries answer", RESERVED.join(", "));
-        return Err(fields.refuse(&PATH, expected));
+        return Err(fields.invalid(&PATH, expected));
     }
     Ok(path.into())
 }
@@ -134,7 +134,7 @@
     let methods = fields.texts(&REPEATABLE, MAX_METHODS, MAX_METHOD)?;
     let is_method = |method: &SmolStr| method.bytes().all(|b| b.is_ascii_uppercase());
     if !methods.iter().all(is_method) {
-        return Err(fields.refuse(&REPEATABLE, "methods in capitals, such as `GET`"));
+        return Err(fields.invalid(&REPEATABLE, "methods in capitals, such as `GET`"));
     }
     Ok(methods.into_iter().collect())
 }
--- a/fw-record/src/schema.rs
+++ b/fw-record/src/schema.rs
@@ -56,7 +56,7 @@
 
 /// How a value is written in each version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Encoding {
     /// The same in both.
     Same,
     /// Version 1: number of milliseconds. Version 2: text such as `30s`.
@@ -75,11 +75,11 @@
     /// Path in version 2.
     pub v2: &'static [&'static str],
     /// How it is written.
-    pub form: Form,
+    pub encoding: Encoding,
 }
 
 /// The usual share as version 1 writes it.
-pub const USUAL_WEIGHT: f64 = 100.0;
+pub const NEUTRAL_WEIGHT: f64 = 100.0;
 
 impl Field {
     /// A field that is the same in both versions.
@@ -87,7 +87,7 @@
         Self {
             v1: Some(path[0]),
             v2: path,
-            form: Form::Same,
+            encoding: Encoding::Same,
         }
     }
 
@@ -121,7 +121,7 @@
 pub fn add_v1(map: &mut Map<String, Value>, fields: &[Field]) {
     for field in fields.iter().filter(|field| field.differs()) {
         let Some(v1) = field.v1 else { continue };
-        match at(map, field.v2).and_then(|value| to_v1(field.form, value)) {
+        match at(map, field.v2).and_then(|value| to_v1(field.encoding, value)) {
             Some(value) => map.insert(v1.to_owned(), value),
             None => map.remove(v1),
         };
@@ -145,7 +145,7 @@
     for field in fields.iter().filter(|field| field.differs()) {
         let Some(v1) = field.v1 else { continue };
         let value = map.remove(v1);
-        match value.and_then(|value| to_v2(field.form, &value)) {
+        match value.and_then(|value| to_v2(field.encoding, &value)) {
             Some(value) => insert(map, field.v2, value),
             None => remove(map, field.v2),
         }
@@ -170,28 +170,28 @@
     map.keys().filter(|name| !is_known(name)).cloned().collect()
 }
 
-fn to_v1(form: Form, value: &Value) -> Option<Value> {
-    match form {
-        Form::Same => Some(value.clone()),
-        Form::Millis => {
-            let millis = field::duration_of_text(value)?.as_millis();
+fn to_v1(encoding: Encoding, value: &Value) -> Option<Value> {
+    match encoding {
+        Encoding::Same => Some(value.clone()),
+        Encoding::Millis => {
+            let millis = field::parse_duration(value)?.as_millis();
             Some(u64::try_from(millis).ok()?.into())
         }
-        Form::Seconds => Some(field::duration_of_text(value)?.as_secs().into()),
-        Form::Weight => {
-            let weight = (value.as_f64()? * USUAL_WEIGHT).round().max(1.0);
+        Encoding::Seconds => Some(field::parse_duration(value)?.as_secs().into()),
+        Encoding::Weight => {
+            let weight = (value.as_f64()? * NEUTRAL_WEIGHT).round().max(1.0);
             Some((weight as u64).into())
         }
     }
 }
 
-fn to_v2(form: Form, value: &Value) -> Option<Value> {
+fn to_v2(encoding: Encoding, value: &Value) -> Option<Value> {
     let text = |time: Duration| humantime::format_duration(time).to_string();
-    match form {
-        Form::Same => Some(value.clone()),
-        Form::Millis => Some(text(Duration::from_millis(value.as_u64()?)).into()),
-        Form::Seconds => Some(text(Duration::from_secs(value.as_u64()?)).into()),
-        Form::Weight => Some((value.as_f64()? / USUAL_WEIGHT).into()),
+    match encoding {
+        Encoding::Same => Some(value.clone()),
+        Encoding::Millis => Some(text(Duration::from_millis(value.as_u64()?)).into()),
+        Encoding::Seconds => Some(text(Duration::from_secs(value.as_u64()?)).into()),
+        Encoding::Weight => Some((value.as_f64()? / NEUTRAL_WEIGHT).into()),
     }
 }
 
--- a/fw-record/src/service.rs
+++ b/fw-record/src/service.rs
@@ -7,8 +7,8 @@
 use smol_str::SmolStr;
 
 use crate::field;
+use crate::schema::Encoding;
 use crate::schema::Field;
-use crate::schema::Form;
 
 const KIND: Field = Field::same(&["kind"]);
 const MODELS: Field = Field::same(&["models"]);
@@ -19,38 +19,38 @@
 const RETENTION: Field = Field {
     v1: Some("retention_secs"),
     v2: &["retention"],
-    form: Form::Seconds,
+    encoding: Encoding::Seconds,
 };
 const TOKENS_DEFAULT: Field = Field {
     v1: Some("default_tokens"),
     v2: &["tokens", "default"],
-    form: Form::Same,
+    encoding: Encoding::Same,
 };
 const TOKENS_MAX: Field = Field {
     v1: Some("max_tokens"),
     v2: &["tokens", "max"],
-    form: Form::Same,
+    encoding: Encoding::Same,
 };
 const TIMEOUT_TOTAL: Field = Field {
     v1: Some("timeout_ms"),
     v2: &["timeout", "total"],
-    form: Form::Millis,
+    encoding: Encoding::Millis,
 };
 /// Version 1 did not tell the first token from the rest.
 const TIMEOUT_FIRST: Field = Field {
     v1: None,
     v2: &["timeout", "first_token"],
-    form: Form::Millis,
+    encoding: Encoding::Millis,
 };
 const TIMEOUT_TOOL: Field = Field {
     v1: Some("tool_timeout_ms"),
     v2: &["timeout", "tool"],
-    form: Form::Millis,
+    encoding: Encoding::Millis,
 };
 const TIMEOUT_PLAIN: Field = Field {
     v1: Some("plain_timeout_ms"),
     v2: &["timeout", "plain"],
-    form: Form::Millis,
+    encoding: Encoding::Millis,
 };
 
 /// Every field of the kind.
@@ -163,10 +163,10 @@
     pub fn read(name: &str, fields: &field::Reader<'_>) -> field::Result<Self> {
         let kinds = [("llm", Kind::Llm), ("plain", Kind::Plain)];
         let kind = fields.choice(&KIND, &kinds)?;
-        let kind = kind.ok_or_else(|| fields.refuse(&KIND, "`llm` or `plain`"))?;
+        let kind = kind.ok_or_else(|| fields.invalid(&KIND, "`llm` or `plain`"))?;
         let models = fields.texts(&MODELS, MAX_MODELS, id::MAX_NAME)?;
         if kind == Kind::Llm && models.is_empty() {
-            return Err(fields.refuse(&MODELS, "at least one model for a service of kind `llm`"));
+            return Err(fields.invalid(&MODELS, "at least one model for a service of kind `llm`"));
         }
         let priorities = [
             ("latency", MemoryPriority::Latency),
@@ -202,7 +202,7 @@
     if default > max {
         let max_name = TOKENS_MAX.name(fields.schema);
         let expected = format!("at most `{max_name}`, which is {max}");
-        return Err(fields.refuse(&TOKENS_DEFAULT, expected));
+        return Err(fields.invalid(&TOKENS_DEFAULT, expected));
     }
     Ok(TokenLimits { default, max })
 }
--- a/fw-record/src/set.rs
+++ b/fw-record/src/set.rs
@@ -70,15 +70,15 @@
 
 /// The set as it travels between processes.
 #[derive(Serialize, Deserialize)]
-struct Shipped {
+struct WireSet {
     revision: id::Revision,
-    records: Vec<ShippedRecord>,
+    records: Vec<WireRecord>,
     #[serde(default)]
     problems: Vec<Problem>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct ShippedRecord {
+struct WireRecord {
     #[serde(flatten)]
     name: key::Name,
     revision: id::Revision,
@@ -105,16 +105,16 @@
 
     /// As [`Set::from_kvs`]; of a record that cannot be read, the version in `self` stays.
     pub fn with_records(&self, revision: id::Revision, kvs: &[kv::Kv]) -> Self {
-        let mut draft = Draft::default();
+        let mut builder = Builder::default();
         for kv in kvs {
-            draft.put(kv, self);
+            builder.put(kv, self);
         }
-        draft.finish(revision)
+        builder.finish(revision)
     }
 
     /// The set after the changes that a watch of [`key::RECORDS`] saw up to `revision`.
     pub fn with_events(&self, revision: id::Revision, events: &[watch::Event]) -> Self {
-        let mut draft = Draft {
+        let mut builder = Builder {
             versions: self.0.versions.clone(),
             problems: self.problems().to_vec(),
         };
@@ -122,11 +122,11 @@
         let is_new = |event: &&watch::Event| event.kv.mod_revision > self.revision();
         for event in events.iter().filter(is_new) {
             match event.kind {
-                watch::EventKind::Put => draft.put(&event.kv, self),
-                watch::EventKind::Delete => draft.delete(&event.kv.key),
+                watch::EventKind::Put => builder.put(&event.kv, self),
+                watch::EventKind::Delete => builder.delete(&event.kv.key),
             }
         }
-        draft.finish(revision)
+        builder.finish(revision)
     }
 
     /// A set of records given with the revisions of their last writes.
@@ -135,36 +135,36 @@
             let name = doc.name().clone();
             (name, Version { revision, doc })
         });
-        let draft = Draft {
+        let builder = Builder {
             versions: versions.collect(),
             problems: Vec::new(),
         };
-        draft.finish(revision)
+        builder.finish(revision)
     }
 
     /// The same set with an earlier version of a record that cannot be read.
     pub fn with_version(&self, version: Version) -> Self {
-        let mut draft = Draft {
+        let mut builder = Builder {
             versions: self.0.versions.clone(),
             problems: self.problems().to_vec(),
         };
-        draft.versions.insert(version.doc.name().clone(), version);
-        draft.finish(self.revision())
+        builder.versions.insert(version.doc.name().clone(), version);
+        builder.finish(self.revision())
     }
 
     /// The set as text, for another process.
     pub fn to_json(&self) -> String {
-        let records = self.0.versions.values().map(|version| ShippedRecord {
+        let records = self.0.versions.values().map(|version| WireRecord {
             name: version.doc.name().clone(),
             revision: version.revision,
             record: version.doc.raw().clone(),
         });
-        let shipped = Shipped {
+        let wire = WireSet {
             revision: self.0.revision,
             records: records.collect(),
             problems: self.0.problems.clone(),
         };
-        serde_json::to_string(&shipped).expect("maps with text keys are valid JSON")
+        serde_json::to_string(&wire).expect("maps with text keys are valid JSON")
     }
 
     /// Reads what [`Set::to_json`] wrote.
@@ -174,16 +174,16 @@
     /// When the text as a whole has another shape. A single record that cannot be read, as a
     /// later version of the sender may know it, is left out and named in [`Set::problems`].
     pub fn from_json(text: &str) -> Result<Self, serde_json::Error> {
-        let shipped: Shipped = serde_json::from_str(text)?;
-        let mut draft = Draft {
-            problems: shipped.problems,
-            ..Draft::default()
+        let wire: WireSet = serde_json::from_str(text)?;
+        let mut builder = Builder {
+            problems: wire.problems,
+            ..Builder::default()
         };
-        for record in shipped.records {
+        for record in wire.records {
             let doc = Document::from_raw(record.name.clone(), record.record);
-            draft.take(record.name, record.revision, doc, &Self::default());
+            builder.insert_or_keep(record.name, record.revision, doc, &Self::default());
         }
-        Ok(draft.finish(shipped.revision))
+        Ok(builder.finish(wire.revision))
     }
 
     /// Revision of the newest change in the set; 0 for the empty set before any was read.
@@ -301,26 +301,26 @@
 
 /// A set that is being put together.
 #[derive(Default)]
-struct Draft {
+struct Builder {
     versions: BTreeMap<key::Name, Version>,
     problems: Vec<Problem>,
 }
 
-impl Draft {
+impl Builder {
     fn put(&mut self, kv: &kv::Kv, previous: &Set) {
         // Other keys below the prefix, such as the head, are no records.
         let Some(name) = key::Name::from_key(&kv.key) else {
             return;
         };
         let doc = envelope::Envelope::document(name.clone(), &kv.value);
-        self.take(name, kv.mod_revision, doc, previous);
+        self.insert_or_keep(name, kv.mod_revision, doc, previous);
     }
 
     /// Takes a version, or keeps the last good one.
     ///
     /// One record that cannot be read would otherwise take the whole set down, or silently drop
     /// a service that works: its callers would be refused although nothing they use has changed.
-    fn take(
+    fn insert_or_keep(
         &mut self,
         name: key::Name,
         revision: id::Revision,
@@ -381,7 +381,7 @@
         }
         // Both sorts are stable, and the names came in order.
         routes.sort_by_key(|route| std::cmp::Reverse(route.path.len()));
-        budgets.sort_by_key(|budget| std::cmp::Reverse(budget.rank()));
+        budgets.sort_by_key(|budget| std::cmp::Reverse(budget.specificity()));
         index.routes = routes.into_iter().map(|r| r.name.clone()).collect();
         index.budgets = budgets.into_iter().map(|b| b.name.clone()).collect();
         index
--- a/fw-record/src/team.rs
+++ b/fw-record/src/team.rs
@@ -6,19 +6,19 @@
 use fw_base::id;
 
 use crate::field;
+use crate::schema::Encoding;
 use crate::schema::Field;
-use crate::schema::Form;
 
 const SHARE: Field = Field {
     v1: Some("weight"),
     v2: &["share"],
-    form: Form::Weight,
+    encoding: Encoding::Weight,
 };
 const KEY_HASHES: Field = Field::same(&["key_hashes"]);
 const MAX_PROGRAMS: Field = Field {
     v1: Some("max_programs"),
     v2: &["programs", "max"],
-    form: Form::Same,
+    encoding: Encoding::Same,
 };
 
 /// Every field of the kind.
@@ -53,12 +53,12 @@
         let hashes = fields.texts(&KEY_HASHES, MAX_KEYS, HASH_DIGITS)?;
         let hashes = hashes.into_iter().map(|hash| hash.to_string().try_into());
         let expected = "BLAKE3 hashes of 64 hex digits; the keys themselves are never stored";
-        let refuse = |_| fields.refuse(&KEY_HASHES, expected);
+        let invalid = |_| fields.invalid(&KEY_HASHES, expected);
         let hashes: Result<Vec<_>, _> = hashes.collect();
         Ok(Self {
             name: name.into(),
             share: fields.share(&SHARE, SHARE_BOUNDS)?.unwrap_or(1.0),
-            key_hashes: hashes.map_err(refuse)?,
+            key_hashes: hashes.map_err(invalid)?,
             max_programs: fields.count(&MAX_PROGRAMS, PROGRAMS_BOUNDS)?,
         })
     }
--- a/fw-record/src/write.rs
+++ b/fw-record/src/write.rs
@@ -26,19 +26,19 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Versions kept in a record's history.
-    pub keep: usize,
+    pub max_versions: usize,
     /// Most tries to find out what became of a change whose answer was lost.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Pause before each of them.
-    pub pause: Duration,
+    pub retry_delay: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            keep: 10,
-            tries: 20,
-            pause: Duration::from_millis(250),
+            max_versions: 10,
+            max_attempts: 20,
+            retry_delay: Duration::from_millis(250),
         }
     }
 }
@@ -74,18 +74,18 @@
 pub enum Error {
     /// The record is malformed.
     #[snafu(transparent)]
-    Bad {
+    Invalid {
         /// How.
         source: document::Error,
     },
     /// There is no such record.
     #[snafu(display("there is no record {name}"))]
-    Unknown {
+    NotFound {
         /// Its name.
         name: key::Name,
     },
     /// Someone else changed the record.
-    #[snafu(display("record {name} was changed by someone else{}", at(theirs.as_deref())))]
+    #[snafu(display("record {name} was changed by someone else{}", revision_suffix(theirs.as_deref())))]
     Conflict {
         /// The record.
         name: key::Name,
@@ -116,7 +116,7 @@
         "the change of {name} may have taken effect: its answer was lost and the record was \
          replaced often since; see its history"
     ))]
-    Buried {
+    HistoryTruncated {
         /// The record.
         name: key::Name,
     },
@@ -129,11 +129,11 @@
     /// The kind told to operators.
     pub fn kind(&self) -> error::Kind {
         match self {
-            Self::Bad { .. } => error::Kind::BadRecord,
-            Self::Unknown { .. } => error::Kind::UnknownRecord,
+            Self::Invalid { .. } => error::Kind::BadRecord,
+            Self::NotFound { .. } => error::Kind::UnknownRecord,
             Self::Conflict { .. } => error::Kind::RecordConflict,
             Self::Store { source } => source.kind(),
-            Self::InDoubt { .. } | Self::Buried { .. } => error::Kind::MayHaveRun,
+            Self::InDoubt { .. } | Self::HistoryTruncated { .. } => error::Kind::MayHaveRun,
         }
     }
 }
@@ -144,7 +144,7 @@
     }
 }
 
-fn at(theirs: Option<&Stored>) -> String {
+fn revision_suffix(theirs: Option<&Stored>) -> String {
     match theirs {
         Some(theirs) => format!(", at revision {}", theirs.revision),
         None => ": it is not there".to_owned(),
@@ -198,7 +198,7 @@
 pub async fn get(client: &Client, name: &key::Name) -> Result<Stored> {
     let found = client.range(&kv::Range::one(name.key())).await;
     let found = found.context(StoreSnafu)?.kvs.pop();
-    let kv = found.ok_or_else(|| Error::Unknown { name: name.clone() })?;
+    let kv = found.ok_or_else(|| Error::NotFound { name: name.clone() })?;
     Ok(stored(name, kv.mod_revision, &kv.value))
 }
 
@@ -258,21 +258,21 @@
 }
 
 /// The record's key and history at one revision of the store.
-struct Seen {
+struct StoreState {
     current: Option<kv::Kv>,
     history: Vec<kv::Kv>,
 }
 
 /// What one look at the store says about a change.
-enum Fate {
+enum Status {
     /// It took effect, at this revision.
     Applied(id::Revision),
     /// It did not, and still can.
-    Open(Seen),
+    Pending(StoreState),
     /// It did not, and cannot any more.
-    Overtaken(Seen),
+    Superseded(StoreState),
     /// The history does not reach back far enough.
-    Buried,
+    HistoryTruncated,
 }
 
 impl<'a> Change<'a> {
@@ -286,14 +286,14 @@
     }
 
     async fn run(&self, client: &Client, opts: &Options) -> Result<id::Revision> {
-        let seen = self.look(client).await.context(StoreSnafu)?;
-        if !self.fits(&seen) {
-            return Err(self.conflict(seen));
+        let state = self.read_state(client).await.context(StoreSnafu)?;
+        if !self.is_current(&state) {
+            return Err(self.conflict(state));
         }
-        match self.swap(client, seen, opts).await {
+        match self.submit(client, state, opts).await {
             Ok(Some(revision)) => Ok(revision),
-            Ok(None) => self.find_out(client, opts, None).await,
-            Err(err) if err.may_have_applied() => self.find_out(client, opts, Some(err)).await,
+            Ok(None) => self.resolve(client, opts, None).await,
+            Err(err) if err.may_have_applied() => self.resolve(client, opts, Some(err)).await,
             Err(source) => Err(Error::Store { source }),
         }
     }
@@ -304,45 +304,45 @@
     /// The transaction may also be slow rather than lost, and apply after a look that did not
     /// find it. Repeating is safe even then: both compare the same revision, so that at most one
     /// of the two applies, and both carry the same nonce, so that either counts.
-    async fn find_out(
+    async fn resolve(
         &self,
         client: &Client,
         opts: &Options,
-        doubt: Option<fw_store::error::Error>,
+        lost_answer: Option<fw_store::error::Error>,
     ) -> Result<id::Revision> {
-        let is_doubtful = doubt.is_some();
-        let mut last = doubt;
-        for _ in 0..opts.tries {
-            if last.is_some() {
-                tokio::time::sleep(opts.pause).await;
+        let answer_was_lost = lost_answer.is_some();
+        let mut last_error = lost_answer;
+        for _ in 0..opts.max_attempts {
+            if last_error.is_some() {
+                tokio::time::sleep(opts.retry_delay).await;
             }
-            let step = match self.look(client).await {
-                Ok(seen) => match self.fate(seen, opts, is_doubtful) {
-                    Fate::Applied(revision) => return Ok(revision),
-                    Fate::Overtaken(seen) => return Err(self.conflict(seen)),
-                    Fate::Buried => {
+            let outcome = match self.read_state(client).await {
+                Ok(state) => match self.status(state, opts, answer_was_lost) {
+                    Status::Applied(revision) => return Ok(revision),
+                    Status::Superseded(state) => return Err(self.conflict(state)),
+                    Status::HistoryTruncated => {
                         let name = self.name.clone();
-                        return Err(Error::Buried { name });
+                        return Err(Error::HistoryTruncated { name });
                     }
-                    Fate::Open(seen) => self.swap(client, seen, opts).await,
+                    Status::Pending(state) => self.submit(client, state, opts).await,
                 },
                 Err(err) => Err(err),
             };
-            match step {
+            match outcome {
                 Ok(Some(revision)) => return Ok(revision),
-                Ok(None) => last = None,
-                Err(err) => last = Some(err),
+                Ok(None) => last_error = None,
+                Err(err) => last_error = Some(err),
             }
         }
         let name = self.name.clone();
-        match last {
+        match last_error {
             Some(source) => Err(Error::InDoubt { name, source }),
-            None => Err(Error::Buried { name }),
+            None => Err(Error::HistoryTruncated { name }),
         }
     }
 
     /// Reads record and history together.
-    async fn look(&self, client: &Client) -> fw_store::error::Result<Seen> {
+    async fn read_state(&self, client: &Client) -> fw_store::error::Result<StoreState> {
         let read = kv::Txn {
             then: vec![
                 kv::Op::get(self.name.key()),
@@ -353,51 +353,51 @@
         let kvs = client.txn(&read).await?.into_kvs();
         let key = self.name.key();
         let (current, history): (Vec<_>, Vec<_>) = kvs.into_iter().partition(|kv| kv.key == key);
-        Ok(Seen {
+        Ok(StoreState {
             current: current.into_iter().next(),
             history,
         })
     }
 
     /// Whether the record is still the version that the change replaces.
-    fn fits(&self, seen: &Seen) -> bool {
-        let current = seen.current.as_ref();
+    fn is_current(&self, state: &StoreState) -> bool {
+        let current = state.current.as_ref();
         current.map_or(0, |kv| kv.mod_revision) == self.expected
     }
 
     /// Sends the transaction; `None` if its comparison failed.
-    async fn swap(
+    async fn submit(
         &self,
         client: &Client,
-        seen: Seen,
+        state: StoreState,
         opts: &Options,
     ) -> fw_store::error::Result<Option<id::Revision>> {
         let compare = kv::Compare::ModRevision(self.name.key(), self.expected);
         let txn = kv::Txn {
             compares: vec![compare],
-            then: self.steps(&seen, opts),
+            then: self.operations(&state, opts),
             ..kv::Txn::default()
         };
         let outcome = client.txn(&txn).await?;
         Ok(outcome.succeeded.then_some(outcome.revision))
     }
 
-    fn steps(&self, seen: &Seen, opts: &Options) -> Vec<kv::Op> {
-        let mut steps = vec![
-            self.record_step(),
+    fn operations(&self, state: &StoreState, opts: &Options) -> Vec<kv::Op> {
+        let mut operations = vec![
+            self.record_operation(),
             kv::Op::put(key::HEAD, self.nonce.as_str()),
         ];
-        if let Some(current) = &seen.current {
-            steps.push(self.archive_step(current));
+        if let Some(current) = &state.current {
+            operations.push(self.archive_operation(current));
         }
-        let archived = usize::from(seen.current.is_some());
-        let excess = (seen.history.len() + archived).saturating_sub(opts.keep);
-        let oldest = seen.history.iter().take(excess);
-        steps.extend(oldest.map(|kv| kv::Op::delete(kv.key.as_str())));
-        steps
+        let archived = usize::from(state.current.is_some());
+        let excess = (state.history.len() + archived).saturating_sub(opts.max_versions);
+        let oldest = state.history.iter().take(excess);
+        operations.extend(oldest.map(|kv| kv::Op::delete(kv.key.as_str())));
+        operations
     }
 
-    fn record_step(&self) -> kv::Op {
+    fn record_operation(&self) -> kv::Op {
         let key = self.name.key();
         match &self.doc {
             None => kv::Op::delete(key),
@@ -412,7 +412,7 @@
         }
     }
 
-    fn archive_step(&self, current: &kv::Kv) -> kv::Op {
+    fn archive_operation(&self, current: &kv::Kv) -> kv::Op {
         let key = self.name.history_at(self.expected);
         let envelope = envelope::Envelope::parse(&current.value).unwrap_or_default();
         let archived = envelope::Envelope {
@@ -422,33 +422,33 @@
         kv::Op::put(key, archived.to_bytes())
     }
 
-    fn fate(&self, seen: Seen, opts: &Options, is_doubtful: bool) -> Fate {
-        if let Some(revision) = self.applied_at(&seen) {
-            return Fate::Applied(revision);
+    fn status(&self, state: StoreState, opts: &Options, answer_was_lost: bool) -> Status {
+        if let Some(revision) = self.applied_at(&state) {
+            return Status::Applied(revision);
         }
-        if self.fits(&seen) {
-            return Fate::Open(seen);
+        if self.is_current(&state) {
+            return Status::Pending(state);
         }
-        let mut revisions = seen
+        let mut revisions = state
             .history
             .iter()
             .filter_map(|kv| self.name.history_revision(&kv.key));
-        let reaches_back = revisions
+        let reaches_expected = revisions
             .next()
             .is_none_or(|oldest| oldest <= self.expected);
-        if is_doubtful && seen.history.len() >= opts.keep && !reaches_back {
-            return Fate::Buried;
+        if answer_was_lost && state.history.len() >= opts.max_versions && !reaches_expected {
+            return Status::HistoryTruncated;
         }
-        Fate::Overtaken(seen)
+        Status::Superseded(state)
     }
 
     /// The revision of this change, if the record or its history bears its nonce.
-    fn applied_at(&self, seen: &Seen) -> Option<id::Revision> {
-        let current = seen.current.as_ref();
+    fn applied_at(&self, state: &StoreState) -> Option<id::Revision> {
+        let current = state.current.as_ref();
         if let Some(kv) = current.filter(|kv| nonces(kv).0 == self.nonce) {
             return Some(kv.mod_revision);
         }
-        seen.history.iter().find_map(|kv| {
+        state.history.iter().find_map(|kv| {
             let (stored_by, replaced_by) = nonces(kv);
             if stored_by == self.nonce {
                 return self.name.history_revision(&kv.key);
@@ -458,11 +458,11 @@
         })
     }
 
-    fn conflict(&self, seen: Seen) -> Error {
+    fn conflict(&self, state: StoreState) -> Error {
         let name = self.name.clone();
-        let theirs = seen.current;
+        let theirs = state.current;
         if theirs.is_none() && self.doc.is_none() {
-            return Error::Unknown { name };
+            return Error::NotFound { name };
         }
         let theirs = theirs.map(|kv| Box::new(stored(&name, kv.mod_revision, &kv.value)));
         Error::Conflict {
--- a/fw-record/tests/record/load_follow.rs
+++ b/fw-record/tests/record/load_follow.rs
@@ -14,7 +14,7 @@
 use crate::start;
 
 /// Longest wait for a change to come into force; a bound for the test, not a goal.
-const PATIENCE: Duration = Duration::from_secs(20);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn name() -> key::Name {
     key::Name::new(key::Kind::Team, "t")
@@ -27,7 +27,7 @@
 async fn reach(holder: &holder::Holder, revision: i64) -> set::Set {
     let mut rx = holder.subscribe();
     let reached = rx.wait_for(|set| set.revision() >= revision);
-    let reached = tokio::time::timeout(PATIENCE, reached).await;
+    let reached = tokio::time::timeout(CHANGE_TIMEOUT, reached).await;
     reached
         .expect("the change comes into force")
         .unwrap()
--- a/fw-record/tests/record/lost_writes.rs
+++ b/fw-record/tests/record/lost_writes.rs
@@ -21,9 +21,9 @@
 
 fn opts() -> write::Options {
     write::Options {
-        keep: 3,
-        tries: 5,
-        pause: Duration::from_millis(10),
+        max_versions: 3,
+        max_attempts: 5,
+        retry_delay: Duration::from_millis(10),
     }
 }
 
@@ -98,7 +98,10 @@
 async fn outage_after_the_write_leaves_it_in_doubt() {
     // The write takes effect, its answer is lost, and the store goes away before the writer can
     // read back. "Not changed" would be a lie, and so would "accepted".
-    let opts = write::Options { tries: 2, ..opts() };
+    let opts = write::Options {
+        max_attempts: 2,
+        ..opts()
+    };
     let store = start().await;
     let client = connect(&store);
     store.faults(0, |faults| faults.lose_answers = 1);
@@ -137,7 +140,7 @@
         .await
         .unwrap();
     let slow = write::Options {
-        pause: Duration::from_millis(300),
+        retry_delay: Duration::from_millis(300),
         ..self::opts()
     };
     let (name, body) = (name(), share(2));
@@ -179,7 +182,7 @@
     let shares: Vec<_> = history.iter().map(|v| v.record["share"].clone()).collect();
     expect_eq!(shares, vec![4, 5, 6]);
     let gone = write::get(&client, &name()).await;
-    expect_true!(matches!(gone, Err(write::Error::Unknown { .. })));
+    expect_true!(matches!(gone, Err(write::Error::NotFound { .. })));
 }
 
 #[gtest]
