--- a/fw-conf/src/codec.rs
+++ b/fw-conf/src/codec.rs
@@ -10,7 +10,7 @@
 
 /// Why a value is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reject {
+pub enum Rejection {
     /// The text is not of the type.
     Type,
     /// The value lies outside the range.
@@ -31,7 +31,7 @@
     /// # Errors
     ///
     /// When `text` is no such value or not an allowed one.
-    fn read(&self, text: &str) -> Result<Self::Value, Reject>;
+    fn read(&self, text: &str) -> Result<Self::Value, Rejection>;
     /// Writes `value` so that [`Codec::read`] returns it.
     fn write(&self, value: &Self::Value) -> String;
     /// Whether `value` is an allowed one.
@@ -41,10 +41,10 @@
     }
 }
 
-fn within<T: PartialOrd>(range: &RangeInclusive<T>, value: T) -> Result<T, Reject> {
+fn check_range<T: PartialOrd>(range: &RangeInclusive<T>, value: T) -> Result<T, Rejection> {
     match range.contains(&value) {
         true => Ok(value),
-        false => Err(Reject::Range),
+        false => Err(Rejection::Range),
     }
 }
 
@@ -68,12 +68,12 @@
         format!("{} to {}", self.0.start(), self.0.end())
     }
 
-    fn read(&self, text: &str) -> Result<T, Reject> {
+    fn read(&self, text: &str) -> Result<T, Rejection> {
         match text.parse() {
-            Ok(value) => within(&self.0, value),
+            Ok(value) => check_range(&self.0, value),
             // A number that the type cannot hold is out of range, not of another type.
-            Err(_) if text.parse::<f64>().is_ok_and(|n| n.fract() == 0.0) => Err(Reject::Range),
-            Err(_) => Err(Reject::Type),
+            Err(_) if text.parse::<f64>().is_ok_and(|n| n.fract() == 0.0) => Err(Rejection::Range),
+            Err(_) => Err(Rejection::Type),
         }
     }
 
@@ -100,17 +100,17 @@
 ];
 
 /// A whole number with a unit, such as `250ms`.
-fn read_scaled(text: &str, units: &[(&str, u64)]) -> Result<u64, Reject> {
+fn read_scaled(text: &str, units: &[(&str, u64)]) -> Result<u64, Rejection> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (count, unit) = text.split_at(digits);
     if count.is_empty() {
-        return Err(Reject::Type);
+        return Err(Rejection::Type);
     }
     let unit = unit.trim_start();
     let found = units.iter().find(|(name, _)| *name == unit);
-    let (_, scale) = found.ok_or(Reject::Type)?;
-    let count: u64 = count.parse().map_err(|_| Reject::Range)?;
-    count.checked_mul(*scale).ok_or(Reject::Range)
+    let (_, scale) = found.ok_or(Rejection::Type)?;
+    let count: u64 = count.parse().map_err(|_| Rejection::Range)?;
+    count.checked_mul(*scale).ok_or(Rejection::Range)
 }
 
 /// `amount` in the largest unit that divides it.
@@ -142,9 +142,9 @@
         format!("{low} to {high} (units us, ms, s, min, h)")
     }
 
-    fn read(&self, text: &str) -> Result<Duration, Reject> {
+    fn read(&self, text: &str) -> Result<Duration, Rejection> {
         let micros = read_scaled(text, TIME_UNITS)?;
-        within(&self.0, Duration::from_micros(micros))
+        check_range(&self.0, Duration::from_micros(micros))
     }
 
     fn write(&self, value: &Duration) -> String {
@@ -174,10 +174,10 @@
         format!("{low} to {high} (units B, KiB, MiB, GiB)")
     }
 
-    fn read(&self, text: &str) -> Result<usize, Reject> {
+    fn read(&self, text: &str) -> Result<usize, Rejection> {
         let bytes = read_scaled(text, SIZE_UNITS)?;
-        let bytes = usize::try_from(bytes).map_err(|_| Reject::Range)?;
-        within(&self.0, bytes)
+        let bytes = usize::try_from(bytes).map_err(|_| Rejection::Range)?;
+        check_range(&self.0, bytes)
     }
 
     fn write(&self, value: &usize) -> String {
@@ -200,8 +200,8 @@
         "ip:port, by IP number".to_owned()
     }
 
-    fn read(&self, text: &str) -> Result<SocketAddr, Reject> {
-        text.parse().map_err(|_| Reject::Type)
+    fn read(&self, text: &str) -> Result<SocketAddr, Rejection> {
+        text.parse().map_err(|_| Rejection::Type)
     }
 
     fn write(&self, value: &SocketAddr) -> String {
@@ -224,13 +224,13 @@
         "http://ip:port/path, by IP number".to_owned()
     }
 
-    fn read(&self, text: &str) -> Result<SmolStr, Reject> {
-        let rest = text.strip_prefix("http://").ok_or(Reject::Type)?;
+    fn read(&self, text: &str) -> Result<SmolStr, Rejection> {
+        let rest = text.strip_prefix("http://").ok_or(Rejection::Type)?;
         let (address, path) = rest.split_once('/').unwrap_or((rest, ""));
         let is_path = path.bytes().all(|b| b.is_ascii_graphic());
         match address.parse::<SocketAddr>() {
             Ok(_) if is_path => Ok(text.into()),
-            _ => Err(Reject::Type),
+            _ => Err(Rejection::Type),
         }
     }
 
@@ -255,10 +255,10 @@
         format!("1 to {longest} ASCII letters, digits and `-_.:`")
     }
 
-    fn read(&self, text: &str) -> Result<SmolStr, Reject> {
+    fn read(&self, text: &str) -> Result<SmolStr, Rejection> {
         match fw_base::id::is_valid_name(text) {
             true => Ok(text.into()),
-            false => Err(Reject::Range),
+            false => Err(Rejection::Range),
         }
     }
 
@@ -282,8 +282,8 @@
         "true or false".to_owned()
     }
 
-    fn read(&self, text: &str) -> Result<bool, Reject> {
-        text.parse().map_err(|_| Reject::Type)
+    fn read(&self, text: &str) -> Result<bool, Rejection> {
+        text.parse().map_err(|_| Rejection::Type)
     }
 
     fn write(&self, value: &bool) -> String {
@@ -312,9 +312,9 @@
         words.join(", ")
     }
 
-    fn read(&self, text: &str) -> Result<T, Reject> {
+    fn read(&self, text: &str) -> Result<T, Rejection> {
         let found = self.0.iter().find(|(word, _)| *word == text);
-        found.map(|(_, value)| *value).ok_or(Reject::Range)
+        found.map(|(_, value)| *value).ok_or(Rejection::Range)
     }
 
     fn write(&self, value: &T) -> String {
@@ -343,7 +343,7 @@
         )
     }
 
-    fn read(&self, text: &str) -> Result<Self::Value, Reject> {
+    fn read(&self, text: &str) -> Result<Self::Value, Rejection> {
         text.split(',')
             .map(|item| self.0.read(item.trim()))
             .collect()
@@ -357,14 +357,14 @@
 
 /// A value that may be left out.
 #[derive(Clone, Debug)]
-pub struct Maybe<C> {
+pub struct Optional<C> {
     /// Reads the value if it is given.
     pub codec: C,
     /// What happens when it is left out, as on the reference page.
     pub absent: &'static str,
 }
 
-impl<C: Codec> Codec for Maybe<C> {
+impl<C: Codec> Codec for Optional<C> {
     type Value = Option<C::Value>;
 
     fn type_name(&self) -> &'static str {
@@ -375,7 +375,7 @@
         self.codec.allowed()
     }
 
-    fn read(&self, text: &str) -> Result<Self::Value, Reject> {
+    fn read(&self, text: &str) -> Result<Self::Value, Rejection> {
         self.codec.read(text).map(Some)
     }
 
--- a/fw-conf/src/entry.rs
+++ b/fw-conf/src/entry.rs
@@ -10,7 +10,7 @@
 use crate::reader::Conflict;
 use crate::schema;
 use crate::shared;
-use crate::shared::ANY_LOOPBACK;
+use crate::shared::LOOPBACK_ANY_PORT;
 use crate::shared::ms;
 use crate::shared::secs;
 
@@ -47,7 +47,7 @@
     Instance in "instance" {
         /// Name of the process among all entries; each start needs a new one.
         id: Option<id::EntryId> = None,
-            codec::Maybe { codec: codec::Name, absent: "drawn at random at each start" };
+            codec::Optional { codec: codec::Name, absent: "drawn at random at each start" };
         /// The place that the instance stands in, such as a data centre.
         place: id::PlaceId = SmolStr::new_static("local"), codec::Name, required;
     }
@@ -57,14 +57,14 @@
     /// Where the entry listens. Port 0 lets the system pick a free one.
     Listen in "listen" {
         /// Address for callers' HTTP requests.
-        callers: SocketAddr = ANY_LOOPBACK, codec::Address, required;
+        callers: SocketAddr = LOOPBACK_ANY_PORT, codec::Address, required;
         /// Address for calls of other entries.
-        peers: SocketAddr = ANY_LOOPBACK, codec::Address, required;
+        peers: SocketAddr = LOOPBACK_ANY_PORT, codec::Address, required;
         /// Address for `/metrics` and operators' requests.
         admin: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 9180)), codec::Address;
         /// Address under which other entries reach `peers`.
         advertise: Option<SocketAddr> = None,
-            codec::Maybe { codec: codec::Address, absent: "the address of `peers`" };
+            codec::Optional { codec: codec::Address, absent: "the address of `peers`" };
     }
 }
 
@@ -72,7 +72,7 @@
     /// The platform's key-value service, met as the etcd v3 HTTP/JSON gateway.
     Store in "store" {
         /// Its addresses; the next one is tried when one does not answer.
-        endpoints: Vec<SocketAddr> = vec![ANY_LOOPBACK], codec::List(codec::Address), required;
+        endpoints: Vec<SocketAddr> = vec![LOOPBACK_ANY_PORT], codec::List(codec::Address), required;
         /// Longest wait for an answer. A write whose answer is late is read back before it is
         /// repeated.
         timeout: Duration = secs(1), codec::time(ms(10)..=secs(30));
@@ -84,7 +84,7 @@
     Platform in "platform" {
         /// Where the list is fetched.
         instances: Option<SmolStr> = None,
-            codec::Maybe { codec: codec::Url, absent: "no list: upstreams come from the records" };
+            codec::Optional { codec: codec::Url, absent: "no list: upstreams come from the records" };
         /// Time between two fetches.
         poll_interval: Duration = secs(2), codec::time(ms(50)..=secs(60));
     }
--- a/fw-conf/src/error.rs
+++ b/fw-conf/src/error.rs
@@ -7,7 +7,7 @@
 
 /// Everything that is wrong with one file; never empty.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("{}", joined(problems)))]
+#[snafu(display("{}", join_lines(problems)))]
 pub struct Errors {
     /// The problems in the order of their lines; those without a line come last.
     pub problems: Vec<Problem>,
@@ -91,7 +91,7 @@
     }
 }
 
-fn joined(problems: &[Problem]) -> String {
+fn join_lines(problems: &[Problem]) -> String {
     let lines: Vec<_> = problems.iter().map(Problem::to_string).collect();
     lines.join("\n")
 }
--- a/fw-conf/src/key.rs
+++ b/fw-conf/src/key.rs
@@ -34,7 +34,7 @@
 
 /// Whether a key must be given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Need {
+pub(crate) enum Presence {
     Optional,
     Required,
 }
@@ -45,7 +45,7 @@
         name: &'static str,
         codec: &C,
         default: &C::Value,
-        need: Need,
+        presence: Presence,
         doc: &[&str],
     ) -> Self {
         let text = codec.write(default);
@@ -54,15 +54,15 @@
             name,
             type_name: codec.type_name(),
             default_is_allowed: codec.accepts(default),
-            default: (need == Need::Optional).then_some(text),
+            default: (presence == Presence::Optional).then_some(text),
             allowed: codec.allowed(),
-            doc: joined(doc),
+            doc: join_lines(doc),
         }
     }
 }
 
 /// Lines of a doc comment as one text.
-pub(crate) fn joined(doc: &[&str]) -> String {
+pub(crate) fn join_lines(doc: &[&str]) -> String {
     let lines: Vec<_> = doc.iter().map(|line| line.trim()).collect();
     lines.join(" ")
 }
--- a/fw-conf/src/lines.rs
+++ b/fw-conf/src/lines.rs
@@ -9,33 +9,33 @@
 pub(crate) enum Line {
     Section(SmolStr),
     Entry { key: SmolStr, value: SmolStr },
-    Bad(SmolStr),
+    Malformed(SmolStr),
 }
 
 /// A line that is neither empty nor a comment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Numbered {
+pub(crate) struct NumberedLine {
     /// Counted from 1.
     pub number: usize,
     pub line: Line,
 }
 
 /// Longest piece of a bad line or value that an error shows, in characters.
-const SHOWN: usize = 60;
+const MAX_EXCERPT_CHARS: usize = 60;
 
 /// The lines of `text` that mean something.
 ///
 /// rust-ini keeps no line numbers, and joins a line without `=` to the next one; so it is given
 /// one line at a time, and each error names the line that it comes from.
-pub(crate) fn split(text: &[u8]) -> Vec<Numbered> {
+pub(crate) fn split(text: &[u8]) -> Vec<NumberedLine> {
     let mut lines = Vec::new();
     for (index, bytes) in text.split(|b| *b == b'\n').enumerate() {
         let found = match std::str::from_utf8(bytes) {
             Ok(line) => parse(line.trim()),
-            Err(_) => vec![Line::Bad("not UTF-8".into())],
+            Err(_) => vec![Line::Malformed("not UTF-8".into())],
         };
         let number = index + 1;
-        lines.extend(found.into_iter().map(|line| Numbered { number, line }));
+        lines.extend(found.into_iter().map(|line| NumberedLine { number, line }));
     }
     lines
 }
@@ -48,8 +48,8 @@
         ..ParseOption::default()
     };
     let Ok(ini) = Ini::load_from_str_opt(line, opts) else {
-        let what = format!("`{}`", shown(line));
-        return vec![Line::Bad(what.into())];
+        let quoted = format!("`{}`", excerpt(line));
+        return vec![Line::Malformed(quoted.into())];
     };
     let mut found = Vec::new();
     for (section, entries) in ini.iter() {
@@ -63,7 +63,7 @@
 }
 
 /// The beginning of `text`, without control characters.
-pub(crate) fn shown(text: &str) -> SmolStr {
+pub(crate) fn excerpt(text: &str) -> SmolStr {
     let printable = text.chars().filter(|c| !c.is_control());
-    printable.take(SHOWN).collect()
+    printable.take(MAX_EXCERPT_CHARS).collect()
 }
--- a/fw-conf/src/reader.rs
+++ b/fw-conf/src/reader.rs
@@ -8,7 +8,7 @@
 use crate::lines;
 
 /// A key as the file gives it.
-struct Given {
+struct GivenKey {
     section: SmolStr,
     key: SmolStr,
     value: SmolStr,
@@ -32,7 +32,7 @@
 /// Reads one file, key by key.
 pub(crate) struct Reader {
     file: SmolStr,
-    given: Vec<Given>,
+    given: Vec<GivenKey>,
     headers: Vec<(SmolStr, usize)>,
     problems: Vec<error::Problem>,
 }
@@ -60,11 +60,11 @@
         name: &'static str,
         codec: &C,
         default: C::Value,
-        need: key::Need,
+        presence: key::Presence,
     ) -> C::Value {
         let Some(given) = self.find(section, name) else {
-            if need == key::Need::Required {
-                let line = self.header(section);
+            if presence == key::Presence::Required {
+                let line = self.header_line(section);
                 let fault = error::Fault::Missing;
                 self.report(line, section, name, fault, &codec.allowed());
             }
@@ -73,18 +73,18 @@
         let (line, value) = (given.line, given.value.clone());
         let fault = match codec.read(&value) {
             Ok(value) => return value,
-            Err(codec::Reject::Type) => error::Fault::Type(lines::shown(&value)),
-            Err(codec::Reject::Range) => error::Fault::Range(lines::shown(&value)),
+            Err(codec::Rejection::Type) => error::Fault::Type(lines::excerpt(&value)),
+            Err(codec::Rejection::Range) => error::Fault::Range(lines::excerpt(&value)),
         };
         self.report(Some(line), section, name, fault, &codec.allowed());
         default
     }
 
     /// Reports values that contradict each other.
-    pub fn add(&mut self, conflicts: Vec<Conflict>) {
+    pub fn add_conflicts(&mut self, conflicts: Vec<Conflict>) {
         for Conflict { section, key, why } in conflicts {
             let given = self.find(section, key).map(|given| given.line);
-            let line = given.or_else(|| self.header(section));
+            let line = given.or_else(|| self.header_line(section));
             self.report(line, section, key, error::Fault::Conflict(why.into()), "");
         }
     }
@@ -103,19 +103,19 @@
 
     fn collect(&mut self, text: &[u8]) {
         let mut section = None;
-        for lines::Numbered { number, line } in lines::split(text) {
+        for lines::NumberedLine { number, line } in lines::split(text) {
             match line {
                 lines::Line::Section(name) => {
                     self.headers.push((name.clone(), number));
                     section = Some(name);
                 }
-                lines::Line::Entry { key, value } => self.given.push(Given {
+                lines::Line::Entry { key, value } => self.given.push(GivenKey {
                     section: section.clone().unwrap_or_default(),
                     key,
                     value,
                     line: number,
                 }),
-                lines::Line::Bad(why) => self.problems.push(error::Problem {
+                lines::Line::Malformed(why) => self.problems.push(error::Problem {
                     file: self.file.clone(),
                     line: Some(number),
                     section: section.clone(),
@@ -137,7 +137,7 @@
             self.problems.push(error::Problem {
                 file: self.file.clone(),
                 line: Some(*line),
-                section: Some(lines::shown(name)),
+                section: Some(lines::excerpt(name)),
                 key: None,
                 fault: error::Fault::UnknownSection,
                 allowed: allowed.as_str().into(),
@@ -160,8 +160,8 @@
             self.problems.push(error::Problem {
                 file: self.file.clone(),
                 line: Some(given.line),
-                section: Some(lines::shown(&given.section)),
-                key: Some(lines::shown(&given.key)),
+                section: Some(lines::excerpt(&given.section)),
+                key: Some(lines::excerpt(&given.key)),
                 fault: error::Fault::UnknownKey,
                 allowed: allowed.into(),
             });
@@ -170,27 +170,27 @@
 
     fn check_repeated(&mut self) {
         for (index, given) in self.given.iter().enumerate() {
-            let same = |other: &&Given| other.section == given.section && other.key == given.key;
+            let same = |other: &&GivenKey| other.section == given.section && other.key == given.key;
             let Some(first) = self.given[..index].iter().find(same) else {
                 continue;
             };
             self.problems.push(error::Problem {
                 file: self.file.clone(),
                 line: Some(given.line),
-                section: Some(lines::shown(&given.section)),
-                key: Some(lines::shown(&given.key)),
+                section: Some(lines::excerpt(&given.section)),
+                key: Some(lines::excerpt(&given.key)),
                 fault: error::Fault::Repeated(first.line),
                 allowed: "each key once".into(),
             });
         }
     }
 
-    fn find(&self, section: &str, name: &str) -> Option<&Given> {
-        let is_key = |given: &&Given| given.section == section && given.key == name;
+    fn find(&self, section: &str, name: &str) -> Option<&GivenKey> {
+        let is_key = |given: &&GivenKey| given.section == section && given.key == name;
         self.given.iter().find(is_key)
     }
 
-    fn header(&self, section: &str) -> Option<usize> {
+    fn header_line(&self, section: &str) -> Option<usize> {
         let found = self.headers.iter().find(|(name, _)| name == section);
         found.map(|(_, line)| *line)
     }
--- a/fw-conf/src/schema.rs
+++ b/fw-conf/src/schema.rs
@@ -1,12 +1,12 @@
 //! Macros that make a settings struct, its defaults, its parser and its description of one table.
 
 /// Whether a key must be given, from the mark after its codec.
-macro_rules! need {
+macro_rules! presence {
     () => {
-        $crate::key::Need::Optional
+        $crate::key::Presence::Optional
     };
     (required) => {
-        $crate::key::Need::Required
+        $crate::key::Presence::Required
     };
 }
 
@@ -18,7 +18,7 @@
         $name:ident in $section:literal {
             $(
                 $(#[doc = $doc:literal])+
-                $key:ident: $type:ty = $default:expr, $codec:expr $(, $need:ident)?;
+                $key:ident: $type:ty = $default:expr, $codec:expr $(, $presence:ident)?;
             )*
         }
     ) => {
@@ -43,14 +43,14 @@
             pub(crate) fn describe() -> $crate::key::Section {
                 $crate::key::Section {
                     name: $section,
-                    doc: $crate::key::joined(&[$($about),+]),
+                    doc: $crate::key::join_lines(&[$($about),+]),
                     keys: vec![$(
                         $crate::key::Key::describe(
                             $section,
                             stringify!($key),
                             &$codec,
                             &$default,
-                            $crate::schema::need!($($need)?),
+                            $crate::schema::presence!($($presence)?),
                             &[$($doc),+],
                         ),
                     )*],
@@ -65,7 +65,7 @@
                             stringify!($key),
                             &$codec,
                             $default,
-                            $crate::schema::need!($($need)?),
+                            $crate::schema::presence!($($presence)?),
                         ),
                     )*
                 }
@@ -128,13 +128,13 @@
                 let settings = Self {
                     $($field: <$type>::read(&mut reader),)*
                 };
-                reader.add(settings.conflicts());
+                reader.add_conflicts(settings.conflicts());
                 reader.finish(settings)
             }
         }
     };
 }
 
-pub(crate) use need;
+pub(crate) use presence;
 pub(crate) use section;
 pub(crate) use settings;
--- a/fw-conf/src/shared.rs
+++ b/fw-conf/src/shared.rs
@@ -8,7 +8,7 @@
 use crate::schema;
 
 /// A port of the loopback interface that the system picks.
-pub(crate) const ANY_LOOPBACK: SocketAddr =
+pub(crate) const LOOPBACK_ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 pub(crate) const fn ms(count: u64) -> Duration {
--- a/fw-conf/src/side.rs
+++ b/fw-conf/src/side.rs
@@ -10,7 +10,7 @@
 use crate::reader::Conflict;
 use crate::schema;
 use crate::shared;
-use crate::shared::ANY_LOOPBACK;
+use crate::shared::LOOPBACK_ANY_PORT;
 use crate::shared::ms;
 use crate::shared::secs;
 
@@ -61,9 +61,9 @@
     /// Where the side listens. Port 0 lets the system pick a free one.
     Listen in "listen" {
         /// Address for calls of entries.
-        calls: SocketAddr = ANY_LOOPBACK, codec::Address, required;
+        calls: SocketAddr = LOOPBACK_ANY_PORT, codec::Address, required;
         /// Address for plain HTTP requests, `/metrics`, `/healthz` and `/readyz`.
-        http: SocketAddr = ANY_LOOPBACK, codec::Address, required;
+        http: SocketAddr = LOOPBACK_ANY_PORT, codec::Address, required;
     }
 }
 
@@ -73,7 +73,7 @@
         /// What sort of upstream it is.
         kind: Kind = Kind::Llm, codec::choice(KINDS);
         /// Where it listens for HTTP requests.
-        address: SocketAddr = ANY_LOOPBACK, codec::Address, required;
+        address: SocketAddr = LOOPBACK_ANY_PORT, codec::Address, required;
         /// Most calls that it runs together; 0 if it is not known before its first load report.
         batch: u32 = 0, codec::number(0..=65_536);
         /// Longest wait for a connection.
@@ -96,7 +96,7 @@
         max_length: usize = 1024, codec::number(1..=1_000_000);
         /// Most calls handed to the upstream together; the rest waits in the order of priority.
         window: Option<u32> = None,
-            codec::Maybe { codec: codec::number(1..=65_536), absent: "a little above `batch`" };
+            codec::Optional { codec: codec::number(1..=65_536), absent: "a little above `batch`" };
     }
 }
 
