--- a/fw-record/src/admin.rs
+++ b/fw-record/src/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' requests about records, apart from the HTTP library that carries them.
+//! Handles operators' requests about records, independently of the HTTP library.
 
 use fw_base::error;
 use fw_store::client::Client;
@@ -14,17 +14,17 @@
 /// A request below `/admin/records`.
 #[derive(Clone, Debug, Default)]
 pub struct Request<'a> {
-    /// The method in capitals.
+    /// The method in upper case.
     pub method: &'a str,
     /// The path after `/admin/records`: empty, `/{kind}/{name}` or `/{kind}/{name}/history`.
     pub path: &'a str,
-    /// The query without `?`; changes need `revision=N`.
+    /// The query string without `?`; changes require `revision=N`.
     pub query: &'a str,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// An answer.
+/// The response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
     /// HTTP status.
@@ -33,7 +33,7 @@
     pub body: Value,
 }
 
-/// Answers a request.
+/// Handles a request.
 pub async fn handle(client: &Client, req: Request<'_>, opts: &write::Options) -> Response {
     match dispatch(client, req, opts).await {
         Ok(body) => Response { status: 200, body },
@@ -118,7 +118,7 @@
     }
 }
 
-/// Both versions of a conflict.
+/// Both versions of a conflict, as fields of the response.
 fn conflict_versions(err: write::Error) -> Value {
     match err {
         write::Error::Conflict { yours, theirs, .. } => {
--- a/fw-record/src/budget.rs
+++ b/fw-record/src/budget.rs
@@ -1,4 +1,4 @@
-//! Limits of programs, by service and team.
+//! Budgets: limits on programs, by service and team.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::schema::Encoding;
 use crate::schema::Field;
 
-/// Stands for every service or team.
+/// Matches every service or team.
 pub const ANY: &str = "*";
 
 const SERVICE: Field = Field::same(&["service"]);
@@ -31,7 +31,7 @@
     encoding: Encoding::Millis,
 };
 
-/// Every field of the kind.
+/// The fields of a budget record.
 pub const FIELDS: &[Field] = &[SERVICE, TEAM, TURNS, TOKENS, TIME];
 
 const TURNS_BOUNDS: RangeInclusive<u64> = 1..=1_000_000;
@@ -39,29 +39,29 @@
 const TIME_BOUNDS: RangeInclusive<Duration> =
     Duration::from_millis(1)..=Duration::from_secs(365 * 24 * 3600);
 
-/// What one program may use, its sub-agents included.
+/// Limits on the resources of one program, its sub-agents included.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// Its name.
+    /// Name of the budget.
     pub name: SmolStr,
-    /// The service it holds for, or [`ANY`].
+    /// The service it applies to, or [`ANY`].
     pub service: id::ServiceId,
-    /// The team it holds for, or [`ANY`].
+    /// The team it applies to, or [`ANY`].
     pub team: id::TeamId,
-    /// Turns; no bound if absent.
+    /// Most turns; unlimited if absent.
     pub turns: Option<id::Turn>,
-    /// Tokens, of prompts and answers; no bound if absent.
+    /// Most tokens, of prompts and answers together; unlimited if absent.
     pub tokens: Option<id::Tokens>,
-    /// Time from the program's first turn; no bound if absent.
+    /// Longest time from the program's first turn; unlimited if absent.
     pub time: Option<Duration>,
 }
 
 impl Budget {
-    /// Reads the record `name`.
+    /// Parses the record `name`.
     ///
     /// # Errors
     ///
-    /// When a field is of a wrong type or out of bounds, or no limit is set at all.
+    /// When a field has the wrong type or is out of bounds, or no limit is set.
     pub fn read(name: &str, fields: &field::Reader<'_>) -> field::Result<Self> {
         let any = || SmolStr::new_static(ANY);
         let turns = fields.count(&TURNS, TURNS_BOUNDS)?;
@@ -79,13 +79,14 @@
         Ok(budget)
     }
 
-    /// Whether it holds for programs of `team` on `service`.
+    /// Whether the budget applies to programs of `team` on `service`.
     pub fn covers(&self, service: &str, team: &str) -> bool {
         let matches = |own: &str, requested: &str| own == ANY || own == requested;
         matches(&self.service, service) && matches(&self.team, team)
     }
 
-    /// How closely it is aimed: by team and service, by team, by service, at all.
+    /// Rank for choosing between budgets: 3 if set for a team and a service, 2 for a team, 1 for a
+    /// service, 0 for neither.
     pub fn specificity(&self) -> u8 {
         let team = u8::from(self.team != ANY);
         let service = u8::from(self.service != ANY);
--- a/fw-record/src/document.rs
+++ b/fw-record/src/document.rs
@@ -1,4 +1,4 @@
-//! One record: its JSON with every field, beside what the system reads of it.
+//! One record: its raw JSON with every field, and the typed record parsed from it.
 
 use fw_base::error;
 use serde_json::Map;
@@ -18,7 +18,7 @@
 /// Largest record, in bytes of JSON.
 pub const MAX_SIZE: usize = 64 << 10;
 
-/// What the system reads of a record.
+/// A parsed record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// A service.
@@ -31,7 +31,7 @@
     Budget(budget::Budget),
 }
 
-/// A record with its raw fields, so that a rewrite loses none.
+/// A parsed record with its raw JSON, so that a rewrite preserves unknown fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
     name: key::Name,
@@ -46,10 +46,10 @@
     /// It is not JSON.
     #[snafu(display("the record is not valid JSON: {source}"))]
     Json {
-        /// What the parser saw.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// It is no JSON object.
+    /// It is not a JSON object.
     #[snafu(display("the record must be a JSON object"))]
     NotObject,
     /// It is too large.
@@ -58,10 +58,10 @@
         /// Its size.
         size: usize,
     },
-    /// A field is refused.
+    /// A field is invalid.
     #[snafu(transparent)]
     Field {
-        /// Which and why.
+        /// The field and the reason.
         source: field::Error,
     },
 }
@@ -73,29 +73,29 @@
 }
 
 impl Document {
-    /// Reads a record as it is stored, whichever version wrote it.
+    /// Parses a stored record of any schema version.
     ///
     /// # Errors
     ///
-    /// When it is no JSON object, or a field that the system reads is refused.
+    /// When it is not a JSON object, or a field that the system reads is invalid.
     pub fn parse(name: key::Name, json: &[u8]) -> Result<Self, Error> {
         Self::from_raw(name, parse_object(json)?)
     }
 
-    /// As [`Document::parse`], from JSON that is read already.
+    /// Like [`Document::parse`], from a JSON object that is parsed already.
     ///
     /// # Errors
     ///
-    /// When a field that the system reads is refused.
+    /// When a field that the system reads is invalid.
     pub fn from_raw(name: key::Name, raw: Map<String, Value>) -> Result<Self, Error> {
         Self::read_as(Schema::V2, name, raw)
     }
 
-    /// As [`Document::from_raw`], for a reader that knows no version after `newest`.
+    /// Like [`Document::from_raw`], for a reader that supports no schema version above `newest`.
     ///
     /// # Errors
     ///
-    /// When a field that the reader knows is refused.
+    /// When a field that the reader knows is invalid.
     pub fn read_as(
         newest: Schema,
         name: key::Name,
@@ -118,13 +118,13 @@
         })
     }
 
-    /// Reads a record that an operator wants to store, with stricter checks than
-    /// [`Document::parse`], and makes it readable to both versions.
+    /// Parses a record submitted by an operator, with stricter checks than [`Document::parse`], and
+    /// makes it readable in both schema versions.
     ///
     /// # Errors
     ///
-    /// Moreover when it is too large, of a version that is not known, or has a field of version 1
-    /// in a record of version 2, where it would have no effect.
+    /// As [`Document::parse`], and also when it is too large, of an unknown version, or a record of
+    /// version 2 has a field of version 1, which would have no effect there.
     pub fn from_operator(name: key::Name, json: &[u8]) -> Result<Self, Error> {
         let size = json.len();
         if size > MAX_SIZE {
@@ -146,34 +146,34 @@
         Ok(doc)
     }
 
-    /// Kind and name.
+    /// The record's kind and name.
     pub fn name(&self) -> &key::Name {
         &self.name
     }
 
-    /// The version that it is read as.
+    /// The schema version that it is read as.
     pub fn schema(&self) -> Schema {
         self.schema
     }
 
-    /// What the system reads of it.
+    /// The parsed record.
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// Every field, as it is stored.
+    /// Every field as stored, including those of the other version and unknown ones.
     pub fn raw(&self) -> &Map<String, Value> {
         &self.raw
     }
 
-    /// The fields as operators see and edit them: without those of the other version.
+    /// The fields as operators see and edit them, without those of the other schema version.
     pub fn operator_fields(&self) -> Map<String, Value> {
         let mut shown = self.raw.clone();
         schema::strip(&mut shown, fields(self.name.kind), self.schema);
         shown
     }
 
-    /// The record in the newest version, readable to both, with all unknown fields.
+    /// The record in the newest schema version, readable in both, with all unknown fields.
     pub fn upgraded(&self) -> Self {
         let fields = fields(self.name.kind);
         let mut raw = self.raw.clone();
@@ -188,13 +188,13 @@
         }
     }
 
-    /// Names of fields that no version knows. They are kept, and may be spelling mistakes.
+    /// Names of fields that no schema version defines. They are preserved, and may be misspelled.
     pub fn unknown_fields(&self) -> Vec<String> {
         schema::unknown_fields(&self.raw, fields(self.name.kind))
     }
 }
 
-/// Every field of a kind.
+/// The fields of a kind of record.
 pub fn fields(kind: key::Kind) -> &'static [schema::Field] {
     match kind {
         key::Kind::Service => service::FIELDS,
--- a/fw-record/src/envelope.rs
+++ b/fw-record/src/envelope.rs
@@ -1,4 +1,4 @@
-//! The value of a record's key: the record and the nonce of the write that stored it.
+//! The stored value of a record's key: the record with the nonce of the write that stored it.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,7 +9,7 @@
 use crate::key;
 use crate::schema;
 
-/// Drawn at random for each write, so that its writer recognizes it after a lost answer.
+/// A random id of a write, by which its writer recognizes it after a lost response.
 pub type Nonce = String;
 
 /// A stored record.
@@ -17,16 +17,16 @@
 pub struct Envelope {
     /// Every field of the record.
     pub record: Map<String, Value>,
-    /// Nonce of the write that stored it; empty for one stored without this crate.
+    /// Nonce of the write that stored it; empty if it was not written by this crate.
     #[serde(default)]
     pub nonce: Nonce,
-    /// In the history: nonce of the write that replaced or deleted it.
+    /// Nonce of the write that replaced or deleted it; set only in the history.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub replaced_by: Nonce,
 }
 
 impl Envelope {
-    /// Reads a stored value: an envelope, or the bare record with its `schema` at the top.
+    /// Parses a stored value: an envelope, or a bare record, recognized by its top-level `schema`.
     ///
     /// # Errors
     ///
@@ -42,16 +42,16 @@
         serde_json::from_value(map.into())
     }
 
-    /// The value to store.
+    /// Serializes the envelope to the stored value.
     pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("maps with text keys are valid JSON")
     }
 
-    /// Reads the record in a stored value.
+    /// Parses the record in a stored value.
     ///
     /// # Errors
     ///
-    /// When the value is no envelope, or the record is refused.
+    /// When the value is not an envelope, or the record is invalid.
     pub fn document(name: key::Name, value: &[u8]) -> Result<document::Document, document::Error> {
         let envelope = Self::parse(value).map_err(|source| document::Error::Json { source })?;
         document::Document::from_raw(name, envelope.record)
--- a/fw-record/src/field.rs
+++ b/fw-record/src/field.rs
@@ -1,4 +1,4 @@
-//! Reading of single fields with their bounds.
+//! Reads single fields of a record and checks their types and bounds.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -14,23 +14,23 @@
 use crate::schema::NEUTRAL_WEIGHT;
 use crate::schema::Schema;
 
-/// Most bytes of a refused value that a message repeats.
+/// Longest excerpt of an invalid value in an error message, in bytes.
 const MAX_EXCERPT_BYTES: usize = 60;
 
-/// Why a record is refused.
+/// An invalid field of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("field `{field}` must be {expected}, not {found}"))]
 pub struct Error {
-    /// The field, with the groups that it is in.
+    /// The field's path, with the groups that contain it.
     pub field: String,
-    /// What is accepted.
+    /// The accepted values.
     pub expected: String,
-    /// What was found.
+    /// The value found.
     pub found: String,
 }
 
 impl Error {
-    /// An error about `field`.
+    /// An error about `field`; `found` is `None` for a missing field.
     pub fn new(
         field: impl Into<String>,
         expected: impl Into<String>,
@@ -54,26 +54,26 @@
     }
 }
 
-/// What reading a field returns.
+/// Result of reading a field.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// The fields of one record, read as one schema version.
+/// Reads the fields of one record in one schema version.
 #[derive(Clone, Copy, Debug)]
 pub struct Reader<'a> {
-    /// The record.
+    /// The record's raw fields.
     pub map: &'a Map<String, Value>,
-    /// The version whose fields prevail.
+    /// The schema version whose fields take precedence.
     pub schema: Schema,
 }
 
 impl<'a> Reader<'a> {
-    /// A value, its version, and the error to give if it is refused.
+    /// The field's value, if it is there and not null, and the schema version it is written in.
     fn find(&self, field: &Field) -> (Schema, Option<&'a Value>) {
         let (schema, value) = field.find(self.map, self.schema);
         (schema, value.filter(|value| !value.is_null()))
     }
 
-    /// The error that `field` is not as `expected`.
+    /// An error that the value of `field` is not as `expected`.
     pub fn invalid(&self, field: &Field, expected: impl Into<String>) -> Error {
         Error::new(field.name(self.schema), expected, self.find(field).1)
     }
@@ -83,7 +83,7 @@
         self.find(field).1.is_some()
     }
 
-    /// A text of at most `max` bytes, not empty.
+    /// A non-empty string of at most `max` bytes.
     pub fn text(&self, field: &Field, max: usize) -> Result<Option<SmolStr>> {
         let Some(value) = self.find(field).1 else {
             return Ok(None);
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Texts of at most `max_len` bytes, at most `max` of them; none if the field is missing.
+    /// An array of at most `max` non-empty strings of at most `max_len` bytes each; empty if the
+    /// field is missing.
     pub fn texts(&self, field: &Field, max: usize, max_len: usize) -> Result<Vec<SmolStr>> {
         let Some(value) = self.find(field).1 else {
             return Ok(Vec::new());
@@ -113,7 +114,7 @@
         })
     }
 
-    /// A truth value.
+    /// A boolean.
     pub fn flag(&self, field: &Field, default: bool) -> Result<bool> {
         match self.find(field).1 {
             None => Ok(default),
@@ -122,7 +123,7 @@
         }
     }
 
-    /// One of several words.
+    /// One of several keywords.
     pub fn choice<T: Copy>(&self, field: &Field, choices: &[(&str, T)]) -> Result<Option<T>> {
         let Some(value) = self.find(field).1 else {
             return Ok(None);
@@ -140,7 +141,7 @@
         }
     }
 
-    /// A whole number.
+    /// An unsigned integer.
     pub fn count(&self, field: &Field, bounds: RangeInclusive<u64>) -> Result<Option<u64>> {
         let Some(value) = self.find(field).1 else {
             return Ok(None);
@@ -154,7 +155,7 @@
         }
     }
 
-    /// A share relative to the usual one, 1.0.
+    /// A share as a factor of the neutral one, 1.0.
     pub fn share(&self, field: &Field, bounds: RangeInclusive<f64>) -> Result<Option<f64>> {
         let (schema, value) = self.find(field);
         let Some(value) = value else {
@@ -174,7 +175,7 @@
         }
     }
 
-    /// A duration.
+    /// A duration, in the encoding of the schema version that the value is written in.
     pub fn duration(
         &self,
         field: &Field,
@@ -196,7 +197,7 @@
     }
 }
 
-/// A duration such as `30s` or `1h 30m`.
+/// Parses a duration such as `30s` or `1h 30m`.
 pub fn parse_duration(value: &Value) -> Option<Duration> {
     humantime::parse_duration(value.as_str()?).ok()
 }
--- a/fw-record/src/holder.rs
+++ b/fw-record/src/holder.rs
@@ -1,4 +1,4 @@
-//! The set of records that a process acts on.
+//! The set of records in force in a process.
 
 use fw_base::id;
 use tokio::sync::watch;
@@ -8,26 +8,26 @@
 /// Gauge: revision of the records in force.
 pub const REVISION: &str = "fw_records_revision";
 
-/// Gauge: records that cannot be taken as they stand in the store.
+/// Gauge: records whose stored version cannot be parsed.
 pub const PROBLEMS: &str = "fw_records_problems";
 
-/// What became of an offered set.
+/// Result of offering a set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It is in force.
+    /// The offered set is in force.
     Applied,
-    /// The set in force is as new or newer.
+    /// The set in force has the same or a higher revision.
     Stale,
 }
 
-/// Keeps the newest set seen. Clones share it.
+/// Holds the newest set offered. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct Holder {
     tx: watch::Sender<set::Set>,
 }
 
 impl Holder {
-    /// The set in force; empty, at revision 0, before the first is offered.
+    /// The set in force; an empty set at revision 0 before the first offer.
     pub fn current(&self) -> set::Set {
         self.tx.borrow().clone()
     }
@@ -37,10 +37,10 @@
         self.tx.borrow().revision()
     }
 
-    /// Puts a set in force unless the one in force is as new or newer.
+    /// Puts a set in force if its revision is higher than that of the set in force.
     ///
-    /// Sets arrive by watch, from peers and from reads that may be late. Without the comparison a
-    /// late one would undo a change that was already seen to be in force.
+    /// Sets arrive from the watch, from peers and from reads that may be delayed. Without the
+    /// comparison a delayed one would undo a change that has already been in force.
     pub fn offer(&self, set: set::Set) -> Offer {
         let mut offer = Offer::Stale;
         self.tx.send_if_modified(|current| {
@@ -55,7 +55,7 @@
         offer
     }
 
-    /// Wakes on each set that comes into force.
+    /// A receiver that is notified of each set that comes into force.
     pub fn subscribe(&self) -> watch::Receiver<set::Set> {
         self.tx.subscribe()
     }
--- a/fw-record/src/key.rs
+++ b/fw-record/src/key.rs
@@ -11,14 +11,14 @@
 /// Prefix of the keys of all records.
 pub const RECORDS: &str = "/fw/records/";
 
-/// Prefix of the keys of replaced versions.
+/// Prefix of the keys of replaced versions, kept as history.
 pub const HISTORY: &str = "/fw/history/";
 
-/// Key written in the transaction of every change, so that its revision is that of the last
-/// change: the revision of a deletion would show nowhere else.
+/// Key written in the transaction of every change, so that its modification revision is that of
+/// the last change. No other key would carry the revision of a deletion.
 pub const HEAD: &str = "/fw/records/head";
 
-/// Digits of a revision within a key, so that keys sort as revisions do.
+/// Digits of a zero-padded revision in a key, so that keys sort in the order of revisions.
 const REVISION_DIGITS: usize = 20;
 
 /// What a record describes.
@@ -31,7 +31,7 @@
     Route,
     /// A team of callers.
     Team,
-    /// Limits of programs.
+    /// Limits on programs.
     Budget,
 }
 
@@ -39,7 +39,7 @@
     /// All kinds.
     pub const ALL: [Self; 4] = [Self::Service, Self::Route, Self::Team, Self::Budget];
 
-    /// The kind as keys and commands write it.
+    /// The kind as written in keys and commands.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Service => "service",
@@ -75,17 +75,17 @@
 }
 
 impl Name {
-    /// A name as given.
+    /// Makes a name without validation.
     pub fn new(kind: Kind, name: impl Into<SmolStr>) -> Self {
         let name = name.into();
         Self { kind, name }
     }
 
-    /// A name from outside.
+    /// Parses and validates a name from untrusted input.
     ///
     /// # Errors
     ///
-    /// When the kind is unknown, or the name is not as [`id::is_valid_name`] wants it.
+    /// When the kind is unknown, or the name fails [`id::is_valid_name`].
     pub fn parse(kind: &str, name: &str) -> Result<Self, String> {
         let kind = kind.parse()?;
         if !id::is_valid_name(name) {
@@ -97,7 +97,7 @@
         Ok(Self::new(kind, name))
     }
 
-    /// The name behind a key of the store; `None` if the key is none of a record.
+    /// The record's name from a key of the store; `None` if the key is not a record's.
     pub fn from_key(key: &str) -> Option<Self> {
         let (kind, name) = key.strip_prefix(RECORDS)?.split_once('/')?;
         Self::parse(kind, name).ok()
@@ -108,18 +108,18 @@
         format!("{RECORDS}{self}")
     }
 
-    /// Prefix of the keys of its replaced versions.
+    /// Prefix of the keys of the record's replaced versions.
     pub fn history(&self) -> String {
         format!("{HISTORY}{self}/")
     }
 
-    /// Key of the version that was written at `revision` and then replaced.
+    /// Key of the replaced version that was written at `revision`.
     pub fn history_at(&self, revision: id::Revision) -> String {
         let prefix = self.history();
         format!("{prefix}{revision:0REVISION_DIGITS$}")
     }
 
-    /// The revision in a key of [`Name::history_at`].
+    /// The revision in a key made by [`Name::history_at`].
     pub fn history_revision(&self, key: &str) -> Option<id::Revision> {
         key.strip_prefix(&self.history())?.parse().ok()
     }
--- a/fw-record/src/lib.rs
+++ b/fw-record/src/lib.rs
@@ -1,9 +1,10 @@
-//! Operators' records in two schema versions, and the set of them that is in force.
+//! Configuration records written by operators, in two schema versions, and the set in force.
 //!
-//! A record is a JSON object with a `schema` number. [`document`] reads and rewrites it without
-//! losing fields that it does not know; [`set`] holds all records at one revision of the store;
-//! [`holder`] keeps the newest set that a process has seen; [`write`] changes records in the store
-//! by compare-and-swap and [`load`] reads them; [`admin`] answers operators' requests.
+//! A record is a JSON object with a `schema` number. [`document`] parses and rewrites it without
+//! losing unknown fields; [`set`] is a snapshot of all records at one revision of the store;
+//! [`holder`] holds the newest snapshot that a process has received; [`write`] changes records in
+//! the store by compare-and-swap and [`load`] reads and watches them; [`admin`] handles operators'
+//! requests.
 //!
 //! ```
 //! use fw_record::{document, key, set};
--- a/fw-record/src/load.rs
+++ b/fw-record/src/load.rs
@@ -1,4 +1,4 @@
-//! Reads all records from the store, and follows their changes.
+//! Reads all records from the store and watches them for changes.
 
 use fw_store::client;
 use fw_store::error::Error;
@@ -11,10 +11,11 @@
 use crate::key;
 use crate::set;
 
-/// All records as they stand in the store.
+/// Reads all records from the store.
 ///
-/// Of a record that cannot be read, the version in `previous` stays in force, or else, in a
-/// process that has just started, the newest version in the record's history that can be read.
+/// For a record that cannot be parsed, the version in `previous` stays in force. If `previous` has
+/// none, as in a process that has just started, the newest valid version in the record's history
+/// comes into force.
 ///
 /// # Errors
 ///
@@ -40,7 +41,7 @@
     Ok(set)
 }
 
-/// The newest version in a record's history that can be read.
+/// The newest valid version in a record's history.
 async fn last_good(client: &client::Client, name: &key::Name) -> Result<Option<set::Version>> {
     let found = client.range(&kv::Range::prefix(name.history())).await?;
     let newest_first = found.kvs.iter().rev();
@@ -52,10 +53,11 @@
     Ok(versions.next())
 }
 
-/// Keeps `holder` at the newest records, for ever: one read, then a watch.
+/// Keeps `holder` up to date with the store, without end: one full read, then a watch.
 ///
-/// One process of each place runs this; the others learn from it and from the revision that each
-/// message carries. A store outage leaves the records in force as they are.
+/// One process of each place runs this; the others poll it for a newer set, and fetch one at once
+/// when a message carries a newer revision. During a store outage the records in force stay
+/// unchanged.
 pub async fn follow(client: &client::Client, holder: &holder::Holder) {
     loop {
         if let Err(err) = follow_once(client, holder).await {
@@ -65,7 +67,7 @@
     }
 }
 
-/// Reads everything and follows the changes until the watch cannot go on.
+/// Reads all records and applies their changes until the watch fails for good.
 async fn follow_once(client: &client::Client, holder: &holder::Holder) -> Result<()> {
     let found = client.range(&kv::Range::prefix(key::RECORDS)).await?;
     holder.offer(from_kvs(client, &holder.current(), &found.kvs).await?);
@@ -78,7 +80,7 @@
                 tracing::warn!(%err, age = ?watch.age(), "the watch of the records fails; they are read anew");
                 return Err(err);
             }
-            // The watch goes on by itself, once the store answers again.
+            // The watch resumes by itself once the store answers again.
             Err(err) => tracing::debug!(%err, "the watch of the records broke"),
         }
     }
--- a/fw-record/src/route.rs
+++ b/fw-record/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes from paths to plain services.
+//! Routes from path prefixes to plain services.
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
@@ -29,13 +29,13 @@
     encoding: Encoding::Millis,
 };
 
-/// Every field of the kind.
+/// The fields of a route record.
 pub const FIELDS: &[Field] = &[PATH, SERVICE, REPEATABLE, TIMEOUT, HEDGE];
 
-/// Methods that may be repeated unless the record says otherwise: those that change nothing.
+/// Safe methods, which change nothing: the repeatable ones unless the record names others.
 const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 
-/// Paths that the entry answers itself.
+/// Paths that the entry handles itself.
 const RESERVED: [&str; 6] = [
     "/v1/chat",
     "/v1/programs",
@@ -53,26 +53,27 @@
 /// A path prefix that leads to a plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: SmolStr,
-    /// The path itself and everything below it. No `/` at the end, except for the root.
+    /// Path prefix, matched by whole segments. No trailing `/`, except for the root.
     pub path: SmolStr,
     /// The plain service.
     pub service: id::ServiceId,
-    /// Methods, in capitals, whose calls are idempotent. Every other needs an `Idempotency-Key`.
+    /// Methods, in upper case, whose calls are idempotent. Calls with other methods need an
+    /// `Idempotency-Key`.
     pub repeatable: BTreeSet<SmolStr>,
-    /// Longest wait for an answer; the service's own if absent.
+    /// Longest wait for an answer; the service's timeout if absent.
     pub timeout: Option<Duration>,
-    /// Time after which a repeatable call is sent to a second upstream too; never if absent.
+    /// Delay after which a repeatable call is hedged to a second upstream; no hedging if absent.
     pub hedge: Option<Duration>,
 }
 
 impl Route {
-    /// Reads the record `name`.
+    /// Parses the record `name`.
     ///
     /// # Errors
     ///
-    /// When a field is missing, of a wrong type or out of bounds.
+    /// When a field is missing, has the wrong type or is out of bounds.
     pub fn read(name: &str, fields: &field::Reader<'_>) -> field::Result<Self> {
         let service = fields.text(&SERVICE, id::MAX_NAME)?;
         let service =
@@ -92,7 +93,7 @@
         is_below(path, &self.path)
     }
 
-    /// Whether a call with `method` may be sent again.
+    /// Whether a call with `method` may be repeated.
     pub fn is_repeatable(&self, method: &str) -> bool {
         self.repeatable.contains(method)
     }
--- a/fw-record/src/schema.rs
+++ b/fw-record/src/schema.rs
@@ -1,14 +1,14 @@
-//! The two schema versions, and how the fields of one stand for those of the other.
+//! The two schema versions of records, and the conversion of fields between them.
 //!
 //! Both versions are written and read at the same time while a fleet is migrated:
 //!
-//! - `schema` names the version of the last writer; its fields prevail.
-//! - A writer of version 2 stores the equivalent fields of version 1 beside its own, so that
-//!   readers of version 1 go on.
-//! - A writer of version 1 leaves fields that it does not know as they are and sets `schema` to 1.
-//!   A reader of version 2 then takes the fields of version 1, and of the others only those that
-//!   version 1 has no equivalent for.
-//! - A later version is read as version 2, as its writers will keep the fields of version 2.
+//! - `schema` is the version of the last writer, whose fields take precedence.
+//! - A writer of version 2 also stores the equivalent fields of version 1, so that readers of
+//!   version 1 keep working.
+//! - A writer of version 1 preserves fields that it does not know and sets `schema` to 1. A reader
+//!   of version 2 then uses the fields of version 1, and the fields of version 2 only where version
+//!   1 has no equivalent.
+//! - A later version is read as version 2, since its writers must keep the fields of version 2.
 
 use std::time::Duration;
 
@@ -20,18 +20,18 @@
 /// Name of the field with the version number.
 pub const FIELD: &str = "schema";
 
-/// A schema version that can be read.
+/// A supported schema version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Schema {
-    /// Flat fields, numbers with their unit in the name.
+    /// Flat fields; numbers have their unit in the field's name.
     V1,
-    /// Grouped fields, durations as text with a unit, shares as factors.
+    /// Grouped fields; durations are strings with a unit, shares are factors.
     #[default]
     V2,
 }
 
 impl Schema {
-    /// The version as `schema` writes it.
+    /// The version as a number, the value of the field `schema`.
     pub fn number(self) -> u64 {
         match self {
             Self::V1 => 1,
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     ///
-    /// When `schema` is missing or no whole number above 0.
+    /// When `schema` is missing or not a positive integer.
     pub fn of(map: &Map<String, Value>) -> Result<Self, field::Error> {
         let value = map.get(FIELD);
         match value.and_then(Value::as_u64) {
@@ -54,31 +54,31 @@
     }
 }
 
-/// How a value is written in each version.
+/// How each schema version encodes a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Encoding {
-    /// The same in both.
+    /// The same in both versions.
     Same,
-    /// Version 1: number of milliseconds. Version 2: text such as `30s`.
+    /// Version 1: number of milliseconds. Version 2: string such as `30s`.
     Millis,
-    /// Version 1: number of seconds. Version 2: text such as `1h`.
+    /// Version 1: number of seconds. Version 2: string such as `1h`.
     Seconds,
-    /// Version 1: whole number, 100 for the usual share. Version 2: factor, 1.0 for the usual.
+    /// Version 1: integer, 100 for the neutral share. Version 2: factor, 1.0 for the neutral share.
     Weight,
 }
 
-/// One value, and where each version has it.
+/// A field, with its location and encoding in each schema version.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
-    /// Name in version 1, if it is known there.
+    /// Name in version 1; `None` if version 1 has no such field.
     pub v1: Option<&'static str>,
     /// Path in version 2.
     pub v2: &'static [&'static str],
-    /// How it is written.
+    /// Encoding of the value.
     pub encoding: Encoding,
 }
 
-/// The usual share as version 1 writes it.
+/// The neutral share, 1.0, in the encoding of version 1.
 pub const NEUTRAL_WEIGHT: f64 = 100.0;
 
 impl Field {
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Whether the versions have it in different places or forms.
+    /// Whether the versions store the field at different paths.
     pub fn differs(&self) -> bool {
         self.v1.is_some_and(|v1| self.v2 != [v1])
     }
 
-    /// The field's name as `schema` has it, for messages.
+    /// The field's name in `schema`, for messages.
     pub fn name(&self, schema: Schema) -> String {
         match (schema, self.v1) {
             (Schema::V1, Some(v1)) => v1.to_owned(),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The value and the version that it is written in.
+    /// The field's value and the schema version that it is written in.
     pub fn find<'a>(
         &self,
         map: &'a Map<String, Value>,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Adds to a record of version 2 the equivalent fields of version 1.
+/// Adds the equivalent fields of version 1 to a record of version 2.
 pub fn add_v1(map: &mut Map<String, Value>, fields: &[Field]) {
     for field in fields.iter().filter(|field| field.differs()) {
         let Some(v1) = field.v1 else { continue };
@@ -128,7 +128,7 @@
     }
 }
 
-/// Removes the fields that do not prevail, so that a reader sees each value once.
+/// Removes the fields of the other version, so that each value appears once.
 pub fn strip(map: &mut Map<String, Value>, fields: &[Field], schema: Schema) {
     for field in fields.iter().filter(|field| field.differs()) {
         match (schema, field.v1) {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Turns a record of version 1 into one of version 2.
+/// Converts a record of version 1 to version 2.
 pub fn upgrade(map: &mut Map<String, Value>, fields: &[Field]) {
     for field in fields.iter().filter(|field| field.differs()) {
         let Some(v1) = field.v1 else { continue };
@@ -153,13 +153,14 @@
     map.insert(FIELD.to_owned(), Schema::V2.number().into());
 }
 
-/// The first field of version 1 in a record of version 2, where it would have no effect.
+/// The first field that a record of version 2 has under its name of version 1, where it would have
+/// no effect.
 pub fn misplaced<'a>(map: &Map<String, Value>, fields: &'a [Field]) -> Option<&'a Field> {
     let mut differing = fields.iter().filter(|field| field.differs());
     differing.find(|field| field.v1.is_some_and(|v1| map.contains_key(v1)))
 }
 
-/// Names at the top of `map` that neither version knows.
+/// Names at the top level of `map` that neither version defines.
 pub fn unknown_fields(map: &Map<String, Value>, fields: &[Field]) -> Vec<String> {
     let is_known = |name: &str| {
         let mut names = fields
--- a/fw-record/src/set.rs
+++ b/fw-record/src/set.rs
@@ -1,4 +1,4 @@
-//! All records at one revision of the store.
+//! An immutable snapshot of all records at one revision of the store, with look-up indexes.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -24,14 +24,14 @@
 use crate::service;
 use crate::team;
 
-/// A record that could not be taken as it stands in the store.
+/// A record whose stored version cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Which record.
+    /// The record.
     pub name: key::Name,
-    /// Revision of the version at fault.
+    /// Revision of the invalid version.
     pub revision: id::Revision,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub reason: String,
 }
 
@@ -44,7 +44,7 @@
     pub doc: Document,
 }
 
-/// All records at one revision. Never changes; clones share it.
+/// All records at one revision. Immutable; clones share the data.
 #[derive(Clone, Debug, Default)]
 pub struct Set(Arc<Inner>);
 
@@ -64,11 +64,11 @@
     routes: Vec<SmolStr>,
     /// Team of each key hash, in hex.
     keys: HashMap<String, id::TeamId>,
-    /// Names of budgets, the most closely aimed first.
+    /// Names of budgets, the most specific first.
     budgets: Vec<SmolStr>,
 }
 
-/// The set as it travels between processes.
+/// JSON form of the set, sent between processes.
 #[derive(Serialize, Deserialize)]
 struct WireSet {
     revision: id::Revision,
@@ -85,10 +85,10 @@
     record: Map<String, Value>,
 }
 
-/// The revision of the newest change among the keys read from below [`key::RECORDS`].
+/// The revision of the newest change among the keys below [`key::RECORDS`].
 ///
-/// The store's own revision grows with every write of every kind, so two processes that read the
-/// same records at different times would take each other's for newer. [`key::HEAD`] is written
+/// The store's global revision grows with every write to any key, so processes that read the same
+/// records at different times would each take the other's set for newer. [`key::HEAD`] is written
 /// with every change, deletions included.
 pub fn revision_of(kvs: &[kv::Kv]) -> id::Revision {
     let revisions = kvs.iter().map(|kv| kv.mod_revision);
@@ -96,14 +96,14 @@
 }
 
 impl Set {
-    /// The records among `kvs`, which were all keys below [`key::RECORDS`] at `revision`.
+    /// Builds a set from `kvs`, which must be all keys below [`key::RECORDS`] at `revision`.
     ///
-    /// A record that cannot be read is left out and named in [`Set::problems`].
+    /// A record that cannot be parsed is left out and listed in [`Set::problems`].
     pub fn from_kvs(revision: id::Revision, kvs: &[kv::Kv]) -> Self {
         Self::default().with_records(revision, kvs)
     }
 
-    /// As [`Set::from_kvs`]; of a record that cannot be read, the version in `self` stays.
+    /// Like [`Set::from_kvs`], but a record that cannot be parsed keeps its version in `self`.
     pub fn with_records(&self, revision: id::Revision, kvs: &[kv::Kv]) -> Self {
         let mut builder = Builder::default();
         for kv in kvs {
@@ -112,13 +112,13 @@
         builder.finish(revision)
     }
 
-    /// The set after the changes that a watch of [`key::RECORDS`] saw up to `revision`.
+    /// The set after the events that a watch of [`key::RECORDS`] delivered up to `revision`.
     pub fn with_events(&self, revision: id::Revision, events: &[watch::Event]) -> Self {
         let mut builder = Builder {
             versions: self.0.versions.clone(),
             problems: self.problems().to_vec(),
         };
-        // A set that came from a peer may be ahead of the watch.
+        // A set received from a peer may be ahead of the watch.
         let is_new = |event: &&watch::Event| event.kv.mod_revision > self.revision();
         for event in events.iter().filter(is_new) {
             match event.kind {
@@ -129,7 +129,7 @@
         builder.finish(revision)
     }
 
-    /// A set of records given with the revisions of their last writes.
+    /// Builds a set from records with the revisions of their last writes.
     pub fn from_documents(revision: id::Revision, docs: Vec<(id::Revision, Document)>) -> Self {
         let versions = docs.into_iter().map(|(revision, doc)| {
             let name = doc.name().clone();
@@ -142,7 +142,8 @@
         builder.finish(revision)
     }
 
-    /// The same set with an earlier version of a record that cannot be read.
+    /// The same set with `version` in force: an earlier version of a record whose stored one cannot
+    /// be parsed.
     pub fn with_version(&self, version: Version) -> Self {
         let mut builder = Builder {
             versions: self.0.versions.clone(),
@@ -152,7 +153,7 @@
         builder.finish(self.revision())
     }
 
-    /// The set as text, for another process.
+    /// Serializes the set for another process.
     pub fn to_json(&self) -> String {
         let records = self.0.versions.values().map(|version| WireRecord {
             name: version.doc.name().clone(),
@@ -167,12 +168,12 @@
         serde_json::to_string(&wire).expect("maps with text keys are valid JSON")
     }
 
-    /// Reads what [`Set::to_json`] wrote.
+    /// Parses the output of [`Set::to_json`].
     ///
     /// # Errors
     ///
-    /// When the text as a whole has another shape. A single record that cannot be read, as a
-    /// later version of the sender may know it, is left out and named in [`Set::problems`].
+    /// When the text as a whole has another shape. A single record that cannot be parsed, such as
+    /// one that only a newer sender understands, is left out and listed in [`Set::problems`].
     pub fn from_json(text: &str) -> Result<Self, serde_json::Error> {
         let wire: WireSet = serde_json::from_str(text)?;
         let mut builder = Builder {
@@ -186,7 +187,7 @@
         Ok(builder.finish(wire.revision))
     }
 
-    /// Revision of the newest change in the set; 0 for the empty set before any was read.
+    /// Revision of the newest change in the set; 0 for the empty initial set.
     pub fn revision(&self) -> id::Revision {
         self.0.revision
     }
@@ -196,12 +197,12 @@
         self.0.versions.get(name)
     }
 
-    /// All versions in force, by kind and name.
+    /// All versions in force, ordered by kind and name.
     pub fn versions(&self) -> impl Iterator<Item = &Version> {
         self.0.versions.values()
     }
 
-    /// Records that cannot be taken as they stand in the store.
+    /// Records whose stored version cannot be parsed.
     pub fn problems(&self) -> &[Problem] {
         &self.0.problems
     }
@@ -245,7 +246,7 @@
         self.service(self.0.index.models.get(model)?)
     }
 
-    /// All models that some service serves, in no order.
+    /// All models served by any service, in no particular order.
     pub fn models(&self) -> impl Iterator<Item = &id::ModelId> {
         self.0.index.models.keys()
     }
@@ -261,18 +262,18 @@
         routes.find(|route| route.covers(path))
     }
 
-    /// The team that a bearer key belongs to, by the key's BLAKE3 hash in hex.
+    /// The team that owns a bearer key, by the key's BLAKE3 hash in hex.
     pub fn team_by_key(&self, hash: &str) -> Option<id::TeamId> {
         self.0.index.keys.get(hash).cloned()
     }
 
-    /// Whether any team has keys, so that callers need one.
+    /// Whether any team has keys, in which case callers must present one.
     pub fn has_keys(&self) -> bool {
         !self.0.index.keys.is_empty()
     }
 
-    /// The budget of programs of `team` on `service`: the one aimed most closely (by both, then
-    /// by team, then by service, then by neither), among equals the first by name.
+    /// The budget of programs of `team` on `service`: the most specific one (by both, then by team,
+    /// then by service, then by neither), and among equals the first by name.
     pub fn budget_for(&self, service: &str, team: &str) -> Option<&budget::Budget> {
         let names = self.0.index.budgets.iter();
         let mut budgets = names.filter_map(|name| self.budget(name));
@@ -299,7 +300,7 @@
     }
 }
 
-/// A set that is being put together.
+/// Builds a [`Set`].
 #[derive(Default)]
 struct Builder {
     versions: BTreeMap<key::Name, Version>,
@@ -308,7 +309,7 @@
 
 impl Builder {
     fn put(&mut self, kv: &kv::Kv, previous: &Set) {
-        // Other keys below the prefix, such as the head, are no records.
+        // Other keys below the prefix, such as the head, are not records.
         let Some(name) = key::Name::from_key(&kv.key) else {
             return;
         };
@@ -316,10 +317,10 @@
         self.insert_or_keep(name, kv.mod_revision, doc, previous);
     }
 
-    /// Takes a version, or keeps the last good one.
+    /// Inserts a version, or keeps the last valid one if it cannot be parsed.
     ///
-    /// One record that cannot be read would otherwise take the whole set down, or silently drop
-    /// a service that works: its callers would be refused although nothing they use has changed.
+    /// Otherwise one invalid record would fail the whole set, or silently drop a working service:
+    /// its callers would be refused although nothing that they use has changed.
     fn insert_or_keep(
         &mut self,
         name: key::Name,
@@ -366,7 +367,7 @@
 }
 
 impl Index {
-    /// Where two records claim the same model or key, the first by name has it.
+    /// Builds the indexes. If two records claim the same model or key, the first by name gets it.
     fn new(versions: &BTreeMap<key::Name, Version>) -> Self {
         let mut index = Self::default();
         let mut routes = Vec::new();
@@ -379,7 +380,7 @@
                 Record::Budget(budget) => budgets.push(budget),
             }
         }
-        // Both sorts are stable, and the names came in order.
+        // Both sorts are stable and the versions are ordered by name, so ties go to the first name.
         routes.sort_by_key(|route| std::cmp::Reverse(route.path.len()));
         budgets.sort_by_key(|budget| std::cmp::Reverse(budget.specificity()));
         index.routes = routes.into_iter().map(|r| r.name.clone()).collect();
--- a/fw-record/src/team.rs
+++ b/fw-record/src/team.rs
@@ -21,7 +21,7 @@
     encoding: Encoding::Same,
 };
 
-/// Every field of the kind.
+/// The fields of a team record.
 pub const FIELDS: &[Field] = &[SHARE, KEY_HASHES, MAX_PROGRAMS];
 
 const SHARE_BOUNDS: RangeInclusive<f64> = 0.01..=100.0;
@@ -33,22 +33,22 @@
 /// A team of callers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: id::TeamId,
-    /// Its share relative to other teams; 1.0 is usual.
+    /// Scheduling weight relative to other teams; 1.0 is neutral.
     pub share: f64,
     /// BLAKE3 hashes of its callers' bearer keys.
     pub key_hashes: Vec<digest::Digest>,
-    /// Most programs under way at once; no bound if absent.
+    /// Most concurrent programs; unlimited if absent.
     pub max_programs: Option<u64>,
 }
 
 impl Team {
-    /// Reads the record `name`.
+    /// Parses the record `name`.
     ///
     /// # Errors
     ///
-    /// When a field is of a wrong type or out of bounds.
+    /// When a field has the wrong type or is out of bounds.
     pub fn read(name: &str, fields: &field::Reader<'_>) -> field::Result<Self> {
         let hashes = fields.texts(&KEY_HASHES, MAX_KEYS, HASH_DIGITS)?;
         let hashes = hashes.into_iter().map(|hash| hash.to_string().try_into());
--- a/fw-record/src/write.rs
+++ b/fw-record/src/write.rs
@@ -1,9 +1,9 @@
-//! Changes of records by compare-and-swap, safe against lost answers and racing writers.
+//! Changes records by compare-and-swap, safe against lost responses and concurrent writers.
 //!
-//! A change is accepted when its transaction is. The transaction compares the revision that the
-//! writer saw, writes the record and [`key::HEAD`], and moves the replaced version into the
-//! history, with the writer's nonce. After a lost answer the nonce tells whether the change took
-//! effect, even if somebody else has replaced it since.
+//! A change is accepted when its transaction commits. The transaction compares the revision that
+//! the writer expects, writes the record and [`key::HEAD`], and moves the replaced version into the
+//! history together with the writer's nonce. After a lost response the nonce shows whether the
+//! change took effect, even if another writer has replaced it since.
 
 use std::time::Duration;
 
@@ -22,14 +22,14 @@
 use crate::envelope;
 use crate::key;
 
-/// How changes are made.
+/// Options of a change.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Versions kept in a record's history.
+    /// Most versions kept in a record's history.
     pub max_versions: usize,
-    /// Most tries to find out what became of a change whose answer was lost.
+    /// Most attempts to resolve a change whose response was lost or whose comparison failed.
     pub max_attempts: u32,
-    /// Pause before each of them.
+    /// Delay before an attempt that follows a failed call to the store.
     pub retry_delay: Duration,
 }
 
@@ -46,15 +46,15 @@
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The store revision of the change: it is in force wherever the records' revision is not
-    /// lower.
+    /// The store revision of the change. It is in force in every process whose record set has this
+    /// revision or a higher one.
     pub revision: id::Revision,
-    /// Names of fields that no version knows. They are kept, and may be spelling mistakes.
+    /// Names of fields that no schema version defines. They are preserved, and may be misspelled.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub unknown: Vec<String>,
 }
 
-/// A record with the revision to compare with in the next change.
+/// A stored record, with the revision to compare with in the next change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Stored {
     /// Kind and name.
@@ -64,7 +64,7 @@
     pub revision: id::Revision,
     /// Its fields, as operators edit them.
     pub record: Map<String, Value>,
-    /// What is wrong with it, if it cannot be read.
+    /// Why it cannot be parsed, if so.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub problem: Option<String>,
 }
@@ -72,10 +72,10 @@
 /// Why a change or a read failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The record is malformed.
+    /// The record is invalid.
     #[snafu(transparent)]
     Invalid {
-        /// How.
+        /// The reason.
         source: document::Error,
     },
     /// There is no such record.
@@ -84,23 +84,23 @@
         /// Its name.
         name: key::Name,
     },
-    /// Someone else changed the record.
+    /// Another writer changed the record.
     #[snafu(display("record {name} was changed by someone else{}", revision_suffix(theirs.as_deref())))]
     Conflict {
         /// The record.
         name: key::Name,
-        /// What was to be stored; `None` for a deletion.
+        /// The version to store; `None` for a deletion.
         yours: Option<Map<String, Value>>,
-        /// What is stored; `None` if it was deleted or never there.
+        /// The stored version; `None` if it was deleted or never existed.
         theirs: Option<Box<Stored>>,
     },
-    /// The store did not answer; nothing has changed.
+    /// The call to the store failed and changed nothing.
     #[snafu(display("{source}"))]
     Store {
-        /// What it gave.
+        /// The store's error.
         source: fw_store::error::Error,
     },
-    /// The store's answer was lost, and it could not be found out what became of the change.
+    /// The store's response was lost, and reading back did not show whether the change took effect.
     #[snafu(display(
         "the change of {name} may have taken effect: its answer was lost ({source}); \
          get the record and compare before you repeat it"
@@ -111,7 +111,8 @@
         /// The last failure.
         source: fw_store::error::Error,
     },
-    /// The record was changed so often meanwhile that its history does not tell any more.
+    /// The record has since been replaced so often that its history no longer shows whether the
+    /// change took effect, or each attempt to commit it lost to another writer.
     #[snafu(display(
         "the change of {name} may have taken effect: its answer was lost and the record was \
          replaced often since; see its history"
@@ -122,11 +123,11 @@
     },
 }
 
-/// What this module returns.
+/// Result of this module's functions.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// The kind told to operators.
+    /// The error kind reported to operators.
     pub fn kind(&self) -> error::Kind {
         match self {
             Self::Invalid { .. } => error::Kind::BadRecord,
@@ -151,12 +152,12 @@
     }
 }
 
-/// Stores a record. `expected` is the revision of the version that it replaces, or 0 if there
-/// must be none yet.
+/// Stores a record. `expected` is the revision of the version that it replaces, or 0 if the record
+/// must not exist yet.
 ///
 /// # Errors
 ///
-/// When the record is malformed, someone else changed it, or the store does not answer.
+/// When the record is invalid, another writer changed it, or the store does not answer.
 pub async fn put(
     client: &Client,
     name: &key::Name,
@@ -175,7 +176,7 @@
 ///
 /// # Errors
 ///
-/// When there is no such record, someone else changed it, or the store does not answer.
+/// When there is no such record, another writer changed it, or the store does not answer.
 pub async fn delete(
     client: &Client,
     name: &key::Name,
@@ -202,7 +203,7 @@
     Ok(stored(name, kv.mod_revision, &kv.value))
 }
 
-/// Reads all records, by kind and name.
+/// Reads all records, ordered by kind and name.
 ///
 /// # Errors
 ///
@@ -217,7 +218,7 @@
     Ok(records.collect())
 }
 
-/// Reads the replaced versions of a record, oldest first. A deleted record has a history too.
+/// Reads the replaced versions of a record, oldest first. A deleted record keeps its history.
 ///
 /// # Errors
 ///
@@ -248,30 +249,30 @@
     }
 }
 
-/// One change under way.
+/// A change in progress.
 struct Change<'a> {
     name: &'a key::Name,
-    /// The new version, or `None` to delete.
+    /// The new version; `None` to delete the record.
     doc: Option<document::Document>,
     expected: id::Revision,
     nonce: envelope::Nonce,
 }
 
-/// The record's key and history at one revision of the store.
+/// The record's current version and history at one revision of the store.
 struct StoreState {
     current: Option<kv::Kv>,
     history: Vec<kv::Kv>,
 }
 
-/// What one look at the store says about a change.
+/// Status of a change, as shown by one read of the store.
 enum Status {
-    /// It took effect, at this revision.
+    /// It took effect at this revision.
     Applied(id::Revision),
-    /// It did not, and still can.
+    /// It has not taken effect, but still can.
     Pending(StoreState),
-    /// It did not, and cannot any more.
+    /// It has not taken effect and no longer can: another version is in place.
     Superseded(StoreState),
-    /// The history does not reach back far enough.
+    /// Unknown: the history does not reach back to the expected revision.
     HistoryTruncated,
 }
 
@@ -298,12 +299,12 @@
         }
     }
 
-    /// Reads back until it is known what became of the change, and repeats it only if it has not
-    /// taken effect.
+    /// Reads the store until the status of the change is clear, and repeats the transaction only if
+    /// it has not taken effect.
     ///
-    /// The transaction may also be slow rather than lost, and apply after a look that did not
-    /// find it. Repeating is safe even then: both compare the same revision, so that at most one
-    /// of the two applies, and both carry the same nonce, so that either counts.
+    /// The first transaction may be delayed rather than lost, and commit after a read that did not
+    /// find it. Repeating it is safe even then: both compare the same revision, so at most one of
+    /// them commits, and both carry the same nonce, so either one counts as this change.
     async fn resolve(
         &self,
         client: &Client,
@@ -341,7 +342,7 @@
         }
     }
 
-    /// Reads record and history together.
+    /// Reads the record and its history in one transaction.
     async fn read_state(&self, client: &Client) -> fw_store::error::Result<StoreState> {
         let read = kv::Txn {
             then: vec![
@@ -359,13 +360,13 @@
         })
     }
 
-    /// Whether the record is still the version that the change replaces.
+    /// Whether the stored version is still the one that the change replaces.
     fn is_current(&self, state: &StoreState) -> bool {
         let current = state.current.as_ref();
         current.map_or(0, |kv| kv.mod_revision) == self.expected
     }
 
-    /// Sends the transaction; `None` if its comparison failed.
+    /// Submits the transaction and returns its revision; `None` if the comparison failed.
     async fn submit(
         &self,
         client: &Client,
@@ -442,7 +443,7 @@
         Status::Superseded(state)
     }
 
-    /// The revision of this change, if the record or its history bears its nonce.
+    /// The revision of this change, if the record or its history carries its nonce.
     fn applied_at(&self, state: &StoreState) -> Option<id::Revision> {
         let current = state.current.as_ref();
         if let Some(kv) = current.filter(|kv| nonces(kv).0 == self.nonce) {
@@ -453,7 +454,7 @@
             if stored_by == self.nonce {
                 return self.name.history_revision(&kv.key);
             }
-            // The replaced version was archived by the same transaction.
+            // The same transaction archived the replaced version, so the revisions are equal.
             (replaced_by == self.nonce).then_some(kv.mod_revision)
         })
     }
@@ -473,7 +474,7 @@
     }
 }
 
-/// Nonces of the writes that stored and that replaced a version.
+/// Nonces of the write that stored a version and of the one that replaced it.
 fn nonces(kv: &kv::Kv) -> (envelope::Nonce, envelope::Nonce) {
     let envelope = envelope::Envelope::parse(&kv.value).unwrap_or_default();
     (envelope.nonce, envelope.replaced_by)
--- a/fw-record/tests/record/bad_input.rs
+++ b/fw-record/tests/record/bad_input.rs
@@ -1,4 +1,4 @@
-//! Records that are refused, and decoders under arbitrary input.
+//! Rejection of invalid records, and property tests of the decoders.
 
 use fw_record::document;
 use fw_record::envelope;
@@ -108,7 +108,7 @@
     );
 }
 
-/// JSON of any shape, with a preference for names that records use.
+/// JSON of any shape, often with field names that records use.
 fn any_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -136,7 +136,7 @@
     prop::sample::select(names).boxed()
 }
 
-/// Values that some field accepts.
+/// Values that are valid for some field.
 fn likely_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         (1..200_u64).prop_map(Value::from),
@@ -149,8 +149,8 @@
     ]
 }
 
-/// A record with those of some likely fields that its kind accepts, and sometimes one field of
-/// any shape.
+/// A record of random fields that are valid for its kind, sometimes with one more field of any
+/// shape.
 fn any_record() -> impl Strategy<Value = (key::Kind, Map<String, Value>)> {
     let fields = prop::collection::vec((any::<prop::sample::Index>(), likely_value()), 1..24);
     let extra = prop::option::weighted(0.2, (all_names(), any_json()));
@@ -187,7 +187,7 @@
     }
 }
 
-/// What a record of the kind cannot do without.
+/// A record with only the fields that its kind requires.
 fn minimal(kind: key::Kind, schema: u64) -> Map<String, Value> {
     let mut json = match (kind, schema) {
         (key::Kind::Service, _) => json!({"kind": "plain"}),
@@ -204,7 +204,7 @@
     prop::sample::select(key::Kind::ALL.to_vec())
 }
 
-/// Each case from a fixed seed; `PROPTEST_CASES` sets how many.
+/// Generates the cases from a fixed seed; `PROPTEST_CASES` sets their number.
 fn config() -> test_runner::Config {
     test_runner::Config {
         failure_persistence: None,
--- a/fw-record/tests/record/load_follow.rs
+++ b/fw-record/tests/record/load_follow.rs
@@ -1,4 +1,4 @@
-//! Sets read from the store and followed by a watch.
+//! Sets read from the store and kept up to date by a watch.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::connect;
 use crate::start;
 
-/// Longest wait for a change to come into force; a bound for the test, not a goal.
+/// Longest wait for a change to come into force; a bound for the test, not a performance target.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn name() -> key::Name {
@@ -37,8 +37,8 @@
 #[gtest]
 #[tokio::test]
 async fn changes_come_into_force_through_an_outage() {
-    // The store is away while a record is changed from elsewhere. A process that follows the
-    // records goes on with those it has, and takes the change once the store answers again.
+    // A record is changed while the store does not answer this process. The process must keep the
+    // records that it has, and apply the change once the store answers again.
     let store = start().await;
     let client = connect(&store);
     let holder = holder::Holder::default();
@@ -64,7 +64,7 @@
     follower.abort();
 }
 
-// Guards against records of any age in force for as long as their watch cannot be opened.
+// Guards against outdated records staying in force for as long as their watch cannot be opened.
 #[gtest]
 #[tokio::test]
 async fn changes_come_into_force_without_a_watch() {
@@ -87,9 +87,9 @@
 #[gtest]
 #[tokio::test]
 async fn set_has_the_same_revision_whenever_it_is_read() {
-    // The store's revision grows with every write of journals and leases. If a set took that one,
-    // processes that read the same records at different times would each take the other's for
-    // newer, and fetch it again and again.
+    // The store's global revision grows with every write of journals and leases. If a set used it,
+    // processes that read the same records at different times would each take the other's set for
+    // newer, and fetch it repeatedly.
     let store = start().await;
     let client = connect(&store);
     let opts = write::Options::default();
@@ -109,8 +109,8 @@
 #[gtest]
 #[tokio::test]
 async fn fresh_process_takes_the_last_good_version_from_history() {
-    // A record was overwritten by one that cannot be read, and a process starts afterwards: it
-    // has no last good version of its own, yet its callers need the service.
+    // A record is overwritten by an invalid version, and a process starts afterwards. It has no
+    // valid version of its own, yet its callers need the service.
     let store = start().await;
     let client = connect(&store);
     let opts = write::Options::default();
--- a/fw-record/tests/record/lost_writes.rs
+++ b/fw-record/tests/record/lost_writes.rs
@@ -1,4 +1,4 @@
-//! Changes through the store: accepted, raced, lost on the way.
+//! Changes of records under concurrent writers, lost responses and outages of the store.
 
 use std::time::Duration;
 
@@ -49,8 +49,9 @@
 #[gtest]
 #[tokio::test]
 async fn lost_answer_is_accepted_once() {
-    // An operator's write takes effect but its answer is lost. Sent again as it is, its comparison
-    // fails against itself and the operator is told of a conflict with nobody.
+    // A write takes effect but its response is lost. If it were simply repeated, its comparison
+    // would fail against its own first commit, and the operator would get a conflict although
+    // nobody else changed the record.
     let store = start().await;
     let client = connect(&store);
     store.faults(0, |faults| faults.lose_answers = 1);
@@ -78,8 +79,9 @@
 #[gtest]
 #[tokio::test]
 async fn random_losses_never_double_or_undo_a_write() {
-    // Every third answer to a write or so is lost after it took effect. Each change is accepted
-    // all the same, is made once, and an accepted revision holds that very version.
+    // About a third of the responses to writes are lost after the write took effect. Each change
+    // must still be accepted and made exactly once, and the accepted revision must be that of the
+    // stored version.
     let store = start().await;
     let client = connect(&store);
     store.faults(0, |faults| faults.lose_probability = 0.3);
@@ -96,8 +98,9 @@
 #[gtest]
 #[tokio::test]
 async fn outage_after_the_write_leaves_it_in_doubt() {
-    // The write takes effect, its answer is lost, and the store goes away before the writer can
-    // read back. "Not changed" would be a lie, and so would "accepted".
+    // The write takes effect, its response is lost, and the store stops answering before the writer
+    // can read back. The writer knows neither that it took effect nor that it did not, and must
+    // report that it may have.
     let opts = write::Options {
         max_attempts: 2,
         ..opts()
@@ -122,9 +125,9 @@
 #[gtest]
 #[tokio::test]
 async fn own_write_is_known_after_someone_replaced_it() {
-    // A write takes effect, its answer is lost, and another operator replaces the record before
-    // the first one reads back. The record no longer bears the first write's nonce; without the
-    // history it would be told as a conflict, although it was accepted and is in the history.
+    // A write takes effect, its response is lost, and another operator replaces the record before
+    // the first one reads back. The record no longer carries the first write's nonce; without the
+    // history a conflict would be reported, although the write was accepted.
     let opts = store::Options {
         ports: 2,
         ..store::Options::default()
--- a/fw-record/tests/record/main.rs
+++ b/fw-record/tests/record/main.rs
@@ -1,4 +1,4 @@
-//! Tests of records, their set and their changes.
+//! Tests of records, record sets and changes of records.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod bad_input;
--- a/fw-record/tests/record/old_new.rs
+++ b/fw-record/tests/record/old_new.rs
@@ -1,4 +1,4 @@
-//! Readers and writers of both schema versions meet each other's records.
+//! Compatibility of readers and writers of the two schema versions.
 
 use std::time::Duration;
 
@@ -75,8 +75,8 @@
 
 #[gtest]
 fn old_reader_understands_new_records() {
-    // During a migration some processes know version 1 only. A record written in version 2 must
-    // not leave them without its service, nor with other limits than the rest of the fleet.
+    // During a migration some processes support version 1 only. A record written in version 2 must
+    // not leave them without its service, nor with limits that differ from the rest of the fleet.
     for (kind, old, new) in pairs() {
         let expected = doc(kind, "a", &old);
         let new = doc(kind, "a", &new);
@@ -87,9 +87,9 @@
 
 #[gtest]
 fn change_by_an_old_writer_is_not_lost_on_new_readers() {
-    // A record of version 2 is rewritten by a process that knows version 1: it changes the fields
-    // of version 1, keeps those it does not know and sets `schema` to 1. A new reader that still
-    // looked at the fields of version 2 first would revert the change.
+    // A process that supports version 1 only rewrites a record of version 2: it changes the fields
+    // of version 1, keeps those it does not know and sets `schema` to 1. A reader of version 2 that
+    // still preferred the fields of version 2 would revert the change.
     let new = json!({
         "schema": 2, "kind": "llm", "models": ["m"], "colour": "teal",
         "timeout": {"total": "5s", "first_token": "2s"},
@@ -102,7 +102,7 @@
         panic!("a service");
     };
     expect_eq!(service.timeout.total, Duration::from_secs(7));
-    // What version 1 has no word for stays.
+    // A field without an equivalent in version 1 is kept.
     expect_eq!(service.timeout.first_token, Duration::from_secs(2));
 }
 
--- a/fw-record/tests/record/set_lookup.rs
+++ b/fw-record/tests/record/set_lookup.rs
@@ -1,4 +1,4 @@
-//! Look-ups in the set, and which set is in force.
+//! Look-ups in the set, and the choice of the set in force.
 
 use fw_base::digest;
 use fw_record::holder;
@@ -91,8 +91,8 @@
 
 #[gtest]
 fn last_good_version_stays_in_force() {
-    // An operator's tool writes one record that cannot be read. Callers of every other service,
-    // and of this one as it was, must not notice; operators see the problem by name.
+    // An operator's tool writes an invalid record. The last valid version of it and all other
+    // records must stay in force, and the problem must name the record.
     let good = kv_of(key::Kind::Team, "t", 5, &share(2.0));
     let other = kv_of(key::Kind::Team, "u", 6, &share(3.0));
     let set = set::Set::from_kvs(6, &[good, other]);
@@ -110,7 +110,8 @@
 
 #[gtest]
 fn last_good_version_survives_a_whole_read() {
-    // As before, but the process reads all records anew, as after a compaction.
+    // As `last_good_version_stays_in_force`, but the process reads all records again, as after a
+    // compaction.
     let good = kv_of(key::Kind::Team, "t", 5, &share(2.0));
     let bad = kv_of(key::Kind::Team, "t", 7, &share(-1.0));
     let set = set::Set::from_kvs(5, &[good]).with_records(7, &[bad]);
@@ -121,8 +122,8 @@
 
 #[gtest]
 fn older_set_never_replaces_a_newer() {
-    // A set read before a change arrives after the change was seen, by a slow read or a peer that
-    // lags. Taking it would revert an accepted change.
+    // A set read before a change arrives after the change is in force, from a slow read or a lagging
+    // peer. Applying it would revert an accepted change.
     let holder = holder::Holder::default();
     let newer = set::Set::from_kvs(9, &[kv_of(key::Kind::Team, "t", 9, &share(2.0))]);
     let older = set::Set::from_kvs(8, &[kv_of(key::Kind::Team, "t", 8, &share(1.0))]);
@@ -133,8 +134,8 @@
 
 #[gtest]
 fn late_event_does_not_undo_a_set_from_a_peer() {
-    // A peer's set is ahead of this process's watch, which then delivers an older change together
-    // with a newer one of another record.
+    // A set from a peer is ahead of this process's watch, which then delivers an older change
+    // together with a newer one of another record. The older one must be ignored.
     let set = set::Set::from_kvs(7, &[kv_of(key::Kind::Team, "t", 7, &share(2.0))]);
     let late = put(kv_of(key::Kind::Team, "t", 5, &share(1.0)));
     let newer = put(kv_of(key::Kind::Team, "u", 9, &share(3.0)));
