--- a/fw-conf/src/codec.rs
+++ b/fw-conf/src/codec.rs
@@ -1,4 +1,4 @@
-//! How values of each type are written in a file, and which are allowed.
+//! Codecs that parse, format and validate the values of each type of key.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 
 use smol_str::SmolStr;
 
-/// Why a value is not taken.
+/// Why a value is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// The text is not of the type.
@@ -17,24 +17,24 @@
     Range,
 }
 
-/// Reads and writes the values of one key.
+/// Parses, formats and validates the values of one key.
 pub trait Codec {
-    /// The values.
+    /// Type of the values.
     type Value: PartialEq;
 
-    /// Name of the type, as on the reference page.
+    /// Name of the type, for the reference page.
     fn type_name(&self) -> &'static str;
-    /// The allowed values, as in error messages and on the reference page.
+    /// The allowed values, for error messages and the reference page.
     fn allowed(&self) -> String;
-    /// Reads a value.
+    /// Parses a value.
     ///
     /// # Errors
     ///
-    /// When `text` is no such value or not an allowed one.
+    /// When `text` is not of the type or not an allowed value.
     fn read(&self, text: &str) -> Result<Self::Value, Rejection>;
-    /// Writes `value` so that [`Codec::read`] returns it.
+    /// Formats `value` so that [`Codec::read`] returns it.
     fn write(&self, value: &Self::Value) -> String;
-    /// Whether `value` is an allowed one.
+    /// Whether `value` is allowed.
     fn accepts(&self, value: &Self::Value) -> bool {
         let read_back = self.read(&self.write(value));
         read_back.is_ok_and(|again| again == *value)
@@ -48,7 +48,7 @@
     }
 }
 
-/// Whole and decimal numbers.
+/// Codec of integers and floating-point numbers.
 #[derive(Clone, Debug)]
 pub struct Number<T>(RangeInclusive<T>);
 
@@ -71,7 +71,7 @@
     fn read(&self, text: &str) -> Result<T, Rejection> {
         match text.parse() {
             Ok(value) => check_range(&self.0, value),
-            // A number that the type cannot hold is out of range, not of another type.
+            // An integer that does not fit the type is out of range rather than of another type.
             Err(_) if text.parse::<f64>().is_ok_and(|n| n.fract() == 0.0) => Err(Rejection::Range),
             Err(_) => Err(Rejection::Type),
         }
@@ -99,7 +99,7 @@
     ("B", 1),
 ];
 
-/// A whole number with a unit, such as `250ms`.
+/// Parses a whole number with a unit, such as `250ms`.
 fn read_scaled(text: &str, units: &[(&str, u64)]) -> Result<u64, Rejection> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (count, unit) = text.split_at(digits);
@@ -113,7 +113,7 @@
     count.checked_mul(*scale).ok_or(Rejection::Range)
 }
 
-/// `amount` in the largest unit that divides it.
+/// Formats `amount` in the largest unit that divides it.
 fn write_scaled(amount: u64, units: &[(&str, u64)]) -> String {
     let divides = |(_, scale): &&(&str, u64)| amount != 0 && amount.is_multiple_of(*scale);
     let smallest = units.len() - 1;
@@ -121,7 +121,7 @@
     format!("{}{unit}", amount / scale)
 }
 
-/// Durations: `250ms`, `3s`.
+/// Codec of durations such as `250ms` or `3s`.
 #[derive(Clone, Debug)]
 pub struct Time(RangeInclusive<Duration>);
 
@@ -153,7 +153,7 @@
     }
 }
 
-/// Sizes in bytes: `4MiB`.
+/// Codec of sizes such as `4MiB`.
 #[derive(Clone, Debug)]
 pub struct Size(RangeInclusive<usize>);
 
@@ -185,7 +185,7 @@
     }
 }
 
-/// Socket addresses: `ip:port`.
+/// Codec of socket addresses, `ip:port`.
 #[derive(Clone, Debug)]
 pub struct Address;
 
@@ -209,7 +209,7 @@
     }
 }
 
-/// URLs of the form `http://ip:port/path`.
+/// Codec of URLs of the form `http://ip:port/path`.
 #[derive(Clone, Debug)]
 pub struct Url;
 
@@ -239,7 +239,7 @@
     }
 }
 
-/// Names of instances, places and services.
+/// Codec of names of instances, places and services.
 #[derive(Clone, Debug)]
 pub struct Name;
 
@@ -267,7 +267,7 @@
     }
 }
 
-/// `true` or `false`.
+/// Codec of booleans, `true` or `false`.
 #[derive(Clone, Debug)]
 pub struct Flag;
 
@@ -291,11 +291,11 @@
     }
 }
 
-/// One of a few words.
+/// Codec of one of a fixed set of keywords.
 #[derive(Clone, Debug)]
 pub struct Choice<T: 'static>(&'static [(&'static str, T)]);
 
-/// The values that `words` names; not empty.
+/// The values named by `words`, which must not be empty.
 pub fn choice<T>(words: &'static [(&'static str, T)]) -> Choice<T> {
     Choice(words)
 }
@@ -325,7 +325,7 @@
     }
 }
 
-/// Several values, separated by commas; at least one.
+/// Codec of one or more values separated by commas.
 #[derive(Clone, Debug)]
 pub struct List<C>(pub C);
 
@@ -355,12 +355,12 @@
     }
 }
 
-/// A value that may be left out.
+/// Codec of a value that may be omitted.
 #[derive(Clone, Debug)]
 pub struct Optional<C> {
-    /// Reads the value if it is given.
+    /// Codec of the value if it is given.
     pub codec: C,
-    /// What happens when it is left out, as on the reference page.
+    /// Meaning of an omitted value, for the reference page.
     pub absent: &'static str,
 }
 
--- a/fw-conf/src/entry.rs
+++ b/fw-conf/src/entry.rs
@@ -15,25 +15,25 @@
 use crate::shared::secs;
 
 schema::settings! {
-    /// The whole settings file of an entry.
+    /// The settings file of an entry.
     Settings {
-        /// Who the entry is.
+        /// Identity of the entry.
         instance: Instance;
-        /// Where it listens.
+        /// Listening addresses.
         listen: Listen;
         /// The platform's key-value service.
         store: Store;
         /// The platform's instance list.
         platform: Platform;
-        /// Shards of programs.
+        /// Shards of programs kept by this entry.
         keeper: Keeper;
         /// Connections and calls of callers.
         callers: Callers;
         /// Calls to sides.
         upstream: Upstream;
-        /// Decisions under load.
+        /// Admission, retries and hedging.
         plan: Plan;
-        /// The way to stop.
+        /// Graceful shutdown.
         shutdown: shared::Shutdown;
         /// Log lines.
         log: shared::Log;
@@ -43,18 +43,18 @@
 }
 
 schema::section! {
-    /// Who the entry is.
+    /// Identity of the entry.
     Instance in "instance" {
-        /// Name of the process among all entries; each start needs a new one.
+        /// Name of the process, unique among all entries; each start needs a new one.
         id: Option<id::EntryId> = None,
             codec::Optional { codec: codec::Name, absent: "drawn at random at each start" };
-        /// The place that the instance stands in, such as a data centre.
+        /// The place of the instance, such as a data centre.
         place: id::PlaceId = SmolStr::new_static("local"), codec::Name, required;
     }
 }
 
 schema::section! {
-    /// Where the entry listens. Port 0 lets the system pick a free one.
+    /// Listening addresses of the entry. With port 0 the system picks a free port.
     Listen in "listen" {
         /// Address for callers' HTTP requests.
         callers: SocketAddr = LOOPBACK_ANY_PORT, codec::Address, required;
@@ -62,19 +62,18 @@
         peers: SocketAddr = LOOPBACK_ANY_PORT, codec::Address, required;
         /// Address for `/metrics` and operators' requests.
         admin: SocketAddr = SocketAddr::from(([127, 0, 0, 1], 9180)), codec::Address;
-        /// Address under which other entries reach `peers`.
+        /// Address published to other entries for reaching `peers`.
         advertise: Option<SocketAddr> = None,
             codec::Optional { codec: codec::Address, absent: "the address of `peers`" };
     }
 }
 
 schema::section! {
-    /// The platform's key-value service, met as the etcd v3 HTTP/JSON gateway.
+    /// The platform's key-value service, used through the etcd v3 HTTP/JSON gateway.
     Store in "store" {
-        /// Its addresses; the next one is tried when one does not answer.
+        /// Addresses of the service; if one does not answer, the next is tried.
         endpoints: Vec<SocketAddr> = vec![LOOPBACK_ANY_PORT], codec::List(codec::Address), required;
-        /// Longest wait for an answer. A write whose answer is late is read back before it is
-        /// repeated.
+        /// Longest wait for a response. A write that timed out is read back before it is repeated.
         timeout: Duration = secs(1), codec::time(ms(10)..=secs(30));
     }
 }
@@ -82,30 +81,30 @@
 schema::section! {
     /// The platform's list of live and leaving instances.
     Platform in "platform" {
-        /// Where the list is fetched.
+        /// URL of the list.
         instances: Option<SmolStr> = None,
             codec::Optional { codec: codec::Url, absent: "no list: upstreams come from the records" };
-        /// Time between two fetches.
+        /// Polling interval of the list.
         poll_interval: Duration = secs(2), codec::time(ms(50)..=secs(60));
     }
 }
 
 schema::section! {
-    /// The keeper orders programs' turns and makes them durable, for the shards that it leases.
+    /// The keeper orders the turns of programs and makes them durable, for the shards that it leases.
     Keeper in "keeper" {
-        /// Whether this entry keeps shards. In a large fleet only some should: the keepers share the
-        /// store's writes for commits.
+        /// Whether this entry keeps shards. In a large fleet only some entries should, since all keepers
+        /// share the store's write capacity for commits.
         enabled: bool = true, codec::Flag;
         /// Time after which the shards of a dead entry may be taken over.
         lease_ttl: Duration = secs(5), codec::time(secs(1)..=secs(60));
-        /// Shortest wait for further turns before a group of them is committed.
+        /// Shortest wait for further turns before a group commit.
         commit_window_min: Duration = ms(2), codec::time(ms(0)..=secs(1));
-        /// Longest wait for further turns before a group of them is committed.
+        /// Longest wait for further turns before a group commit.
         commit_window_max: Duration = ms(200), codec::time(ms(1)..=secs(10));
-        /// How long a finished answer waits for its commit before the caller gets it all the same,
-        /// held by keeper and side until the store answers again.
+        /// How long a finished answer waits for its commit. After that it is delivered uncommitted, and
+        /// keeper and side hold it until the store answers again.
         commit_wait: Duration = secs(1), codec::time(ms(10)..=secs(30));
-        /// Most turns held for a store that does not answer; further ones are refused.
+        /// Most turns held while the store does not answer; further ones are refused.
         pending_limit: usize = 4096, codec::number(1..=1_000_000);
     }
 }
@@ -115,11 +114,11 @@
     Callers in "callers" {
         /// Largest request body.
         body_limit: usize = 16 << 20, codec::size(1 << 10..=32 << 20);
-        /// Time that a call may take if its caller names none.
+        /// Deadline of a call whose caller sets none.
         deadline_default: Duration = secs(120), codec::time(ms(100)..=secs(3600));
-        /// Most time that a caller may ask for.
+        /// Longest deadline that a caller may set.
         deadline_max: Duration = secs(600), codec::time(ms(100)..=secs(3600));
-        /// Longest wait for a request's head; a connection without a request is closed then.
+        /// Longest wait for a request's head, after which the connection is closed.
         idle_timeout: Duration = secs(75), codec::time(secs(1)..=secs(3600));
     }
 }
@@ -129,37 +128,37 @@
     Upstream in "upstream" {
         /// Longest wait for a connection.
         connect_timeout: Duration = ms(500), codec::time(ms(10)..=secs(30));
-        /// Time between two heartbeats to one side.
+        /// Interval of heartbeats to each side.
         heartbeat_interval: Duration = ms(500), codec::time(ms(20)..=secs(30));
-        /// Most heartbeats that this entry sends in a second; with many upstreams the interval grows.
+        /// Most heartbeats that this entry sends per second; with many upstreams the interval grows.
         heartbeats_per_second: u32 = 28, codec::number(1..=100_000);
-        /// Heartbeats or calls in a row that fail before an upstream gets no new work for a while.
+        /// Consecutive failed heartbeats or calls after which an upstream gets no new work for a while.
         missed_heartbeats: u32 = 3, codec::number(1..=100);
-        /// How long a read waits at the side for the next event of an attempt.
+        /// Long-poll timeout of a read at the side for the next event of an attempt.
         read_wait: Duration = secs(1), codec::time(ms(10)..=secs(30));
-        /// Entries of an upstream's own place that send it heartbeats and calls.
+        /// Number of entries in an upstream's own place that send it heartbeats and calls.
         watchers_near: usize = 3, codec::number(1..=1024);
-        /// Entries of other places that send an upstream heartbeats and calls.
+        /// Number of entries in other places that send an upstream heartbeats and calls.
         watchers_far: usize = 1, codec::number(0..=1024);
-        /// With no more upstreams than this, every entry sends heartbeats and calls to all.
+        /// Up to this number of upstreams, every entry sends heartbeats and calls to all of them.
         watch_all: usize = 128, codec::number(0..=100_000);
     }
 }
 
 schema::section! {
-    /// Decisions under load.
+    /// Admission, retries and hedging.
     Plan in "plan" {
-        /// Queueing delay that admission aims at.
+        /// Target queueing delay of admission control.
         target_delay: Duration = ms(100), codec::time(ms(1)..=secs(60));
-        /// Fewest calls under way that the learned limit sinks to.
+        /// Lower bound of the adaptive concurrency limit.
         limit_min: u32 = 4, codec::number(1..=100_000);
-        /// Most calls under way that the learned limit grows to.
+        /// Upper bound of the adaptive concurrency limit.
         limit_max: u32 = 4096, codec::number(1..=1_000_000);
-        /// Retries that each first attempt pays for.
+        /// Retries that each first attempt adds to the retry budget.
         retry_ratio: f64 = 0.1, codec::number(0.0..=1.0);
-        /// Whether a slow idempotent read is sent to a second upstream.
+        /// Whether a slow idempotent read is hedged to a second upstream.
         hedge: bool = true, codec::Flag;
-        /// Shortest wait before such a read is sent again, once its usual latency is known.
+        /// Shortest delay before a read is hedged, once its usual latency is known.
         hedge_delay: Duration = ms(2), codec::time(ms(1)..=secs(30));
     }
 }
@@ -173,7 +172,7 @@
 }
 
 impl Settings {
-    /// The address that other entries are told, given where `peers` really listens.
+    /// The address published to other entries, given the bound address of `peers`.
     pub fn advertised(&self, bound: SocketAddr) -> SocketAddr {
         self.listen.advertise.unwrap_or(bound)
     }
--- a/fw-conf/src/error.rs
+++ b/fw-conf/src/error.rs
@@ -1,11 +1,11 @@
-//! What is wrong with a settings file.
+//! Errors in settings files.
 
 use std::fmt;
 
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// Everything that is wrong with one file; never empty.
+/// All problems of one file; never empty.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{}", join_lines(problems)))]
 pub struct Errors {
@@ -13,7 +13,7 @@
     pub problems: Vec<Problem>,
 }
 
-/// One thing that is wrong with a file.
+/// One problem of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// Name of the file.
@@ -25,32 +25,32 @@
     pub section: Option<SmolStr>,
     /// The key, if the problem concerns one.
     pub key: Option<SmolStr>,
-    /// What is wrong.
+    /// The fault.
     pub fault: Fault,
-    /// What is allowed instead.
+    /// The allowed values; empty if the fault states them or there are none.
     pub allowed: SmolStr,
 }
 
-/// What is wrong.
+/// Kind of fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The file cannot be read.
     Unreadable(SmolStr),
-    /// The line is not part of the INI format.
+    /// The line is not valid INI.
     Syntax(SmolStr),
     /// There is no such section.
     UnknownSection,
     /// There is no such key in the section.
     UnknownKey,
-    /// The key was given before, on the line named.
+    /// The key is already set, on the line of this number.
     Repeated(usize),
-    /// A required key is not given.
+    /// A required key is missing.
     Missing,
     /// The value is not of the key's type.
     Type(SmolStr),
     /// The value is outside the key's range.
     Range(SmolStr),
-    /// The value contradicts that of another key.
+    /// The value conflicts with the value of another key.
     Conflict(SmolStr),
 }
 
--- a/fw-conf/src/key.rs
+++ b/fw-conf/src/key.rs
@@ -1,8 +1,8 @@
-//! What the reference page and the checks know of each key.
+//! Descriptions of sections and keys, for the reference page and for validation.
 
 use crate::codec;
 
-/// Describes one key.
+/// Description of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Key {
     /// Its section.
@@ -11,11 +11,11 @@
     pub name: &'static str,
     /// Name of its type.
     pub type_name: &'static str,
-    /// The value it has when it is not given; absent for a required key.
+    /// The default value as text; `None` for a required key.
     pub default: Option<String>,
     /// The allowed values.
     pub allowed: String,
-    /// What it is for.
+    /// Its purpose.
     pub doc: String,
     /// Whether the default is an allowed value.
     pub default_is_allowed: bool,
@@ -26,13 +26,13 @@
 pub struct Section {
     /// Its name.
     pub name: &'static str,
-    /// What it is for.
+    /// Its purpose.
     pub doc: String,
     /// Its keys in the order of the page.
     pub keys: Vec<Key>,
 }
 
-/// Whether a key must be given.
+/// Whether a key is required.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Presence {
     Optional,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Lines of a doc comment as one text.
+/// Joins the lines of a doc comment into one.
 pub(crate) fn join_lines(doc: &[&str]) -> String {
     let lines: Vec<_> = doc.iter().map(|line| line.trim()).collect();
     lines.join(" ")
--- a/fw-conf/src/lib.rs
+++ b/fw-conf/src/lib.rs
@@ -1,8 +1,9 @@
-//! INI settings of both programs, every key checked.
+//! INI settings of the entry and the side, with validation of every key.
 //!
 //! [`entry::Settings`] and [`side::Settings`] are read by their `load` or `parse`, which report
-//! every unknown, missing, malformed and out-of-range key together. Each section's keys stand in
-//! one table, from which the structs, the parser and the reference page ([`page`]) are made.
+//! every unknown, missing, malformed and out-of-range key at once. The keys of each section are
+//! declared in one table, from which the structs, the parser and the reference page ([`page`]) are
+//! generated.
 //!
 //! ```
 //! use fw_conf::side;
--- a/fw-conf/src/lines.rs
+++ b/fw-conf/src/lines.rs
@@ -1,10 +1,10 @@
-//! Splits a file into keys and values that know their lines.
+//! Splits a file into sections, keys and values with their line numbers.
 
 use ini::Ini;
 use ini::ParseOption;
 use smol_str::SmolStr;
 
-/// What one line holds.
+/// Content of one line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Line {
     Section(SmolStr),
@@ -20,13 +20,13 @@
     pub line: Line,
 }
 
-/// Longest piece of a bad line or value that an error shows, in characters.
+/// Longest excerpt of an invalid line or value in an error message, in characters.
 const MAX_EXCERPT_CHARS: usize = 60;
 
-/// The lines of `text` that mean something.
+/// Splits `text` into its lines, without empty lines and comments.
 ///
-/// rust-ini keeps no line numbers, and joins a line without `=` to the next one; so it is given
-/// one line at a time, and each error names the line that it comes from.
+/// rust-ini keeps no line numbers and joins a line without `=` to the next one. It is therefore
+/// given one line at a time, so that each error names its line.
 pub(crate) fn split(text: &[u8]) -> Vec<NumberedLine> {
     let mut lines = Vec::new();
     for (index, bytes) in text.split(|b| *b == b'\n').enumerate() {
@@ -41,7 +41,7 @@
 }
 
 fn parse(line: &str) -> Vec<Line> {
-    // Values are taken as they stand: no escapes, and quotes are part of the value.
+    // Values are taken literally: no escapes, and quotes are part of the value.
     let opts = ParseOption {
         enabled_quote: false,
         enabled_escape: false,
@@ -62,7 +62,7 @@
     found
 }
 
-/// The beginning of `text`, without control characters.
+/// The beginning of `text`, with control characters removed.
 pub(crate) fn excerpt(text: &str) -> SmolStr {
     let printable = text.chars().filter(|c| !c.is_control());
     printable.take(MAX_EXCERPT_CHARS).collect()
--- a/fw-conf/src/reader.rs
+++ b/fw-conf/src/reader.rs
@@ -1,4 +1,4 @@
-//! Takes the keys of one file and collects what is wrong with them.
+//! Reads the keys of one file and collects its problems.
 
 use smol_str::SmolStr;
 
@@ -7,7 +7,7 @@
 use crate::key;
 use crate::lines;
 
-/// A key as the file gives it.
+/// A key as given in the file.
 struct GivenKey {
     section: SmolStr,
     key: SmolStr,
@@ -15,7 +15,7 @@
     line: usize,
 }
 
-/// A value that contradicts that of another key.
+/// A value that conflicts with the value of another key.
 pub(crate) struct Conflict {
     pub section: &'static str,
     pub key: &'static str,
@@ -23,9 +23,9 @@
 }
 
 impl Conflict {
-    /// The conflict, if it is there.
-    pub fn when(self, is_there: bool) -> Option<Self> {
-        is_there.then_some(self)
+    /// The conflict if `exists`.
+    pub fn when(self, exists: bool) -> Option<Self> {
+        exists.then_some(self)
     }
 }
 
@@ -53,7 +53,7 @@
         reader
     }
 
-    /// The value of a key, or `default` if it is not given or wrong.
+    /// The value of a key, or `default` if it is missing or invalid.
     pub fn take<C: codec::Codec>(
         &mut self,
         section: &'static str,
@@ -80,7 +80,7 @@
         default
     }
 
-    /// Reports values that contradict each other.
+    /// Reports values that conflict with each other.
     pub fn add_conflicts(&mut self, conflicts: Vec<Conflict>) {
         for Conflict { section, key, why } in conflicts {
             let given = self.find(section, key).map(|given| given.line);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// `settings`, if nothing is wrong.
+    /// Returns `settings` if no problem was found, and all problems otherwise.
     pub fn finish<T>(mut self, settings: T) -> Result<T, error::Errors> {
         if self.problems.is_empty() {
             return Ok(settings);
--- a/fw-conf/src/schema.rs
+++ b/fw-conf/src/schema.rs
@@ -1,6 +1,6 @@
-//! Macros that make a settings struct, its defaults, its parser and its description of one table.
+//! Macros that generate a settings struct, its defaults, parser and description from one table.
 
-/// Whether a key must be given, from the mark after its codec.
+/// Whether a key is required, from the optional `required` after its codec.
 macro_rules! presence {
     () => {
         $crate::key::Presence::Optional
@@ -10,8 +10,8 @@
     };
 }
 
-/// Makes the struct of a section. A row is `key: type = default, codec;` or, for a key without
-/// which a file is not accepted, `key: type = default, codec, required;`.
+/// Generates the struct of a section. A row is `key: type = default, codec;` or, for a required
+/// key, `key: type = default, codec, required;`.
 macro_rules! section {
     (
         $(#[doc = $about:literal])+
@@ -74,8 +74,8 @@
     };
 }
 
-/// Makes the struct of a whole file out of its sections. The type's `conflicts` method names
-/// values that contradict each other.
+/// Generates the struct of a whole file from its sections. The type's `conflicts` method returns
+/// the values that conflict with each other.
 macro_rules! settings {
     (
         $(#[doc = $about:literal])+
@@ -96,7 +96,7 @@
         }
 
         impl $name {
-            /// Every section and key of the file.
+            /// Describes every section and key of the file.
             pub fn describe() -> Vec<$crate::key::Section> {
                 vec![$(<$type>::describe()),*]
             }
@@ -105,7 +105,7 @@
             ///
             /// # Errors
             ///
-            /// Everything that is wrong with the file, together.
+            /// All problems of the file.
             pub fn load(path: &std::path::Path) -> Result<Self, $crate::error::Errors> {
                 let file = path.display().to_string();
                 match std::fs::read(path) {
@@ -114,11 +114,11 @@
                 }
             }
 
-            /// Reads settings from `text`; `file` names it in errors.
+            /// Parses settings from `text`; `file` is its name in errors.
             ///
             /// # Errors
             ///
-            /// Everything that is wrong with the text, together.
+            /// All problems of the text.
             pub fn parse(
                 file: &str,
                 text: impl AsRef<[u8]>,
--- a/fw-conf/src/shared.rs
+++ b/fw-conf/src/shared.rs
@@ -1,4 +1,4 @@
-//! Sections that both programs have.
+//! Sections that the entry and the side have in common.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use crate::codec;
 use crate::schema;
 
-/// A port of the loopback interface that the system picks.
+/// A loopback address with port 0, for which the system picks a free port.
 pub(crate) const LOOPBACK_ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
@@ -19,16 +19,16 @@
     Duration::from_secs(count)
 }
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The least severe lines that are written.
+/// The lowest severity that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
     /// Errors only.
@@ -44,7 +44,7 @@
 }
 
 impl Level {
-    /// The word for the level, as `tracing` reads it.
+    /// The level's name, as parsed by `tracing`.
     pub fn as_str(self) -> &'static str {
         let found = LEVELS.iter().find(|(_, level)| *level == self);
         found.map_or("info", |(word, _)| word)
@@ -62,9 +62,9 @@
 ];
 
 schema::section! {
-    /// What happens between the order to stop and the end of the process.
+    /// Graceful shutdown, from the request to stop to the end of the process.
     Shutdown in "shutdown" {
-        /// How long requests under way may take to end before the process ends anyway.
+        /// How long requests in progress may take to finish before the process exits anyway.
         drain_timeout: Duration = secs(60), codec::time(ms(100)..=secs(3600));
     }
 }
@@ -72,9 +72,9 @@
 schema::section! {
     /// Log lines, on standard error.
     Log in "log" {
-        /// How lines are written.
+        /// Format of log lines.
         format: Format = Format::Human, codec::choice(FORMATS);
-        /// The least severe lines that are written.
+        /// The lowest severity that is logged.
         level: Level = Level::Info, codec::choice(LEVELS);
     }
 }
--- a/fw-conf/tests/conf/any_bytes.rs
+++ b/fw-conf/tests/conf/any_bytes.rs
@@ -1,11 +1,11 @@
-//! Files of any content are read or refused, and never crash the reader.
+//! Property tests: files of any content are accepted or rejected without a panic.
 
 use fw_conf::entry;
 use fw_conf::key;
 use fw_conf::side;
 use proptest::prelude::*;
 
-/// Lines that look like settings, with known names as often as not.
+/// Lines that resemble settings, most with known names of sections or keys.
 fn line() -> impl Strategy<Value = String> {
     let sections = entry::Settings::describe();
     let keys: Vec<key::Key> = sections.into_iter().flat_map(|s| s.keys).collect();
--- a/fw-conf/tests/conf/every_fault.rs
+++ b/fw-conf/tests/conf/every_fault.rs
@@ -1,4 +1,4 @@
-//! Files that are refused: every fault is named, with its line and what is allowed.
+//! Rejected files: every fault is reported with its line and the allowed values.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 
 use crate::good_files;
 
-/// Line, key and fault of each problem.
+/// Line, key and fault of each problem; line 0 stands for none.
 fn faults(errs: &error::Errors) -> Vec<(usize, String, error::Fault)> {
     let problems = errs.problems.iter();
     let fault = |p: &error::Problem| {
@@ -21,8 +21,9 @@
 
 #[gtest]
 fn all_faults_are_reported_together() {
-    // An operator mends a file once, not once per fault: an unknown key, a missing one, a wrong
-    // type, a value out of range, a repeated key and a line without `=` are named in one go.
+    // All faults must be reported at once, so that an operator corrects a file once and not once per
+    // fault: an unknown key, a missing one, a wrong type, a value out of range, a repeated key and a
+    // line without `=`.
     let text = "\
 [instance]
 palce = surat
@@ -109,8 +110,8 @@
 
 #[gtest]
 fn an_entry_that_nobody_can_reach_is_refused() {
-    // Two entries listen on 0.0.0.0 and would publish that as their address: each would then call
-    // itself in place of the keeper, and programs of the other's shards could not be reached.
+    // Two entries that listen on 0.0.0.0 would publish that as their address. Each would then call
+    // itself instead of the keeper, and programs of the other's shards could not be reached.
     let text = good_files::ENTRY.replace("peers = 10.0.0.1", "peers = 0.0.0.0");
     let errs = entry::Settings::parse("entry.ini", &text).unwrap_err();
     expect_that!(errs.problems[0].key.as_deref(), some(eq("advertise")));
--- a/fw-conf/tests/conf/good_files.rs
+++ b/fw-conf/tests/conf/good_files.rs
@@ -1,4 +1,4 @@
-//! Files that are accepted.
+//! Valid files.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use fw_conf::side;
 use googletest::prelude::*;
 
-/// The least that an entry needs.
+/// A minimal settings file of an entry.
 pub const ENTRY: &str = "\
 [instance]
 place = surat-hall-a
@@ -18,7 +18,7 @@
 endpoints = 10.0.1.1:2379, 10.0.1.2:2379
 ";
 
-/// The least that a side needs.
+/// A minimal settings file of a side.
 pub const SIDE: &str = "\
 [instance]
 id = engine-1
--- a/fw-conf/tests/conf/settings_page.rs
+++ b/fw-conf/tests/conf/settings_page.rs
@@ -1,4 +1,4 @@
-//! The reference page and the tables that it is made from.
+//! The settings reference page and the tables that it is generated from.
 
 use std::path::Path;
 
@@ -19,7 +19,7 @@
 fn page_equals_the_tables() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/SETTINGS.md");
     let written = std::fs::read_to_string(path).unwrap();
-    // To mend: cargo run -p fw-conf --example settings_page
+    // To update the page: cargo run -p fw-conf --example settings_page
     expect_that!(written == page::markdown(), eq(true));
 }
 
