--- a/fw-conf/src/entry.rs
+++ b/fw-conf/src/entry.rs
@@ -73,7 +73,8 @@
     Store in "store" {
         /// Addresses of the service; if one does not answer, the next is tried.
         endpoints: Vec<SocketAddr> = vec![LOOPBACK_ANY_PORT], codec::List(codec::Address), required;
-        /// Longest wait for a response. A write that timed out is read back before it is repeated.
+        /// Longest wait for a response. A write that timed out is read back before it is
+        /// repeated.
         timeout: Duration = secs(1), codec::time(ms(10)..=secs(30));
     }
 }
@@ -90,10 +91,11 @@
 }
 
 schema::section! {
-    /// The keeper orders the turns of programs and makes them durable, for the shards that it leases.
+    /// The keeper orders the turns of programs and makes them durable, for the shards that it
+    /// leases.
     Keeper in "keeper" {
-        /// Whether this entry keeps shards. In a large fleet only some entries should, since all keepers
-        /// share the store's write capacity for commits.
+        /// Whether this entry keeps shards. In a large fleet only some entries should, since all
+        /// keepers share the store's write capacity for commits.
         enabled: bool = true, codec::Flag;
         /// Time after which the shards of a dead entry may be taken over.
         lease_ttl: Duration = secs(5), codec::time(secs(1)..=secs(60));
@@ -101,8 +103,8 @@
         commit_window_min: Duration = ms(2), codec::time(ms(0)..=secs(1));
         /// Longest wait for further turns before a group commit.
         commit_window_max: Duration = ms(200), codec::time(ms(1)..=secs(10));
-        /// How long a finished answer waits for its commit. After that it is delivered uncommitted, and
-        /// keeper and side hold it until the store answers again.
+        /// How long a finished answer waits for its commit. After that it is delivered
+        /// uncommitted, and keeper and side hold it until the store answers again.
         commit_wait: Duration = secs(1), codec::time(ms(10)..=secs(30));
         /// Most turns held while the store does not answer; further ones are refused.
         pending_limit: usize = 4096, codec::number(1..=1_000_000);
@@ -130,9 +132,11 @@
         connect_timeout: Duration = ms(500), codec::time(ms(10)..=secs(30));
         /// Interval of heartbeats to each side.
         heartbeat_interval: Duration = ms(500), codec::time(ms(20)..=secs(30));
-        /// Most heartbeats that this entry sends per second; with many upstreams the interval grows.
+        /// Most heartbeats that this entry sends per second; with many upstreams the interval
+        /// grows.
         heartbeats_per_second: u32 = 28, codec::number(1..=100_000);
-        /// Consecutive failed heartbeats or calls after which an upstream gets no new work for a while.
+        /// Consecutive failed heartbeats or calls after which an upstream gets no new work for a
+        /// while.
         missed_heartbeats: u32 = 3, codec::number(1..=100);
         /// Long-poll timeout of a read at the side for the next event of an attempt.
         read_wait: Duration = secs(1), codec::time(ms(10)..=secs(30));
--- a/fw-conf/src/side.rs
+++ b/fw-conf/src/side.rs
@@ -74,7 +74,8 @@
         kind: Kind = Kind::Llm, codec::choice(KINDS);
         /// Address on which the upstream serves HTTP.
         address: SocketAddr = LOOPBACK_ANY_PORT, codec::Address, required;
-        /// Most calls that the upstream runs concurrently; 0 if unknown until its first load report.
+        /// Most calls that the upstream runs concurrently; 0 if unknown until its first load
+        /// report.
         batch: u32 = 0, codec::number(0..=65_536);
         /// Longest wait for a connection.
         connect_timeout: Duration = ms(500), codec::time(ms(10)..=secs(30));
--- a/fw-conf/tests/conf/every_fault.rs
+++ b/fw-conf/tests/conf/every_fault.rs
@@ -21,9 +21,9 @@
 
 #[gtest]
 fn all_faults_are_reported_together() {
-    // All faults must be reported at once, so that an operator corrects a file once and not once per
-    // fault: an unknown key, a missing one, a wrong type, a value out of range, a repeated key and a
-    // line without `=`.
+    // All faults must be reported at once, so that an operator corrects a file once and not once
+    // per fault: an unknown key, a missing one, a wrong type, a value out of range, a repeated key
+    // and a line without `=`.
     let text = "\
 [instance]
 palce = surat
--- a/fw-record/src/write.rs
+++ b/fw-record/src/write.rs
@@ -85,7 +85,10 @@
         name: key::Name,
     },
     /// Another writer changed the record.
-    #[snafu(display("record {name} was changed by someone else{}", revision_suffix(theirs.as_deref())))]
+    #[snafu(display(
+        "record {name} was changed by someone else{}",
+        revision_suffix(theirs.as_deref())
+    ))]
     Conflict {
         /// The record.
         name: key::Name,
--- a/fw-record/tests/record/set_lookup.rs
+++ b/fw-record/tests/record/set_lookup.rs
@@ -122,8 +122,8 @@
 
 #[gtest]
 fn older_set_never_replaces_a_newer() {
-    // A set read before a change arrives after the change is in force, from a slow read or a lagging
-    // peer. Applying it would revert an accepted change.
+    // A set read before a change arrives after the change is in force, from a slow read or a
+    // lagging peer. Applying it would revert an accepted change.
     let holder = holder::Holder::default();
     let newer = set::Set::from_kvs(9, &[kv_of(key::Kind::Team, "t", 9, &share(2.0))]);
     let older = set::Set::from_kvs(8, &[kv_of(key::Kind::Team, "t", 8, &share(1.0))]);
