--- a/fw-conf/src/codec.rs
+++ b/fw-conf/src/codec.rs
@@ -197,7 +197,7 @@
     }
 
     fn allowed(&self) -> String {
-        "ip:port, by IP number".to_owned()
+        "ip:port, with a numeric IP address".to_owned()
     }
 
     fn read(&self, text: &str) -> Result<SocketAddr, Rejection> {
@@ -221,7 +221,7 @@
     }
 
     fn allowed(&self) -> String {
-        "http://ip:port/path, by IP number".to_owned()
+        "http://ip:port/path, with a numeric IP address".to_owned()
     }
 
     fn read(&self, text: &str) -> Result<SmolStr, Rejection> {
--- a/fw-conf/src/entry.rs
+++ b/fw-conf/src/entry.rs
@@ -189,13 +189,13 @@
             Conflict {
                 section: "listen",
                 key: "advertise",
-                why: "`peers` listens on every address: give one that other entries can reach",
+                why: "`peers` listens on all addresses: set one that other entries can reach",
             }
             .when(no_address),
             Conflict {
                 section: "listen",
                 key: "advertise",
-                why: "0.0.0.0 and :: cannot be reached: give the instance's own address",
+                why: "0.0.0.0 and :: are not reachable: set the instance's own address",
             }
             .when(advertised.is_some_and(|ip| ip.is_unspecified())),
             Conflict {
--- a/fw-conf/src/error.rs
+++ b/fw-conf/src/error.rs
@@ -58,11 +58,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unreadable(why) => write!(f, "cannot be read: {why}"),
-            Self::Syntax(why) => write!(f, "not understood: {why}"),
+            Self::Syntax(why) => write!(f, "syntax error: {why}"),
             Self::UnknownSection => f.write_str("unknown section"),
             Self::UnknownKey => f.write_str("unknown key"),
-            Self::Repeated(line) => write!(f, "given before, on line {line}"),
-            Self::Missing => f.write_str("required, but missing"),
+            Self::Repeated(line) => write!(f, "already set on line {line}"),
+            Self::Missing => f.write_str("required key is missing"),
             Self::Type(value) => write!(f, "wrong type: `{value}`"),
             Self::Range(value) => write!(f, "out of range: `{value}`"),
             Self::Conflict(why) => f.write_str(why),
--- a/fw-conf/src/reader.rs
+++ b/fw-conf/src/reader.rs
@@ -154,7 +154,7 @@
                     let names: Vec<_> = section.keys.iter().map(|k| k.name).collect();
                     names.join(", ")
                 }
-                None if given.section.is_empty() => "keys below a `[section]`".to_owned(),
+                None if given.section.is_empty() => "keys within a `[section]`".to_owned(),
                 None => "keys of known sections".to_owned(),
             };
             self.problems.push(error::Problem {
--- a/fw-conf/src/side.rs
+++ b/fw-conf/src/side.rs
@@ -123,7 +123,7 @@
         let check = Conflict {
             section: "queue",
             key: "window",
-            why: "must not be below the engine's `batch`, or its slots stay empty",
+            why: "must not be below the engine's `batch`, or batch slots stay unused",
         };
         check.when(window_below_batch).into_iter().collect()
     }
--- a/fw-record/src/admin.rs
+++ b/fw-record/src/admin.rs
@@ -96,8 +96,8 @@
     let revision = value.and_then(|(_, value)| value.parse().ok());
     revision.filter(|revision| *revision >= 0).ok_or_else(|| {
         Refusal::Request(
-            "query `revision` must be the revision of the version to replace, or 0 if there \
-             must be none yet"
+            "query `revision` must be the revision of the version to replace, or 0 if the \
+             record must not exist yet"
                 .to_owned(),
         )
     })
--- a/fw-record/src/field.rs
+++ b/fw-record/src/field.rs
@@ -91,7 +91,7 @@
         let fits = |text: &&str| (1..=max).contains(&text.len());
         match value.as_str().filter(fits) {
             Some(text) => Ok(Some(text.into())),
-            None => Err(self.invalid(field, format!("a text of 1 to {max} bytes"))),
+            None => Err(self.invalid(field, format!("a string of 1 to {max} bytes"))),
         }
     }
 
@@ -109,7 +109,7 @@
             texts.collect::<Option<Vec<_>>>()
         });
         texts.ok_or_else(|| {
-            let expected = format!("an array of at most {max} texts of 1 to {max_len} bytes");
+            let expected = format!("an array of at most {max} strings of 1 to {max_len} bytes");
             self.invalid(field, expected)
         })
     }
--- a/fw-record/src/load.rs
+++ b/fw-record/src/load.rs
@@ -61,7 +61,7 @@
 pub async fn follow(client: &client::Client, holder: &holder::Holder) {
     loop {
         if let Err(err) = follow_once(client, holder).await {
-            tracing::debug!(%err, "the watch of the records starts again");
+            tracing::debug!(%err, "restarting the watch of the records");
         }
         tokio::time::sleep(client.options().watch_backoff).await;
     }
@@ -77,11 +77,11 @@
             Ok(batch) => apply(holder, &batch),
             Err(err @ Error::Compacted { .. }) => return Err(err),
             Err(err) if watch.age() > client.options().watch_idle_timeout => {
-                tracing::warn!(%err, age = ?watch.age(), "the watch of the records fails; they are read anew");
+                tracing::warn!(%err, age = ?watch.age(), "watch of the records keeps failing; reading all records");
                 return Err(err);
             }
             // The watch resumes by itself once the store answers again.
-            Err(err) => tracing::debug!(%err, "the watch of the records broke"),
+            Err(err) => tracing::debug!(%err, "watch of the records failed; retrying"),
         }
     }
 }
--- a/fw-record/src/route.rs
+++ b/fw-record/src/route.rs
@@ -114,7 +114,8 @@
         .all(|b| b.is_ascii_graphic() && !b"?#%".contains(&b));
     let is_dotted = path.split('/').any(|part| matches!(part, "." | ".."));
     if !path.starts_with('/') || !is_clean || is_dotted {
-        let expected = "a path that begins with `/`, without `?`, `#`, `%`, `.` or `..`";
+        let expected =
+            "a path that begins with `/`, without `?`, `#`, `%` or segments `.` and `..`";
         return Err(fields.invalid(&PATH, expected));
     }
     let path = match path.trim_end_matches('/') {
@@ -135,7 +136,7 @@
     let methods = fields.texts(&REPEATABLE, MAX_METHODS, MAX_METHOD)?;
     let is_method = |method: &SmolStr| method.bytes().all(|b| b.is_ascii_uppercase());
     if !methods.iter().all(is_method) {
-        return Err(fields.invalid(&REPEATABLE, "methods in capitals, such as `GET`"));
+        return Err(fields.invalid(&REPEATABLE, "methods in upper case, such as `GET`"));
     }
     Ok(methods.into_iter().collect())
 }
--- a/fw-record/src/write.rs
+++ b/fw-record/src/write.rs
@@ -105,8 +105,8 @@
     },
     /// The store's response was lost, and reading back did not show whether the change took effect.
     #[snafu(display(
-        "the change of {name} may have taken effect: its answer was lost ({source}); \
-         get the record and compare before you repeat it"
+        "the change of {name} may have taken effect: the store's response was lost ({source}); \
+         read the record and compare before repeating the change"
     ))]
     InDoubt {
         /// The record.
@@ -117,8 +117,8 @@
     /// The record has since been replaced so often that its history no longer shows whether the
     /// change took effect, or each attempt to commit it lost to another writer.
     #[snafu(display(
-        "the change of {name} may have taken effect: its answer was lost and the record was \
-         replaced often since; see its history"
+        "the change of {name} may have taken effect: the store's response was lost and the record \
+         has been replaced many times since; check its history"
     ))]
     HistoryTruncated {
         /// The record.
@@ -151,7 +151,7 @@
 fn revision_suffix(theirs: Option<&Stored>) -> String {
     match theirs {
         Some(theirs) => format!(", at revision {}", theirs.revision),
-        None => ": it is not there".to_owned(),
+        None => ": it does not exist".to_owned(),
     }
 }
 
