--- a/fw-entry/src/connection/recover.rs
+++ b/fw-entry/src/connection/recover.rs
@@ -1,11 +1,11 @@
-//! Brings turns that the journal lacks into it, once their shard has another keeper.
+//! Recovery after a take-over: commits answered turns that are missing in the journal of a shard.
 //!
-//! While the store does not answer, callers are given answers that only the keeper and the side
-//! hold. If the keeper dies, or is cut off until its lease lapses, its successor finds a journal
-//! without them: their callers hold a history that the system would not know. Sides name such
-//! shards in their heartbeats ([`super::recover_sides`]), and other entries are asked for what they
-//! gave out ([`super::recover_entries`]), since the keeper before may live. Until all were heard, by the
-//! rule of [`takeover`], the successor takes no turn.
+//! While the store does not answer, callers receive answers that only the keeper and the side hold.
+//! If the keeper dies, or is cut off until its lease lapses, its successor reads a journal without
+//! them, and callers would hold a history that the system does not have. Sides name such shards in
+//! their replies to heartbeats ([`super::recover_sides`]). Other entries are queried for the answers
+//! that they delivered ([`super::recover_entries`]), since the previous keeper may still run. The
+//! successor takes no turn until all have answered, as [`takeover`] decides.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -28,66 +28,67 @@
 /// Counter of held turns, by outcome.
 pub const RECOVERED: &str = "fw_entry_turns_recovered_total";
 
-/// What became of a turn that another process holds.
-pub(super) enum Taken {
-    /// It is committed here, or was before; it is in the store once this change is.
-    Here(keeper::Ticket),
-    /// A turn before it is missing.
+/// Outcome of recovering a turn that another process holds.
+pub(super) enum Recovery {
+    /// The turn is committed here, now or earlier; it is durable once the ticket's change is.
+    Committed(keeper::Ticket),
+    /// An earlier turn of the program is missing.
     Gap,
-    /// Its shard is not kept here.
+    /// The turn's shard is not kept here.
     NotKept,
 }
 
-/// Commits a turn that another entry passes on; false if its shard is not kept here, a turn before it
-/// is missing, or the store does not take it: then the other entry goes on to hold it.
+/// Commits a turn that another entry forwards. Returns false if its shard is not kept here, an earlier
+/// turn is missing, or the store does not accept it: the other entry then continues to hold it.
 pub async fn accept(entry: &entry::Entry, held: side::Held) -> bool {
     let shard = entry.keeper.shard_of(&held.program);
-    if entry.serving(shard).is_none() {
+    if entry.serving_fence(shard).is_none() {
         return false;
     }
-    match take(entry, "its keeper before", held) {
-        Taken::Here(ticket) => entry.keeper.wait_durable(ticket).await.is_ok(),
-        Taken::Gap | Taken::NotKept => false,
+    match commit_held(entry, "its previous keeper", held) {
+        Recovery::Committed(ticket) => entry.keeper.wait_durable(ticket).await.is_ok(),
+        Recovery::Gap | Recovery::NotKept => false,
     }
 }
 
-/// Passes a turn, whose answer its caller has, on to the keeper that took the shard.
+/// Forwards a turn whose answer was delivered to its caller to the keeper that took the shard.
 ///
 /// # Errors
 ///
-/// When no keeper has taken it in time.
-pub async fn pass_on(entry: &Arc<entry::Entry>, held: &side::Held) -> Result<(), error::Error> {
+/// When no keeper has accepted it in time.
+pub async fn forward(entry: &Arc<entry::Entry>, held: &side::Held) -> Result<(), error::Error> {
     let within = entry.settings.upstream.connect_timeout * 4 + entry.settings.keeper.commit_wait;
-    let tried = |taken: bool| match taken {
-        true => keepers::Tried::Answered(()),
-        false => keepers::Tried::NotKeeper,
+    let to_outcome = |taken: bool| match taken {
+        true => keepers::CallOutcome::Answered(()),
+        false => keepers::CallOutcome::NotKeeper,
     };
-    let here = || async { tried(accept(entry, held.clone()).await) };
-    let there = |client: peer::PeerClient| {
+    let local = || async { to_outcome(accept(entry, held.clone()).await) };
+    let remote = |client: peer::PeerClient| {
         let held = held.clone();
         async move {
             client
                 .recover(transport::context(within), held)
                 .await
-                .map(tried)
+                .map(to_outcome)
         }
     };
     let options = keepers::Options {
-        patience: entry.patience(),
+        timeout: entry.keeper_timeout(),
         idempotent: true,
     };
     let shard = entry.keeper.shard_of(&held.program);
-    keepers::call(entry, shard, options, here, there).await?;
+    keepers::call(entry, shard, options, local, remote).await?;
     Ok(())
 }
 
-/// Whether `shard`, taken a moment ago, may serve.
+/// Whether recovery of `shard` is complete, so that its turns may be served.
 pub fn is_complete(entry: &entry::Entry, shard: id::ShardId) -> bool {
     let Some(since) = entry.keeper.kept_since(shard) else {
         return false;
     };
     let now = Instant::now();
-    // Beyond the wait it serves whatever is missing; most shards are kept for far longer.
+    // After the grace period the shard is served even if turns are missing. Checked first, since most
+    // shards have been kept for far longer.
     let options = takeover::Options::default();
     if now.saturating_duration_since(since) > options.grace {
         return true;
@@ -95,8 +96,8 @@
     takeover::decide(now, since, &holders(entry, shard), &options).serves()
 }
 
-/// What is known of `shard` and of those who may hold turns of it, in words.
-pub fn standing(entry: &entry::Entry, shard: id::ShardId) -> String {
+/// Describes for operators the recovery of `shard` and the processes that may hold turns of it.
+pub fn describe_recovery(entry: &entry::Entry, shard: id::ShardId) -> String {
     let Some(since) = entry.keeper.kept_since(shard) else {
         return format!("shard {shard} is not kept here");
     };
@@ -107,11 +108,11 @@
     let mut text = format!("shard {shard} kept for {kept:?}, {outcome:?}");
     for (what, holders) in [("side", holders.sides), ("entry", holders.entries)] {
         for holder in holders {
-            let heard = holder.last_answered.map(|heard| heard.elapsed());
-            let silent = holder.unresponsive_since.map(|silent| silent.elapsed());
-            let (gone, owes) = (holder.gone, holder.has_pending_turns);
+            let last_answered = holder.last_answered.map(|at| at.elapsed());
+            let unresponsive = holder.unresponsive_since.map(|at| at.elapsed());
+            let (gone, pending) = (holder.gone, holder.has_pending_turns);
             text.push_str(&format!(
-                "; {what} heard {heard:?} ago, silent for {silent:?}, gone {gone}, owes {owes}"
+                "; {what} last answered {last_answered:?} ago, unresponsive for {unresponsive:?}, gone {gone}, pending turns {pending}"
             ));
         }
     }
@@ -123,22 +124,24 @@
     let sides = sides.iter().map(|side| side.update(|s| s.holder_of(shard)));
     let entries = entry.keeper.recent_entries().into_iter();
     takeover::Holders {
-        sides_known: entry.sides.is_listed(),
+        sides_known: entry.sides.has_list(),
         sides: sides.collect(),
-        entries: entries.map(|(id, _)| entry.before.holder(&id)).collect(),
+        entries: entries
+            .map(|(id, _)| entry.predecessors.holder(&id))
+            .collect(),
     }
 }
 
-/// Commits a turn that `from` holds, or finds it committed.
-pub(super) fn take(entry: &entry::Entry, from: &str, held: side::Held) -> Taken {
+/// Commits a turn that `from` holds, unless it is committed already.
+pub(super) fn commit_held(entry: &entry::Entry, from: &str, held: side::Held) -> Recovery {
     let shard = entry.keeper.shard_of(&held.program);
     let (name, turn) = (held.program.clone(), held.turn);
-    let described = describe(held);
+    let converted = to_program_held(held);
     let recovered = entry
         .keeper
-        .with_shard(shard, |kept| kept.recover(&name, described, keeper::now()));
+        .with_shard(shard, |kept| kept.recover(&name, converted, keeper::now()));
     let Ok(recovered) = recovered else {
-        return Taken::NotKept;
+        return Recovery::NotKept;
     };
     let outcome = match recovered.value {
         shard::Recovered::Gap => "gap",
@@ -147,18 +150,18 @@
     };
     metrics::counter!(RECOVERED, "outcome" => outcome).increment(1);
     match recovered.value {
-        shard::Recovered::Gap => return Taken::Gap,
+        shard::Recovered::Gap => return Recovery::Gap,
         shard::Recovered::Obsolete => {}
         shard::Recovered::Applied => {
             info!(entry = %entry.id, program = %name, turn, from, "turn recovered");
             let why = format!("turn {turn} from {from}");
-            entry.explain.note(&name, "recovered", why);
+            entry.explain.record(&name, "recovered", why);
         }
     }
-    Taken::Here(recovered.ticket)
+    Recovery::Committed(recovered.ticket)
 }
 
-fn describe(held: side::Held) -> program::Held {
+fn to_program_held(held: side::Held) -> program::Held {
     program::Held {
         team: held.team,
         turn: held.turn,
--- a/fw-entry/src/process/explain.rs
+++ b/fw-entry/src/process/explain.rs
@@ -1,7 +1,7 @@
-//! A bounded record of decisions, for `foxtailweir explain`.
+//! Bounded log of decisions, for `foxtailweir explain`.
 //!
-//! Why a call was placed, delayed, retried or refused is kept for the latest programs only; the
-//! oldest program's record makes room for a new one.
+//! It keeps the reasons for which calls were placed, delayed, retried or refused, for the most recent
+//! programs only: the log of the oldest program is evicted for a new one.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// Most decisions kept of one program; the first ones give way.
+/// Most decisions kept for one program; the oldest are dropped first.
 const PER_PROGRAM: usize = 64;
 
 /// One decision.
@@ -21,17 +21,17 @@
 pub struct Event {
     /// Milliseconds since the entry started.
     pub at_ms: u64,
-    /// What was decided: `placed`, `retried`, `refused`, `committed`, ….
+    /// Label of the decision: `placed`, `retried`, `refused`, `committed`, ….
     pub what: SmolStr,
-    /// Why, in words with the figures that decided.
+    /// Reason for the decision, with the figures behind it.
     pub why: String,
 }
 
-/// The record.
+/// Log of decisions by program.
 #[derive(Debug)]
 pub struct Log {
     start: Instant,
-    most_programs: usize,
+    max_programs: usize,
     inner: Mutex<Inner>,
 }
 
@@ -42,23 +42,23 @@
 }
 
 impl Log {
-    /// An empty record that keeps the decisions of `most_programs` programs.
-    pub fn new(most_programs: usize) -> Self {
+    /// An empty log that keeps the decisions of at most `max_programs` programs.
+    pub fn new(max_programs: usize) -> Self {
         Self {
             start: Instant::now(),
-            most_programs,
+            max_programs,
             inner: Mutex::default(),
         }
     }
 
-    /// Time since the record began: the clock of the pure decision modules.
+    /// Time since the log was created: the clock of the pure decision modules.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Notes a decision about `program`.
-    pub fn note(&self, program: &str, what: &'static str, why: String) {
-        if self.most_programs == 0 {
+    /// Records a decision about `program`.
+    pub fn record(&self, program: &str, what: &'static str, why: String) {
+        if self.max_programs == 0 {
             return;
         }
         let at_ms = u64::try_from(self.now().as_millis()).unwrap_or(u64::MAX);
@@ -69,7 +69,7 @@
         };
         let mut inner = self.inner.lock();
         if !inner.programs.contains_key(program) {
-            inner.admit(program.into(), self.most_programs);
+            inner.admit(program.into(), self.max_programs);
         }
         if let Some(events) = inner.programs.get_mut(program) {
             if events.len() == PER_PROGRAM {
@@ -80,7 +80,7 @@
     }
 
     /// The decisions about `program`, oldest first; empty if none is kept.
-    pub fn of(&self, program: &str) -> Vec<Event> {
+    pub fn events(&self, program: &str) -> Vec<Event> {
         let inner = self.inner.lock();
         let events = inner.programs.get(program);
         events
@@ -90,8 +90,8 @@
 }
 
 impl Inner {
-    fn admit(&mut self, program: id::ProgramId, most: usize) {
-        if self.order.len() >= most
+    fn admit(&mut self, program: id::ProgramId, max: usize) {
+        if self.order.len() >= max
             && let Some(oldest) = self.order.pop_front()
         {
             self.programs.remove(&oldest);
--- a/fw-entry/src/process/held.rs
+++ b/fw-entry/src/process/held.rs
@@ -1,7 +1,7 @@
-//! Turns whose answers were given out while the store did not answer.
+//! Turns whose answers were delivered while the store did not answer.
 //!
-//! They are in the memory of their keeper's shard as well, but that is dropped when another entry has
-//! taken the shard. The successor asks for them before it serves (`connection::recover_entries`).
+//! The shard's state in memory contains them as well, but it is dropped when another entry takes the
+//! shard. The successor queries them before it serves (`connection::recover_entries`).
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -11,28 +11,29 @@
 use fw_wire::side;
 use parking_lot::Mutex;
 
-/// Bytes of messages in one reply: a third of the largest message, which JSON may double.
+/// Most bytes of messages in one reply: a third of the largest message on the wire, since JSON may
+/// double their size.
 const MAX_BYTES: usize = 8 << 20;
 
-/// The turns, in the order in which a successor can take them.
+/// Held turns, in the order in which a successor can commit them.
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct HeldTurns {
     turns: Mutex<BTreeMap<peer::HeldCursor, side::Held>>,
 }
 
-impl Held {
-    /// Adds a turn. To be called before its answer is given out.
+impl HeldTurns {
+    /// Adds a turn. To be called before its answer is delivered.
     pub fn insert(&self, held: side::Held) {
-        let place = (held.turn, held.attempt);
-        self.turns.lock().insert(place, held);
+        let cursor = (held.turn, held.attempt);
+        self.turns.lock().insert(cursor, held);
     }
 
-    /// Forgets a turn that is in the store, or with the next keeper.
+    /// Removes a turn that is in the store or was accepted by the next keeper.
     pub fn remove(&self, turn: id::Turn, attempt: id::AttemptId) {
         self.turns.lock().remove(&(turn, attempt));
     }
 
-    /// The turns of `shards` that stand after `after`, as many as fit one reply.
+    /// The turns of `shards` that come after `after`, as many as fit into one reply.
     pub fn reply(
         &self,
         shards: &HashSet<id::ShardId>,
@@ -41,9 +42,9 @@
         let turns = self.turns.lock();
         let mut reply = side::HeldReply::default();
         let mut bytes = 0;
-        for (place, held) in turns.iter() {
-            let is_told = after.is_some_and(|after| *place <= after);
-            if is_told || !shards.contains(&id::shard_of(&held.program)) {
+        for (cursor, held) in turns.iter() {
+            let is_reported = after.is_some_and(|after| *cursor <= after);
+            if is_reported || !shards.contains(&id::shard_of(&held.program)) {
                 continue;
             }
             let texts = held.messages.iter().map(|message| message.as_str().len());
--- a/fw-entry/src/request/follow.rs
+++ b/fw-entry/src/request/follow.rs
@@ -1,4 +1,5 @@
-//! Follows a submitted turn to its end, over lost connections and changes of attempt and keeper.
+//! Reader of a submitted turn: follows it to its end across lost connections and changes of attempt
+//! and keeper.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,36 +17,36 @@
 use crate::process::keepers;
 use crate::turn::submit;
 
-/// Counter of follows that went on elsewhere, by reason.
+/// Counter of turns submitted again because their attempt could not be read further, by reason.
 pub const RESUMED: &str = "fw_entry_follows_resumed_total";
 
-/// Time beyond the wait of a read after which its connection counts as silent.
-const SLACK: Duration = Duration::from_millis(500);
+/// Time beyond the wait of a read after which its connection counts as not responding.
+const READ_GRACE: Duration = Duration::from_millis(500);
 
-/// How a turn is followed.
+/// Which updates of a turn are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Every event, as it comes.
+    /// Every event, as it arrives.
     Events,
     /// The end only.
     End,
 }
 
-/// The next news of a turn.
+/// An update of a followed turn.
 #[derive(Debug)]
-pub enum News {
+pub enum Update {
     /// An event to pass on.
     Event(attempt::Event),
-    /// The whole answer; nothing follows.
+    /// The end of the answer; no update follows.
     Done(Box<attempt::Finish>),
 }
 
-/// A turn that is followed.
+/// A followed turn.
 pub struct Follow {
     entry: Arc<entry::Entry>,
     req: peer::Submit,
     mode: Mode,
-    place: keepers::Place,
+    location: keepers::Location,
     attempt: id::AttemptId,
     first_attempt: id::AttemptId,
     turn: id::Turn,
@@ -54,7 +55,7 @@
     ready: VecDeque<attempt::Event>,
     end: Option<Box<attempt::Finish>>,
     deadline: tokio::time::Instant,
-    settled: bool,
+    finished: bool,
 }
 
 impl Follow {
@@ -69,12 +70,12 @@
         mode: Mode,
     ) -> Result<Self, error::Error> {
         let deadline = tokio::time::Instant::now() + req.deadline;
-        let accepted = submit::at_keeper(&entry, &req).await?;
+        let accepted = submit::submit_to_keeper(&entry, &req).await?;
         Ok(Self {
             entry,
             req,
             mode,
-            place: accepted.place,
+            location: accepted.location,
             attempt: accepted.attempt,
             first_attempt: accepted.attempt,
             turn: accepted.turn,
@@ -83,7 +84,7 @@
             ready: VecDeque::new(),
             end: None,
             deadline,
-            settled: false,
+            finished: false,
         })
     }
 
@@ -97,33 +98,33 @@
         format!("chatcmpl-{:016x}", self.first_attempt)
     }
 
-    /// The next news, once there is some.
+    /// Waits for the next update.
     ///
     /// # Errors
     ///
     /// When the turn failed, its answer cannot be continued, or the deadline passed.
-    pub async fn next(&mut self) -> Result<News, error::Error> {
+    pub async fn next(&mut self) -> Result<Update, error::Error> {
         loop {
             if let Some(event) = self.ready.pop_front() {
-                return Ok(News::Event(event));
+                return Ok(Update::Event(event));
             }
             if let Some(finish) = self.end.take() {
-                self.settled = true;
-                return Ok(News::Done(finish));
+                self.finished = true;
+                return Ok(Update::Done(finish));
             }
             if tokio::time::Instant::now() >= self.deadline {
-                return Err(overdue());
+                return Err(deadline_exceeded());
             }
             let reply = self.read().await;
-            let step = self.take(reply).await;
+            let step = self.apply(reply).await;
             if step.is_err() {
-                self.settled = true;
+                self.finished = true;
             }
             step?;
         }
     }
 
-    async fn take(&mut self, reply: Option<attempt::ReadReply>) -> Result<(), error::Error> {
+    async fn apply(&mut self, reply: Option<attempt::ReadReply>) -> Result<(), error::Error> {
         let Some(reply) = reply else {
             return self.resubmit("connection").await;
         };
@@ -155,13 +156,13 @@
             wait,
             gather: Duration::ZERO,
         };
-        let addr = match self.place {
-            keepers::Place::Here => return Some(self.entry.attempts.read(req).await),
-            keepers::Place::At(addr) => addr,
+        let addr = match self.location {
+            keepers::Location::Local => return Some(self.entry.attempts.read(req).await),
+            keepers::Location::Remote(addr) => addr,
         };
-        // The second try goes over a new connection: the first may have gone silent.
+        // The second try uses a new connection, since the first may have stopped responding.
         for _ in 0..2 {
-            let cx = transport::context(wait + SLACK);
+            let cx = transport::context(wait + READ_GRACE);
             let req = req.clone();
             let read = |client: peer::PeerClient| async move { client.read(cx, req).await };
             match self.entry.peers.call(addr, read).await {
@@ -173,18 +174,19 @@
         None
     }
 
-    /// The keeper died or forgot the attempt. The turn is submitted again under its number: a new
-    /// keeper attaches to it, replays its answer or runs it anew, and never runs it beside itself.
+    /// Submits the turn again under its number after its keeper died or dropped the attempt. The keeper
+    /// attaches to the turn, replays its answer or runs it again, but never runs it twice at the same
+    /// time.
     async fn resubmit(&mut self, reason: &'static str) -> Result<(), error::Error> {
         metrics::counter!(RESUMED, "reason" => reason).increment(1);
         self.req.turn = Some(self.turn);
         self.req.deadline = self
             .deadline
             .saturating_duration_since(tokio::time::Instant::now());
-        let accepted = submit::at_keeper(&self.entry, &self.req).await;
-        // Whatever refuses it now: it was accepted before, so it may have run.
-        let accepted = accepted.map_err(|err| err.merge_earlier(Some(keepers::lost())))?;
-        self.place = accepted.place;
+        let accepted = submit::submit_to_keeper(&self.entry, &self.req).await;
+        // The turn was accepted before, so it may have run whatever the reason for a refusal now.
+        let accepted = accepted.map_err(|err| err.merge_earlier(Some(keepers::keeper_lost())))?;
+        self.location = accepted.location;
         self.restart(accepted.attempt)
     }
 
@@ -197,21 +199,21 @@
 }
 
 impl Drop for Follow {
-    /// A caller that goes away before the end is made known to the keeper, which cancels the
-    /// attempt or lets it go on, as the service's record says.
+    /// Detaches a caller that disconnects before the end from the keeper, which cancels the attempt or
+    /// lets it continue, as configured in the service's record.
     fn drop(&mut self) {
-        if self.settled {
+        if self.finished {
             return;
         }
         let (entry, attempt) = (Arc::clone(&self.entry), self.attempt);
-        match self.place {
-            keepers::Place::Here => entry.attempts.detach(attempt),
-            keepers::Place::At(addr) => {
+        match self.location {
+            keepers::Location::Local => entry.attempts.detach(attempt),
+            keepers::Location::Remote(addr) => {
                 tokio::spawn(async move {
                     let cx = transport::context(entry.settings.upstream.read_wait);
                     let send =
                         |client: peer::PeerClient| async move { client.detach(cx, attempt).await };
-                    // If it is lost, the attempt runs to its end and its answer is kept.
+                    // If this call is lost, the attempt runs to its end and its answer is kept.
                     let _lost = entry.peers.call(addr, send).await;
                 });
             }
@@ -219,7 +221,7 @@
     }
 }
 
-fn overdue() -> error::Error {
+fn deadline_exceeded() -> error::Error {
     let message = "the deadline passed while the turn was under way; send it again to attach to it";
     error::Error::new(error::Kind::DeadlineExceeded, message)
 }
--- a/fw-entry/src/turn/claim.rs
+++ b/fw-entry/src/turn/claim.rs
@@ -1,7 +1,7 @@
-//! Claims on idempotency keys: a call that is not idempotent is sent at most once.
+//! Claims on idempotency keys, by which a call that is not idempotent is sent at most once.
 //!
-//! The claim is durable in the journal before the call is sent. A keeper that takes over finds it
-//! there and answers "may have run" instead of sending the call again.
+//! The claim is durable in the journal before the call is sent. A keeper that takes over finds it there
+//! and refuses a repeat as "may have run" instead of sending the call again.
 
 use std::sync::Arc;
 
@@ -17,67 +17,67 @@
 /// Counter of claim steps, by step and outcome.
 pub const CLAIMS: &str = "fw_entry_claims_total";
 
-/// An answer to a step of a claim.
+/// Outcome of a step of a claim.
 #[derive(Clone, Debug)]
-pub enum Claimed {
-    /// The claim is durable: send the call, once.
+pub enum StepOutcome {
+    /// The claim is durable: the call may be sent once.
     Granted,
-    /// It ran before; this was the answer.
+    /// The call ran before, with this answer.
     Replay(peer::StoredAnswer),
     /// The outcome is recorded.
     Settled,
 }
 
-type Reply = Result<Claimed, error::Error>;
+type Reply = Result<StepOutcome, error::Error>;
 
-/// Takes a step of a claim at its keeper, wherever that is.
+/// Performs a step of a claim at its keeper, local or remote.
 ///
 /// # Errors
 ///
-/// When the claim is not granted; the kind says whether a call under the key ran.
+/// When the claim is not granted; the kind states whether a call under the key ran.
 pub async fn step(entry: &Arc<entry::Entry>, req: &peer::Claim) -> Reply {
     let within = entry.settings.keeper.commit_wait * 2;
-    let here = || async { tried(take(entry, req).await) };
-    let there = |client: peer::PeerClient| {
+    let local = || async { to_outcome(apply_step(entry, req).await) };
+    let remote = |client: peer::PeerClient| {
         let req = req.clone();
         async move {
             client
                 .claim(transport::context(within), req)
                 .await
-                .map(tried)
+                .map(to_outcome)
         }
     };
     let options = keepers::Options {
-        patience: entry.patience(),
-        // An open that was received but whose answer was lost finds the key in use: it is not
-        // granted twice. To be told "in use" for one's own claim is safe, if unkind.
+        timeout: entry.keeper_timeout(),
+        // If the answer to an `Open` is lost, a second one finds the key in use: a claim is not granted
+        // twice. The refusal as "in use" for the caller's own claim is safe, if inconvenient.
         idempotent: !matches!(req.step, peer::ClaimStep::Open),
     };
     let shard = entry.keeper.shard_of(&key(req).shard_name());
-    let (_place, reply) = keepers::call(entry, shard, options, here, there)
+    let (_location, reply) = keepers::call(entry, shard, options, local, remote)
         .await
         .map_err(|err| not_sent(req, err))?;
     reply
 }
 
-/// While a claim is being opened, nothing was sent: a lost keeper means "not run".
+/// Maps the loss of the keeper while a claim is opened to "not run": the call was not sent yet.
 fn not_sent(req: &peer::Claim, err: error::Error) -> error::Error {
     match (&req.step, err.kind) {
         (peer::ClaimStep::Open, error::Kind::KeeperLost) => {
-            let message = "the key's keeper broke off before the call was sent";
+            let message = "the key's keeper was lost before the call was sent";
             error::Error::new(error::Kind::KeeperUnavailable, message)
         }
         _ => err,
     }
 }
 
-fn tried(reply: peer::ClaimReply) -> keepers::Tried<Reply> {
-    keepers::Tried::Answered(match reply {
-        peer::ClaimReply::Granted => Ok(Claimed::Granted),
-        peer::ClaimReply::Replay(answer) => Ok(Claimed::Replay(answer)),
-        peer::ClaimReply::Settled => Ok(Claimed::Settled),
+fn to_outcome(reply: peer::ClaimReply) -> keepers::CallOutcome<Reply> {
+    keepers::CallOutcome::Answered(match reply {
+        peer::ClaimReply::Granted => Ok(StepOutcome::Granted),
+        peer::ClaimReply::Replay(answer) => Ok(StepOutcome::Replay(answer)),
+        peer::ClaimReply::Settled => Ok(StepOutcome::Settled),
         peer::ClaimReply::Refused(err) => Err(err),
-        peer::ClaimReply::NotKeeper => return keepers::Tried::NotKeeper,
+        peer::ClaimReply::NotKeeper => return keepers::CallOutcome::NotKeeper,
     })
 }
 
@@ -88,8 +88,8 @@
     }
 }
 
-/// Takes a step of a claim at its keeper.
-pub async fn take(entry: &entry::Entry, req: &peer::Claim) -> peer::ClaimReply {
+/// Performs a step of a claim at this entry, its keeper.
+pub async fn apply_step(entry: &entry::Entry, req: &peer::Claim) -> peer::ClaimReply {
     let (step, reply) = match &req.step {
         peer::ClaimStep::Open => ("open", open(entry, req).await),
         peer::ClaimStep::NotRun => {
@@ -101,7 +101,12 @@
             ("unknown", reply)
         }
         peer::ClaimStep::Done(answer) => {
-            let reply = settle(entry, req, keeper::Settlement::Done(kept(answer))).await;
+            let reply = settle(
+                entry,
+                req,
+                keeper::Settlement::Done(to_claim_answer(answer)),
+            )
+            .await;
             ("done", reply)
         }
     };
@@ -138,14 +143,14 @@
         return peer::ClaimReply::NotKeeper;
     };
     if let Some(ticket) = ticket {
-        // Not durable in time means durable later, or "may have run" after a take-over: the caller
-        // gets its answer either way.
+        // If it is not durable in time, it becomes so later, or a take-over answers "may have run". The
+        // caller receives its answer in both cases.
         let _later = entry.keeper.wait_durable(ticket).await;
     }
     peer::ClaimReply::Settled
 }
 
-fn kept(answer: &peer::StoredAnswer) -> claim::Answer {
+fn to_claim_answer(answer: &peer::StoredAnswer) -> claim::Answer {
     claim::Answer {
         status: answer.status,
         content_type: answer.content_type.clone(),
--- a/fw-entry/src/turn/submit.rs
+++ b/fw-entry/src/turn/submit.rs
@@ -1,4 +1,4 @@
-//! A turn arrives: at the entry that took the call, and at its keeper.
+//! Submission of a turn: from the entry that received the call to the keeper, and its acceptance there.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,53 +29,53 @@
 /// A turn that its keeper accepted.
 #[derive(Clone, Copy, Debug)]
 pub struct Accepted {
-    /// Where it is kept.
-    pub place: keepers::Place,
+    /// The entry that keeps it.
+    pub location: keepers::Location,
     /// The attempt to read.
     pub attempt: id::AttemptId,
     /// Its number.
     pub turn: id::Turn,
 }
 
-/// Hands a turn to its keeper, wherever that is.
+/// Submits a turn to its keeper, local or remote.
 ///
 /// # Errors
 ///
 /// When the turn is refused, or no keeper is found in time.
-pub async fn at_keeper(
+pub async fn submit_to_keeper(
     entry: &Arc<entry::Entry>,
     req: &peer::Submit,
 ) -> Result<Accepted, error::Error> {
     let within = entry.settings.upstream.connect_timeout * 4;
-    let here = || {
+    let local = || {
         let reply = accept(entry, req.clone());
-        async move { tried(reply) }
+        async move { to_outcome(reply) }
     };
-    let there = |client: peer::PeerClient| {
+    let remote = |client: peer::PeerClient| {
         let req = req.clone();
         async move {
             client
                 .submit(transport::context(within), req)
                 .await
-                .map(tried)
+                .map(to_outcome)
         }
     };
     let options = keepers::Options {
-        patience: entry.patience().min(req.deadline),
+        timeout: entry.keeper_timeout().min(req.deadline),
         idempotent: is_idempotent(req),
     };
     let shard = entry.keeper.shard_of(&req.program);
-    let (place, reply) = keepers::call(entry, shard, options, here, there).await?;
+    let (location, reply) = keepers::call(entry, shard, options, local, remote).await?;
     let (attempt, turn) = reply?;
     Ok(Accepted {
-        place,
+        location,
         attempt,
         turn,
     })
 }
 
-/// Whether the keeper can tell a second arrival from a further turn: it can by the turn's number,
-/// by the digest before it, or by the whole history.
+/// Whether the keeper can distinguish a repeated submission from the next turn: by the turn's number, by
+/// the digest of the history before it, or by the full history.
 fn is_idempotent(req: &peer::Submit) -> bool {
     let named = req.turn.is_some() || req.base.is_some();
     named || req.single || req.history == peer::History::Full
@@ -83,20 +83,20 @@
 
 type Reply = Result<(id::AttemptId, id::Turn), error::Error>;
 
-fn tried(reply: peer::SubmitReply) -> keepers::Tried<Reply> {
+fn to_outcome(reply: peer::SubmitReply) -> keepers::CallOutcome<Reply> {
     match reply {
         peer::SubmitReply::Accepted { attempt, turn } => {
-            keepers::Tried::Answered(Ok((attempt, turn)))
+            keepers::CallOutcome::Answered(Ok((attempt, turn)))
         }
-        peer::SubmitReply::Refused(err) => keepers::Tried::Answered(Err(err)),
-        peer::SubmitReply::NotKeeper => keepers::Tried::NotKeeper,
+        peer::SubmitReply::Refused(err) => keepers::CallOutcome::Answered(Err(err)),
+        peer::SubmitReply::NotKeeper => keepers::CallOutcome::NotKeeper,
     }
 }
 
-/// Takes in a turn at its keeper.
+/// Accepts or refuses a turn at this entry, its keeper.
 pub fn accept(entry: &Arc<entry::Entry>, req: peer::Submit) -> peer::SubmitReply {
     let program = req.program.clone();
-    let reply = take_in(entry, req);
+    let reply = try_accept(entry, req);
     let outcome = match &reply {
         peer::SubmitReply::Accepted { .. } => "accepted",
         peer::SubmitReply::NotKeeper => "not_keeper",
@@ -106,13 +106,14 @@
     if let peer::SubmitReply::Refused(err) = &reply {
         entry
             .explain
-            .note(&program, "refused", why_refused(entry, &program, err));
+            .record(&program, "refused", refusal_reason(entry, &program, err));
     }
     reply
 }
 
-/// The error, and for a program that its caller knows otherwise what the shard was served on.
-fn why_refused(entry: &entry::Entry, program: &id::ProgramId, err: &error::Error) -> String {
+/// Describes the error. If the caller's view of the program differs, the recovery state of the shard is
+/// added.
+fn refusal_reason(entry: &entry::Entry, program: &id::ProgramId, err: &error::Error) -> String {
     use error::Kind::HistoryMismatch;
     use error::Kind::UnknownProgram;
     use error::Kind::WrongTurn;
@@ -121,12 +122,12 @@
         return err.to_string();
     }
     let shard = entry.keeper.shard_of(program);
-    format!("{err}; {}", recover::standing(entry, shard))
+    format!("{err}; {}", recover::describe_recovery(entry, shard))
 }
 
-fn take_in(entry: &Arc<entry::Entry>, req: peer::Submit) -> peer::SubmitReply {
+fn try_accept(entry: &Arc<entry::Entry>, req: peer::Submit) -> peer::SubmitReply {
     let shard = entry.keeper.shard_of(&req.program);
-    let Some(fence) = entry.serving(shard) else {
+    let Some(fence) = entry.serving_fence(shard) else {
         return peer::SubmitReply::NotKeeper;
     };
     let plan = match plan::Plan::new(entry, &req, shard, fence) {
@@ -135,7 +136,7 @@
     };
     match begin(entry, &req, &plan) {
         None => peer::SubmitReply::NotKeeper,
-        Some(program::Outcome::Refused(err)) if entry.may_say(shard, &err) => {
+        Some(program::Outcome::Refused(err)) if entry.may_refuse(shard, &err) => {
             peer::SubmitReply::Refused(err)
         }
         Some(program::Outcome::Refused(_unsure)) => peer::SubmitReply::NotKeeper,
@@ -182,7 +183,7 @@
     begun.ok().map(|changed| changed.value)
 }
 
-/// What else makes a turn another turn: the model and the caller's other fields.
+/// Digest of the model and the caller's other fields, which identify a turn together with its messages.
 pub fn params_digest(model: &id::ModelId, params: &str) -> digest::Digest {
     digest::Digest::of_bytes(format!("{model}\n{params}").as_bytes())
 }
@@ -197,7 +198,7 @@
     let permit = match admit(entry, &req, &plan, &run) {
         Ok(permit) => permit,
         Err(err) => {
-            give_back(entry, &req.program, plan.shard, attempt);
+            revert(entry, &req.program, plan.shard, attempt);
             return peer::SubmitReply::Refused(err);
         }
     };
@@ -209,15 +210,15 @@
     peer::SubmitReply::Accepted { attempt, turn }
 }
 
-/// A refused turn leaves no trace: it did not run.
-fn give_back(
+/// Removes a turn that was begun and then refused: it did not run.
+fn revert(
     entry: &entry::Entry,
     program: &id::ProgramId,
     shard: id::ShardId,
     attempt: id::AttemptId,
 ) {
     let now = keeper::now();
-    // Not kept here any more: then nothing of the turn is kept at all.
+    // If the shard is no longer kept here, no state of the turn is left either.
     let _moved = entry.keeper.with_shard(shard, |shard| {
         shard.fail(program, attempt, error::Ran::No, now)
     });
@@ -249,14 +250,14 @@
 
 /// Makes a committed answer readable again, if its events are gone or end with an error.
 ///
-/// An entry that is cut off from the store breaks off a turn that it has committed in memory, and may
-/// keep the shard all the same. Read again, that end would refuse the turn for as long as ended
-/// attempts are kept, to callers of every entry. It was not the answer's end, so the answer is given
-/// after all, as soon as the store has it.
+/// An entry that is cut off from the store fails a turn that it has committed in memory, and may still
+/// keep the shard afterwards. Reading that attempt again would return the error to callers of every
+/// entry for as long as ended attempts are retained. The answer itself is complete, so it is delivered
+/// as soon as the store has it.
 ///
 /// # Errors
 ///
-/// Who keeps the shard instead, if it is not kept here any more.
+/// The shard's owner, if the shard is no longer kept here.
 fn replay(
     entry: &Arc<entry::Entry>,
     req: &peer::Submit,
@@ -267,8 +268,8 @@
         return Ok(());
     }
     let kept = entry.keeper.with_program(&req.program, |_| ())?;
-    let why = "an earlier end of the turn was lost or an error".to_owned();
-    entry.explain.note(&req.program, "answered again", why);
+    let why = "the turn's earlier attempt was lost or ended with an error".to_owned();
+    entry.explain.record(&req.program, "answered again", why);
     let buf = entry.attempts.open(attempt);
     buf.push(events_of(&req.model, attempt, &answer));
     let finish = attempt::Finish {
@@ -279,14 +280,13 @@
         first_token: Duration::ZERO,
         ran: Duration::ZERO,
     };
-    let entry_of_task = Arc::clone(entry);
-    let end =
-        async move { commit::end_once_durable(&entry_of_task, &buf, finish, kept.ticket).await };
+    let task_entry = Arc::clone(entry);
+    let end = async move { commit::end_once_durable(&task_entry, &buf, finish, kept.ticket).await };
     entry.tasks.spawn(end);
     Ok(())
 }
 
-/// A committed answer as two chunks: the message, and the reason why it ended.
+/// A committed answer as two chunks: the message, and the finish reason.
 fn events_of(
     model: &id::ModelId,
     attempt: id::AttemptId,
