--- a/fw-record/src/key.rs
+++ b/fw-record/src/key.rs
@@ -61,9 +61,7 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let known = Self::ALL.into_iter().find(|kind| kind.as_str() == text);
-        known.ok_or_else(|| {
-            format!("unknown record kind `{text}`: must be service, route, team or budget")
-        })
+        known.ok_or_else(|| format!("`{text}` is not one of service, route, team, budget"))
     }
 }
 
--- a/fw-record/tests/record/lost_writes.rs
+++ b/fw-record/tests/record/lost_writes.rs
@@ -199,21 +199,21 @@
         query,
         body,
     };
-    let ask = async |req| admin::handle(&client, req, &opts()).await;
+    let send = async |req| admin::handle(&client, req, &opts()).await;
     let body = share(1);
-    let made = ask(put("/team/t", "revision=0", &body)).await;
+    let made = send(put("/team/t", "revision=0", &body)).await;
     expect_eq!(made.status, 200);
     expect_true!(made.body["revision"].is_i64());
-    let raced = ask(put("/team/t", "revision=0", &body)).await;
+    let raced = send(put("/team/t", "revision=0", &body)).await;
     expect_eq!(raced.status, 409);
     expect_eq!(raced.body["theirs"]["record"]["share"], 1);
     expect_eq!(raced.body["error"]["ran"], "no");
-    expect_eq!(ask(put("/team/t", "", &body)).await.status, 400);
-    expect_eq!(ask(put("/tribe/t", "revision=0", &body)).await.status, 400);
-    expect_eq!(ask(put("/team/t", "revision=0", b"{}")).await.status, 400);
+    expect_eq!(send(put("/team/t", "", &body)).await.status, 400);
+    expect_eq!(send(put("/tribe/t", "revision=0", &body)).await.status, 400);
+    expect_eq!(send(put("/team/t", "revision=0", b"{}")).await.status, 400);
     let list = admin::Request {
         method: "GET",
         ..admin::Request::default()
     };
-    expect_eq!(ask(list).await.body["records"][0]["name"], "t");
+    expect_eq!(send(list).await.body["records"][0]["name"], "t");
 }
--- a/fw-record/tests/record/set_lookup.rs
+++ b/fw-record/tests/record/set_lookup.rs
@@ -102,8 +102,8 @@
     expect_eq!(set.team("u").unwrap().share, 3.0);
     expect_eq!(set.problems()[0].name.name, "t");
     expect_that!(set.problems()[0].reason, contains_substring("`share`"));
-    let mended = kv_of(key::Kind::Team, "t", 8, &share(4.0));
-    let set = set.with_events(8, &[put(mended)]);
+    let fixed = kv_of(key::Kind::Team, "t", 8, &share(4.0));
+    let set = set.with_events(8, &[put(fixed)]);
     expect_eq!(set.team("t").unwrap().share, 4.0);
     expect_that!(set.problems(), is_empty());
 }
