--- a/foxtailweir/src/demo/script.rs
+++ b/foxtailweir/src/demo/script.rs
@@ -246,7 +246,7 @@
         let entries = cx.recorder.entries();
         driver.end();
         Seen {
-            report: check::record(&entries, &opts.check),
+            report: check::verify(&entries, &opts.check),
             entries,
             programs,
             unread,
--- a/fw-check/src/check.rs
+++ b/fw-check/src/check.rs
@@ -91,7 +91,7 @@
     /// The entries of the record that show it, counted from 1.
     pub lines: Vec<usize>,
     /// What they show.
-    pub what: String,
+    pub description: String,
 }
 
 /// What a record says of one promise.
@@ -169,8 +169,8 @@
             }
             Verdict::Violated { evidence } => {
                 write!(f, "VIOLATED   {text}")?;
-                for Evidence { lines, what } in evidence {
-                    write!(f, "\n           - {what} (entries {lines:?})")?;
+                for Evidence { lines, description } in evidence {
+                    write!(f, "\n           - {description} (entries {lines:?})")?;
                 }
                 return Ok(());
             }
@@ -206,9 +206,9 @@
     }
 
     /// The promise was violated, as the entries at `indices` show.
-    pub fn violated(&mut self, indices: &[usize], what: String) {
+    pub fn violated(&mut self, indices: &[usize], description: String) {
         let lines = indices.iter().map(|index| index + 1).collect();
-        self.evidence.push(Evidence { lines, what });
+        self.evidence.push(Evidence { lines, description });
     }
 
     /// The promise was put to the test; it held if `is_held`.
@@ -244,7 +244,7 @@
 }
 
 /// Checks all promises over `entries`.
-pub fn record(entries: &[Entry], opts: &Options) -> Report {
+pub fn verify(entries: &[Entry], opts: &Options) -> Report {
     let index = index::Index::new(entries);
     let finding = |promise| Finding {
         promise,
--- a/fw-check/src/event.rs
+++ b/fw-check/src/event.rs
@@ -48,7 +48,7 @@
     pub program: id::ProgramId,
     /// The turn; sent again, it has the same number.
     pub turn: id::Turn,
-    /// Digests of the messages that the turn adds; see [`digest_of`]. Texts that name their
+    /// Digests of the messages that the turn adds; see [`message_digest`]. Texts that name their
     /// program and turn let the checker tell runs apart.
     pub messages: Vec<Digest>,
 }
@@ -226,12 +226,12 @@
 }
 
 /// The digest that stands for a message in a record.
-pub fn digest_of(message: &chat::Message) -> Digest {
+pub fn message_digest(message: &chat::Message) -> Digest {
     Digest::of_bytes(message.as_str().as_bytes())
 }
 
 /// The digest that stands for a plain request: its method, path with query, and body.
-pub fn request_of(method: &str, path: &str, body: &[u8]) -> Digest {
+pub fn request_digest(method: &str, path: &str, body: &[u8]) -> Digest {
     let head = format!("{method} {path}\n");
     Digest::of_bytes(&[head.as_bytes(), body].concat())
 }
--- a/fw-check/src/lib.rs
+++ b/fw-check/src/lib.rs
@@ -1,7 +1,7 @@
 //! Recorded histories of concurrent runs, and the checker of what must hold in them.
 //!
 //! Callers, stand-ins of upstreams and operators note [`event::Event`]s in a
-//! [`recorder::Recorder`]; [`check::record`] then looks at each [`check::Promise`] and says that
+//! [`recorder::Recorder`]; [`check::verify`] then looks at each [`check::Promise`] and says that
 //! it held, was violated or was not put to the test.
 //!
 //! ```
@@ -12,7 +12,7 @@
 //! let recorder = Recorder::new();
 //! let process = "entry-1".into();
 //! recorder.record(Event::ShutdownBegun { process });
-//! let report = check::record(&recorder.entries(), &check::Options::default());
+//! let report = check::verify(&recorder.entries(), &check::Options::default());
 //! assert!(!report.is_violated());
 //! ```
 
--- a/fw-check/tests/check/story.rs
+++ b/fw-check/tests/check/story.rs
@@ -184,7 +184,7 @@
     }
 
     pub fn report(&self) -> check::Report {
-        check::record(&self.entries, &check::Options::default())
+        check::verify(&self.entries, &check::Options::default())
     }
 
     /// The promises that were violated.
--- a/fw-fake/src/engine/life.rs
+++ b/fw-fake/src/engine/life.rs
@@ -149,7 +149,7 @@
             to_prefill: prompt - cached,
             made: 0,
             message_digest: digest.extend(&message),
-            answer: event::digest_of(&message),
+            answer: event::message_digest(&message),
             run: None,
             req,
         }
--- a/fw-fake/src/notes.rs
+++ b/fw-fake/src/notes.rs
@@ -59,7 +59,7 @@
 
 /// The work of a turn with this prompt.
 pub(crate) fn turn(messages: &[chat::Message]) -> event::Work {
-    event::Work::Turn(messages.iter().map(event::digest_of).collect())
+    event::Work::Turn(messages.iter().map(event::message_digest).collect())
 }
 
 /// Notes the end of a life when dropped: all that the upstream held is gone then.
--- a/fw-fake/src/plain.rs
+++ b/fw-fake/src/plain.rs
@@ -182,7 +182,7 @@
     };
     shared.runs.lock().push(run);
     let noted = shared.notes.as_ref().map(|notes| {
-        let request = event::request_of(method.as_str(), &uri.to_string(), &body);
+        let request = event::request_digest(method.as_str(), &uri.to_string(), &body);
         (notes, notes.run_started(event::Work::Plain(request)))
     });
     let delay = *shared.delay.lock();
--- a/fw-local/src/history/calls.rs
+++ b/fw-local/src/history/calls.rs
@@ -108,7 +108,7 @@
             call,
             caller: plain.caller.clone(),
             to: door.process.clone(),
-            request: event::request_of(plain.method, &plain.path, body),
+            request: event::request_digest(plain.method, &plain.path, body),
             key: plain.key.clone(),
             idempotent: plain.key.is_none(),
         }));
@@ -173,5 +173,7 @@
 pub fn digests(messages: &[Value]) -> Vec<digest::Digest> {
     let canonical = messages.iter().cloned().map(chat::Message::from_value);
     let known = canonical.filter_map(Result::ok);
-    known.map(|message| event::digest_of(&message)).collect()
+    known
+        .map(|message| event::message_digest(&message))
+        .collect()
 }
--- a/fw-local/src/history/mod.rs
+++ b/fw-local/src/history/mod.rs
@@ -196,7 +196,7 @@
     wait_freed(&driver.system, &programs, limit).await;
     operate::look(&cx);
     let entries = cx.recorder.entries();
-    let report = check::record(&entries, &opts.check);
+    let report = check::verify(&entries, &opts.check);
     let suspects = suspects(&programs, &unread, &report);
     let decided = |program: id::ProgramId| {
         let decisions = cx.doors.decisions(&program, begun);
