--- a/fw-check/src/check.rs
+++ b/fw-check/src/check.rs
@@ -175,8 +175,8 @@
                 return Ok(());
             }
         };
-        for what in unknown {
-            write!(f, "\n           - not known: {what}")?;
+        for cases in unknown {
+            write!(f, "\n           - not known: {cases}")?;
         }
         Ok(())
     }
@@ -201,28 +201,33 @@
 
 impl Tally {
     /// The promise was put to the test and held.
-    pub fn held(&mut self) {
+    pub fn add_held(&mut self) {
         self.observations += 1;
     }
 
     /// The promise was violated, as the entries at `indices` show.
-    pub fn violated(&mut self, indices: &[usize], description: String) {
+    pub fn add_violation(&mut self, indices: &[usize], description: String) {
         let lines = indices.iter().map(|index| index + 1).collect();
         self.evidence.push(Evidence { lines, description });
     }
 
     /// The promise was put to the test; it held if `is_held`.
-    pub fn expect(&mut self, is_held: bool, indices: &[usize], what: impl FnOnce() -> String) {
+    pub fn expect(
+        &mut self,
+        is_held: bool,
+        indices: &[usize],
+        description: impl FnOnce() -> String,
+    ) {
         match is_held {
-            true => self.held(),
-            false => self.violated(indices, what()),
+            true => self.add_held(),
+            false => self.add_violation(indices, description()),
         }
     }
 
     /// `count` cases that the record cannot decide, if there are any.
-    pub fn unknown(&mut self, count: usize, what: &str) {
+    pub fn add_undecided(&mut self, count: usize, cases: &str) {
         if count > 0 {
-            self.unknown.push(format!("{count} {what}"));
+            self.unknown.push(format!("{count} {cases}"));
         }
     }
 
--- a/fw-check/src/index.rs
+++ b/fw-check/src/index.rs
@@ -13,14 +13,14 @@
 
 /// What a call asks for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Asked<'a> {
+pub(crate) enum Request<'a> {
     Turn(&'a event::TurnSent),
     Plain(&'a event::PlainSent),
 }
 
 /// How a call ended, as its caller saw it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum End {
+pub(crate) enum Outcome {
     Answered {
         answer: Digest,
         whole: bool,
@@ -41,17 +41,17 @@
 pub(crate) struct Call<'a> {
     /// Where it was sent, as an index into the record.
     pub sent: usize,
-    pub asked: Asked<'a>,
+    pub request: Request<'a>,
     /// Where and how it ended.
-    pub end: Option<(usize, End)>,
+    pub outcome: Option<(usize, Outcome)>,
 }
 
 impl Call<'_> {
     /// Whether its caller was told, or saw for itself, that it did not run.
     pub fn is_not_run(&self) -> bool {
-        match self.end {
-            Some((_, End::Refused { ran, .. })) => ran == error::Ran::No,
-            Some((_, End::Lost { sent, .. })) => !sent,
+        match self.outcome {
+            Some((_, Outcome::Refused { ran, .. })) => ran == error::Ran::No,
+            Some((_, Outcome::Lost { sent, .. })) => !sent,
             _ => false,
         }
     }
@@ -82,14 +82,14 @@
     /// The messages that it added; several if it was sent with others after a refusal.
     pub messages: Vec<&'a [Digest]>,
     /// Answers that its callers got.
-    pub told: Vec<Digest>,
+    pub received: Vec<Digest>,
     /// Answers that runs made.
-    pub made: Vec<Digest>,
+    pub produced: Vec<Digest>,
 }
 
 /// Whether a prompt or a history is that of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fit {
+pub(crate) enum Match {
     Yes,
     No,
     Unknown,
@@ -113,70 +113,75 @@
         index.add_calls(entries);
         index.add_runs(entries);
         index.add_turns();
-        index.add_owners();
-        index.add_places();
+        index.attribute_runs();
+        index.index_runs();
         index
     }
 
     /// The runs of the request that `call` carries, be they for this call or another one.
     pub fn runs_of(&self, call: &Call<'a>) -> impl Iterator<Item = &Run<'a>> {
-        let places = match call.asked {
-            Asked::Turn(sent) => self.turn_runs.get(&TurnKey {
+        let positions = match call.request {
+            Request::Turn(sent) => self.turn_runs.get(&TurnKey {
                 program: &sent.program,
                 turn: sent.turn,
             }),
-            Asked::Plain(sent) => self.plain_runs.get(&sent.request),
+            Request::Plain(sent) => self.plain_runs.get(&sent.request),
         };
-        let places = places.map(Vec::as_slice).unwrap_or_default();
-        places.iter().map(|place| &self.runs[*place])
+        let positions = positions.map(Vec::as_slice).unwrap_or_default();
+        positions.iter().map(|position| &self.runs[*position])
     }
 
     /// Whether `messages` are the history of `program` through `last`, from what its callers and
     /// the upstreams saw.
-    pub fn fit(&self, program: &id::ProgramId, last: id::Turn, messages: &[Digest]) -> Fit {
+    pub fn match_history(
+        &self,
+        program: &id::ProgramId,
+        last: id::Turn,
+        messages: &[Digest],
+    ) -> Match {
         let mut rest = messages;
         for turn in 1..=last {
-            let Some(known) = self.turns.get(&TurnKey { program, turn }) else {
-                return Fit::Unknown;
+            let Some(record) = self.turns.get(&TurnKey { program, turn }) else {
+                return Match::Unknown;
             };
-            let answers = match (known.told.is_empty(), known.made.is_empty()) {
-                (false, _) => &known.told,
-                (true, false) => &known.made,
-                (true, true) => return Fit::Unknown,
+            let answers = match (record.received.is_empty(), record.produced.is_empty()) {
+                (false, _) => &record.received,
+                (true, false) => &record.produced,
+                (true, true) => return Match::Unknown,
             };
-            let added = known.messages.iter().find(|m| rest.starts_with(m));
+            let added = record.messages.iter().find(|m| rest.starts_with(m));
             let after = added.and_then(|added| rest[added.len()..].split_first());
             match after {
                 Some((answer, after)) if answers.contains(answer) => rest = after,
-                _ => return Fit::No,
+                _ => return Match::No,
             }
         }
         match rest.is_empty() {
-            true => Fit::Yes,
-            false => Fit::No,
+            true => Match::Yes,
+            false => Match::No,
         }
     }
 
     /// Whether a prompt is that of a turn: its program's history, then the turn's messages.
-    pub fn fit_prompt(&self, key: TurnKey<'_>, prompt: &[Digest]) -> Fit {
+    pub fn match_prompt(&self, key: TurnKey<'_>, prompt: &[Digest]) -> Match {
         let Some(turn) = self.turns.get(&key) else {
-            return Fit::Unknown;
+            return Match::Unknown;
         };
         let before = turn.messages.iter().filter_map(|m| prompt.strip_suffix(*m));
-        let fits: Vec<_> = before
-            .map(|before| self.fit(key.program, key.turn.saturating_sub(1), before))
+        let matches: Vec<_> = before
+            .map(|before| self.match_history(key.program, key.turn.saturating_sub(1), before))
             .collect();
-        if fits.contains(&Fit::Yes) {
-            Fit::Yes
-        } else if fits.contains(&Fit::Unknown) {
-            Fit::Unknown
+        if matches.contains(&Match::Yes) {
+            Match::Yes
+        } else if matches.contains(&Match::Unknown) {
+            Match::Unknown
         } else {
-            Fit::No
+            Match::No
         }
     }
 
     /// The turn that `run` was for, if that is certain.
-    pub fn owner(&self, run: &Run<'a>) -> Option<TurnKey<'a>> {
+    pub fn turn_of_run(&self, run: &Run<'a>) -> Option<TurnKey<'a>> {
         match run.turns.as_slice() {
             [only] => Some(*only),
             _ => None,
@@ -187,11 +192,11 @@
         for (at, entry) in entries.iter().enumerate() {
             let (call, end) = match &entry.event {
                 Event::TurnSent(sent) => {
-                    self.add_call(sent.call, at, Asked::Turn(sent));
+                    self.add_call(sent.call, at, Request::Turn(sent));
                     continue;
                 }
                 Event::PlainSent(sent) => {
-                    self.add_call(sent.call, at, Asked::Plain(sent));
+                    self.add_call(sent.call, at, Request::Plain(sent));
                     continue;
                 }
                 Event::Answered {
@@ -201,7 +206,7 @@
                     tokens,
                 } => {
                     let (answer, whole, tokens) = (*answer, *whole, *tokens);
-                    let end = End::Answered {
+                    let end = Outcome::Answered {
                         answer,
                         whole,
                         tokens,
@@ -210,7 +215,7 @@
                 }
                 Event::Refused { call, kind, ran } => {
                     let (kind, ran) = (*kind, *ran);
-                    (call, End::Refused { kind, ran })
+                    (call, Outcome::Refused { kind, ran })
                 }
                 Event::Lost {
                     call,
@@ -218,23 +223,30 @@
                     by_caller,
                 } => {
                     let (sent, by_caller) = (*sent, *by_caller);
-                    (call, End::Lost { sent, by_caller })
+                    (call, Outcome::Lost { sent, by_caller })
                 }
                 _ => continue,
             };
             if let Some(call) = self.calls.get_mut(call) {
-                call.end.get_or_insert((at, end));
+                call.outcome.get_or_insert((at, end));
             }
         }
     }
 
-    fn add_call(&mut self, id: event::CallId, sent: usize, asked: Asked<'a>) {
-        let end = None;
-        self.calls.insert(id, Call { sent, asked, end });
+    fn add_call(&mut self, id: event::CallId, sent: usize, request: Request<'a>) {
+        let outcome = None;
+        self.calls.insert(
+            id,
+            Call {
+                sent,
+                request,
+                outcome,
+            },
+        );
     }
 
     fn add_runs(&mut self, entries: &'a [Entry]) {
-        let mut places = HashMap::new();
+        let mut positions = HashMap::new();
         for (at, entry) in entries.iter().enumerate() {
             match &entry.event {
                 Event::RunStarted {
@@ -242,7 +254,7 @@
                     upstream,
                     work,
                 } => {
-                    places.insert(*run, self.runs.len());
+                    positions.insert(*run, self.runs.len());
                     self.runs.push(Run {
                         started: at,
                         upstream,
@@ -252,8 +264,8 @@
                     });
                 }
                 Event::RunEnded { run, answer } => {
-                    if let Some(place) = places.get(run) {
-                        self.runs[*place].ended = Some((at, *answer));
+                    if let Some(position) = positions.get(run) {
+                        self.runs[*position].ended = Some((at, *answer));
                     }
                 }
                 _ => (),
@@ -263,7 +275,7 @@
 
     fn add_turns(&mut self) {
         for call in self.calls.values() {
-            let Asked::Turn(sent) = call.asked else {
+            let Request::Turn(sent) = call.request else {
                 continue;
             };
             let key = TurnKey {
@@ -274,8 +286,8 @@
             if !turn.messages.contains(&sent.messages.as_slice()) {
                 turn.messages.push(&sent.messages);
             }
-            if let Some((_, End::Answered { answer, .. })) = call.end {
-                turn.told.push(answer);
+            if let Some((_, Outcome::Answered { answer, .. })) = call.outcome {
+                turn.received.push(answer);
             }
         }
     }
@@ -283,44 +295,44 @@
     /// Finds the turns of runs: by the last messages of the prompt and, where these are not
     /// unique, by the history before them. A run's answer may enter that history, so the turns are
     /// gone through in order.
-    fn add_owners(&mut self) {
+    fn attribute_runs(&mut self) {
         let mut by_last: HashMap<Digest, Vec<TurnKey<'a>>> = HashMap::new();
         for (key, turn) in &self.turns {
             for last in turn.messages.iter().filter_map(|m| m.last()) {
                 by_last.entry(*last).or_default().push(*key);
             }
         }
-        for place in 0..self.runs.len() {
-            let event::Work::Turn(prompt) = self.runs[place].work else {
+        for position in 0..self.runs.len() {
+            let event::Work::Turn(prompt) = self.runs[position].work else {
                 continue;
             };
             let last = prompt.last().and_then(|last| by_last.get(last));
             let mut keys = last.cloned().unwrap_or_default();
             if keys.len() > 1 {
-                let fitting = keys.iter().copied();
-                let fitting: Vec<_> = fitting
-                    .filter(|key| self.fit_prompt(*key, prompt) != Fit::No)
+                let matching = keys.iter().copied();
+                let matching: Vec<_> = matching
+                    .filter(|key| self.match_prompt(*key, prompt) != Match::No)
                     .collect();
                 // None fits: all stay, as those it may have been meant for.
-                if !fitting.is_empty() {
-                    keys = fitting;
+                if !matching.is_empty() {
+                    keys = matching;
                 }
             }
-            let answer = self.runs[place].ended.and_then(|(_, answer)| answer);
+            let answer = self.runs[position].ended.and_then(|(_, answer)| answer);
             if let ([only], Some(answer)) = (keys.as_slice(), answer) {
-                self.turns.entry(*only).or_default().made.push(answer);
+                self.turns.entry(*only).or_default().produced.push(answer);
             }
-            self.runs[place].turns = keys;
+            self.runs[position].turns = keys;
         }
     }
 
-    fn add_places(&mut self) {
-        for (place, run) in self.runs.iter().enumerate() {
+    fn index_runs(&mut self) {
+        for (position, run) in self.runs.iter().enumerate() {
             if let event::Work::Plain(request) = run.work {
-                self.plain_runs.entry(*request).or_default().push(place);
+                self.plain_runs.entry(*request).or_default().push(position);
             }
             for key in &run.turns {
-                self.turn_runs.entry(*key).or_default().push(place);
+                self.turn_runs.entry(*key).or_default().push(position);
             }
         }
     }
--- a/fw-check/src/promise/budget.rs
+++ b/fw-check/src/promise/budget.rs
@@ -7,9 +7,9 @@
 use crate::check::Tally;
 use crate::event::Entry;
 use crate::event::Event;
-use crate::index::Asked;
-use crate::index::End;
 use crate::index::Index;
+use crate::index::Outcome;
+use crate::index::Request;
 
 pub(crate) fn check(entries: &[Entry], index: &Index<'_>) -> Tally {
     let mut tally = Tally::default();
@@ -29,22 +29,22 @@
         if tokens.is_none() && turns.is_none() {
             unlimited += 1;
         }
-        if let Some(most) = *tokens {
-            tally.expect(used <= most, &[at], || {
-                format!("{program} was answered with {used} tokens; its budget is {most}")
+        if let Some(limit) = *tokens {
+            tally.expect(used <= limit, &[at], || {
+                format!("{program} was answered with {used} tokens; its budget is {limit}")
             });
-            tally.expect(charged <= most, &[at], || {
-                format!("{program} was charged {charged} tokens; its budget is {most}")
+            tally.expect(charged <= limit, &[at], || {
+                format!("{program} was charged {charged} tokens; its budget is {limit}")
             });
         }
-        if let Some(most) = *turns {
+        if let Some(limit) = *turns {
             let count = answered.len();
-            tally.expect(count <= most as usize, &[at], || {
-                format!("{program} was answered {count} turns; its budget is {most}")
+            tally.expect(count <= limit as usize, &[at], || {
+                format!("{program} was answered {count} turns; its budget is {limit}")
             });
         }
     }
-    tally.unknown(unlimited, "programs without a limit");
+    tally.add_undecided(unlimited, "programs without a limit");
     tally
 }
 
@@ -52,11 +52,11 @@
 fn answered(index: &Index<'_>, program: &id::ProgramId) -> BTreeMap<id::Turn, id::Tokens> {
     let mut turns = BTreeMap::new();
     for call in index.calls.values() {
-        let Asked::Turn(sent) = call.asked else {
+        let Request::Turn(sent) = call.request else {
             continue;
         };
-        if let (true, Some((_, End::Answered { tokens, .. }))) =
-            (sent.program == *program, call.end)
+        if let (true, Some((_, Outcome::Answered { tokens, .. }))) =
+            (sent.program == *program, call.outcome)
         {
             turns.insert(sent.turn, tokens);
         }
--- a/fw-check/src/promise/history.rs
+++ b/fw-check/src/promise/history.rs
@@ -8,15 +8,15 @@
 use crate::event::Entry;
 use crate::event::Event;
 use crate::event::Work;
-use crate::index::Asked;
-use crate::index::End;
-use crate::index::Fit;
 use crate::index::Index;
+use crate::index::Match;
+use crate::index::Outcome;
+use crate::index::Request;
 use crate::index::TurnKey;
 
 pub(crate) fn check(entries: &[Entry], index: &Index<'_>) -> Tally {
     let mut tally = Tally::default();
-    check_told(index, &mut tally);
+    check_answers(index, &mut tally);
     check_prompts(index, &mut tally);
     check_reads(entries, index, &mut tally);
     check_refusals(entries, index, &mut tally);
@@ -24,47 +24,47 @@
 }
 
 /// A turn has one answer, however often it is sent.
-fn check_told(index: &Index<'_>, tally: &mut Tally) {
+fn check_answers(index: &Index<'_>, tally: &mut Tally) {
     for (key, turn) in &index.turns {
-        let is_same = turn.told.windows(2).all(|pair| pair[0] == pair[1]);
+        let is_same = turn.received.windows(2).all(|pair| pair[0] == pair[1]);
         if !is_same {
             let TurnKey { program, turn } = key;
             let what = format!("turn {turn} of {program} was answered in two ways");
-            tally.violated(&answers_of(index, *key), what);
+            tally.add_violation(&answer_positions(index, *key), what);
         }
     }
 }
 
-fn answers_of(index: &Index<'_>, key: TurnKey<'_>) -> Vec<usize> {
+fn answer_positions(index: &Index<'_>, key: TurnKey<'_>) -> Vec<usize> {
     let calls = index.calls.values();
-    let of_turn = calls.filter(|c| turn_of(&c.asked, key.program) == Some(key.turn));
-    let ends = of_turn.filter_map(|call| call.end);
-    let answers = ends.filter(|(_, end)| matches!(end, End::Answered { .. }));
+    let of_turn = calls.filter(|c| turn_in(&c.request, key.program) == Some(key.turn));
+    let ends = of_turn.filter_map(|call| call.outcome);
+    let answers = ends.filter(|(_, end)| matches!(end, Outcome::Answered { .. }));
     answers.map(|(at, _)| at).collect()
 }
 
 fn check_prompts(index: &Index<'_>, tally: &mut Tally) {
-    let (mut foreign, mut undecided) = (0, 0);
+    let (mut unattributed, mut undecided) = (0, 0);
     for run in &index.runs {
         let Work::Turn(prompt) = run.work else {
             continue;
         };
-        let fits = run.turns.iter().map(|key| index.fit_prompt(*key, prompt));
-        let fits: Vec<_> = fits.collect();
-        if fits.is_empty() {
-            foreign += 1;
-        } else if fits.contains(&Fit::Yes) {
-            tally.held();
-        } else if fits.contains(&Fit::Unknown) {
+        let matches = run.turns.iter().map(|key| index.match_prompt(*key, prompt));
+        let matches: Vec<_> = matches.collect();
+        if matches.is_empty() {
+            unattributed += 1;
+        } else if matches.contains(&Match::Yes) {
+            tally.add_held();
+        } else if matches.contains(&Match::Unknown) {
             undecided += 1;
         } else {
             let TurnKey { program, turn } = run.turns[0];
             let what = format!("turn {turn} of {program} ran with another history");
-            tally.violated(&[run.started], what);
+            tally.add_violation(&[run.started], what);
         }
     }
-    tally.unknown(foreign, "runs of turns that no recorded caller sent");
-    tally.unknown(undecided, "runs after a turn whose answer was not recorded");
+    tally.add_undecided(unattributed, "runs of turns that no recorded caller sent");
+    tally.add_undecided(undecided, "runs after a turn whose answer was not recorded");
 }
 
 fn check_reads(entries: &[Entry], index: &Index<'_>, tally: &mut Tally) {
@@ -76,19 +76,19 @@
         let answered = last_answered(index, program, at);
         let sent = last_sent(index, program, at);
         // A turn whose answer is still on its way may or may not be in the history yet.
-        let fits = (answered..=sent).map(|last| index.fit(program, last, messages));
-        let fits: Vec<_> = fits.collect();
-        if fits.contains(&Fit::Yes) {
-            tally.held();
-        } else if fits.contains(&Fit::Unknown) {
+        let matches = (answered..=sent).map(|last| index.match_history(program, last, messages));
+        let matches: Vec<_> = matches.collect();
+        if matches.contains(&Match::Yes) {
+            tally.add_held();
+        } else if matches.contains(&Match::Unknown) {
             undecided += 1;
         } else {
             let what =
                 format!("the history of {program} is not that of its {answered} answered turns");
-            tally.violated(&[at], what);
+            tally.add_violation(&[at], what);
         }
     }
-    tally.unknown(
+    tally.add_undecided(
         undecided,
         "histories read after a turn whose answer was not recorded",
     );
@@ -99,10 +99,10 @@
 /// before any answer to it or a later one; an ended program is left out.
 fn check_refusals(entries: &[Entry], index: &Index<'_>, tally: &mut Tally) {
     for call in index.calls.values() {
-        let Some((end, End::Refused { kind, .. })) = call.end else {
+        let Some((end, Outcome::Refused { kind, .. })) = call.outcome else {
             continue;
         };
-        let Asked::Turn(sent) = call.asked else {
+        let Request::Turn(sent) = call.request else {
             continue;
         };
         let program = &sent.program;
@@ -130,8 +130,8 @@
 /// The last turn that was answered before `at`; 0 for none.
 fn last_answered(index: &Index<'_>, program: &id::ProgramId, at: usize) -> id::Turn {
     let turns = index.calls.values().filter_map(|call| {
-        let is_answered = matches!(call.end, Some((end, End::Answered { .. })) if end < at);
-        turn_of(&call.asked, program).filter(|_| is_answered)
+        let is_answered = matches!(call.outcome, Some((end, Outcome::Answered { .. })) if end < at);
+        turn_in(&call.request, program).filter(|_| is_answered)
     });
     turns.max().unwrap_or(0)
 }
@@ -139,13 +139,13 @@
 /// The last turn that was sent before `at`; 0 for none.
 fn last_sent(index: &Index<'_>, program: &id::ProgramId, at: usize) -> id::Turn {
     let calls = index.calls.values().filter(|call| call.sent < at);
-    let turns = calls.filter_map(|call| turn_of(&call.asked, program));
+    let turns = calls.filter_map(|call| turn_in(&call.request, program));
     turns.max().unwrap_or(0)
 }
 
-fn turn_of(asked: &Asked<'_>, program: &id::ProgramId) -> Option<id::Turn> {
-    match asked {
-        Asked::Turn(sent) if sent.program == *program => Some(sent.turn),
+fn turn_in(request: &Request<'_>, program: &id::ProgramId) -> Option<id::Turn> {
+    match request {
+        Request::Turn(sent) if sent.program == *program => Some(sent.turn),
         _ => None,
     }
 }
--- a/fw-check/src/promise/leaving.rs
+++ b/fw-check/src/promise/leaving.rs
@@ -23,13 +23,13 @@
             Some((run, _)) => {
                 let within = opts.leave_within;
                 let what = format!("{upstream} got new work more than {within:?} after it left");
-                tally.violated(&[left, run], what);
+                tally.add_violation(&[left, run], what);
             }
             None if end_of_record <= by => too_short += 1,
-            None => tally.held(),
+            None => tally.add_held(),
         }
     }
-    tally.unknown(
+    tally.add_undecided(
         too_short,
         "upstreams that left too shortly before the end of the record",
     );
--- a/fw-check/src/promise/memory.rs
+++ b/fw-check/src/promise/memory.rs
@@ -10,7 +10,7 @@
 use crate::event::Event;
 
 /// Memory held by an engine for a program.
-struct Hold<'a> {
+struct HeldSpan<'a> {
     upstream: &'a id::UpstreamId,
     program: &'a id::ProgramId,
     from: usize,
@@ -19,44 +19,44 @@
 
 pub(crate) fn check(entries: &[Entry], opts: &Options) -> Tally {
     let mut tally = Tally::default();
-    let holds = holds(entries);
+    let spans = held_spans(entries);
     let end_of_record = entries.last().map(|entry| entry.at).unwrap_or_default();
     let mut undecided = 0;
     for (ended, entry) in entries.iter().enumerate() {
         let Event::ProgramEnded { program } = &entry.event else {
             continue;
         };
-        for hold in holds.iter().filter(|hold| hold.program == program) {
-            let since = entry.at.max(entries[hold.from].at);
-            let until = hold.until.map(|until| entries[until].at);
+        for span in spans.iter().filter(|span| span.program == program) {
+            let since = entry.at.max(entries[span.from].at);
+            let until = span.until.map(|until| entries[until].at);
             let is_late = |at: Duration| at > since + opts.free_within;
             if until.is_none() && !is_late(end_of_record) {
                 undecided += 1;
                 continue;
             }
             let is_freed = until.is_some_and(|at| !is_late(at));
-            tally.expect(is_freed, &[ended, hold.from], || {
-                let upstream = hold.upstream;
+            tally.expect(is_freed, &[ended, span.from], || {
+                let upstream = span.upstream;
                 let within = opts.free_within;
                 format!("{upstream} held memory for {program} more than {within:?} after its end")
             });
         }
     }
-    tally.unknown(
+    tally.add_undecided(
         undecided,
         "programs whose memory was still held as the record ended",
     );
     tally
 }
 
-fn holds(entries: &[Entry]) -> Vec<Hold<'_>> {
-    let mut holds: Vec<Hold<'_>> = Vec::new();
+fn held_spans(entries: &[Entry]) -> Vec<HeldSpan<'_>> {
+    let mut spans: Vec<HeldSpan<'_>> = Vec::new();
     for (at, entry) in entries.iter().enumerate() {
         match &entry.event {
             Event::MemoryHeld { upstream, program } => {
-                let is_same = |h: &Hold<'_>| h.upstream == upstream && h.program == program;
-                if !holds.iter().any(|h| is_same(h) && h.until.is_none()) {
-                    holds.push(Hold {
+                let is_same = |h: &HeldSpan<'_>| h.upstream == upstream && h.program == program;
+                if !spans.iter().any(|h| is_same(h) && h.until.is_none()) {
+                    spans.push(HeldSpan {
                         upstream,
                         program,
                         from: at,
@@ -65,17 +65,18 @@
                 }
             }
             Event::MemoryFreed { upstream, program } => {
-                let is_same = |h: &&mut Hold<'_>| h.upstream == upstream && h.program == program;
-                let same = holds.iter_mut().filter(is_same);
-                same.for_each(|hold| _ = hold.until.get_or_insert(at));
+                let is_same =
+                    |h: &&mut HeldSpan<'_>| h.upstream == upstream && h.program == program;
+                let same = spans.iter_mut().filter(is_same);
+                same.for_each(|span| _ = span.until.get_or_insert(at));
             }
             // A crashed engine holds nothing.
             Event::Crashed { process } => {
-                let there = holds.iter_mut().filter(|hold| hold.upstream == process);
-                there.for_each(|hold| _ = hold.until.get_or_insert(at));
+                let on_upstream = spans.iter_mut().filter(|span| span.upstream == process);
+                on_upstream.for_each(|span| _ = span.until.get_or_insert(at));
             }
             _ => (),
         }
     }
-    holds
+    spans
 }
--- a/fw-check/src/promise/once.rs
+++ b/fw-check/src/promise/once.rs
@@ -10,8 +10,8 @@
 
 use crate::check::Tally;
 use crate::event::Work;
-use crate::index::Asked;
 use crate::index::Index;
+use crate::index::Request;
 
 /// The calls that carry one request.
 #[derive(Default)]
@@ -24,7 +24,7 @@
     let mut tally = Tally::default();
     let mut groups: BTreeMap<[u8; 32], Group<'_>> = BTreeMap::new();
     for call in index.calls.values() {
-        let Asked::Plain(sent) = call.asked else {
+        let Request::Plain(sent) = call.request else {
             continue;
         };
         if sent.idempotent {
@@ -42,10 +42,10 @@
             Work::Turn(_) => false,
         });
         let started: Vec<_> = runs.map(|run| run.started).collect();
-        let (count, most) = (started.len(), group.keys.len());
+        let (count, allowed) = (started.len(), group.keys.len());
         let indices = [group.indices, started].concat();
-        tally.expect(count <= most, &indices, || {
-            format!("a call that is not idempotent ran {count} times under {most} keys")
+        tally.expect(count <= allowed, &indices, || {
+            format!("a call that is not idempotent ran {count} times under {allowed} keys")
         });
     }
     tally
--- a/fw-check/src/promise/order.rs
+++ b/fw-check/src/promise/order.rs
@@ -10,7 +10,7 @@
     let mut tally = Tally::default();
     let mut first_answer: HashMap<TurnKey<'_>, usize> = HashMap::new();
     for run in &index.runs {
-        let (Some(key), Some((ended, Some(_)))) = (index.owner(run), run.ended) else {
+        let (Some(key), Some((ended, Some(_)))) = (index.turn_of_run(run), run.ended) else {
             continue;
         };
         let first = first_answer.entry(key).or_insert(ended);
@@ -18,7 +18,7 @@
     }
     let mut ambiguous = 0;
     for run in &index.runs {
-        let Some(key) = index.owner(run) else {
+        let Some(key) = index.turn_of_run(run) else {
             ambiguous += usize::from(run.turns.len() > 1);
             continue;
         };
@@ -35,7 +35,7 @@
             format!("turn {turn} of {program} ran before the turn before it was answered")
         });
     }
-    tally.unknown(
+    tally.add_undecided(
         ambiguous,
         "runs whose program is not certain from their texts",
     );
--- a/fw-check/src/promise/records.rs
+++ b/fw-check/src/promise/records.rs
@@ -16,28 +16,28 @@
 use crate::event::ProcessId;
 
 /// What one process was seen to have in force.
-struct Seen<'a> {
+struct Observation<'a> {
     at: usize,
     time: Duration,
     revision: id::Revision,
     values: Option<&'a BTreeMap<SmolStr, Digest>>,
 }
 
-type Sightings<'a> = BTreeMap<&'a ProcessId, Vec<Seen<'a>>>;
+type Observations<'a> = BTreeMap<&'a ProcessId, Vec<Observation<'a>>>;
 
 pub(crate) fn check(entries: &[Entry], opts: &Options) -> Tally {
     let mut tally = Tally::default();
-    let sightings = sightings(entries);
-    check_reverts(&sightings, &mut tally);
-    check_values(entries, &sightings, &mut tally);
-    let gone = gone(entries);
-    let mut unseen = 0;
+    let observations = observations(entries);
+    check_reverts(&observations, &mut tally);
+    check_values(entries, &observations, &mut tally);
+    let stopped = stopped(entries);
+    let mut unobserved = 0;
     for (accepted, entry) in entries.iter().enumerate() {
         let Event::RecordAccepted { revision, .. } = entry.event else {
             continue;
         };
         let by = entry.at + opts.in_force_within;
-        for (process, seen) in &sightings {
+        for (process, seen) in &observations {
             let mut late = seen.iter().filter(|seen| seen.time > by);
             let stale = late.clone().find(|seen| seen.revision < revision);
             let in_time = seen
@@ -50,23 +50,23 @@
                         "{process} did not have revision {revision} in force {within:?} after it \
                          was accepted"
                     );
-                    tally.violated(&[accepted, stale.at], what);
+                    tally.add_violation(&[accepted, stale.at], what);
                 }
-                None if in_time || late.next().is_some() => tally.held(),
-                None if gone.contains(process) => (),
-                None => unseen += 1,
+                None if in_time || late.next().is_some() => tally.add_held(),
+                None if stopped.contains(process) => (),
+                None => unobserved += 1,
             }
         }
     }
-    tally.unknown(
-        unseen,
+    tally.add_undecided(
+        unobserved,
         "times that a process was not asked again after a record was accepted",
     );
     tally
 }
 
-fn check_reverts(sightings: &Sightings<'_>, tally: &mut Tally) {
-    for (process, seen) in sightings {
+fn check_reverts(observations: &Observations<'_>, tally: &mut Tally) {
+    for (process, seen) in observations {
         for pair in seen.windows(2) {
             let [before, after] = pair else { continue };
             tally.expect(
@@ -83,17 +83,17 @@
 
 /// A set in force holds the accepted value of each record as of its revision, or one that was put
 /// without an answer.
-fn check_values(entries: &[Entry], sightings: &Sightings<'_>, tally: &mut Tally) {
-    for (process, seen) in sightings {
+fn check_values(entries: &[Entry], observations: &Observations<'_>, tally: &mut Tally) {
+    for (process, seen) in observations {
         for (seen, values) in seen
             .iter()
             .filter_map(|s| s.values.map(|values| (s, values)))
         {
-            for (name, accepted) in accepted_by(entries, seen.revision) {
+            for (name, accepted) in accepted_through(entries, seen.revision) {
                 let in_force = values.get(name).copied();
                 let is_accepted = in_force == accepted.value;
-                let is_kept = is_accepted || is_doubtful(entries, name, in_force);
-                tally.expect(is_kept, &[accepted.at, seen.at], || {
+                let is_expected = is_accepted || is_uncertain(entries, name, in_force);
+                tally.expect(is_expected, &[accepted.at, seen.at], || {
                     let revision = seen.revision;
                     format!("{process} has another {name} in force at {revision} than accepted")
                 });
@@ -110,7 +110,7 @@
 }
 
 /// The last accepted change of each record up to `until`.
-fn accepted_by(entries: &[Entry], until: id::Revision) -> BTreeMap<&SmolStr, Accepted> {
+fn accepted_through(entries: &[Entry], until: id::Revision) -> BTreeMap<&SmolStr, Accepted> {
     let mut last: BTreeMap<&SmolStr, Accepted> = BTreeMap::new();
     for (at, entry) in entries.iter().enumerate() {
         let Event::RecordAccepted {
@@ -134,15 +134,15 @@
     last
 }
 
-fn is_doubtful(entries: &[Entry], name: &SmolStr, value: Option<Digest>) -> bool {
+fn is_uncertain(entries: &[Entry], name: &SmolStr, value: Option<Digest>) -> bool {
     entries.iter().any(|entry| match &entry.event {
         Event::RecordDoubtful { name: n, value: v } => n == name && *v == value,
         _ => false,
     })
 }
 
-fn sightings(entries: &[Entry]) -> Sightings<'_> {
-    let mut sightings = Sightings::new();
+fn observations(entries: &[Entry]) -> Observations<'_> {
+    let mut observations = Observations::new();
     for (at, entry) in entries.iter().enumerate() {
         let Event::RecordInForce {
             process,
@@ -152,17 +152,17 @@
         else {
             continue;
         };
-        sightings.entry(process).or_default().push(Seen {
+        observations.entry(process).or_default().push(Observation {
             at,
             time: entry.at,
             revision: *revision,
             values: values.as_ref(),
         });
     }
-    sightings
+    observations
 }
 
-fn gone(entries: &[Entry]) -> BTreeSet<&ProcessId> {
+fn stopped(entries: &[Entry]) -> BTreeSet<&ProcessId> {
     let names = entries.iter().filter_map(|entry| match &entry.event {
         Event::Crashed { process } | Event::ShutdownEnded { process, .. } => Some(process),
         _ => None,
--- a/fw-check/src/promise/refusal.rs
+++ b/fw-check/src/promise/refusal.rs
@@ -8,24 +8,24 @@
 
 use crate::check::Tally;
 use crate::event::Work;
-use crate::index::Asked;
 use crate::index::Call;
-use crate::index::End;
 use crate::index::Index;
+use crate::index::Outcome;
+use crate::index::Request;
 use crate::index::Run;
 use crate::index::TurnKey;
 
 pub(crate) fn check(index: &Index<'_>) -> Tally {
     let mut tally = Tally::default();
     let calls: Vec<&Call<'_>> = index.calls.values().collect();
-    check_table(&calls, &mut tally);
+    check_kinds(&calls, &mut tally);
     for call in calls.iter().filter(|call| call.is_not_run()) {
-        let runs = index.runs_of(call).filter(|run| may_be_of(run, call));
+        let runs = index.runs_of(call).filter(|run| may_serve(run, call));
         let unexplained = runs.into_iter().find(|run| {
-            let explains = |other: &&&Call<'_>| !other.is_not_run() && may_be_of(run, other);
+            let explains = |other: &&&Call<'_>| !other.is_not_run() && may_serve(run, other);
             calls.iter().find(explains).is_none()
         });
-        let end = call.end.map(|(end, _)| end);
+        let end = call.outcome.map(|(end, _)| end);
         let mut indices = vec![call.sent];
         indices.extend(end);
         indices.extend(unexplained.map(|run| run.started));
@@ -33,44 +33,44 @@
             "a call was refused as not run, and ran".to_owned()
         });
     }
-    let is_maybe = |call: &&&Call<'_>| match call.end {
-        Some((_, End::Refused { ran, .. })) => ran == Ran::Maybe,
-        Some((_, End::Lost { sent, .. })) => sent,
-        Some((_, End::Answered { .. })) => false,
+    let is_uncertain = |call: &&&Call<'_>| match call.outcome {
+        Some((_, Outcome::Refused { ran, .. })) => ran == Ran::Maybe,
+        Some((_, Outcome::Lost { sent, .. })) => sent,
+        Some((_, Outcome::Answered { .. })) => false,
         None => true,
     };
-    let maybe = calls.iter().filter(is_maybe).count();
-    tally.unknown(
-        maybe,
+    let uncertain = calls.iter().filter(is_uncertain).count();
+    tally.add_undecided(
+        uncertain,
         "calls without a certain outcome: each may or may not have run",
     );
     tally
 }
 
 /// What a caller is told must be what the table of error kinds says.
-fn check_table(calls: &[&Call<'_>], tally: &mut Tally) {
+fn check_kinds(calls: &[&Call<'_>], tally: &mut Tally) {
     for call in calls {
-        let Some((end, End::Refused { kind, ran })) = call.end else {
+        let Some((end, Outcome::Refused { kind, ran })) = call.outcome else {
             continue;
         };
         let row = kind.row();
         if ran != row.ran {
             let what = format!("{} was told as {ran:?}, not {:?}", row.label, row.ran);
-            tally.violated(&[call.sent, end], what);
+            tally.add_violation(&[call.sent, end], what);
         }
     }
 }
 
 /// Whether `run` may have been for `call`: it runs the same request, with the same messages if a
 /// turn was sent with others before, and began after the sending.
-fn may_be_of(run: &Run<'_>, call: &Call<'_>) -> bool {
-    let is_same = match (call.asked, run.work) {
-        (Asked::Turn(sent), Work::Turn(prompt)) => {
+fn may_serve(run: &Run<'_>, call: &Call<'_>) -> bool {
+    let is_same = match (call.request, run.work) {
+        (Request::Turn(sent), Work::Turn(prompt)) => {
             let (program, turn) = (&sent.program, sent.turn);
             let is_turn = run.turns.contains(&TurnKey { program, turn });
             is_turn && prompt.ends_with(&sent.messages)
         }
-        (Asked::Plain(sent), Work::Plain(request)) => sent.request == *request,
+        (Request::Plain(sent), Work::Plain(request)) => sent.request == *request,
         _ => false,
     };
     is_same && call.sent < run.started
--- a/fw-check/src/promise/shutdown.rs
+++ b/fw-check/src/promise/shutdown.rs
@@ -4,10 +4,10 @@
 use crate::event::Entry;
 use crate::event::Event;
 use crate::event::ProcessId;
-use crate::index::Asked;
 use crate::index::Call;
-use crate::index::End;
 use crate::index::Index;
+use crate::index::Outcome;
+use crate::index::Request;
 
 /// The part of the record that one shutdown answers for.
 struct Span {
@@ -39,7 +39,7 @@
             None => unfinished += 1,
         }
     }
-    tally.unknown(unfinished, "shutdowns whose end is not in the record");
+    tally.add_undecided(unfinished, "shutdowns whose end is not in the record");
     tally
 }
 
@@ -47,15 +47,17 @@
 fn check_calls(index: &Index<'_>, process: &ProcessId, span: Span, tally: &mut Tally) {
     let is_under_way = |call: &&Call<'_>| {
         let ends = span.begun..span.crashed;
-        let ends_within = call.end.is_some_and(|(end, _)| ends.contains(&end));
+        let ends_within = call.outcome.is_some_and(|(end, _)| ends.contains(&end));
         receiver(call) == process && call.sent < span.last_sent && ends_within
     };
     for call in index.calls.values().filter(is_under_way) {
-        let Some((end, how)) = call.end else { continue };
+        let Some((end, how)) = call.outcome else {
+            continue;
+        };
         let is_cut_off = match how {
-            End::Lost { sent, by_caller } => sent && !by_caller,
-            End::Answered { whole, .. } => !whole,
-            End::Refused { .. } => false,
+            Outcome::Lost { sent, by_caller } => sent && !by_caller,
+            Outcome::Answered { whole, .. } => !whole,
+            Outcome::Refused { .. } => false,
         };
         let indices = [span.begun, call.sent, end];
         tally.expect(!is_cut_off, &indices, || {
@@ -65,9 +67,9 @@
 }
 
 fn receiver<'a>(call: &Call<'a>) -> &'a ProcessId {
-    match call.asked {
-        Asked::Turn(sent) => &sent.to,
-        Asked::Plain(sent) => &sent.to,
+    match call.request {
+        Request::Turn(sent) => &sent.to,
+        Request::Plain(sent) => &sent.to,
     }
 }
 
--- a/fw-check/src/recorder.rs
+++ b/fw-check/src/recorder.rs
@@ -23,7 +23,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    begun: Instant,
+    started_at: Instant,
     next_id: AtomicU64,
     entries: Mutex<Vec<Entry>>,
 }
@@ -33,7 +33,7 @@
     pub fn new() -> Self {
         Self {
             shared: Arc::new(Shared {
-                begun: Instant::now(),
+                started_at: Instant::now(),
                 next_id: AtomicU64::new(1),
                 entries: Mutex::default(),
             }),
@@ -49,7 +49,7 @@
     pub fn record(&self, event: Event) {
         let mut entries = self.shared.entries.lock();
         // Under the lock, so that times grow along the record.
-        let at = self.shared.begun.elapsed();
+        let at = self.shared.started_at.elapsed();
         entries.push(Entry { at, event });
     }
 
--- a/fw-check/tests/check/main.rs
+++ b/fw-check/tests/check/main.rs
@@ -6,6 +6,6 @@
 mod good_records;
 mod metrics_page;
 mod record_lines;
+mod scenario;
 mod source_tree;
 mod spec_models;
-mod story;
--- a/fw-check/tests/check/record_lines.rs
+++ b/fw-check/tests/check/record_lines.rs
@@ -7,32 +7,35 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-use crate::story;
-use crate::story::Story;
+use crate::scenario;
+use crate::scenario::Scenario;
 
 #[gtest]
 fn a_record_reads_back_as_it_was_written() {
-    let mut story = Story::default();
-    story
+    let mut scenario = Scenario::default();
+    scenario
         .turn("p", 1)
         .plain(Some("key-1"), "offer")
         .accept(5)
         .in_force(1, 5);
-    let call = story.send("p", 2);
-    story
+    let call = scenario.send("p", 2);
+    scenario
         .refuse(call, Kind::MayHaveRun)
-        .read_history("p", story::history("p", 1));
+        .read_history("p", scenario::history("p", 1));
     let mut text = Vec::new();
-    recorder::write(&story.entries, &mut text).unwrap();
+    recorder::write(&scenario.entries, &mut text).unwrap();
     let lines = text.split(|b| *b == b'\n').count() - 1;
-    expect_that!(lines, eq(story.entries.len()));
-    expect_that!(recorder::read(text.as_slice()).unwrap(), eq(&story.entries));
+    expect_that!(lines, eq(scenario.entries.len()));
+    expect_that!(
+        recorder::read(text.as_slice()).unwrap(),
+        eq(&scenario.entries)
+    );
 }
 
 #[gtest]
 fn a_bad_line_is_named() {
     let mut text = Vec::new();
-    recorder::write(&Story::default().turn("p", 1).entries, &mut text).unwrap();
+    recorder::write(&Scenario::default().turn("p", 1).entries, &mut text).unwrap();
     text.extend_from_slice(b"{\"at_us\":1,\"event\":\"nonsense\"}\n");
     let err = recorder::read(text.as_slice()).unwrap_err();
     expect_that!(err.to_string(), starts_with("line 5 holds no event"));
--- a/fw-check/tests/check/story.rs
+++ b/fw-check/tests/check/scenario.rs
@@ -15,7 +15,7 @@
 
 /// A record under construction. Each event comes a millisecond after the one before.
 #[derive(Clone, Default)]
-pub struct Story {
+pub struct Scenario {
     pub entries: Vec<Entry>,
     now: Duration,
     next_id: u64,
@@ -26,22 +26,22 @@
 }
 
 /// The one message that a turn adds.
-pub fn question(program: &str, turn: id::Turn) -> Digest {
+pub fn user_message(program: &str, turn: id::Turn) -> Digest {
     digest(&format!("{program} asks {turn}"))
 }
 
 /// The answer that the first run of a turn makes.
-pub fn reply(program: &str, turn: id::Turn) -> Digest {
+pub fn answer(program: &str, turn: id::Turn) -> Digest {
     digest(&format!("answer to {program} {turn}"))
 }
 
 /// The history of a program through `last`.
 pub fn history(program: &str, last: id::Turn) -> Vec<Digest> {
-    let turns = (1..=last).flat_map(|turn| [question(program, turn), reply(program, turn)]);
+    let turns = (1..=last).flat_map(|turn| [user_message(program, turn), answer(program, turn)]);
     turns.collect()
 }
 
-impl Story {
+impl Scenario {
     pub fn push(&mut self, event: Event) -> &mut Self {
         self.now += Duration::from_millis(1);
         let at = self.now;
@@ -60,11 +60,11 @@
     }
 
     pub fn send(&mut self, program: &str, turn: id::Turn) -> event::CallId {
-        self.send_message(program, turn, question(program, turn))
+        self.send_message(program, turn, user_message(program, turn))
     }
 
     /// Sends a turn whose text other programs may use too.
-    pub fn send_words(&mut self, program: &str, turn: id::Turn, text: &str) -> event::CallId {
+    pub fn send_text(&mut self, program: &str, turn: id::Turn, text: &str) -> event::CallId {
         self.send_message(program, turn, digest(text))
     }
 
@@ -139,7 +139,7 @@
     /// The prompt of a turn whose history is as it should be.
     pub fn prompt(program: &str, turn: id::Turn) -> Vec<Digest> {
         let mut prompt = history(program, turn - 1);
-        prompt.push(question(program, turn));
+        prompt.push(user_message(program, turn));
         prompt
     }
 
@@ -147,8 +147,8 @@
     pub fn turn(&mut self, program: &str, turn: id::Turn) -> &mut Self {
         let call = self.send(program, turn);
         let run = self.start(Self::prompt(program, turn));
-        self.end(run, reply(program, turn));
-        self.answer(call, reply(program, turn))
+        self.end(run, answer(program, turn));
+        self.answer(call, answer(program, turn))
     }
 
     /// A plain call that goes well.
--- a/fw-check/tests/check/spec_models.rs
+++ b/fw-check/tests/check/spec_models.rs
@@ -22,25 +22,25 @@
 
 /// Options of every verifier: no cycles are searched, states are compressed without loss, memory
 /// is bounded in MB.
-const COMPILE: [&str; 5] = ["-w", "-O2", "-DSAFETY", "-DCOLLAPSE", "-DMEMLIM=1024"];
+const GCC_OPTIONS: [&str; 5] = ["-w", "-O2", "-DSAFETY", "-DCOLLAPSE", "-DMEMLIM=1024"];
 
 /// Ends without a next step are no errors, the search may go this deep, and ends after as many
 /// minutes.
-const RUN: [&str; 3] = ["-E", "-m200000", "-Q5"];
+const VERIFIER_OPTIONS: [&str; 3] = ["-E", "-m200000", "-Q5"];
 
 fn spec() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../spec")
 }
 
 /// Compiles and runs the verifier with some of the switches turned on; returns what it printed.
-fn verify(on: &[&str]) -> String {
+fn run_verifier(on: &[&str]) -> String {
     let name = format!("spec-{}", on.join("-"));
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&dir).unwrap();
     let pan = dir.join("pan");
     let switches = SWITCHES.map(|switch| format!("-D{switch}={}", u8::from(on.contains(&switch))));
     let compiled = Command::new("gcc")
-        .args(COMPILE)
+        .args(GCC_OPTIONS)
         .args(switches)
         .arg("-o")
         .arg(&pan)
@@ -49,7 +49,10 @@
         .unwrap();
     assert!(compiled.success(), "gcc failed: {compiled}");
     // The trail of an error goes into the current folder.
-    let ran = Command::new(&pan).args(RUN).current_dir(&dir).output();
+    let ran = Command::new(&pan)
+        .args(VERIFIER_OPTIONS)
+        .current_dir(&dir)
+        .output();
     String::from_utf8(ran.unwrap().stdout).unwrap()
 }
 
@@ -64,14 +67,17 @@
 #[gtest]
 fn verifier_is_that_of_the_specification() {
     let source = std::fs::read(spec().join("keeper.pml")).unwrap();
-    let noted = std::fs::read_to_string(spec().join("generated/SOURCE")).unwrap();
+    let recorded = std::fs::read_to_string(spec().join("generated/SOURCE")).unwrap();
     // To mend: spec/generate.sh
-    expect_that!(noted.trim(), eq(&String::from(Digest::of_bytes(&source))));
+    expect_that!(
+        recorded.trim(),
+        eq(&String::from(Digest::of_bytes(&source)))
+    );
 }
 
 #[gtest]
 fn whole_protocol_has_no_fault() {
-    let report = verify(&[]);
+    let report = run_verifier(&[]);
     expect_that!(report, contains_substring("errors: 0"));
     expect_that!(report, not(contains_substring("Search not completed")));
     expect_that!(
@@ -84,7 +90,7 @@
 fn wanted_end_is_reached() {
     // A model in which nothing can happen has no fault either: here all turns and the call are
     // answered, after the lease changed hands as often as it may.
-    let report = verify(&["EXPECT_END"]);
+    let report = run_verifier(&["EXPECT_END"]);
     expect_that!(violated(&report), some(contains_substring("EXPECT_END")));
 }
 
@@ -92,7 +98,7 @@
 fn without_fence_compare_a_paused_holder_commits() {
     // Keeper A is paused with a write on its way; its lease lapses and keeper B takes the shard.
     // A's write arrives last, and the journal takes an entry from a keeper that B thinks is gone.
-    let report = verify(&["NO_FENCE_COMPARE"]);
+    let report = run_verifier(&["NO_FENCE_COMPARE"]);
     expect_that!(violated(&report), some(contains_substring("fence==fence")));
 }
 
@@ -100,7 +106,7 @@
 fn without_head_compare_a_late_write_lands_twice() {
     // The answer to a commit is late; the keeper, still the holder, commits the turn once more.
     // Both writes arrive, the fence fits both, and the turn stands in the journal twice.
-    let report = verify(&["NO_HEAD_COMPARE"]);
+    let report = run_verifier(&["NO_HEAD_COMPARE"]);
     expect_that!(violated(&report), some(contains_substring("==(turns[")));
 }
 
@@ -108,7 +114,7 @@
 fn without_read_back_a_commit_is_repeated() {
     // A commit took effect and its answer was lost. A keeper that does not look for its own entry
     // takes the new head and writes after it: what was committed is committed again.
-    let report = verify(&["NO_READ_BACK"]);
+    let report = run_verifier(&["NO_READ_BACK"]);
     let twice = any!(
         contains_substring("claim=="),
         contains_substring("==(turns[")
@@ -120,7 +126,7 @@
 fn without_claim_first_a_call_is_sent_twice() {
     // A keeper sends an offer letter and is paused before it has noted so. The next keeper finds
     // no trace of the call in the journal and sends it again.
-    let report = verify(&["NO_CLAIM_FIRST"]);
+    let report = run_verifier(&["NO_CLAIM_FIRST"]);
     expect_that!(violated(&report), some(contains_substring("calls<=1")));
 }
 
@@ -128,7 +134,7 @@
 fn without_digest_check_histories_mix() {
     // The engine's cache holds program B's history, or one of A that never was committed. Turn 2
     // of A names only its new messages, and is answered from the history that lies there.
-    let report = verify(&["NO_DIGEST_CHECK"]);
+    let report = run_verifier(&["NO_DIGEST_CHECK"]);
     expect_that!(violated(&report), some(contains_substring("prompt[")));
 }
 
@@ -136,6 +142,6 @@
 fn without_both_compares_an_answered_turn_is_lost() {
     // As above, but nothing else stops the paused keeper's write: both keepers commit a turn 1
     // of the same program, and their callers were told of two histories.
-    let report = verify(&["NO_FENCE_COMPARE", "NO_HEAD_COMPARE", "ALLOW_STALE"]);
+    let report = run_verifier(&["NO_FENCE_COMPARE", "NO_HEAD_COMPARE", "ALLOW_STALE"]);
     expect_that!(violated(&report), some(contains_substring("==(turns[")));
 }
