--- a/fw-check/examples/spec_digest.rs
+++ b/fw-check/examples/spec_digest.rs
@@ -1,4 +1,4 @@
-//! Prints the digest of `spec/keeper.pml`, which `spec/generated/SOURCE` holds.
+//! Prints the digest of `spec/keeper.pml`, which is stored in `spec/generated/SOURCE`.
 
 use std::path::Path;
 
--- a/fw-check/src/check.rs
+++ b/fw-check/src/check.rs
@@ -1,4 +1,4 @@
-//! Looks at a record and says of each promise whether it held.
+//! The checker: evaluates each promise over a record of events.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,24 +7,24 @@
 use crate::index;
 use crate::promise;
 
-/// What must always hold.
+/// An invariant of the system that the checker verifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Promise {
     /// The calls of one program stay in order.
     Order,
     /// A program's history is never lost and never mixed with another's.
     History,
-    /// A program's budget holds.
+    /// A program does not exceed its budget.
     Budget,
-    /// No engine memory stays held for programs that are gone.
+    /// No KV cache stays allocated for programs that have ended.
     Memory,
-    /// A caller gets the whole answer to its own request.
+    /// A caller receives the complete answer to its own request.
     Answer,
-    /// An error that says "not run" is true.
+    /// A request that an error reports as not run did not run.
     Refusal,
     /// A call that is not idempotent runs at most once.
     Once,
-    /// A leaving upstream gets no new work after a few seconds.
+    /// A leaving upstream receives no new work after a few seconds.
     Leaving,
     /// A graceful shutdown cuts off no request.
     Shutdown,
@@ -64,12 +64,12 @@
     }
 }
 
-/// Bounds of what takes time.
+/// Time limits of the promises that hold only after a delay.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// From a program's end until no engine holds memory for it.
+    /// From a program's end until no engine holds KV cache for it.
     pub free_within: Duration,
-    /// From the moment that an upstream begins to leave until it gets no new work.
+    /// From the time an upstream starts to leave until it receives no new work.
     pub leave_within: Duration,
     /// From the acceptance of a record until it is in force everywhere.
     pub in_force_within: Duration,
@@ -85,33 +85,33 @@
     }
 }
 
-/// What speaks against a promise.
+/// A violation of a promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Evidence {
-    /// The entries of the record that show it, counted from 1.
+    /// The entries of the record that show the violation, counted from 1.
     pub lines: Vec<usize>,
-    /// What they show.
+    /// The violation in one line.
     pub description: String,
 }
 
-/// What a record says of one promise.
+/// The result of checking one promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It held wherever it was put to the test.
+    /// It held in every case that exercised it.
     Held {
-        /// How often it was put to the test.
+        /// Number of cases that exercised it.
         observations: usize,
-        /// What the record cannot tell.
+        /// The cases that the record cannot decide.
         unknown: Vec<String>,
     },
     /// It did not hold.
     Violated {
-        /// Each violation.
+        /// The violations found.
         evidence: Vec<Evidence>,
     },
-    /// Nothing in the record put it to the test.
+    /// Nothing in the record exercised it.
     NotObserved {
-        /// What the record cannot tell.
+        /// The cases that the record cannot decide.
         unknown: Vec<String>,
     },
 }
@@ -139,7 +139,7 @@
         self.findings.iter().any(is_violated)
     }
 
-    /// Whether every promise was put to the test and held.
+    /// Whether every promise was exercised and held.
     pub fn is_held(&self) -> bool {
         let is_held = |f: &Finding| matches!(f.verdict, Verdict::Held { .. });
         self.findings.iter().all(is_held)
@@ -191,7 +191,7 @@
     }
 }
 
-/// Collects what a record says of one promise.
+/// Counts the cases of one promise while a record is checked.
 #[derive(Debug, Default)]
 pub(crate) struct Tally {
     observations: usize,
@@ -200,18 +200,18 @@
 }
 
 impl Tally {
-    /// The promise was put to the test and held.
+    /// Adds a case in which the promise held.
     pub fn add_held(&mut self) {
         self.observations += 1;
     }
 
-    /// The promise was violated, as the entries at `indices` show.
+    /// Adds a violation, shown by the entries at `indices`.
     pub fn add_violation(&mut self, indices: &[usize], description: String) {
         let lines = indices.iter().map(|index| index + 1).collect();
         self.evidence.push(Evidence { lines, description });
     }
 
-    /// The promise was put to the test; it held if `is_held`.
+    /// Adds a case: held if `is_held`, otherwise a violation.
     pub fn expect(
         &mut self,
         is_held: bool,
@@ -224,7 +224,7 @@
         }
     }
 
-    /// `count` cases that the record cannot decide, if there are any.
+    /// Adds `count` cases that the record cannot decide; nothing if `count` is 0.
     pub fn add_undecided(&mut self, count: usize, cases: &str) {
         if count > 0 {
             self.unknown.push(format!("{count} {cases}"));
--- a/fw-check/src/event.rs
+++ b/fw-check/src/event.rs
@@ -1,8 +1,8 @@
-//! What is recorded of a run.
+//! The events of a record.
 //!
-//! The order of the record is the order of time: a sender notes its event before it sends, a
-//! receiver after it received. So a run begins after its call was sent, and an upstream notes the
-//! run's end before it sends the last byte of its answer.
+//! The order of the record agrees with causality: a sender records its event before it sends, a
+//! receiver after it has received. A run therefore starts after its call was sent, and an upstream
+//! records the end of a run before it sends the last byte of the answer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,23 +15,23 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// One request of a caller; see [`crate::recorder::Recorder::next_id`].
+/// Identifies a request of a caller; see [`crate::recorder::Recorder::next_id`].
 pub type CallId = u64;
-/// One run of a request at an upstream; see [`crate::recorder::Recorder::next_id`].
+/// Identifies a run of a request at an upstream; see [`crate::recorder::Recorder::next_id`].
 pub type RunId = u64;
-/// Names a caller.
+/// Identifies a caller.
 pub type CallerId = SmolStr;
-/// Names an entry or a side over its restarts.
+/// Identifies an entry or a side across its restarts.
 pub type ProcessId = SmolStr;
 
-/// An event and when it was noted.
+/// An event and the time at which it was recorded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Time since the record began; written in microseconds.
+    /// Time since the start of the record; serialized in microseconds.
     #[serde(rename = "at_us", with = "micros")]
     pub at: Duration,
-    /// What happened.
     #[serde(flatten)]
+    /// The event.
     pub event: Event,
 }
 
@@ -40,16 +40,16 @@
 pub struct TurnSent {
     /// The request.
     pub call: CallId,
-    /// Who sends it.
+    /// The sender.
     pub caller: CallerId,
     /// The entry that it is sent to.
     pub to: ProcessId,
     /// The program.
     pub program: id::ProgramId,
-    /// The turn; sent again, it has the same number.
+    /// The turn; a resend has the same number.
     pub turn: id::Turn,
-    /// Digests of the messages that the turn adds; see [`message_digest`]. Texts that name their
-    /// program and turn let the checker tell runs apart.
+    /// Digests of the messages that the turn adds; see [`message_digest`]. Messages that contain
+    /// their program and turn let the checker attribute each run to one turn.
     pub messages: Vec<Digest>,
 }
 
@@ -58,29 +58,29 @@
 pub struct PlainSent {
     /// The request.
     pub call: CallId,
-    /// Who sends it.
+    /// The sender.
     pub caller: CallerId,
     /// The entry that it is sent to.
     pub to: ProcessId,
-    /// Fingerprint of what the service will see of it.
+    /// Digest of the request as the service receives it; see [`request_digest`].
     pub request: Digest,
-    /// The `Idempotency-Key`.
+    /// The value of the `Idempotency-Key` header.
     pub key: Option<SmolStr>,
     /// Whether it may run more than once.
     pub idempotent: bool,
 }
 
-/// What an upstream was asked to run.
+/// The request that an upstream runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Work {
     /// A turn: the digests of all messages of its prompt, in order.
     Turn(Vec<Digest>),
-    /// A plain request, by the fingerprint of [`PlainSent::request`].
+    /// A plain request: the digest in [`PlainSent::request`].
     Plain(Digest),
 }
 
-/// Something that happened.
+/// An event of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
@@ -88,42 +88,42 @@
     TurnSent(TurnSent),
     /// A caller sends a plain request.
     PlainSent(PlainSent),
-    /// A caller got an answer.
+    /// A caller received an answer.
     Answered {
         /// The request.
         call: CallId,
         /// Digest of the answer: of the assistant's message, or of a plain answer's body.
         answer: Digest,
-        /// Whether it was ended as its protocol demands.
+        /// Whether it was terminated as its protocol requires, not truncated.
         whole: bool,
-        /// Tokens that the answer says were used.
+        /// Tokens used, as the answer reports them.
         tokens: id::Tokens,
     },
-    /// A caller got an error.
+    /// A caller received an error.
     Refused {
         /// The request.
         call: CallId,
-        /// What sort of error.
+        /// The kind of error.
         kind: error::Kind,
-        /// Whether it ran, as the caller was told.
+        /// Whether the request ran, as reported to the caller.
         ran: error::Ran,
     },
-    /// A caller gave up waiting, or its connection broke.
+    /// A caller timed out, or its connection broke.
     Lost {
         /// The request.
         call: CallId,
-        /// Whether a byte of it may have left: false if no connection was made.
+        /// Whether any byte of it may have been sent: false if no connection was established.
         sent: bool,
-        /// Whether the caller itself broke it off.
+        /// Whether the caller itself aborted it.
         by_caller: bool,
     },
-    /// An upstream begins to run a request.
+    /// An upstream starts to run a request.
     RunStarted {
         /// The run.
         run: RunId,
         /// The upstream.
         upstream: id::UpstreamId,
-        /// What it runs.
+        /// The request that it runs.
         work: Work,
     },
     /// An upstream ended a run.
@@ -145,92 +145,92 @@
         /// The program.
         program: id::ProgramId,
     },
-    /// An engine holds memory for a program from now on.
+    /// An engine starts to hold KV cache for a program.
     MemoryHeld {
         /// The engine.
         upstream: id::UpstreamId,
         /// The program.
         program: id::ProgramId,
     },
-    /// An engine holds no memory for a program any more.
+    /// An engine has freed the KV cache of a program.
     MemoryFreed {
         /// The engine.
         upstream: id::UpstreamId,
         /// The program.
         program: id::ProgramId,
     },
-    /// A program's budget, before its first turn.
+    /// A program's budget was set, before its first turn.
     BudgetSet {
         /// The program.
         program: id::ProgramId,
-        /// Most tokens.
+        /// Maximum number of tokens, if limited.
         tokens: Option<id::Tokens>,
-        /// Most turns.
+        /// Maximum number of turns, if limited.
         turns: Option<id::Turn>,
     },
     /// Tokens were charged to a program.
     Charged {
         /// The program.
         program: id::ProgramId,
-        /// How many.
+        /// The number of tokens.
         tokens: id::Tokens,
     },
-    /// An operator was told that a change of a record is accepted.
+    /// An operator's change of a record was accepted.
     RecordAccepted {
-        /// Revision of the set of records with the change.
+        /// Revision of the set of records that contains the change.
         revision: id::Revision,
         /// Name of the record.
         name: SmolStr,
         /// Digest of its value; absent if it was deleted.
         value: Option<Digest>,
     },
-    /// An operator got no answer to a change of a record: it may have taken effect.
+    /// An operator received no answer to a change of a record, which may have taken effect.
     RecordDoubtful {
         /// Name of the record.
         name: SmolStr,
         /// Digest of its value; absent if it was to be deleted.
         value: Option<Digest>,
     },
-    /// A process was asked which set of records is in force there.
+    /// A process reported the set of records that is in force there.
     RecordInForce {
         /// The process.
         process: ProcessId,
         /// Revision of that set.
         revision: id::Revision,
-        /// Digests of the values by name; absent if only the revision was asked for.
+        /// Digests of the values by name; absent if only the revision was requested.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         values: Option<BTreeMap<SmolStr, Digest>>,
     },
-    /// An upstream begins to leave.
+    /// An upstream starts to leave.
     UpstreamLeaving {
         /// The upstream.
         upstream: id::UpstreamId,
     },
-    /// A process was told to stop gracefully.
+    /// A graceful shutdown of a process was requested.
     ShutdownBegun {
         /// The process.
         process: ProcessId,
     },
-    /// A process that was told to stop has ended.
+    /// A process has exited after a graceful shutdown.
     ShutdownEnded {
         /// The process.
         process: ProcessId,
-        /// Requests that were still under way, by its own count.
+        /// Number of requests still in flight, as the process itself counted them.
         cut_off: u32,
     },
-    /// A process or an upstream of this name crashed, or was made to.
+    /// The process or upstream of this name crashed or was killed.
     Crashed {
         /// The process.
         process: ProcessId,
     },
 }
 
-/// The digest that stands for a message in a record.
+/// The digest that represents a message in a record.
 pub fn message_digest(message: &chat::Message) -> Digest {
     Digest::of_bytes(message.as_str().as_bytes())
 }
 
-/// The digest that stands for a plain request: its method, path with query, and body.
+/// The digest that represents a plain request: of its method, path with query, and body.
 pub fn request_digest(method: &str, path: &str, body: &[u8]) -> Digest {
     let head = format!("{method} {path}\n");
     Digest::of_bytes(&[head.as_bytes(), body].concat())
--- a/fw-check/src/index.rs
+++ b/fw-check/src/index.rs
@@ -1,4 +1,4 @@
-//! The calls, runs and turns of a record, and which run belongs to which turn.
+//! Index of the calls, runs and turns of a record, with the attribution of runs to turns.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,14 +11,14 @@
 use crate::event::Entry;
 use crate::event::Event;
 
-/// What a call asks for.
+/// The request of a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Request<'a> {
     Turn(&'a event::TurnSent),
     Plain(&'a event::PlainSent),
 }
 
-/// How a call ended, as its caller saw it.
+/// The outcome of a call as its caller observed it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Outcome {
     Answered {
@@ -36,18 +36,18 @@
     },
 }
 
-/// One call.
+/// A call, with its positions in the record.
 #[derive(Debug)]
 pub(crate) struct Call<'a> {
-    /// Where it was sent, as an index into the record.
+    /// Index of the entry at which it was sent.
     pub sent: usize,
     pub request: Request<'a>,
-    /// Where and how it ended.
+    /// Index of the entry at which it ended, and the outcome.
     pub outcome: Option<(usize, Outcome)>,
 }
 
 impl Call<'_> {
-    /// Whether its caller was told, or saw for itself, that it did not run.
+    /// Whether its caller was informed, or observed itself, that it did not run.
     pub fn is_not_run(&self) -> bool {
         match self.outcome {
             Some((_, Outcome::Refused { ran, .. })) => ran == error::Ran::No,
@@ -57,37 +57,38 @@
     }
 }
 
-/// One run at an upstream.
+/// A run at an upstream, with its positions in the record.
 #[derive(Debug)]
 pub(crate) struct Run<'a> {
     pub started: usize,
     pub upstream: &'a id::UpstreamId,
     pub work: &'a event::Work,
-    /// Where it ended, and its answer.
+    /// Index of the entry at which it ended, and its answer.
     pub ended: Option<(usize, Option<Digest>)>,
-    /// The turns that it may have been for: more than one if texts are not unique.
+    /// The turns that it may belong to: more than one if message texts are not unique.
     pub turns: Vec<TurnKey<'a>>,
 }
 
-/// Names a turn.
+/// Identifies a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct TurnKey<'a> {
     pub program: &'a id::ProgramId,
     pub turn: id::Turn,
 }
 
-/// What is known of a turn.
+/// The messages and answers of a turn, from all its calls and runs.
 #[derive(Debug, Default)]
 pub(crate) struct Turn<'a> {
-    /// The messages that it added; several if it was sent with others after a refusal.
+    /// The messages that it adds; several lists if it was resent with other messages after a
+    /// refusal.
     pub messages: Vec<&'a [Digest]>,
-    /// Answers that its callers got.
+    /// Answers that its callers received.
     pub received: Vec<Digest>,
-    /// Answers that runs made.
+    /// Answers that its runs produced.
     pub produced: Vec<Digest>,
 }
 
-/// Whether a prompt or a history is that of a program.
+/// Whether a prompt or a history matches that of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Match {
     Yes,
@@ -101,9 +102,9 @@
     pub calls: BTreeMap<event::CallId, Call<'a>>,
     pub runs: Vec<Run<'a>>,
     pub turns: BTreeMap<TurnKey<'a>, Turn<'a>>,
-    /// Places in `runs` by the turn that they may have been for.
+    /// Positions in `runs` by the turn that the runs may belong to.
     turn_runs: HashMap<TurnKey<'a>, Vec<usize>>,
-    /// Places in `runs` by the plain request.
+    /// Positions in `runs` by the plain request.
     plain_runs: HashMap<Digest, Vec<usize>>,
 }
 
@@ -118,7 +119,7 @@
         index
     }
 
-    /// The runs of the request that `call` carries, be they for this call or another one.
+    /// The runs of the request that `call` carries, whether for this call or for another.
     pub fn runs_of(&self, call: &Call<'a>) -> impl Iterator<Item = &Run<'a>> {
         let positions = match call.request {
             Request::Turn(sent) => self.turn_runs.get(&TurnKey {
@@ -131,8 +132,8 @@
         positions.iter().map(|position| &self.runs[*position])
     }
 
-    /// Whether `messages` are the history of `program` through `last`, from what its callers and
-    /// the upstreams saw.
+    /// Whether `messages` are the history of `program` through turn `last`, according to the
+    /// answers that its callers received or, for a turn without any, that its runs produced.
     pub fn match_history(
         &self,
         program: &id::ProgramId,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Whether a prompt is that of a turn: its program's history, then the turn's messages.
+    /// Whether a prompt is that of a turn: the program's history followed by the turn's messages.
     pub fn match_prompt(&self, key: TurnKey<'_>, prompt: &[Digest]) -> Match {
         let Some(turn) = self.turns.get(&key) else {
             return Match::Unknown;
@@ -180,7 +181,7 @@
         }
     }
 
-    /// The turn that `run` was for, if that is certain.
+    /// The turn that `run` belongs to, if it is unambiguous.
     pub fn turn_of_run(&self, run: &Run<'a>) -> Option<TurnKey<'a>> {
         match run.turns.as_slice() {
             [only] => Some(*only),
@@ -292,9 +293,9 @@
         }
     }
 
-    /// Finds the turns of runs: by the last messages of the prompt and, where these are not
-    /// unique, by the history before them. A run's answer may enter that history, so the turns are
-    /// gone through in order.
+    /// Attributes runs to turns: by the last message of the prompt and, where that is not unique,
+    /// by the history before it. The answer of a run may be part of that history, so the runs are
+    /// processed in the order of the record.
     fn attribute_runs(&mut self) {
         let mut by_last: HashMap<Digest, Vec<TurnKey<'a>>> = HashMap::new();
         for (key, turn) in &self.turns {
@@ -313,7 +314,7 @@
                 let matching: Vec<_> = matching
                     .filter(|key| self.match_prompt(*key, prompt) != Match::No)
                     .collect();
-                // None fits: all stay, as those it may have been meant for.
+                // If none matches, the run stays attributed to all candidates.
                 if !matching.is_empty() {
                     keys = matching;
                 }
--- a/fw-check/src/lib.rs
+++ b/fw-check/src/lib.rs
@@ -1,8 +1,8 @@
-//! Recorded histories of concurrent runs, and the checker of what must hold in them.
+//! Records the events of concurrent runs, and checks the promises (invariants) over the record.
 //!
-//! Callers, stand-ins of upstreams and operators note [`event::Event`]s in a
-//! [`recorder::Recorder`]; [`check::verify`] then looks at each [`check::Promise`] and says that
-//! it held, was violated or was not put to the test.
+//! Callers, simulated upstreams and operators append [`event::Event`]s to a
+//! [`recorder::Recorder`]; [`check::verify`] then evaluates each [`check::Promise`] and reports
+//! that it held, was violated or was not exercised.
 //!
 //! ```
 //! use fw_check::check;
--- a/fw-check/src/promise.rs
+++ b/fw-check/src/promise.rs
@@ -1,4 +1,4 @@
-//! One module for each promise.
+//! The checks of the promises, one module each.
 
 pub(crate) mod answer;
 pub(crate) mod budget;
--- a/fw-check/src/promise/answer.rs
+++ b/fw-check/src/promise/answer.rs
@@ -1,4 +1,4 @@
-//! Each answer is whole, and was made by a run of the very request that it answers.
+//! Each answer is complete, and was produced by a run of the request that it answers.
 
 use fw_base::digest::Digest;
 
@@ -33,7 +33,7 @@
     tally
 }
 
-/// The answer that `run` had made by `at`.
+/// The answer of `run`, if it ended before `at`.
 fn answer_before(run: &Run<'_>, at: usize) -> Option<Digest> {
     run.ended.filter(|(ended, _)| *ended < at)?.1
 }
--- a/fw-check/src/promise/budget.rs
+++ b/fw-check/src/promise/budget.rs
@@ -48,7 +48,7 @@
     tally
 }
 
-/// The tokens of each answered turn. A turn answered again is counted once.
+/// The tokens of each answered turn. A turn that was answered several times is counted once.
 fn answered(index: &Index<'_>, program: &id::ProgramId) -> BTreeMap<id::Turn, id::Tokens> {
     let mut turns = BTreeMap::new();
     for call in index.calls.values() {
--- a/fw-check/src/promise/history.rs
+++ b/fw-check/src/promise/history.rs
@@ -1,5 +1,5 @@
-//! Each prompt and each history read is that of its program, through the last answered turn, and
-//! no turn is refused as if an answered one had not been.
+//! Each prompt and each history read matches the history of its program through the last answered
+//! turn, and no turn is refused as if an answered turn had not taken place.
 
 use fw_base::error::Kind;
 use fw_base::id;
@@ -23,7 +23,7 @@
     tally
 }
 
-/// A turn has one answer, however often it is sent.
+/// All answers to a turn are equal, however often it is sent.
 fn check_answers(index: &Index<'_>, tally: &mut Tally) {
     for (key, turn) in &index.turns {
         let is_same = turn.received.windows(2).all(|pair| pair[0] == pair[1]);
@@ -75,7 +75,7 @@
         };
         let answered = last_answered(index, program, at);
         let sent = last_sent(index, program, at);
-        // A turn whose answer is still on its way may or may not be in the history yet.
+        // A turn whose answer is still in flight may or may not be in the history yet.
         let matches = (answered..=sent).map(|last| index.match_history(program, last, messages));
         let matches: Vec<_> = matches.collect();
         if matches.contains(&Match::Yes) {
@@ -94,9 +94,9 @@
     );
 }
 
-/// The turn after an answered one is not refused as if the answered one had not been: the program
-/// is known and stands there. Of a turn sent several times only the refusals count that came
-/// before any answer to it or a later one; an ended program is left out.
+/// The turn after an answered one is not refused with an unknown program or a wrong turn number.
+/// For a turn that was sent several times, only refusals before any answer to it or to a later turn
+/// count; programs that have ended are skipped.
 fn check_refusals(entries: &[Entry], index: &Index<'_>, tally: &mut Tally) {
     for call in index.calls.values() {
         let Some((end, Outcome::Refused { kind, .. })) = call.outcome else {
@@ -127,7 +127,7 @@
     })
 }
 
-/// The last turn that was answered before `at`; 0 for none.
+/// The last turn that was answered before `at`; 0 if there is none.
 fn last_answered(index: &Index<'_>, program: &id::ProgramId, at: usize) -> id::Turn {
     let turns = index.calls.values().filter_map(|call| {
         let is_answered = matches!(call.outcome, Some((end, Outcome::Answered { .. })) if end < at);
@@ -136,7 +136,7 @@
     turns.max().unwrap_or(0)
 }
 
-/// The last turn that was sent before `at`; 0 for none.
+/// The last turn that was sent before `at`; 0 if there is none.
 fn last_sent(index: &Index<'_>, program: &id::ProgramId, at: usize) -> id::Turn {
     let calls = index.calls.values().filter(|call| call.sent < at);
     let turns = calls.filter_map(|call| turn_in(&call.request, program));
--- a/fw-check/src/promise/leaving.rs
+++ b/fw-check/src/promise/leaving.rs
@@ -1,4 +1,4 @@
-//! An upstream that leaves gets no new work after a short time.
+//! A leaving upstream receives no new work once [`Options::leave_within`] has passed.
 
 use crate::check::Options;
 use crate::check::Tally;
--- a/fw-check/src/promise/memory.rs
+++ b/fw-check/src/promise/memory.rs
@@ -1,4 +1,4 @@
-//! An engine frees a program's memory soon after the program's end.
+//! An engine frees a program's KV cache within [`Options::free_within`] of the program's end.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::event::Entry;
 use crate::event::Event;
 
-/// Memory held by an engine for a program.
+/// The part of the record during which an engine holds KV cache for a program.
 struct HeldSpan<'a> {
     upstream: &'a id::UpstreamId,
     program: &'a id::ProgramId,
@@ -70,7 +70,7 @@
                 let same = spans.iter_mut().filter(is_same);
                 same.for_each(|span| _ = span.until.get_or_insert(at));
             }
-            // A crashed engine holds nothing.
+            // An engine loses its KV cache when it crashes.
             Event::Crashed { process } => {
                 let on_upstream = spans.iter_mut().filter(|span| span.upstream == process);
                 on_upstream.for_each(|span| _ = span.until.get_or_insert(at));
--- a/fw-check/src/promise/once.rs
+++ b/fw-check/src/promise/once.rs
@@ -1,7 +1,7 @@
 //! A call that is not idempotent runs at most once, however often it is sent.
 //!
-//! The same request under another key is another call, so a request may run as often as there are
-//! keys under which it was sent and not refused as not run.
+//! The same request under another idempotency key is another call. A request may therefore run as
+//! often as there are keys under which at least one of its calls was not reported as not run.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 use crate::index::Index;
 use crate::index::Request;
 
-/// The calls that carry one request.
+/// The calls that carry the same request.
 #[derive(Default)]
 struct Group<'a> {
     indices: Vec<usize>,
--- a/fw-check/src/promise/order.rs
+++ b/fw-check/src/promise/order.rs
@@ -1,4 +1,4 @@
-//! A turn runs only after a run of the turn before it has ended with an answer.
+//! A turn runs only after a run of the previous turn has ended with an answer.
 
 use std::collections::HashMap;
 
--- a/fw-check/src/promise/records.rs
+++ b/fw-check/src/promise/records.rs
@@ -1,5 +1,5 @@
-//! An accepted set of records is in force in every process within a bound, and no process goes
-//! back to an older one, also over its restarts.
+//! An accepted set of records is in force in every process within a time limit, and no process
+//! reverts to an older set, not even across restarts.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 use crate::event::Event;
 use crate::event::ProcessId;
 
-/// What one process was seen to have in force.
+/// The set of records that a process reported to be in force.
 struct Observation<'a> {
     at: usize,
     time: Duration,
@@ -81,8 +81,8 @@
     }
 }
 
-/// A set in force holds the accepted value of each record as of its revision, or one that was put
-/// without an answer.
+/// A set in force holds, for each record, the value accepted as of its revision or the value of a
+/// write that received no answer.
 fn check_values(entries: &[Entry], observations: &Observations<'_>, tally: &mut Tally) {
     for (process, seen) in observations {
         for (seen, values) in seen
@@ -102,14 +102,14 @@
     }
 }
 
-/// A change that was accepted.
+/// An accepted change of a record.
 struct Accepted {
     at: usize,
     revision: id::Revision,
     value: Option<Digest>,
 }
 
-/// The last accepted change of each record up to `until`.
+/// The last accepted change of each record, through revision `until`.
 fn accepted_through(entries: &[Entry], until: id::Revision) -> BTreeMap<&SmolStr, Accepted> {
     let mut last: BTreeMap<&SmolStr, Accepted> = BTreeMap::new();
     for (at, entry) in entries.iter().enumerate() {
--- a/fw-check/src/promise/refusal.rs
+++ b/fw-check/src/promise/refusal.rs
@@ -1,8 +1,8 @@
 //! A call that was refused as not run did not run.
 //!
-//! Several calls may carry the same request, and a run does not say which of them it was for. So a
-//! run counts against a refusal only if no other call can explain it: one sent before the run
-//! began, and not refused as not run itself.
+//! Several calls may carry the same request, and a run does not identify its call. A run therefore
+//! contradicts a refusal only if no other call can account for it, that is, no call that was sent
+//! before the run started and was not itself refused as not run.
 
 use fw_base::error::Ran;
 
@@ -47,7 +47,7 @@
     tally
 }
 
-/// What a caller is told must be what the table of error kinds says.
+/// Whether a refused call ran is reported as the table of error kinds defines it.
 fn check_kinds(calls: &[&Call<'_>], tally: &mut Tally) {
     for call in calls {
         let Some((end, Outcome::Refused { kind, ran })) = call.outcome else {
@@ -61,8 +61,8 @@
     }
 }
 
-/// Whether `run` may have been for `call`: it runs the same request, with the same messages if a
-/// turn was sent with others before, and began after the sending.
+/// Whether `run` may belong to `call`: it runs the same request, for a turn with the messages of
+/// this call (a turn can be resent with other messages), and started after the call was sent.
 fn may_serve(run: &Run<'_>, call: &Call<'_>) -> bool {
     let is_same = match (call.request, run.work) {
         (Request::Turn(sent), Work::Turn(prompt)) => {
--- a/fw-check/src/promise/shutdown.rs
+++ b/fw-check/src/promise/shutdown.rs
@@ -1,4 +1,4 @@
-//! No call is broken off by a process that stops gracefully.
+//! A graceful shutdown of a process cuts off no call.
 
 use crate::check::Tally;
 use crate::event::Entry;
@@ -9,7 +9,7 @@
 use crate::index::Outcome;
 use crate::index::Request;
 
-/// The part of the record that one shutdown answers for.
+/// The part of the record that is attributed to one shutdown, as indices of entries.
 struct Span {
     begun: usize,
     last_sent: usize,
@@ -27,7 +27,7 @@
         let ended = end_after(entries, process, begun);
         let span = Span {
             begun,
-            // What is sent later goes to the next process of that name.
+            // Calls sent later go to the restarted process of the same name.
             last_sent: ended.map_or(crashed, |(ended, _)| ended.min(crashed)),
             crashed,
         };
@@ -43,7 +43,7 @@
     tally
 }
 
-/// Calls to `process` that were under way during `span`.
+/// Checks the calls to `process` that were in flight during `span`.
 fn check_calls(index: &Index<'_>, process: &ProcessId, span: Span, tally: &mut Tally) {
     let is_under_way = |call: &&Call<'_>| {
         let ends = span.begun..span.crashed;
--- a/fw-check/src/recorder.rs
+++ b/fw-check/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Takes down events from many threads, and reads and writes them as JSON lines.
+//! Records events from many threads, and reads and writes records as JSON lines.
 
 use std::io;
 use std::io::BufRead;
@@ -15,7 +15,7 @@
 use crate::event::Entry;
 use crate::event::Event;
 
-/// Takes down events; clones share one record.
+/// Records events; clones share one record.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     shared: Arc<Shared>,
@@ -29,7 +29,7 @@
 }
 
 impl Recorder {
-    /// An empty record that begins now.
+    /// Starts an empty record at the current time.
     pub fn new() -> Self {
         Self {
             shared: Arc::new(Shared {
@@ -40,20 +40,20 @@
         }
     }
 
-    /// A number for a call or run, not used before in this record.
+    /// Returns an id for a call or run that is unique in this record.
     pub fn next_id(&self) -> u64 {
         self.shared.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Takes down `event`.
+    /// Appends `event` with the current time.
     pub fn record(&self, event: Event) {
         let mut entries = self.shared.entries.lock();
-        // Under the lock, so that times grow along the record.
+        // The time is taken under the lock, so that times never decrease along the record.
         let at = self.shared.started_at.elapsed();
         entries.push(Entry { at, event });
     }
 
-    /// All that was taken down so far.
+    /// The entries recorded so far.
     pub fn entries(&self) -> Vec<Entry> {
         self.shared.entries.lock().clone()
     }
@@ -65,32 +65,32 @@
     }
 }
 
-/// Why a record could not be read.
+/// Error of reading a record.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// The source failed.
+    /// The input could not be read.
     #[snafu(display("line {line}: {source}"))]
     Io {
         /// The line, counted from 1.
         line: usize,
-        /// What the source reported.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A line holds no event.
+    /// A line is not a valid event.
     #[snafu(display("line {line} holds no event: {source}"))]
     Json {
         /// The line, counted from 1.
         line: usize,
-        /// What the parser saw.
+        /// The parse error.
         source: serde_json::Error,
     },
 }
 
-/// Writes one JSON object a line.
+/// Writes one JSON object per line.
 ///
 /// # Errors
 ///
-/// When `to` fails.
+/// Returns the error of `to` if a write fails.
 pub fn write(entries: &[Entry], mut to: impl Write) -> io::Result<()> {
     for entry in entries {
         serde_json::to_writer(&mut to, entry)?;
@@ -99,11 +99,11 @@
     to.flush()
 }
 
-/// Reads what [`write`] wrote.
+/// Reads a record in the format of [`write`].
 ///
 /// # Errors
 ///
-/// Names the first line that holds no event.
+/// Returns the number of the first line that cannot be read or is not a valid event.
 pub fn read(from: impl BufRead) -> Result<Vec<Entry>, ReadError> {
     let mut entries = Vec::new();
     for (index, text) in from.lines().enumerate() {
--- a/fw-check/tests/check/forged_records.rs
+++ b/fw-check/tests/check/forged_records.rs
@@ -1,4 +1,4 @@
-//! Records of what must not happen: the checker finds the promise that was broken, and no other.
+//! Records with a violation: the checker reports the violated promise, and no other.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 
 #[gtest]
 fn an_out_of_order_turn_is_found() {
-    // Turn 2 reaches an engine while turn 1 still runs: its answer builds on a guess.
+    // Turn 2 starts on an engine while turn 1 is still running, so its history is incomplete.
     let mut scenario = Scenario::default();
     let first = scenario.send("p", 1);
     let run_1 = scenario.start(Scenario::prompt("p", 1));
@@ -44,8 +44,7 @@
 
 #[gtest]
 fn a_foreign_history_is_found() {
-    // Two customers' pages are drafted on one engine; turn 2 of one is answered from the other's
-    // history.
+    // Two programs share an engine, and turn 2 of one is answered from the history of the other.
     let mut scenario = Scenario::default();
     scenario.turn("p", 1).turn("q", 1);
     let call = scenario.send("p", 2);
@@ -60,8 +59,7 @@
 
 #[gtest]
 fn a_lost_turn_is_found() {
-    // The keeper died after it had answered turn 2 and before it was durable: a claimant's words
-    // are gone.
+    // The keeper answers turn 2 and crashes before the turn is durable: the history lacks it.
     let mut scenario = Scenario::default();
     scenario.turn("p", 1).turn("p", 2);
     scenario.read_history("p", scenario::history("p", 1));
@@ -70,8 +68,8 @@
 
 #[gtest]
 fn a_refusal_after_a_lost_program_is_found() {
-    // A keeper answered turn 1 while the store did not answer it, and another entry took the
-    // program over without that turn: the next one is refused, though nobody ended the program.
+    // A keeper answers turn 1 during a store outage, and another entry takes the program over
+    // without that turn: the next turn is refused, although the program has not ended.
     let mut scenario = Scenario::default();
     scenario.turn("p", 1);
     let call = scenario.send("p", 2);
@@ -81,7 +79,7 @@
 
 #[gtest]
 fn a_refusal_after_a_lost_turn_is_found() {
-    // As above, but the turns before the last were in the store: the new keeper expects turn 2.
+    // As above, but all turns except the last are in the store: the new keeper expects turn 2.
     let mut scenario = Scenario::default();
     scenario.turn("p", 1).turn("p", 2);
     let call = scenario.send("p", 3);
@@ -91,7 +89,7 @@
 
 #[gtest]
 fn a_turn_answered_in_two_ways_is_found() {
-    // Two keepers ran turn 1, and a caller that sent it again got another answer than before.
+    // Two keepers run turn 1, and a caller that resends it receives a different answer.
     let mut scenario = Scenario::default();
     scenario.turn("p", 1);
     let call = scenario.send("p", 1);
@@ -127,7 +125,7 @@
 
 #[gtest]
 fn memory_that_stays_held_is_found() {
-    // The order to free a program's memory was lost and nothing repeats it.
+    // The request to free a program's KV cache is lost and never retried.
     let mut scenario = Scenario::default();
     let upstream = "engine-1".into();
     let program = "p".into();
@@ -141,7 +139,7 @@
 
 #[gtest]
 fn swapped_answers_are_found() {
-    // A silent connection comes back, and each of two officers gets the other's draft.
+    // A connection that had stalled resumes, and two callers receive each other's answer.
     let mut scenario = Scenario::default();
     let (p, q) = (scenario.send("p", 1), scenario.send("q", 1));
     let run_p = scenario.start(Scenario::prompt("p", 1));
@@ -172,7 +170,8 @@
 
 #[gtest]
 fn an_untrue_refusal_is_found() {
-    // The entry gave up on a side that did run the turn, and told the caller that it did not.
+    // The entry gives up on a side that does run the turn, and reports to the caller that it did
+    // not run.
     let mut scenario = Scenario::default();
     let call = scenario.send("p", 1);
     let run = scenario.start(Scenario::prompt("p", 1));
@@ -184,8 +183,8 @@
 
 #[gtest]
 fn a_run_before_the_resend_counts_against_the_refusal() {
-    // The caller believes "not run" and sends again. The second call can't explain a run that
-    // began before it was sent.
+    // The caller resends after "not run". The second call cannot account for a run that started
+    // before it was sent.
     let mut scenario = Scenario::default();
     let call = scenario.send("p", 1);
     scenario.start(Scenario::prompt("p", 1));
@@ -196,8 +195,8 @@
 
 #[gtest]
 fn a_lost_call_of_another_program_does_not_excuse_a_run() {
-    // Two programs end a turn with the same words. That one's call was lost is no excuse for
-    // running the other's, which was refused: the histories tell the two apart.
+    // Two programs send a turn with the same text. The lost call of one does not account for a run
+    // of the other's refused call: the histories distinguish the two.
     let mut scenario = Scenario::default();
     scenario.turn("p", 1).turn("q", 1);
     let [p, q] = ["p", "q"].map(|program| scenario.send_text(program, 2, "same words"));
@@ -220,8 +219,8 @@
 
 #[gtest]
 fn a_non_idempotent_call_that_ran_twice_is_found() {
-    // The caller sends an offer letter again, under the same key, after its connection broke; a
-    // keeper that lost its claim runs it again.
+    // The caller resends a call under the same key after its connection broke, and a keeper that
+    // has lost the claim runs it a second time.
     let mut scenario = Scenario::default();
     let call = scenario.send_plain(Some("key-1"), "offer");
     scenario.start_at("tool-1", Work::Plain(scenario::digest("offer")));
@@ -232,8 +231,8 @@
 
 #[gtest]
 fn a_refused_key_does_not_excuse_a_second_run() {
-    // Sent under key 1 and refused, then sent under key 2 and run twice: two keys, but only one
-    // of them allows a run.
+    // Sent under key 1 and refused, then sent under key 2 and run twice: of the two keys only one
+    // allows a run.
     let mut scenario = Scenario::default();
     let refused = scenario.send_plain(Some("key-1"), "offer");
     scenario.refuse(refused, Kind::StoreUnavailable);
@@ -288,7 +287,7 @@
 
 #[gtest]
 fn a_record_that_reverts_is_found() {
-    // A process restarts during a store outage and takes an old copy from a peer.
+    // A process restarts during a store outage and loads an outdated copy from a peer.
     let mut scenario = Scenario::default();
     scenario.accept(5).in_force(1, 5).in_force(1, 4);
     expect_only(&scenario, Promise::Records);
@@ -296,7 +295,8 @@
 
 #[gtest]
 fn an_overwritten_record_is_found() {
-    // Two operators race; the second write was built on the older set and drops the first change.
+    // Two operators write concurrently; the second write is based on the older set and drops the
+    // first change.
     let mut scenario = Scenario::default();
     scenario.accept(5).in_force(1, 6);
     expect_only(&scenario, Promise::Records);
--- a/fw-check/tests/check/glossary_page.rs
+++ b/fw-check/tests/check/glossary_page.rs
@@ -1,15 +1,15 @@
-//! The glossary names items that exist.
+//! The items named in the glossary exist in the code.
 
 use googletest::prelude::*;
 
 use crate::source_tree;
 
-/// Words before an item's name, or after which a module's file has its name.
+/// Keywords that precede the name of an item in its definition.
 const DEFINITIONS: [&str; 7] = [
     "struct ", "enum ", "trait ", "type ", "fn ", "const ", "mod ",
 ];
 
-/// The paths on the page, such as `fw_base::id::Turn`.
+/// The item paths on the page, such as `fw_base::id::Turn`.
 fn paths() -> Vec<String> {
     let page = source_tree::read(&source_tree::root().join("docs/GLOSSARY.md"));
     let quoted = page.split('`').skip(1).step_by(2);
@@ -17,7 +17,7 @@
     paths.map(str::to_owned).collect()
 }
 
-/// Whether the crate that `path` begins with defines an item of the path's last name.
+/// Whether the crate at the start of `path` defines an item with the last name of the path.
 fn exists(path: &str) -> bool {
     let name = path.split("::").next().unwrap_or_default();
     let dir = source_tree::root().join(name.replace('_', "-")).join("src");
--- a/fw-check/tests/check/good_records.rs
+++ b/fw-check/tests/check/good_records.rs
@@ -1,4 +1,4 @@
-//! Records in which everything went as it should, however the events interleave.
+//! Records without a violation, in any interleaving of the events.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::scenario;
 use crate::scenario::Scenario;
 
-/// A run that puts all promises to the test.
+/// A run that exercises all promises.
 fn full_scenario() -> Scenario {
     let mut scenario = Scenario::default();
     let (program, tokens, turns) = ("p".into(), Some(300), Some(2));
@@ -67,7 +67,7 @@
 
 #[gtest]
 fn a_lost_call_may_or_may_not_have_run() {
-    // The connection broke; the checker can't say whether the call ran, and says just that.
+    // After a broken connection the checker cannot decide whether the call ran, and reports that.
     let mut scenario = Scenario::default();
     let call = scenario.send("p", 1);
     scenario.lose(call);
@@ -83,8 +83,8 @@
 
 #[gtest]
 fn a_resend_explains_the_run() {
-    // The first call is refused, the second is lost, and one run is seen after both: it was the
-    // second's, and the refusal stays true.
+    // The first call is refused, the second is lost, and one run starts after both: it belongs to
+    // the second, and the refusal remains true.
     let mut scenario = Scenario::default();
     let first = scenario.send("p", 1);
     let second = scenario.send("p", 1);
@@ -98,8 +98,8 @@
 
 #[gtest]
 fn a_turn_run_again_after_a_crash_is_no_fault() {
-    // The engine crashed under turn 1, which ran again elsewhere with another answer: only that
-    // one was told, and turn 2 builds on it.
+    // The engine crashes while it runs turn 1, which is run again on another engine: only the
+    // answer of the second run is delivered, and turn 2 builds on it.
     let mut scenario = Scenario::default();
     let call = scenario.send("p", 1);
     scenario.start(Scenario::prompt("p", 1));
@@ -148,7 +148,7 @@
     expect_that!(scenario.violated(), is_empty());
 }
 
-/// One program after the other, each with three turns.
+/// The entries of `count` programs with three turns each.
 fn programs(count: usize) -> Vec<Vec<Entry>> {
     let names = (0..count).map(|index| format!("program-{index}"));
     let mut scenario = Scenario::default();
@@ -161,7 +161,7 @@
     each.collect()
 }
 
-/// Takes from the programs by turns, as `picks` say, each in its own order.
+/// Interleaves the entries of the programs as selected by `picks`; each program keeps its order.
 fn interleave(mut programs: Vec<Vec<Entry>>, picks: &[usize]) -> Scenario {
     let mut scenario = Scenario::default();
     for pick in picks.iter().chain(std::iter::repeat(&0)) {
@@ -175,8 +175,8 @@
     scenario
 }
 
-/// Swaps neighbours where the first is a response and the second is of another call, so that
-/// responses arrive late and in another order.
+/// Swaps adjacent entries where the first is a response and the second is of another call, so that
+/// responses arrive late and in a different order.
 fn delay(scenario: &mut Scenario, swaps: &[usize]) {
     for swap in swaps {
         let place = swap % (scenario.entries.len() - 1);
@@ -185,7 +185,7 @@
             &scenario.entries[place + 1].event,
         ];
         let is_response = matches!(pair[0], Event::Answered { .. });
-        // A caller sends its next turn, and reads the history, only after the answer.
+        // A caller sends its next turn and reads the history only after it has received the answer.
         let is_other = matches!(pair[1], Event::Answered { .. } | Event::RunEnded { .. });
         if is_response && is_other {
             let (at, next) = (scenario.entries[place].at, scenario.entries[place + 1].at);
--- a/fw-check/tests/check/main.rs
+++ b/fw-check/tests/check/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the specification, of the history checker and of the pages that name code.
+//! Tests of the protocol specification, of the checker, and of documentation that names items of
+//! the code.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod forged_records;
--- a/fw-check/tests/check/metrics_page.rs
+++ b/fw-check/tests/check/metrics_page.rs
@@ -1,4 +1,4 @@
-//! The page of metrics and the code name the same metrics and kinds of errors.
+//! The metrics page and the code name the same metrics and error kinds.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +7,14 @@
 
 use crate::source_tree;
 
-/// What each metric's name begins with.
+/// Prefix of the name of each metric.
 const PREFIX: &str = "fw_";
 
 fn page() -> String {
     std::fs::read_to_string(source_tree::root().join("docs/METRICS.md")).unwrap()
 }
 
-/// First cells of the page's tables that name a metric.
+/// The metrics named in the first column of the page's tables.
 fn on_page() -> BTreeSet<String> {
     let page = page();
     let cells = page.lines().filter_map(|line| line.strip_prefix("| `"));
@@ -23,7 +23,7 @@
     metrics.map(str::to_owned).collect()
 }
 
-/// String literals in the sources that are a metric's name.
+/// The string literals in the sources that are the name of a metric.
 fn in_code() -> BTreeSet<String> {
     let files = source_tree::files();
     let texts = files.iter().map(|path| source_tree::read(path));
--- a/fw-check/tests/check/record_lines.rs
+++ b/fw-check/tests/check/record_lines.rs
@@ -1,4 +1,4 @@
-//! Records as JSON lines, and the recorder that many threads share.
+//! Records as JSON lines, and a recorder shared by several threads.
 
 use fw_base::error::Kind;
 use fw_check::event::Event;
--- a/fw-check/tests/check/scenario.rs
+++ b/fw-check/tests/check/scenario.rs
@@ -1,4 +1,4 @@
-//! Makes up records, event by event.
+//! Builds records event by event.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
 
-/// A record under construction. Each event comes a millisecond after the one before.
+/// Builder of a record. Each event is recorded one millisecond after the previous one.
 #[derive(Clone, Default)]
 pub struct Scenario {
     pub entries: Vec<Entry>,
@@ -25,12 +25,12 @@
     Digest::of_bytes(text.as_bytes())
 }
 
-/// The one message that a turn adds.
+/// The message that a turn adds.
 pub fn user_message(program: &str, turn: id::Turn) -> Digest {
     digest(&format!("{program} asks {turn}"))
 }
 
-/// The answer that the first run of a turn makes.
+/// The answer that the first run of a turn produces.
 pub fn answer(program: &str, turn: id::Turn) -> Digest {
     digest(&format!("answer to {program} {turn}"))
 }
@@ -63,7 +63,7 @@
         self.send_message(program, turn, user_message(program, turn))
     }
 
-    /// Sends a turn whose text other programs may use too.
+    /// Sends a turn with a given text, which other programs may send as well.
     pub fn send_text(&mut self, program: &str, turn: id::Turn, text: &str) -> event::CallId {
         self.send_message(program, turn, digest(text))
     }
@@ -136,14 +136,14 @@
         })
     }
 
-    /// The prompt of a turn whose history is as it should be.
+    /// The prompt of a turn with the correct history.
     pub fn prompt(program: &str, turn: id::Turn) -> Vec<Digest> {
         let mut prompt = history(program, turn - 1);
         prompt.push(user_message(program, turn));
         prompt
     }
 
-    /// A turn that goes well.
+    /// A turn that succeeds.
     pub fn turn(&mut self, program: &str, turn: id::Turn) -> &mut Self {
         let call = self.send(program, turn);
         let run = self.start(Self::prompt(program, turn));
@@ -151,7 +151,7 @@
         self.answer(call, answer(program, turn))
     }
 
-    /// A plain call that goes well.
+    /// A plain call that succeeds.
     pub fn plain(&mut self, key: Option<&str>, text: &str) -> &mut Self {
         let call = self.send_plain(key, text);
         let run = self.start_at("shop-1", event::Work::Plain(digest(text)));
@@ -187,7 +187,7 @@
         check::verify(&self.entries, &check::Options::default())
     }
 
-    /// The promises that were violated.
+    /// The violated promises.
     pub fn violated(&self) -> Vec<Promise> {
         let report = self.report();
         let is_violated = |p: &Promise| {
--- a/fw-check/tests/check/source_tree.rs
+++ b/fw-check/tests/check/source_tree.rs
@@ -1,14 +1,14 @@
-//! The sources of the workspace, for tests that compare pages with code.
+//! Access to the sources of the workspace, for tests that compare documentation with code.
 
 use std::path::Path;
 use std::path::PathBuf;
 
-/// The folder of the workspace.
+/// The root directory of the workspace.
 pub fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-/// All Rust files below the `src` folders of the crates.
+/// All Rust files below the `src` directories of the crates.
 pub fn files() -> Vec<PathBuf> {
     let crates = std::fs::read_dir(root()).unwrap();
     let sources = crates.map(|dir| dir.unwrap().path().join("src"));
