--- a/fw-check/src/check.rs
+++ b/fw-check/src/check.rs
@@ -148,7 +148,7 @@
     /// The verdict on `promise`.
     pub fn verdict(&self, promise: Promise) -> &Verdict {
         let found = self.findings.iter().find(|f| f.promise == promise);
-        &found.expect("a report has all promises").verdict
+        &found.expect("a report contains all promises").verdict
     }
 }
 
--- a/fw-check/src/event.rs
+++ b/fw-check/src/event.rs
@@ -30,8 +30,8 @@
     /// Time since the start of the record; serialized in microseconds.
     #[serde(rename = "at_us", with = "micros")]
     pub at: Duration,
-    #[serde(flatten)]
     /// The event.
+    #[serde(flatten)]
     pub event: Event,
 }
 
--- a/fw-check/src/promise/answer.rs
+++ b/fw-check/src/promise/answer.rs
@@ -15,7 +15,7 @@
             continue;
         };
         if !whole {
-            let what = "an answer broke off without an error".to_owned();
+            let what = "an answer was truncated without an error".to_owned();
             tally.add_violation(&[call.sent, end], what);
             continue;
         }
@@ -29,7 +29,7 @@
             describe_mismatch(index, answer)
         });
     }
-    tally.add_undecided(unverified, "answers without any record of the upstreams");
+    tally.add_undecided(unverified, "answers in a record without runs at upstreams");
     tally
 }
 
@@ -45,9 +45,9 @@
     };
     match index.runs.iter().find(produced_it) {
         Some(run) => format!(
-            "a caller got the answer that {} made to another request",
+            "a caller received the answer that {} produced for another request",
             run.upstream
         ),
-        None => "a caller got an answer that no upstream made".to_owned(),
+        None => "a caller received an answer that no upstream produced".to_owned(),
     }
 }
--- a/fw-check/src/promise/budget.rs
+++ b/fw-check/src/promise/budget.rs
@@ -31,7 +31,7 @@
         }
         if let Some(limit) = *tokens {
             tally.expect(used <= limit, &[at], || {
-                format!("{program} was answered with {used} tokens; its budget is {limit}")
+                format!("{program} received answers with {used} tokens; its budget is {limit}")
             });
             tally.expect(charged <= limit, &[at], || {
                 format!("{program} was charged {charged} tokens; its budget is {limit}")
@@ -40,7 +40,7 @@
         if let Some(limit) = *turns {
             let count = answered.len();
             tally.expect(count <= limit as usize, &[at], || {
-                format!("{program} was answered {count} turns; its budget is {limit}")
+                format!("{program} received answers to {count} turns; its budget is {limit}")
             });
         }
     }
--- a/fw-check/src/promise/history.rs
+++ b/fw-check/src/promise/history.rs
@@ -29,7 +29,7 @@
         let is_same = turn.received.windows(2).all(|pair| pair[0] == pair[1]);
         if !is_same {
             let TurnKey { program, turn } = key;
-            let what = format!("turn {turn} of {program} was answered in two ways");
+            let what = format!("turn {turn} of {program} received two different answers");
             tally.add_violation(&answer_positions(index, *key), what);
         }
     }
@@ -59,7 +59,7 @@
             undecided += 1;
         } else {
             let TurnKey { program, turn } = run.turns[0];
-            let what = format!("turn {turn} of {program} ran with another history");
+            let what = format!("turn {turn} of {program} ran with the wrong history");
             tally.add_violation(&[run.started], what);
         }
     }
@@ -84,7 +84,7 @@
             undecided += 1;
         } else {
             let what =
-                format!("the history of {program} is not that of its {answered} answered turns");
+                format!("the history of {program} does not match its {answered} answered turns");
             tally.add_violation(&[at], what);
         }
     }
@@ -115,7 +115,7 @@
         let is_lost = matches!(kind, Kind::UnknownProgram | Kind::WrongTurn);
         tally.expect(!is_lost, &[call.sent, end], || {
             let label = kind.row().label;
-            format!("{program} was answered {answered} turns, and the next was refused: {label}")
+            format!("{program} had {answered} answered turns, and the next was refused: {label}")
         });
     }
 }
--- a/fw-check/src/promise/leaving.rs
+++ b/fw-check/src/promise/leaving.rs
@@ -22,7 +22,9 @@
         match late {
             Some((run, _)) => {
                 let within = opts.leave_within;
-                let what = format!("{upstream} got new work more than {within:?} after it left");
+                let what = format!(
+                    "{upstream} received new work more than {within:?} after it started to leave"
+                );
                 tally.add_violation(&[left, run], what);
             }
             None if end_of_record <= by => too_short += 1,
@@ -31,7 +33,7 @@
     }
     tally.add_undecided(
         too_short,
-        "upstreams that left too shortly before the end of the record",
+        "upstreams that started to leave too close to the end of the record",
     );
     tally
 }
--- a/fw-check/src/promise/memory.rs
+++ b/fw-check/src/promise/memory.rs
@@ -38,13 +38,13 @@
             tally.expect(is_freed, &[ended, span.from], || {
                 let upstream = span.upstream;
                 let within = opts.free_within;
-                format!("{upstream} held memory for {program} more than {within:?} after its end")
+                format!("{upstream} held KV cache for {program} more than {within:?} after its end")
             });
         }
     }
     tally.add_undecided(
         undecided,
-        "programs whose memory was still held as the record ended",
+        "programs whose KV cache was still held at the end of the record",
     );
     tally
 }
--- a/fw-check/src/promise/order.rs
+++ b/fw-check/src/promise/order.rs
@@ -32,12 +32,12 @@
         indices.extend(before);
         tally.expect(is_after, &indices, || {
             let TurnKey { program, turn } = key;
-            format!("turn {turn} of {program} ran before the turn before it was answered")
+            format!("turn {turn} of {program} ran before the previous turn was answered")
         });
     }
     tally.add_undecided(
         ambiguous,
-        "runs whose program is not certain from their texts",
+        "runs that cannot be attributed to one turn by their messages",
     );
     tally
 }
--- a/fw-check/src/promise/records.rs
+++ b/fw-check/src/promise/records.rs
@@ -60,7 +60,7 @@
     }
     tally.add_undecided(
         unobserved,
-        "times that a process was not asked again after a record was accepted",
+        "cases in which a process was not queried again after a record was accepted",
     );
     tally
 }
@@ -74,7 +74,7 @@
                 &[before.at, after.at],
                 || {
                     let (old, new) = (after.revision, before.revision);
-                    format!("{process} went back from revision {new} to {old}")
+                    format!("{process} reverted from revision {new} to {old}")
                 },
             );
         }
@@ -95,7 +95,10 @@
                 let is_expected = is_accepted || is_uncertain(entries, name, in_force);
                 tally.expect(is_expected, &[accepted.at, seen.at], || {
                     let revision = seen.revision;
-                    format!("{process} has another {name} in force at {revision} than accepted")
+                    format!(
+                        "{process} has another value of {name} in force at revision {revision} \
+                         than accepted"
+                    )
                 });
             }
         }
--- a/fw-check/src/promise/refusal.rs
+++ b/fw-check/src/promise/refusal.rs
@@ -30,7 +30,7 @@
         indices.extend(end);
         indices.extend(unexplained.map(|run| run.started));
         tally.expect(unexplained.is_none(), &indices, || {
-            "a call was refused as not run, and ran".to_owned()
+            "a call that was refused as not run did run".to_owned()
         });
     }
     let is_uncertain = |call: &&&Call<'_>| match call.outcome {
@@ -55,7 +55,10 @@
         };
         let row = kind.row();
         if ran != row.ran {
-            let what = format!("{} was told as {ran:?}, not {:?}", row.label, row.ran);
+            let what = format!(
+                "{} was reported with ran = {ran:?} instead of {:?}",
+                row.label, row.ran
+            );
             tally.add_violation(&[call.sent, end], what);
         }
     }
--- a/fw-check/src/promise/shutdown.rs
+++ b/fw-check/src/promise/shutdown.rs
@@ -34,7 +34,7 @@
         check_calls(index, process, span, &mut tally);
         match ended {
             Some((ended, cut_off)) => tally.expect(cut_off == 0, &[begun, ended], || {
-                format!("{process} stopped with {cut_off} requests under way")
+                format!("{process} stopped with {cut_off} requests in flight")
             }),
             None => unfinished += 1,
         }
@@ -61,7 +61,7 @@
         };
         let indices = [span.begun, call.sent, end];
         tally.expect(!is_cut_off, &indices, || {
-            format!("{process} cut off a call while it stopped gracefully")
+            format!("{process} cut off a call during its graceful shutdown")
         });
     }
 }
--- a/fw-check/src/recorder.rs
+++ b/fw-check/src/recorder.rs
@@ -69,7 +69,7 @@
 #[derive(Debug, Snafu)]
 pub enum ReadError {
     /// The input could not be read.
-    #[snafu(display("line {line}: {source}"))]
+    #[snafu(display("line {line} could not be read: {source}"))]
     Io {
         /// The line, counted from 1.
         line: usize,
@@ -77,7 +77,7 @@
         source: io::Error,
     },
     /// A line is not a valid event.
-    #[snafu(display("line {line} holds no event: {source}"))]
+    #[snafu(display("line {line} is not a valid event: {source}"))]
     Json {
         /// The line, counted from 1.
         line: usize,
--- a/fw-check/tests/check/record_lines.rs
+++ b/fw-check/tests/check/record_lines.rs
@@ -38,7 +38,7 @@
     recorder::write(&Scenario::default().turn("p", 1).entries, &mut text).unwrap();
     text.extend_from_slice(b"{\"at_us\":1,\"event\":\"nonsense\"}\n");
     let err = recorder::read(text.as_slice()).unwrap_err();
-    expect_that!(err.to_string(), starts_with("line 5 holds no event"));
+    expect_that!(err.to_string(), starts_with("line 5 is not a valid event"));
 }
 
 #[gtest]
