--- a/fw-entry/src/process/keepers.rs
+++ b/fw-entry/src/process/keepers.rs
@@ -1,8 +1,8 @@
-//! Finds the keeper of a shard and calls it, here or at another entry.
+//! Calls to the keeper of a shard, at this entry or at another one.
 //!
-//! The address of a keeper is a hint that the keeper itself checks when it is called. A stale hint
-//! costs a redirect; it never makes two entries act on one program, because the keeper acts only
-//! under its own lease and every commit compares the fencing number.
+//! The cached address of a keeper is a hint that the callee verifies. A stale hint costs a redirect,
+//! but never lets two entries act on one program: a keeper acts only under its own lease, and every
+//! commit compares the fencing number.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,58 +17,59 @@
 use super::entry;
 use crate::connection::pool;
 
-/// Counter of calls that had to look for the keeper again, by reason.
+/// Counter of repeated lookups of a keeper, by reason.
 pub const REDIRECTS: &str = "fw_entry_redirects_total";
 
-/// Pause before a keeper is looked for again.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a keeper is looked up again.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What one try brought.
+/// Outcome of one try of a call.
 #[derive(Debug)]
-pub enum Tried<T> {
-    /// The keeper's answer.
+pub enum CallOutcome<T> {
+    /// The keeper answered.
     Answered(T),
     /// The receiver does not keep the shard.
     NotKeeper,
 }
 
-/// Where a call was answered.
+/// The entry that answered a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// At this entry.
-    Here,
-    /// At the entry with this address.
-    At(SocketAddr),
+pub enum Location {
+    /// This entry.
+    Local,
+    /// The entry at this address.
+    Remote(SocketAddr),
 }
 
-/// A call to a keeper.
+/// Options of a call to a keeper.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// How long to look for a keeper: a little more than a dead one's lease.
-    pub patience: Duration,
+    /// How long to look for a keeper: somewhat longer than the lease of a dead one.
+    pub timeout: Duration,
     /// Whether the call may be sent again after it may have been received.
     pub idempotent: bool,
 }
 
-/// Calls the keeper of `shard`: `here` if this entry keeps it, else `there` over a connection.
+/// Calls the keeper of `shard`: `local` if this entry keeps it, else `remote` over a connection.
 ///
 /// # Errors
 ///
-/// `KeeperUnavailable` when no keeper is found in time: the call was not received by any.
-/// `KeeperLost` when a keeper may have received it, and it is not idempotent or no other was found.
+/// `KeeperUnavailable` when no keeper is found in time: none has received the call.
+/// `KeeperLost` when a keeper may have received it, and the call is not idempotent or no other keeper
+/// was found.
 pub async fn call<T, H, R>(
     entry: &entry::Entry,
     shard: id::ShardId,
     options: Options,
-    here: impl Fn() -> H,
-    there: impl Fn(peer::PeerClient) -> R,
-) -> Result<(Place, T), error::Error>
+    local: impl Fn() -> H,
+    remote: impl Fn(peer::PeerClient) -> R,
+) -> Result<(Location, T), error::Error>
 where
-    H: Future<Output = Tried<T>>,
-    R: Future<Output = Result<Tried<T>, client::RpcError>>,
+    H: Future<Output = CallOutcome<T>>,
+    R: Future<Output = Result<CallOutcome<T>, client::RpcError>>,
 {
     let opts = lookup::Options {
-        timeout: options.patience.saturating_sub(PAUSE),
+        timeout: options.timeout.saturating_sub(RETRY_DELAY),
         outage_timeout: entry.settings.keeper.commit_wait,
         outage_after: entry.settings.keeper.lease_ttl * 2 / 3,
     };
@@ -76,23 +77,23 @@
     let mut received = None;
     loop {
         let miss = match entry.keeper.owner(shard) {
-            keeper::Owner::Local => match here().await {
-                Tried::Answered(answer) => return Ok((Place::Here, answer)),
-                Tried::NotKeeper => lookup::Miss::NoLongerKeeper,
+            keeper::Owner::Local => match local().await {
+                CallOutcome::Answered(answer) => return Ok((Location::Local, answer)),
+                CallOutcome::NotKeeper => lookup::Miss::NoLongerKeeper,
             },
             keeper::Owner::Remote { address, .. } => {
-                match elsewhere(entry, &address, &there).await {
-                    Ok((place, Tried::Answered(answer))) => return Ok((place, answer)),
-                    Ok((_, Tried::NotKeeper)) => lookup::Miss::NotKeeper,
+                match call_remote(entry, &address, &remote).await {
+                    Ok((location, CallOutcome::Answered(answer))) => return Ok((location, answer)),
+                    Ok((_, CallOutcome::NotKeeper)) => lookup::Miss::NotKeeper,
                     Err(pool::Failure::Refused) => lookup::Miss::ConnectionRefused,
                     Err(pool::Failure::Unsent) => lookup::Miss::Unreachable,
                     Err(pool::Failure::Broken) => {
                         let idempotent = options.idempotent;
-                        tracing::warn!(entry = %entry.id, shard, %address, idempotent, "the connection to a keeper broke under a call");
+                        tracing::warn!(entry = %entry.id, shard, %address, idempotent, "the connection to a keeper broke during a call");
                         if !idempotent {
-                            return Err(lost());
+                            return Err(keeper_lost());
                         }
-                        received = Some(lost());
+                        received = Some(keeper_lost());
                         lookup::Miss::ConnectionBroken
                     }
                 }
@@ -108,26 +109,26 @@
             return Err(entry.keeper.unavailable_error().merge_earlier(received));
         }
         entry.keeper.prioritize(shard);
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// The error of a call whose keeper may have received it and is gone.
-pub fn lost() -> error::Error {
-    let message = "the program's keeper broke off; ask for the program's turn before sending again";
+/// The error of a call that a keeper may have received before the connection to it broke.
+pub fn keeper_lost() -> error::Error {
+    let message = "the program's keeper was lost during the call; query the program's turn before sending again";
     error::Error::new(error::Kind::KeeperLost, message)
 }
 
-async fn elsewhere<T, R>(
+async fn call_remote<T, R>(
     entry: &entry::Entry,
     address: &str,
-    there: impl Fn(peer::PeerClient) -> R,
-) -> Result<(Place, Tried<T>), pool::Failure>
+    remote: impl Fn(peer::PeerClient) -> R,
+) -> Result<(Location, CallOutcome<T>), pool::Failure>
 where
-    R: Future<Output = Result<Tried<T>, client::RpcError>>,
+    R: Future<Output = Result<CallOutcome<T>, client::RpcError>>,
 {
-    // An address that is none was written by no entry of ours.
+    // An address that does not parse was not written by an entry.
     let address = address.parse().map_err(|_| pool::Failure::Unsent)?;
-    let tried = entry.peers.call(address, there).await?;
-    Ok((Place::At(address), tried))
+    let outcome = entry.peers.call(address, remote).await?;
+    Ok((Location::Remote(address), outcome))
 }
--- a/fw-entry/src/process/members.rs
+++ b/fw-entry/src/process/members.rs
@@ -1,4 +1,4 @@
-//! Keeps up with the platform's instance list: which sides there are, and which this entry watches.
+//! Follows the platform's instance list and runs heartbeats to the sides that this entry watches.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,27 +16,27 @@
 /// Counter of instance lists fetched, by outcome.
 pub const FETCHES: &str = "fw_entry_instance_lists_total";
 
-/// Follows the instance list until the future is dropped, and sends heartbeats meanwhile.
+/// Polls the instance list and runs heartbeats until the future is dropped.
 pub async fn run(entry: Arc<entry::Entry>) {
     let Some(url) = entry.settings.platform.instances.clone() else {
-        info!("no instance list is set: there are no upstreams");
-        entry.sides.listed(entry.now(), &[]);
+        info!("no instance list is configured: there are no upstreams");
+        entry.sides.update_list(entry.now(), &[]);
         return std::future::pending().await;
     };
     let http = fw_http::Client::default();
     let mut ticks = tokio::time::interval(entry.settings.platform.poll_interval);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut beats = Heartbeats::default();
+    let mut heartbeats = Heartbeats::default();
     loop {
         ticks.tick().await;
         let list = fetch(&http, &url).await;
         let outcome = if list.is_some() { "ok" } else { "failed" };
         metrics::counter!(FETCHES, "outcome" => outcome).increment(1);
-        // Without a list the last one stands: own observations go on.
+        // If the fetch fails, the last list stays in force and heartbeats continue.
         if let Some(list) = list {
-            let watched = watched(&entry, list);
-            let change = entry.sides.listed(entry.now(), &watched);
-            beats.apply(&entry, &change);
+            let watched = select_watched(&entry, list);
+            let change = entry.sides.update_list(entry.now(), &watched);
+            heartbeats.apply(&entry, &change);
         }
     }
 }
@@ -46,8 +46,9 @@
     serde_json::from_slice(&answer.body).ok()
 }
 
-/// The instances that this entry is to watch: all in a small fleet, its part in a large one.
-fn watched(entry: &entry::Entry, list: Vec<sides::Instance>) -> Vec<sides::Instance> {
+/// The instances that this entry watches: all in a small fleet, its subset in a large one, and those
+/// with sessions of its shards.
+fn select_watched(entry: &entry::Entry, list: Vec<sides::Instance>) -> Vec<sides::Instance> {
     if list.len() <= entry.settings.upstream.watch_all {
         return list;
     }
@@ -56,7 +57,7 @@
         near: entry.settings.upstream.watchers_near,
         far: entry.settings.upstream.watchers_far,
     };
-    let is_mine = |instance: &sides::Instance| {
+    let is_assigned = |instance: &sides::Instance| {
         let member = subset::Member {
             id: instance.id.clone(),
             place: instance.place.clone(),
@@ -68,11 +69,11 @@
         side.is_some_and(|side| side.update(|state| !state.shards.is_empty()))
     };
     list.into_iter()
-        .filter(|one| is_mine(one) || holds(one))
+        .filter(|one| is_assigned(one) || holds(one))
         .collect()
 }
 
-/// The heartbeats under way, by upstream. Dropping them ends them.
+/// Heartbeat tasks by upstream, aborted on drop.
 #[derive(Default)]
 struct Heartbeats {
     tasks: JoinSet<()>,
@@ -88,8 +89,8 @@
         }
         for side in &change.added {
             info!(upstream = %side.instance.id, place = %side.instance.place, "upstream listed");
-            let beat = heartbeat::run(Arc::clone(entry), Arc::clone(side));
-            let handle = self.tasks.spawn(beat);
+            let task = heartbeat::run(Arc::clone(entry), Arc::clone(side));
+            let handle = self.tasks.spawn(task);
             self.handles.insert(side.instance.id.clone(), handle);
         }
         while self.tasks.try_join_next().is_some() {}
--- a/fw-entry/src/turn/plan.rs
+++ b/fw-entry/src/turn/plan.rs
@@ -1,4 +1,4 @@
-//! What the records in force mean for one turn.
+//! Parameters of one turn, derived from the records in force.
 
 use std::sync::Arc;
 
@@ -13,11 +13,11 @@
 use crate::process::entry;
 use crate::version::records;
 
-/// How much a second of prefill weighs against a second of waiting where the records weigh wasted
-/// cache more than latency. Measured in `docs/POLICY.md`.
+/// Weight of a second of prefill relative to a second of waiting, if the records rate wasted cache
+/// higher than latency. See `docs/POLICY.md` for the measurement.
 const CACHE_WEIGHT: f64 = 2.0;
 
-/// How a turn is to be run, under one version of the records.
+/// Parameters of a turn under one version of the records.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The program's shard.
@@ -28,13 +28,13 @@
     pub service: id::ServiceId,
     /// Limits of the program's budget.
     pub limits: ledger::Limits,
-    /// Most tokens to generate.
+    /// Limit of generated tokens.
     pub max_tokens: id::Tokens,
     /// The team's share.
     pub share: f64,
-    /// Whether a turn whose callers went away is cancelled.
+    /// Whether a turn is cancelled when all its callers have disconnected.
     pub cancel_when_gone: bool,
-    /// How costs are weighed in placement.
+    /// Weights of costs in placement.
     pub place: place::Options,
 }
 
@@ -52,7 +52,7 @@
     ) -> Result<Self, error::Error> {
         let records = entry.records.current();
         let service = records.service_for_model(&req.model);
-        let service = service.ok_or_else(|| unknown(&req.model, &records))?;
+        let service = service.ok_or_else(|| unknown_model(&req.model, &records))?;
         let budget = records.budget_for(&service.name, &req.team);
         Ok(Self {
             shard,
@@ -63,7 +63,7 @@
                 tokens: budget.and_then(|budget| budget.tokens),
                 time: budget.and_then(|budget| budget.time),
             },
-            max_tokens: tokens(req, service),
+            max_tokens: token_limit(req, service),
             share: records::share_of(&records, &req.team),
             cancel_when_gone: service.on_gone == service::OnGone::Cancel,
             place: place::Options {
@@ -77,13 +77,13 @@
     }
 }
 
-/// What the caller asked for, within the service's bounds.
-fn tokens(req: &peer::Submit, service: &service::Service) -> id::Tokens {
-    let asked = req.max_tokens.unwrap_or(service.tokens.default);
-    asked.min(service.tokens.max)
+/// The limit that the caller requested, within the service's bounds.
+fn token_limit(req: &peer::Submit, service: &service::Service) -> id::Tokens {
+    let requested = req.max_tokens.unwrap_or(service.tokens.default);
+    requested.min(service.tokens.max)
 }
 
-fn unknown(model: &id::ModelId, records: &set::Set) -> error::Error {
+fn unknown_model(model: &id::ModelId, records: &set::Set) -> error::Error {
     let mut models: Vec<_> = records.models().map(id::ModelId::as_str).collect();
     models.sort_unstable();
     let message = match models.is_empty() {
--- a/fw-entry/src/turn/run.rs
+++ b/fw-entry/src/turn/run.rs
@@ -1,4 +1,4 @@
-//! Runs a turn at its keeper: places it, tries it, and commits its answer.
+//! Execution of a turn at its keeper: placement, tries on upstreams, and commit of the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,18 +27,18 @@
 pub const PLACED: &str = "fw_entry_placed_total";
 /// Counter of retries, by the kind of failure.
 pub const RETRIES: &str = "fw_entry_retries_total";
-/// Counter of failures that were not retried, by reason.
+/// Counter of failures that were not retried, by reason and kind.
 pub const GIVEN_UP: &str = "fw_entry_retries_refused_total";
 /// Counter of committed turns.
 pub const TURNS: &str = "fw_entry_turns_total";
 /// Counter of tokens, by sort: `prompt`, `completion`.
 pub const TOKENS: &str = "fw_entry_tokens_total";
-/// Counter of prompt tokens computed anew that some upstream had held in its cache.
+/// Counter of prompt tokens recomputed although some upstream had held them in its cache.
 pub const WASTED: &str = "fw_entry_cache_wasted_tokens_total";
-/// Histogram of time from a turn's arrival to its release into an engine, in seconds.
-pub const QUEUED: &str = "fw_entry_queue_seconds";
+/// Histogram of the time from a turn's arrival to its release into an engine, in seconds.
+pub const QUEUE_SECONDS: &str = "fw_entry_queue_seconds";
 /// Histogram of a turn's time from its arrival to its end, in seconds.
-pub const TOOK: &str = "fw_entry_turn_seconds";
+pub const TURN_SECONDS: &str = "fw_entry_turn_seconds";
 
 /// A turn under way.
 pub struct Task {
@@ -49,16 +49,16 @@
     permit: admission::Permit,
     max_tokens: id::Tokens,
     arrived: tokio::time::Instant,
-    /// The attempt that callers read at present.
+    /// The attempt that callers currently read.
     reading: id::AttemptId,
-    /// Where the turn runs at present.
+    /// The side that currently runs the turn.
     pub(super) current: Option<Current>,
-    /// Upstreams that failed under it: two of three tries went to the same crashed one, beside an
-    /// idle one.
+    /// Upstreams at which this turn failed, avoided by further tries: without this, two of three tries
+    /// went to the same crashed upstream although another was idle.
     failed_at: Vec<id::UpstreamId>,
 }
 
-/// Where a turn runs.
+/// The side and attempt that run a turn.
 #[derive(Clone, Debug)]
 pub(super) struct Current {
     pub(super) side: Arc<sides::Side>,
@@ -90,27 +90,27 @@
         }
     }
 
-    /// Runs the turn to its end, whatever that is.
+    /// Runs the turn until it is committed or has failed.
     pub async fn run(mut self, mut buf: Arc<buffer::Buffer>) {
-        let abandoned = self.entry.attempts.abandoned(self.run.attempt);
-        let stopped = self.entry.attempts.ended(self.run.attempt);
+        let abandoned = self.entry.attempts.abandoned_token(self.run.attempt);
+        let stopped = self.entry.attempts.stop_token(self.run.attempt);
         let killed = self.entry.killed.clone();
         let cancels = self.plan.cancel_when_gone;
         let limit = self.time_limit();
         let outcome = tokio::select! {
-            outcome = tokio::time::timeout(limit, self.tries(&mut buf)) => {
-                outcome.unwrap_or_else(|_| Err(overdue()))
+            outcome = tokio::time::timeout(limit, self.run_tries(&mut buf)) => {
+                outcome.unwrap_or_else(|_| Err(deadline_exceeded()))
             }
             () = abandoned.cancelled(), if cancels => Err(cancelled()),
-            () = stopped.cancelled() => Err(ended()),
+            () = stopped.cancelled() => Err(program_ended()),
             () = killed.cancelled() => return,
         };
-        metrics::histogram!(TOOK).record(self.arrived.elapsed().as_secs_f64());
+        metrics::histogram!(TURN_SECONDS).record(self.arrived.elapsed().as_secs_f64());
         let killed = self.entry.killed.clone();
         let end = async {
             match outcome {
                 Ok(finish) => self.commit(&buf, finish).await,
-                Err(err) => self.give_up(&buf, err).await,
+                Err(err) => self.fail(&buf, err).await,
             }
         };
         tokio::select! {
@@ -124,7 +124,7 @@
         self.req.deadline.min(left)
     }
 
-    async fn tries(
+    async fn run_tries(
         &mut self,
         buf: &mut Arc<buffer::Buffer>,
     ) -> Result<attempt::Finish, error::Error> {
@@ -143,11 +143,11 @@
             let after = after.ok_or(err.clone())?;
             tokio::time::sleep(after).await;
             earlier = Some(err);
-            self.start_anew(buf);
+            self.reset_buffer(buf);
         }
     }
 
-    /// After which delay a failed try is followed by another, if it is.
+    /// The delay before the next try after a failed one; `None` if there is none.
     fn decide(&mut self, tried: u32, err: &error::Error) -> Option<Duration> {
         if self.renews_fence(err) {
             self.explain(
@@ -159,7 +159,7 @@
         let failure = retry::Failure {
             kind: err.kind,
             attempt: tried,
-            // A model call has no effect but its answer, which is not committed yet.
+            // The only effect of a model call is its answer, which is not committed yet.
             repeatable: true,
             time_left: self.req.deadline.saturating_sub(self.arrived.elapsed()),
             retry_after: None,
@@ -171,21 +171,21 @@
         match outcome {
             retry::Outcome::Retry { after } => {
                 metrics::counter!(RETRIES, "kind" => label).increment(1);
-                self.explain("retried", format!("{err}; again after {after:?}"));
+                self.explain("retried", format!("{err}; next try after {after:?}"));
                 Some(after)
             }
             retry::Outcome::GiveUp { reason } => {
                 let reason = reason.label();
                 metrics::counter!(GIVEN_UP, "reason" => reason, "kind" => label).increment(1);
-                self.explain("given up", format!("{err}; not tried again: {reason}"));
+                self.explain("given up", format!("{err}; not retried: {reason}"));
                 None
             }
         }
     }
 
-    /// After a lease that lapsed, this entry may keep the shard again, under a newer number and
-    /// with the same programs under way. Sides refuse the old number; the turn goes on under the
-    /// new one.
+    /// Adopts a newer fencing number of the shard, if there is one. After its lease lapsed, this entry
+    /// may keep the shard again under a newer number, with the same turns under way. Sides refuse the
+    /// old number, so the turn continues under the new one.
     fn renews_fence(&mut self, err: &error::Error) -> bool {
         if !matches!(err.kind, error::Kind::StaleFence | error::Kind::KeeperLost) {
             return false;
@@ -209,13 +209,14 @@
         attempt.is_ok_and(|changed| changed.value == Some(self.run.attempt))
     }
 
-    /// A further try starts its events anew: readers that hold some go over to a new buffer.
-    fn start_anew(&mut self, buf: &mut Arc<buffer::Buffer>) {
+    /// Prepares a further try, whose events start from the beginning: if readers may have events of the
+    /// failed one, they are moved to a new buffer.
+    fn reset_buffer(&mut self, buf: &mut Arc<buffer::Buffer>) {
         if buf.is_empty() {
             return;
         }
         let next = rand::rng().random();
-        *buf = self.entry.attempts.go_on(self.reading, next);
+        *buf = self.entry.attempts.continue_as(self.reading, next);
         self.reading = next;
     }
 
@@ -230,11 +231,11 @@
             entry: &self.entry,
             side: &current.side,
             start,
-            whole: self.whole_prompt()?,
+            full_prompt: self.full_prompt()?,
             buf,
         };
         let outcome = attempt.run().await;
-        self.settle(&current, &outcome);
+        self.record_outcome(&current, &outcome);
         if let Err(err) = &outcome {
             self.current = None;
             self.avoid(&current, err);
@@ -242,10 +243,10 @@
         outcome
     }
 
-    /// A further try goes elsewhere, unless it was this entry that was refused.
+    /// Excludes the upstream from further tries, unless the failure was caused by this entry's fence.
     fn avoid(&mut self, current: &Current, err: &error::Error) {
-        let is_ours = matches!(err.kind, error::Kind::StaleFence | error::Kind::KeeperLost);
-        if !is_ours {
+        let is_own_refusal = matches!(err.kind, error::Kind::StaleFence | error::Kind::KeeperLost);
+        if !is_own_refusal {
             self.failed_at.push(current.side.instance.id.clone());
         }
     }
@@ -295,7 +296,7 @@
         drop(service);
         metrics::counter!(PLACED, "reason" => outcome.reason.label()).increment(1);
         let why = format!(
-            "turn {} on {}: {}, {:?} expected, {} tokens missing in its cache",
+            "turn {} on {}: {}, expected latency {:?}, {} tokens not in its cache",
             self.run.turn,
             outcome.upstream,
             outcome.reason.label(),
@@ -333,8 +334,8 @@
         })
     }
 
-    /// The messages of the whole prompt, shared with the shard's state.
-    fn whole_prompt(&self) -> Result<Vec<fw_base::chat::Message>, error::Error> {
+    /// The messages of the full prompt, shared with the shard's state.
+    fn full_prompt(&self) -> Result<Vec<fw_base::chat::Message>, error::Error> {
         if self.run.turn == 1 {
             return Ok(self.run.messages.clone());
         }
@@ -343,9 +344,9 @@
             Some(program.history().to_vec())
         });
         let history = history.ok().and_then(|changed| changed.value);
-        let mut whole = history.ok_or_else(lost)?;
-        whole.extend_from_slice(&self.run.messages);
-        Ok(whole)
+        let mut prompt = history.ok_or_else(keeper_changed)?;
+        prompt.extend_from_slice(&self.run.messages);
+        Ok(prompt)
     }
 
     fn attained(&self) -> Duration {
@@ -359,7 +360,11 @@
             .unwrap_or_default()
     }
 
-    fn settle(&mut self, current: &Current, outcome: &Result<attempt::Finish, error::Error>) {
+    fn record_outcome(
+        &mut self,
+        current: &Current,
+        outcome: &Result<attempt::Finish, error::Error>,
+    ) {
         let upstream = &current.side.instance.id;
         let service = self.entry.sides.service(&self.plan.service);
         let mut service = service.lock();
@@ -370,20 +375,20 @@
                 metrics::counter!(WASTED).increment(self.wasted(finish));
                 service.view.set_cached(&self.req.program, upstream, held);
                 self.entry.poison.lock().record_success(&self.run.digest);
-                self.permit.queued(finish.queued);
-                metrics::histogram!(QUEUED).record(finish.queued.as_secs_f64());
+                self.permit.record_queue_delay(finish.queued);
+                metrics::histogram!(QUEUE_SECONDS).record(finish.queued.as_secs_f64());
             }
             Err(err) => {
                 service.view.record_finished(upstream, None);
-                self.note_failure(&mut service, current, err);
+                self.record_failure(&mut service, current, err);
             }
         }
     }
 
-    fn note_failure(&self, service: &mut sides::Service, current: &Current, err: &error::Error) {
+    fn record_failure(&self, service: &mut sides::Service, current: &Current, err: &error::Error) {
         let now = self.entry.now();
         let upstream = &current.side.instance.id;
-        let seen = match err.kind {
+        let observation = match err.kind {
             error::Kind::UpstreamCrashed => {
                 let mut poison = self.entry.poison.lock();
                 poison.record_crash(now, upstream, self.run.digest, current.alone);
@@ -395,13 +400,13 @@
             }
             _ => None,
         };
-        if let Some(seen) = seen {
-            service.health.observe(now, upstream, seen);
+        if let Some(observation) = observation {
+            service.health.observe(now, upstream, observation);
             service.refresh(now, upstream);
         }
     }
 
-    /// Prompt tokens computed anew although the turn before had left them in some cache.
+    /// Prompt tokens recomputed although the previous turn had left them in some cache.
     fn wasted(&self, finish: &attempt::Finish) -> id::Tokens {
         let held = self.entry.keeper.with_shard(self.plan.shard, |shard| {
             let last = shard.program(&self.req.program)?.last()?;
@@ -415,10 +420,10 @@
             .saturating_sub(finish.usage.cached)
     }
 
-    async fn give_up(self, buf: &Arc<buffer::Buffer>, err: error::Error) {
+    async fn fail(self, buf: &Arc<buffer::Buffer>, err: error::Error) {
         let err = match err.kind {
-            // The side saw a newer keeper of the shard: this one was paused and is fenced off.
-            error::Kind::StaleFence => lost(),
+            // The side has seen a newer keeper of the shard: this one was suspended and is fenced off.
+            error::Kind::StaleFence => keeper_changed(),
             _ => err,
         };
         if err.kind == error::Kind::Internal {
@@ -438,7 +443,7 @@
     }
 
     pub(super) fn explain(&self, what: &'static str, why: String) {
-        self.entry.explain.note(&self.req.program, what, why);
+        self.entry.explain.record(&self.req.program, what, why);
     }
 
     fn no_upstream(&self) -> error::Error {
@@ -448,7 +453,7 @@
     }
 }
 
-fn overdue() -> error::Error {
+fn deadline_exceeded() -> error::Error {
     error::Error::new(
         error::Kind::DeadlineExceeded,
         "the turn took longer than its deadline",
@@ -458,18 +463,18 @@
 fn cancelled() -> error::Error {
     error::Error::new(
         error::Kind::Cancelled,
-        "the caller went away before the answer was whole",
+        "the caller disconnected before the answer was complete",
     )
 }
 
-pub(super) fn ended() -> error::Error {
+pub(super) fn program_ended() -> error::Error {
     error::Error::new(
         error::Kind::Cancelled,
         "the program was ended while the turn was under way",
     )
 }
 
-pub(super) fn lost() -> error::Error {
+pub(super) fn keeper_changed() -> error::Error {
     let message = "the program changed its keeper while the turn was under way; send it again";
     error::Error::new(error::Kind::KeeperLost, message)
 }
