--- a/fw-check/src/index.rs
+++ b/fw-check/src/index.rs
@@ -142,15 +142,15 @@
     ) -> Match {
         let mut rest = messages;
         for turn in 1..=last {
-            let Some(record) = self.turns.get(&TurnKey { program, turn }) else {
+            let Some(expected) = self.turns.get(&TurnKey { program, turn }) else {
                 return Match::Unknown;
             };
-            let answers = match (record.received.is_empty(), record.produced.is_empty()) {
-                (false, _) => &record.received,
-                (true, false) => &record.produced,
+            let answers = match (expected.received.is_empty(), expected.produced.is_empty()) {
+                (false, _) => &expected.received,
+                (true, false) => &expected.produced,
                 (true, true) => return Match::Unknown,
             };
-            let added = record.messages.iter().find(|m| rest.starts_with(m));
+            let added = expected.messages.iter().find(|m| rest.starts_with(m));
             let after = added.and_then(|added| rest[added.len()..].split_first());
             match after {
                 Some((answer, after)) if answers.contains(answer) => rest = after,
--- a/fw-check/src/promise/leaving.rs
+++ b/fw-check/src/promise/leaving.rs
@@ -9,12 +9,12 @@
     let mut tally = Tally::default();
     let end_of_record = entries.last().map(|entry| entry.at).unwrap_or_default();
     let mut too_short = 0;
-    for (left, entry) in entries.iter().enumerate() {
+    for (leaving, entry) in entries.iter().enumerate() {
         let Event::UpstreamLeaving { upstream } = &entry.event else {
             continue;
         };
         let by = entry.at + opts.leave_within;
-        let mut after = entries.iter().enumerate().skip(left);
+        let mut after = entries.iter().enumerate().skip(leaving);
         let late = after.find(|(_, other)| match &other.event {
             Event::RunStarted { upstream: at, .. } => at == upstream && other.at > by,
             _ => false,
@@ -25,7 +25,7 @@
                 let what = format!(
                     "{upstream} received new work more than {within:?} after it started to leave"
                 );
-                tally.add_violation(&[left, run], what);
+                tally.add_violation(&[leaving, run], what);
             }
             None if end_of_record <= by => too_short += 1,
             None => tally.add_held(),
--- a/fw-check/src/promise/shutdown.rs
+++ b/fw-check/src/promise/shutdown.rs
@@ -51,10 +51,10 @@
         receiver(call) == process && call.sent < span.last_sent && ends_within
     };
     for call in index.calls.values().filter(is_under_way) {
-        let Some((end, how)) = call.outcome else {
+        let Some((end, outcome)) = call.outcome else {
             continue;
         };
-        let is_cut_off = match how {
+        let is_cut_off = match outcome {
             Outcome::Lost { sent, by_caller } => sent && !by_caller,
             Outcome::Answered { whole, .. } => !whole,
             Outcome::Refused { .. } => false,
