--- a/fw-side/examples/overhead.rs
+++ b/fw-side/examples/overhead.rs
@@ -1,13 +1,14 @@
-//! What a side adds to a plain request and to a first token, against going straight to the
-//! stand-in upstream, at 1, 32 and 256 concurrent calls; and what it costs.
+//! Benchmark of the overhead of a side: the latency that it adds to a plain request and to a first
+//! token, compared with direct calls to the simulated upstream, at 1, 32 and 256 concurrent calls;
+//! and its use of processor time and memory.
 //!
 //! ```text
 //! cargo build --release -p foxtailweir-side
 //! cargo run --release -p fw-side --example overhead
 //! ```
 //!
-//! The side runs as a process of its own, so that its processor time and memory are its alone; the
-//! stand-ins and the callers share this one.
+//! The side runs in a separate process, so that its processor time and memory can be measured; the
+//! simulated upstreams and the callers share this process.
 
 use std::error::Error;
 use std::fmt::Write as _;
@@ -39,11 +40,11 @@
 const CONCURRENCY: [u64; 3] = [1, 32, 256];
 const PLAIN_CALLS: u64 = 20_000;
 const TURNS: u64 = 3_000;
-const LONG: Duration = Duration::from_secs(60);
-/// Ticks a second of the processor times in `/proc`.
-const TICKS: f64 = 100.0;
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// Unit of the processor times in `/proc`.
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
-/// A side as a process; killed when dropped.
+/// A side in a separate process, which is killed on drop.
 struct Process {
     child: Child,
     calls: SocketAddr,
@@ -52,7 +53,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may already have exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -82,26 +83,26 @@
     async fn wait_until_ready(&self) -> Outcome<()> {
         let client = fw_http::Client::default();
         let uri = format!("http://{}/readyz", self.http);
-        let within = Instant::now() + LONG;
-        while Instant::now() < within {
+        let deadline = Instant::now() + TIMEOUT;
+        while Instant::now() < deadline {
             if client.get(&uri).await.is_ok_and(|it| it.status == 200) {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        Err("the side did not get ready".into())
+        Err("the side did not become ready".into())
     }
 
-    /// Processor time so far, in seconds.
+    /// Processor time used so far, in seconds.
     fn cpu(&self) -> Outcome<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let fields = stat.rsplit(')').next().unwrap_or_default();
         let ticks = fields.split_whitespace().skip(11).take(2);
         let ticks: Result<Vec<f64>, _> = ticks.map(str::parse).collect();
-        Ok(ticks?.iter().sum::<f64>() / TICKS)
+        Ok(ticks?.iter().sum::<f64>() / CLOCK_TICKS_PER_SECOND)
     }
 
-    /// Resident memory now, in MB.
+    /// Current resident memory, in MB.
     fn memory(&self) -> Outcome<f64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -121,32 +122,32 @@
     Ok(TcpListener::bind(("127.0.0.1", 0))?.local_addr()?)
 }
 
-/// Times of calls, sorted.
-struct Times(Vec<Duration>);
+/// Latencies of calls, in ascending order.
+struct SortedLatencies(Vec<Duration>);
 
-impl Times {
-    fn at(&self, part: f64) -> f64 {
+impl SortedLatencies {
+    fn quantile(&self, quantile: f64) -> f64 {
         let last = self.0.len().saturating_sub(1);
-        let index = (last as f64 * part) as usize;
+        let index = (last as f64 * quantile) as usize;
         self.0.get(index).map_or(0.0, Duration::as_secs_f64) * 1e3
     }
 }
 
-/// Makes `total` calls, `width` at a time.
-async fn measure<F, Fut>(width: u64, total: u64, call: F) -> Outcome<Times>
+/// Makes `total` calls, `concurrency` at a time.
+async fn measure<F, Fut>(concurrency: u64, total: u64, call: F) -> Outcome<SortedLatencies>
 where
     F: Fn(u64) -> Fut + Clone + Send + 'static,
     Fut: Future<Output = Outcome<Duration>> + Send,
 {
     let mut workers = tokio::task::JoinSet::new();
-    for worker in 0..width {
+    for worker in 0..concurrency {
         let call = call.clone();
         workers.spawn(async move {
             let mut times = Vec::new();
             let mut number = worker;
             while number < total {
                 times.push(call(number).await?);
-                number += width;
+                number += concurrency;
             }
             Outcome::Ok(times)
         });
@@ -156,7 +157,7 @@
         times.extend(worker??);
     }
     times.sort_unstable();
-    Ok(Times(times))
+    Ok(SortedLatencies(times))
 }
 
 async fn plain_call(client: fw_http::Client, uri: String) -> Outcome<Duration> {
@@ -174,7 +175,7 @@
     vec![chat::Message::text("user", &text)]
 }
 
-/// Time to the first content straight from the engine; the answer is read to its end.
+/// Time to first token of a direct call to the engine. The answer is read to its end.
 async fn direct_turn(client: fw_http::Client, uri: String, number: u64) -> Outcome<Duration> {
     let began = Instant::now();
     let list: Vec<serde_json::Value> = messages(number)
@@ -189,15 +190,15 @@
         frame?;
         first.get_or_insert_with(|| began.elapsed());
     }
-    first.ok_or_else(|| "no chunk came".into())
+    first.ok_or_else(|| "no chunk received".into())
 }
 
-/// Time to the first event through the side; the answer is read to its end.
+/// Time to the first event through the side. The answer is read to its end.
 async fn side_turn(client: &side::SideClient, start: side::Start) -> Outcome<Duration> {
     let began = Instant::now();
     let program = start.program.clone();
     let attempt = start.attempt;
-    let reply = client.start(transport::context(LONG), start).await?;
+    let reply = client.start(transport::context(TIMEOUT), start).await?;
     if !matches!(reply, side::StartReply::Accepted) {
         return Err(format!("{program}: {reply:?}").into());
     }
@@ -207,10 +208,10 @@
         let req = attempt::Read {
             attempt,
             offset,
-            wait: LONG / 2,
+            wait: TIMEOUT / 2,
             gather: Duration::ZERO,
         };
-        let reply = client.read(transport::context(LONG), req).await?;
+        let reply = client.read(transport::context(TIMEOUT), req).await?;
         offset += u32::try_from(reply.events.len())?;
         if !reply.events.is_empty() {
             first.get_or_insert_with(|| began.elapsed());
@@ -221,8 +222,8 @@
             _ => {}
         }
     }
-    client.forget(transport::context(LONG), attempt).await?;
-    first.ok_or_else(|| "no event came".into())
+    client.forget(transport::context(TIMEOUT), attempt).await?;
+    first.ok_or_else(|| "no event received".into())
 }
 
 fn start(number: u64) -> side::Start {
@@ -244,7 +245,7 @@
         messages,
         params: Arc::from("{}"),
         max_tokens: 8,
-        deadline: LONG,
+        deadline: TIMEOUT,
         team: "t".into(),
         share: 1.0,
         attained: Duration::ZERO,
@@ -254,9 +255,9 @@
     }
 }
 
-/// Prints what a program with a history of 750,000 tokens costs: a first turn that carries it all,
-/// and a second one that carries only its new message.
-async fn long_history() -> Outcome<()> {
+/// Prints the cost of a program with a history of 750,000 tokens: of a first turn that carries the
+/// full history, and of a second one that carries only its new message.
+async fn print_long_history_cost() -> Outcome<()> {
     const MESSAGES: u64 = 400;
     const MESSAGE_BYTES: usize = 7_500;
     let engine = engine::Engine::spawn(engine::Options {
@@ -266,7 +267,9 @@
         ..engine::Options::default()
     })?;
     let process = Process::spawn("llm", engine.addr(), "long").await?;
-    let client = transport::connect_side(process.calls, LONG).await?.client;
+    let client = transport::connect_side(process.calls, TIMEOUT)
+        .await?
+        .client;
     let text = "x".repeat(MESSAGE_BYTES);
     let message = |_| chat::Message::text("user", &text);
     let messages: Vec<_> = (0..MESSAGES).map(message).collect();
@@ -302,14 +305,21 @@
     Ok(())
 }
 
-/// One line of the table.
-fn row(table: &mut String, what: &str, width: u64, direct: &Times, through: &Times, cost: &Cost) {
-    let (d50, s50) = (direct.at(0.5), through.at(0.5));
-    let (d99, s99) = (direct.at(0.99), through.at(0.99));
-    // Writing to a string does not fail.
+/// Adds a row to the table.
+fn add_row(
+    table: &mut String,
+    kind: &str,
+    concurrency: u64,
+    direct: &SortedLatencies,
+    through_side: &SortedLatencies,
+    cost: &Cost,
+) {
+    let (d50, s50) = (direct.quantile(0.5), through_side.quantile(0.5));
+    let (d99, s99) = (direct.quantile(0.99), through_side.quantile(0.99));
+    // Writing to a string cannot fail.
     let _ = writeln!(
         table,
-        "| {what} | {width} | {d50:.2} | {s50:.2} | {:.2} | {d99:.2} | {s99:.2} | {:.2} | {:.0} | {:.1} |",
+        "| {kind} | {concurrency} | {d50:.2} | {s50:.2} | {:.2} | {d99:.2} | {s99:.2} | {:.2} | {:.0} | {:.1} |",
         s50 / d50,
         s99 / d99,
         cost.cpu * 1e6,
@@ -317,7 +327,7 @@
     );
 }
 
-/// What the side spent on one call, in seconds, and holds, in MB.
+/// Processor time of the side per call, in seconds, and its memory, in MB.
 struct Cost {
     cpu: f64,
     memory: f64,
@@ -326,17 +336,17 @@
 async fn plain_rows(table: &mut String) -> Outcome<()> {
     let service = plain::Service::spawn(plain::Options::default())?;
     let process = Process::spawn("plain", service.addr(), "plain").await?;
-    for width in CONCURRENCY {
+    for concurrency in CONCURRENCY {
         let client = fw_http::Client::default();
-        let straight = format!("http://{}/page", service.addr());
+        let direct_uri = format!("http://{}/page", service.addr());
         let pool = client.clone();
-        let direct = measure(width, PLAIN_CALLS, move |_| {
-            plain_call(pool.clone(), straight.clone())
+        let direct = measure(concurrency, PLAIN_CALLS, move |_| {
+            plain_call(pool.clone(), direct_uri.clone())
         })
         .await?;
         let before = process.cpu()?;
         let uri = format!("http://{}/page", process.http);
-        let through = measure(width, PLAIN_CALLS, move |_| {
+        let through_side = measure(concurrency, PLAIN_CALLS, move |_| {
             plain_call(client.clone(), uri.clone())
         })
         .await?;
@@ -344,47 +354,50 @@
             cpu: (process.cpu()? - before) / PLAIN_CALLS as f64,
             memory: process.memory()?,
         };
-        row(table, "plain", width, &direct, &through, &cost);
+        add_row(table, "plain", concurrency, &direct, &through_side, &cost);
     }
     Ok(())
 }
 
-/// Prints what a side without work spends.
-async fn idle(process: &Process) -> Outcome<()> {
-    const FOR: Duration = Duration::from_secs(5);
+/// Prints the processor time and memory of an idle side.
+async fn print_idle_cost(process: &Process) -> Outcome<()> {
+    const DURATION: Duration = Duration::from_secs(5);
     let before = process.cpu()?;
-    tokio::time::sleep(FOR).await;
-    let part = (process.cpu()? - before) / FOR.as_secs_f64();
+    tokio::time::sleep(DURATION).await;
+    let fraction = (process.cpu()? - before) / DURATION.as_secs_f64();
     println!(
         "idle: {:.1}% of a core, {:.1} MB",
-        part * 100.0,
+        fraction * 100.0,
         process.memory()?
     );
     Ok(())
 }
 
 async fn turn_rows(table: &mut String) -> Outcome<()> {
-    // A batch that takes all calls, so that neither way queues and only the side's own part shows.
+    // The batch is large enough for all calls, so that neither path queues and only the overhead of
+    // the side is measured.
     let engine = engine::Engine::spawn(engine::Options {
         batch: 512,
         prefill: Duration::ZERO,
         ..engine::Options::default()
     })?;
     let process = Process::spawn("llm", engine.addr(), "llm").await?;
-    idle(&process).await?;
+    print_idle_cost(&process).await?;
     let mut first_number = 0;
-    for width in CONCURRENCY {
-        let turns = TURNS.min(width * 100);
+    for concurrency in CONCURRENCY {
+        let turns = TURNS.min(concurrency * 100);
         let client = fw_http::Client::default();
         let uri = format!("http://{}/v1/chat/completions", engine.addr());
-        let direct = measure(width, turns, move |number| {
+        let direct = measure(concurrency, turns, move |number| {
             direct_turn(client.clone(), uri.clone(), number)
         })
         .await?;
         let before = process.cpu()?;
-        let client = transport::connect_side(process.calls, LONG).await?.client;
+        let client = transport::connect_side(process.calls, TIMEOUT)
+            .await?
+            .client;
         let from = first_number;
-        let through = measure(width, turns, move |number| {
+        let through_side = measure(concurrency, turns, move |number| {
             let client = client.clone();
             async move { side_turn(&client, start(from + number)).await }
         })
@@ -394,7 +407,14 @@
             cpu: (process.cpu()? - before) / turns as f64,
             memory: process.memory()?,
         };
-        row(table, "first token", width, &direct, &through, &cost);
+        add_row(
+            table,
+            "first token",
+            concurrency,
+            &direct,
+            &through_side,
+            &cost,
+        );
     }
     Ok(())
 }
@@ -406,7 +426,7 @@
          | side p99 ms | ratio | side CPU us/call | side RSS MB |\n\
          |---|---|---|---|---|---|---|---|---|---|\n",
     );
-    long_history().await?;
+    print_long_history_cost().await?;
     plain_rows(&mut table).await?;
     turn_rows(&mut table).await?;
     println!("{table}");
--- a/fw-side/src/process/serve.rs
+++ b/fw-side/src/process/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a side, and stops it without cutting off what is under way.
+//! Startup and graceful shutdown of a side.
 
 use std::future::Future;
 use std::io;
@@ -19,20 +19,20 @@
 use tokio::task::JoinSet;
 
 use super::core;
-use super::poll;
-use crate::connection::calls;
+use super::tasks;
+use crate::connection::rpc;
 use crate::connection::web;
+use crate::errors;
 use crate::options;
-use crate::refuse;
 use crate::request::plain;
 
-/// Time between two sweeps of the metrics recorder.
-const METRICS_UPKEEP: Duration = Duration::from_secs(5);
+/// Interval of the metrics recorder's upkeep.
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time for connections to send what was handed to them, when the side stops.
-const FLUSH: Duration = Duration::from_millis(400);
+/// Time for connections to flush their buffered data when the side stops.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A running side. Dropped, it stops at once, as a crash does.
+/// A running side. Dropping it stops it immediately, as a crash would.
 #[derive(Debug)]
 pub struct Side {
     core: Arc<core::Core>,
@@ -44,12 +44,12 @@
 
 impl Drop for Side {
     fn drop(&mut self) {
-        self.core.dead.cancel();
+        self.core.aborted.cancel();
     }
 }
 
 impl Side {
-    /// Binds the addresses of the settings and starts to serve.
+    /// Binds the addresses in the settings and starts serving.
     ///
     /// # Errors
     ///
@@ -58,8 +58,8 @@
         let listen = &opts.settings.listen;
         let calls = TcpListener::bind(listen.calls).await?;
         let http = TcpListener::bind(listen.http).await?;
-        let metrics = opts.metrics.clone().unwrap_or_else(recorder);
-        refuse::register();
+        let metrics = opts.metrics.clone().unwrap_or_else(install_recorder);
+        errors::register();
         let core = Arc::new(core::Core::new(opts));
         let mut side = Self {
             calls: calls.local_addr()?,
@@ -69,44 +69,47 @@
             core,
         };
         side.serve(calls, http, metrics);
-        side.poll();
+        side.spawn_tasks();
         Ok(side)
     }
 
-    /// Where entries call.
+    /// Address of the RPC service for entries.
     pub fn calls(&self) -> SocketAddr {
         self.calls
     }
 
-    /// Where plain calls and `/metrics` are served.
+    /// Address of the HTTP server for plain calls and `/metrics`.
     pub fn http(&self) -> SocketAddr {
         self.http
     }
 
-    /// The state, for tests and the demo.
+    /// The shared state, for tests and the demo.
     pub fn core(&self) -> &Arc<core::Core> {
         &self.core
     }
 
-    /// Takes no new work, finishes what is under way and stops. Returns whether all of it ended
-    /// within the drain timeout of the settings.
+    /// Stops accepting new work, finishes the work in progress and shuts down. Returns whether all
+    /// of it ended within the configured drain timeout.
     pub async fn stop(mut self) -> bool {
         self.core.leave();
         let within = self.core.opts.settings.shutdown.drain_timeout;
-        let drained = self.core.drained(within).await;
+        let drained = self.core.wait_drained(within).await;
         if !drained {
-            tracing::warn!(?within, "work under way did not end in time");
+            tracing::warn!(
+                ?within,
+                "work in progress did not end within the drain timeout"
+            );
         }
         self.core.closing.cancel();
-        // Answers are handed to connections by now, and may not have left them yet.
-        let _ = tokio::time::timeout(FLUSH, self.web.join_next()).await;
-        tokio::time::sleep(FLUSH / 4).await;
+        // Answers have been passed to the connections, which may not have sent them yet.
+        let _ = tokio::time::timeout(FLUSH_TIMEOUT, self.web.join_next()).await;
+        tokio::time::sleep(FLUSH_TIMEOUT / 4).await;
         self.tasks.shutdown().await;
         drained
     }
 
     fn serve(&mut self, calls: TcpListener, http: TcpListener, metrics: PrometheusHandle) {
-        let service = calls::Calls::new(self.core.clone());
+        let service = rpc::Service::new(self.core.clone());
         self.tasks.spawn(async move {
             transport::accept(calls, |connection: transport::SideTransport| {
                 server::BaseChannel::with_defaults(connection)
@@ -116,34 +119,35 @@
             .await;
         });
         let cfg = &self.core.opts.settings.engine;
-        let web = web::Web {
+        let state = web::HttpState {
             core: self.core.clone(),
-            plain: plain::Lane::new(cfg.address, cfg.connect_timeout),
+            plain: plain::Client::new(cfg.address, cfg.connect_timeout),
             metrics: metrics.clone(),
         };
         self.web
-            .spawn(web::serve(http, web, self.core.closing.clone()));
+            .spawn(web::serve(http, state, self.core.closing.clone()));
         self.tasks.spawn(async move {
             loop {
-                tokio::time::sleep(METRICS_UPKEEP).await;
+                tokio::time::sleep(METRICS_UPKEEP_INTERVAL).await;
                 metrics.run_upkeep();
             }
         });
     }
 
-    fn poll(&mut self) {
+    fn spawn_tasks(&mut self) {
         let core = &self.core;
-        self.tasks.spawn(poll::release(core.clone()));
-        self.tasks.spawn(poll::watch(core.clone()));
-        self.tasks.spawn(poll::sweep(core.clone()));
+        self.tasks.spawn(tasks::dispatch(core.clone()));
+        self.tasks.spawn(tasks::monitor_upstream(core.clone()));
+        self.tasks.spawn(tasks::sweep(core.clone()));
         if core.opts.settings.engine.kind == side::Kind::Llm {
-            self.tasks.spawn(poll::follow_cache(core.clone()));
-            self.tasks.spawn(poll::free(core.clone()));
+            self.tasks.spawn(tasks::follow_cache(core.clone()));
+            self.tasks.spawn(tasks::release_cache(core.clone()));
         }
     }
 }
 
-/// Runs a side until `shutdown` comes, then stops it. Returns whether all work under way ended.
+/// Runs a side until `shutdown` completes, then stops it. Returns whether all work in progress
+/// ended.
 ///
 /// # Errors
 ///
@@ -159,14 +163,14 @@
     Ok(side.stop().await)
 }
 
-/// The recorder of this process, installed by the first side in it. If the process has another
-/// recorder already, `/metrics` of the side stays empty and that other one has the counters.
-fn recorder() -> PrometheusHandle {
+/// Installs the metrics recorder of this process, once. If the process already has another
+/// recorder, `/metrics` of the side stays empty and the other recorder receives the counters.
+fn install_recorder() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
     let install = || {
         let recorder = PrometheusBuilder::new().build_recorder();
         let handle = recorder.handle();
-        // It fails only where another recorder is installed.
+        // Fails only if another recorder is installed.
         let _ = metrics::set_global_recorder(recorder);
         handle
     };
--- a/fw-side/tests/side/records_force.rs
+++ b/fw-side/tests/side/records_force.rs
@@ -1,4 +1,4 @@
-//! Records that entries hand to the side.
+//! Record sets that entries send to the side.
 
 use fw_record::document;
 use fw_record::key;
@@ -19,13 +19,16 @@
     }
 }
 
-// Two entries hand their records to the side; the one that lags comes last. A change that is in
-// force must not revert.
+// Two entries send their record sets to the side, the outdated one last. A change that is in force
+// must not be reverted, and an unparsable set must be ignored.
 #[gtest]
 #[tokio::test]
 async fn an_older_set_changes_nothing() {
-    let rig = rig::Rig::new(rig::quick()).await;
-    let offer = |records| rig.client.records(transport::context(rig::LONG), records);
+    let rig = rig::Rig::new(rig::fast_engine()).await;
+    let offer = |records| {
+        rig.client
+            .records(transport::context(rig::TIMEOUT), records)
+    };
     expect_that!(offer(set_at(7)).await.unwrap(), eq(7));
     expect_that!(offer(set_at(5)).await.unwrap(), eq(7));
     let torn = side::Records {
