--- a/fw-check/src/promise/leaving.rs
+++ b/fw-check/src/promise/leaving.rs
@@ -1,4 +1,4 @@
-//! An upstream that leaves gets no new work after a short time.
+//! A leaving upstream receives no new work once [`Options::leave_within`] has passed.
 
 use crate::check::Options;
 use crate::check::Tally;
@@ -9,12 +9,12 @@
     let mut tally = Tally::default();
     let end_of_record = entries.last().map(|entry| entry.at).unwrap_or_default();
     let mut too_short = 0;
-    for (left, entry) in entries.iter().enumerate() {
+    for (leaving, entry) in entries.iter().enumerate() {
         let Event::UpstreamLeaving { upstream } = &entry.event else {
             continue;
         };
         let by = entry.at + opts.leave_within;
-        let mut after = entries.iter().enumerate().skip(left);
+        let mut after = entries.iter().enumerate().skip(leaving);
         let late = after.find(|(_, other)| match &other.event {
             Event::RunStarted { upstream: at, .. } => at == upstream && other.at > by,
             _ => false,
@@ -22,16 +22,18 @@
         match late {
             Some((run, _)) => {
                 let within = opts.leave_within;
-                let what = format!("{upstream} got new work more than {within:?} after it left");
-                tally.violated(&[left, run], what);
+                let what = format!(
+                    "{upstream} received new work more than {within:?} after it started to leave"
+                );
+                tally.add_violation(&[leaving, run], what);
             }
             None if end_of_record <= by => too_short += 1,
-            None => tally.held(),
+            None => tally.add_held(),
         }
     }
-    tally.unknown(
+    tally.add_undecided(
         too_short,
-        "upstreams that left too shortly before the end of the record",
+        "upstreams that started to leave too close to the end of the record",
     );
     tally
 }
--- a/fw-check/src/promise/order.rs
+++ b/fw-check/src/promise/order.rs
@@ -1,4 +1,4 @@
-//! A turn runs only after a run of the turn before it has ended with an answer.
+//! A turn runs only after a run of the previous turn has ended with an answer.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,7 @@
     let mut tally = Tally::default();
     let mut first_answer: HashMap<TurnKey<'_>, usize> = HashMap::new();
     for run in &index.runs {
-        let (Some(key), Some((ended, Some(_)))) = (index.owner(run), run.ended) else {
+        let (Some(key), Some((ended, Some(_)))) = (index.turn_of_run(run), run.ended) else {
             continue;
         };
         let first = first_answer.entry(key).or_insert(ended);
@@ -18,7 +18,7 @@
     }
     let mut ambiguous = 0;
     for run in &index.runs {
-        let Some(key) = index.owner(run) else {
+        let Some(key) = index.turn_of_run(run) else {
             ambiguous += usize::from(run.turns.len() > 1);
             continue;
         };
@@ -32,12 +32,12 @@
         indices.extend(before);
         tally.expect(is_after, &indices, || {
             let TurnKey { program, turn } = key;
-            format!("turn {turn} of {program} ran before the turn before it was answered")
+            format!("turn {turn} of {program} ran before the previous turn was answered")
         });
     }
-    tally.unknown(
+    tally.add_undecided(
         ambiguous,
-        "runs whose program is not certain from their texts",
+        "runs that cannot be attributed to one turn by their messages",
     );
     tally
 }
--- a/fw-check/src/promise/shutdown.rs
+++ b/fw-check/src/promise/shutdown.rs
@@ -1,15 +1,15 @@
-//! No call is broken off by a process that stops gracefully.
+//! A graceful shutdown of a process cuts off no call.
 
 use crate::check::Tally;
 use crate::event::Entry;
 use crate::event::Event;
 use crate::event::ProcessId;
-use crate::index::Asked;
 use crate::index::Call;
-use crate::index::End;
 use crate::index::Index;
+use crate::index::Outcome;
+use crate::index::Request;
 
-/// The part of the record that one shutdown answers for.
+/// The part of the record that is attributed to one shutdown, as indices of entries.
 struct Span {
     begun: usize,
     last_sent: usize,
@@ -27,47 +27,49 @@
         let ended = end_after(entries, process, begun);
         let span = Span {
             begun,
-            // What is sent later goes to the next process of that name.
+            // Calls sent later go to the restarted process of the same name.
             last_sent: ended.map_or(crashed, |(ended, _)| ended.min(crashed)),
             crashed,
         };
         check_calls(index, process, span, &mut tally);
         match ended {
             Some((ended, cut_off)) => tally.expect(cut_off == 0, &[begun, ended], || {
-                format!("{process} stopped with {cut_off} requests under way")
+                format!("{process} stopped with {cut_off} requests in flight")
             }),
             None => unfinished += 1,
         }
     }
-    tally.unknown(unfinished, "shutdowns whose end is not in the record");
+    tally.add_undecided(unfinished, "shutdowns whose end is not in the record");
     tally
 }
 
-/// Calls to `process` that were under way during `span`.
+/// Checks the calls to `process` that were in flight during `span`.
 fn check_calls(index: &Index<'_>, process: &ProcessId, span: Span, tally: &mut Tally) {
     let is_under_way = |call: &&Call<'_>| {
         let ends = span.begun..span.crashed;
-        let ends_within = call.end.is_some_and(|(end, _)| ends.contains(&end));
+        let ends_within = call.outcome.is_some_and(|(end, _)| ends.contains(&end));
         receiver(call) == process && call.sent < span.last_sent && ends_within
     };
     for call in index.calls.values().filter(is_under_way) {
-        let Some((end, how)) = call.end else { continue };
-        let is_cut_off = match how {
-            End::Lost { sent, by_caller } => sent && !by_caller,
-            End::Answered { whole, .. } => !whole,
-            End::Refused { .. } => false,
+        let Some((end, outcome)) = call.outcome else {
+            continue;
+        };
+        let is_cut_off = match outcome {
+            Outcome::Lost { sent, by_caller } => sent && !by_caller,
+            Outcome::Answered { whole, .. } => !whole,
+            Outcome::Refused { .. } => false,
         };
         let indices = [span.begun, call.sent, end];
         tally.expect(!is_cut_off, &indices, || {
-            format!("{process} cut off a call while it stopped gracefully")
+            format!("{process} cut off a call during its graceful shutdown")
         });
     }
 }
 
 fn receiver<'a>(call: &Call<'a>) -> &'a ProcessId {
-    match call.asked {
-        Asked::Turn(sent) => &sent.to,
-        Asked::Plain(sent) => &sent.to,
+    match call.request {
+        Request::Turn(sent) => &sent.to,
+        Request::Plain(sent) => &sent.to,
     }
 }
 
