--- a/foxtailweir/src/command/role.rs
+++ b/foxtailweir/src/command/role.rs
@@ -113,9 +113,7 @@
             let page = move |path: &str| serve_page(&handle, path);
             listen::serve_pages(listener, page).await;
         }
-        Err(err) => {
-            tracing::error!(%addr, %err, "no metrics are served")
-        }
+        Err(err) => tracing::error!(%addr, %err, "no metrics are served"),
     }
 }
 
--- a/foxtailweir/src/demo/script.rs
+++ b/foxtailweir/src/demo/script.rs
@@ -259,7 +259,7 @@
         let entries = cx.recorder.entries();
         driver.end();
         Results {
-            report: check::record(&entries, &opts.check),
+            report: check::verify(&entries, &opts.check),
             entries,
             programs,
             unread,
--- a/fw-conf/src/codec.rs
+++ b/fw-conf/src/codec.rs
@@ -1,4 +1,4 @@
-//! How values of each type are written in a file, and which are allowed.
+//! Codecs that parse, format and validate the values of each type of key.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -8,47 +8,47 @@
 
 use smol_str::SmolStr;
 
-/// Why a value is not taken.
+/// Why a value is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reject {
+pub enum Rejection {
     /// The text is not of the type.
     Type,
     /// The value lies outside the range.
     Range,
 }
 
-/// Reads and writes the values of one key.
+/// Parses, formats and validates the values of one key.
 pub trait Codec {
-    /// The values.
+    /// Type of the values.
     type Value: PartialEq;
 
-    /// Name of the type, as on the reference page.
+    /// Name of the type, for the reference page.
     fn type_name(&self) -> &'static str;
-    /// The allowed values, as in error messages and on the reference page.
+    /// The allowed values, for error messages and the reference page.
     fn allowed(&self) -> String;
-    /// Reads a value.
+    /// Parses a value.
     ///
     /// # Errors
     ///
-    /// When `text` is no such value or not an allowed one.
-    fn read(&self, text: &str) -> Result<Self::Value, Reject>;
-    /// Writes `value` so that [`Codec::read`] returns it.
+    /// When `text` is not of the type or not an allowed value.
+    fn read(&self, text: &str) -> Result<Self::Value, Rejection>;
+    /// Formats `value` so that [`Codec::read`] returns it.
     fn write(&self, value: &Self::Value) -> String;
-    /// Whether `value` is an allowed one.
+    /// Whether `value` is allowed.
     fn accepts(&self, value: &Self::Value) -> bool {
         let read_back = self.read(&self.write(value));
         read_back.is_ok_and(|again| again == *value)
     }
 }
 
-fn within<T: PartialOrd>(range: &RangeInclusive<T>, value: T) -> Result<T, Reject> {
+fn check_range<T: PartialOrd>(range: &RangeInclusive<T>, value: T) -> Result<T, Rejection> {
     match range.contains(&value) {
         true => Ok(value),
-        false => Err(Reject::Range),
+        false => Err(Rejection::Range),
     }
 }
 
-/// Whole and decimal numbers.
+/// Codec of integers and floating-point numbers.
 #[derive(Clone, Debug)]
 pub struct Number<T>(RangeInclusive<T>);
 
@@ -68,12 +68,12 @@
         format!("{} to {}", self.0.start(), self.0.end())
     }
 
-    fn read(&self, text: &str) -> Result<T, Reject> {
+    fn read(&self, text: &str) -> Result<T, Rejection> {
         match text.parse() {
-            Ok(value) => within(&self.0, value),
-            // A number that the type cannot hold is out of range, not of another type.
-            Err(_) if text.parse::<f64>().is_ok_and(|n| n.fract() == 0.0) => Err(Reject::Range),
-            Err(_) => Err(Reject::Type),
+            Ok(value) => check_range(&self.0, value),
+            // An integer that does not fit the type is out of range rather than of another type.
+            Err(_) if text.parse::<f64>().is_ok_and(|n| n.fract() == 0.0) => Err(Rejection::Range),
+            Err(_) => Err(Rejection::Type),
         }
     }
 
@@ -99,21 +99,21 @@
     ("B", 1),
 ];
 
-/// A whole number with a unit, such as `250ms`.
-fn read_scaled(text: &str, units: &[(&str, u64)]) -> Result<u64, Reject> {
+/// Parses a whole number with a unit, such as `250ms`.
+fn read_scaled(text: &str, units: &[(&str, u64)]) -> Result<u64, Rejection> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (count, unit) = text.split_at(digits);
     if count.is_empty() {
-        return Err(Reject::Type);
+        return Err(Rejection::Type);
     }
     let unit = unit.trim_start();
     let found = units.iter().find(|(name, _)| *name == unit);
-    let (_, scale) = found.ok_or(Reject::Type)?;
-    let count: u64 = count.parse().map_err(|_| Reject::Range)?;
-    count.checked_mul(*scale).ok_or(Reject::Range)
+    let (_, scale) = found.ok_or(Rejection::Type)?;
+    let count: u64 = count.parse().map_err(|_| Rejection::Range)?;
+    count.checked_mul(*scale).ok_or(Rejection::Range)
 }
 
-/// `amount` in the largest unit that divides it.
+/// Formats `amount` in the largest unit that divides it.
 fn write_scaled(amount: u64, units: &[(&str, u64)]) -> String {
     let divides = |(_, scale): &&(&str, u64)| amount != 0 && amount.is_multiple_of(*scale);
     let smallest = units.len() - 1;
@@ -121,7 +121,7 @@
     format!("{}{unit}", amount / scale)
 }
 
-/// Durations: `250ms`, `3s`.
+/// Codec of durations such as `250ms` or `3s`.
 #[derive(Clone, Debug)]
 pub struct Time(RangeInclusive<Duration>);
 
@@ -142,9 +142,9 @@
         format!("{low} to {high} (units us, ms, s, min, h)")
     }
 
-    fn read(&self, text: &str) -> Result<Duration, Reject> {
+    fn read(&self, text: &str) -> Result<Duration, Rejection> {
         let micros = read_scaled(text, TIME_UNITS)?;
-        within(&self.0, Duration::from_micros(micros))
+        check_range(&self.0, Duration::from_micros(micros))
     }
 
     fn write(&self, value: &Duration) -> String {
@@ -153,7 +153,7 @@
     }
 }
 
-/// Sizes in bytes: `4MiB`.
+/// Codec of sizes such as `4MiB`.
 #[derive(Clone, Debug)]
 pub struct Size(RangeInclusive<usize>);
 
@@ -174,10 +174,10 @@
         format!("{low} to {high} (units B, KiB, MiB, GiB)")
     }
 
-    fn read(&self, text: &str) -> Result<usize, Reject> {
+    fn read(&self, text: &str) -> Result<usize, Rejection> {
         let bytes = read_scaled(text, SIZE_UNITS)?;
-        let bytes = usize::try_from(bytes).map_err(|_| Reject::Range)?;
-        within(&self.0, bytes)
+        let bytes = usize::try_from(bytes).map_err(|_| Rejection::Range)?;
+        check_range(&self.0, bytes)
     }
 
     fn write(&self, value: &usize) -> String {
@@ -185,7 +185,7 @@
     }
 }
 
-/// Socket addresses: `ip:port`.
+/// Codec of socket addresses, `ip:port`.
 #[derive(Clone, Debug)]
 pub struct Address;
 
@@ -197,11 +197,11 @@
     }
 
     fn allowed(&self) -> String {
-        "ip:port, by IP number".to_owned()
+        "ip:port, with a numeric IP address".to_owned()
     }
 
-    fn read(&self, text: &str) -> Result<SocketAddr, Reject> {
-        text.parse().map_err(|_| Reject::Type)
+    fn read(&self, text: &str) -> Result<SocketAddr, Rejection> {
+        text.parse().map_err(|_| Rejection::Type)
     }
 
     fn write(&self, value: &SocketAddr) -> String {
@@ -209,7 +209,7 @@
     }
 }
 
-/// URLs of the form `http://ip:port/path`.
+/// Codec of URLs of the form `http://ip:port/path`.
 #[derive(Clone, Debug)]
 pub struct Url;
 
@@ -221,16 +221,16 @@
     }
 
     fn allowed(&self) -> String {
-        "http://ip:port/path, by IP number".to_owned()
+        "http://ip:port/path, with a numeric IP address".to_owned()
     }
 
-    fn read(&self, text: &str) -> Result<SmolStr, Reject> {
-        let rest = text.strip_prefix("http://").ok_or(Reject::Type)?;
+    fn read(&self, text: &str) -> Result<SmolStr, Rejection> {
+        let rest = text.strip_prefix("http://").ok_or(Rejection::Type)?;
         let (address, path) = rest.split_once('/').unwrap_or((rest, ""));
         let is_path = path.bytes().all(|b| b.is_ascii_graphic());
         match address.parse::<SocketAddr>() {
             Ok(_) if is_path => Ok(text.into()),
-            _ => Err(Reject::Type),
+            _ => Err(Rejection::Type),
         }
     }
 
@@ -239,7 +239,7 @@
     }
 }
 
-/// Names of instances, places and services.
+/// Codec of names of instances, places and services.
 #[derive(Clone, Debug)]
 pub struct Name;
 
@@ -255,10 +255,10 @@
         format!("1 to {longest} ASCII letters, digits and `-_.:`")
     }
 
-    fn read(&self, text: &str) -> Result<SmolStr, Reject> {
+    fn read(&self, text: &str) -> Result<SmolStr, Rejection> {
         match fw_base::id::is_valid_name(text) {
             true => Ok(text.into()),
-            false => Err(Reject::Range),
+            false => Err(Rejection::Range),
         }
     }
 
@@ -267,7 +267,7 @@
     }
 }
 
-/// `true` or `false`.
+/// Codec of booleans, `true` or `false`.
 #[derive(Clone, Debug)]
 pub struct Flag;
 
@@ -282,8 +282,8 @@
         "true or false".to_owned()
     }
 
-    fn read(&self, text: &str) -> Result<bool, Reject> {
-        text.parse().map_err(|_| Reject::Type)
+    fn read(&self, text: &str) -> Result<bool, Rejection> {
+        text.parse().map_err(|_| Rejection::Type)
     }
 
     fn write(&self, value: &bool) -> String {
@@ -291,11 +291,11 @@
     }
 }
 
-/// One of a few words.
+/// Codec of one of a fixed set of keywords.
 #[derive(Clone, Debug)]
 pub struct Choice<T: 'static>(&'static [(&'static str, T)]);
 
-/// The values that `words` names; not empty.
+/// The values named by `words`, which must not be empty.
 pub fn choice<T>(words: &'static [(&'static str, T)]) -> Choice<T> {
     Choice(words)
 }
@@ -312,9 +312,9 @@
         words.join(", ")
     }
 
-    fn read(&self, text: &str) -> Result<T, Reject> {
+    fn read(&self, text: &str) -> Result<T, Rejection> {
         let found = self.0.iter().find(|(word, _)| *word == text);
-        found.map(|(_, value)| *value).ok_or(Reject::Range)
+        found.map(|(_, value)| *value).ok_or(Rejection::Range)
     }
 
     fn write(&self, value: &T) -> String {
@@ -325,7 +325,7 @@
     }
 }
 
-/// Several values, separated by commas; at least one.
+/// Codec of one or more values separated by commas.
 #[derive(Clone, Debug)]
 pub struct List<C>(pub C);
 
@@ -343,7 +343,7 @@
         )
     }
 
-    fn read(&self, text: &str) -> Result<Self::Value, Reject> {
+    fn read(&self, text: &str) -> Result<Self::Value, Rejection> {
         text.split(',')
             .map(|item| self.0.read(item.trim()))
             .collect()
@@ -355,16 +355,16 @@
     }
 }
 
-/// A value that may be left out.
+/// Codec of a value that may be omitted.
 #[derive(Clone, Debug)]
-pub struct Maybe<C> {
-    /// Reads the value if it is given.
+pub struct Optional<C> {
+    /// Codec of the value if it is given.
     pub codec: C,
-    /// What happens when it is left out, as on the reference page.
+    /// Meaning of an omitted value, for the reference page.
     pub absent: &'static str,
 }
 
-impl<C: Codec> Codec for Maybe<C> {
+impl<C: Codec> Codec for Optional<C> {
     type Value = Option<C::Value>;
 
     fn type_name(&self) -> &'static str {
@@ -375,7 +375,7 @@
         self.codec.allowed()
     }
 
-    fn read(&self, text: &str) -> Result<Self::Value, Reject> {
+    fn read(&self, text: &str) -> Result<Self::Value, Rejection> {
         self.codec.read(text).map(Some)
     }
 
--- a/fw-record/src/admin.rs
+++ b/fw-record/src/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' requests about records, apart from the HTTP library that carries them.
+//! Handles operators' requests about records, independently of the HTTP library.
 
 use fw_base::error;
 use fw_store::client::Client;
@@ -14,29 +14,29 @@
 /// A request below `/admin/records`.
 #[derive(Clone, Debug, Default)]
 pub struct Request<'a> {
-    /// The method in capitals.
+    /// The method in upper case.
     pub method: &'a str,
     /// The path after `/admin/records`: empty, `/{kind}/{name}` or `/{kind}/{name}/history`.
     pub path: &'a str,
-    /// The query without `?`; changes need `revision=N`.
+    /// The query string without `?`; changes require `revision=N`.
     pub query: &'a str,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// An answer.
+/// The response to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// The body.
     pub body: Value,
 }
 
-/// Answers a request.
-pub async fn handle(client: &Client, req: Request<'_>, opts: &write::Options) -> Answer {
+/// Handles a request.
+pub async fn handle(client: &Client, req: Request<'_>, opts: &write::Options) -> Response {
     match dispatch(client, req, opts).await {
-        Ok(body) => Answer { status: 200, body },
+        Ok(body) => Response { status: 200, body },
         Err(refusal) => refusal.answer(),
     }
 }
@@ -96,15 +96,15 @@
     let revision = value.and_then(|(_, value)| value.parse().ok());
     revision.filter(|revision| *revision >= 0).ok_or_else(|| {
         Refusal::Request(
-            "query `revision` must be the revision of the version to replace, or 0 if there \
-             must be none yet"
+            "query `revision` must be the revision of the version to replace, or 0 if the \
+             record must not exist yet"
                 .to_owned(),
         )
     })
 }
 
 impl Refusal {
-    fn answer(self) -> Answer {
+    fn answer(self) -> Response {
         match self {
             Self::Request(message) => {
                 let err = error::Error::new(error::Kind::BadRequest, message);
@@ -112,14 +112,14 @@
             }
             Self::Write(err) => {
                 let shown = error::Error::new(err.kind(), err.to_string());
-                answer(&shown, both(*err))
+                answer(&shown, conflict_versions(*err))
             }
         }
     }
 }
 
-/// Both versions of a conflict.
-fn both(err: write::Error) -> Value {
+/// Both versions of a conflict, as fields of the response.
+fn conflict_versions(err: write::Error) -> Value {
     match err {
         write::Error::Conflict { yours, theirs, .. } => {
             json!({ "yours": yours, "theirs": theirs })
@@ -128,11 +128,11 @@
     }
 }
 
-fn answer(err: &error::Error, mut body: Value) -> Answer {
+fn answer(err: &error::Error, mut body: Value) -> Response {
     let row = err.kind.row();
     metrics::counter!(REFUSALS, "kind" => row.label).increment(1);
     body["error"] = json!({ "kind": row.label, "message": err.message, "ran": row.ran });
-    Answer {
+    Response {
         status: row.status,
         body,
     }
