--- a/foxtailweir/tests/foxtailweir/command_line.rs
+++ b/foxtailweir/tests/foxtailweir/command_line.rs
@@ -45,7 +45,7 @@
         ("records get team", "`team` must be KIND/NAME"),
         (
             "records get tribe/t",
-            "none of service, route, team, budget",
+            "`tribe` is not one of service, route, team, budget",
         ),
         ("records list --entry", "Argument to option 'entry' missing"),
         ("records delete team/t --revision -1", "--revision"),
