--- a/foxtailweir/src/demo/mod.rs
+++ b/foxtailweir/src/demo/mod.rs
@@ -10,8 +10,8 @@
 use fw_check::check;
 use fw_check::recorder;
 use fw_fake::engine;
-use fw_fake::notes;
 use fw_fake::plain;
+use fw_fake::recording;
 use fw_local::system;
 
 use crate::command;
@@ -74,18 +74,18 @@
 /// The system of the demonstration; its upstreams note what they do in `recorder`, if there is one.
 fn shape(recorder: Option<&recorder::Recorder>) -> system::Options {
     let notes = |upstream: &str| {
-        recorder.map(|recorder| notes::Notes {
+        recorder.map(|recorder| recording::Recording {
             recorder: recorder.clone(),
             upstream: upstream.into(),
         })
     };
     system::Options {
         engine: engine::Options {
-            notes: notes(system::AGENTS),
+            recording: notes(system::AGENTS),
             ..engine::Options::default()
         },
         tool: plain::Options {
-            notes: notes(system::TOOLS),
+            recording: notes(system::TOOLS),
             ..plain::Options::default()
         },
         metrics: serve::recorder(),
--- a/foxtailweir/src/demo/script.rs
+++ b/foxtailweir/src/demo/script.rs
@@ -165,7 +165,7 @@
     async fn disturb(&mut self, others: &mut JoinSet<()>, stop: &CancellationToken) {
         tokio::time::sleep(STEP).await;
         let engine = self.busiest_engine().await;
-        let under_way = self.driver.system.engines[engine].upstream.under_way();
+        let under_way = self.driver.system.engines[engine].upstream.in_flight();
         self.tell(format_args!(
             "the side of engine {engine} crashes with {under_way} turns under way"
         ));
@@ -201,7 +201,7 @@
         let engines = &self.driver.system.engines;
         let until = Instant::now() + WAIT_LIMIT;
         loop {
-            let loads = engines.iter().map(|worker| worker.upstream.under_way());
+            let loads = engines.iter().map(|worker| worker.upstream.in_flight());
             let most = loads.enumerate().max_by_key(|(_, load)| *load);
             let (engine, load) = most.unwrap_or_default();
             if load > 0 || Instant::now() > until {
@@ -278,7 +278,7 @@
     let ended: Vec<_> = outcomes.filter(|outcome| outcome.ended).collect();
     let holds_any = || {
         system.engines.iter().any(|worker| {
-            let held = worker.upstream.held();
+            let held = worker.upstream.cached();
             ended.iter().any(|p| held.contains_key(&p.program))
         })
     };
--- a/fw-fake/src/engine/cache.rs
+++ b/fw-fake/src/engine/cache.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::notes;
+use crate::recording;
 
 /// Most cache events kept for readers.
 const MAX_EVENTS: usize = 10_000;
@@ -49,7 +49,7 @@
     programs: HashMap<id::ProgramId, Entry>,
     order: BTreeMap<u64, id::ProgramId>,
     events: VecDeque<Event>,
-    notes: Option<notes::Notes>,
+    recording: Option<recording::Recording>,
 }
 
 #[derive(Debug)]
@@ -65,11 +65,11 @@
 }
 
 impl Cache {
-    pub(super) fn new(size: id::Tokens, gap: u64, notes: Option<notes::Notes>) -> Self {
+    pub(super) fn new(size: id::Tokens, gap: u64, recording: Option<recording::Recording>) -> Self {
         Self {
             size,
             gap,
-            notes,
+            recording,
             ..Self::default()
         }
     }
@@ -98,8 +98,8 @@
         let tokens = entry.tokens();
         if tokens > self.size {
             self.publish(program, 0);
-            if let Some(notes) = self.notes.as_ref().filter(|_| was_held) {
-                notes.memory_freed(program);
+            if let Some(recording) = self.recording.as_ref().filter(|_| was_held) {
+                recording.record_memory_freed(program);
             }
             return;
         }
@@ -113,8 +113,8 @@
         self.order.insert(self.clock, program.clone());
         self.clock += 1;
         self.programs.insert(program.clone(), entry);
-        if let Some(notes) = self.notes.as_ref().filter(|_| !was_held) {
-            notes.memory_held(program);
+        if let Some(recording) = self.recording.as_ref().filter(|_| !was_held) {
+            recording.record_memory_held(program);
         }
         self.publish(program, tokens);
     }
@@ -124,8 +124,8 @@
         let held = self.forget(program);
         if held {
             self.publish(program, 0);
-            if let Some(notes) = &self.notes {
-                notes.memory_freed(program);
+            if let Some(recording) = &self.recording {
+                recording.record_memory_freed(program);
             }
         }
         held
--- a/fw-fake/src/engine/http.rs
+++ b/fw-fake/src/engine/http.rs
@@ -33,7 +33,7 @@
 use super::cache;
 use super::life;
 use super::process;
-use crate::notes;
+use crate::recording;
 
 /// Header with the request's own name, for `/cancel` and `/streams`.
 const REQUEST_ID: &str = "x-request-id";
@@ -84,7 +84,7 @@
     };
     if is_poisonous(&life, &parsed) {
         life.count_run(digest::Digest::EMPTY.extend_all(&parsed.messages));
-        life.note_start(Some(notes::turn(&parsed.messages)));
+        life.record_start(Some(recording::turn_work(&parsed.messages)));
         life.shared.control.crash();
         std::future::pending::<()>().await;
     }
@@ -92,14 +92,14 @@
     let id = header(REQUEST_ID).map_or_else(|| super::fresh_id(&life.ids), SmolStr::from);
     let bound = parsed.max_tokens.unwrap_or(id::Tokens::MAX);
     let tokens = id::Tokens::from(life.shared.opts.answer).min(bound);
-    let recorded = life.shared.opts.notes.as_ref();
+    let recorded = life.shared.opts.recording.as_ref();
     let stream = life.submit(life::Request {
         id: id.clone(),
         program: header(PROGRAM).map(id::ProgramId::from),
         model: parsed.model.to_string(),
         marks: marks(&parsed.messages),
         tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
-        work: recorded.map(|_| notes::turn(&parsed.messages)),
+        work: recorded.map(|_| recording::turn_work(&parsed.messages)),
     });
     if parsed.stream {
         deliver(&life, stream, 0)
--- a/fw-fake/src/engine/life.rs
+++ b/fw-fake/src/engine/life.rs
@@ -24,7 +24,7 @@
 use super::answer;
 use super::cache;
 use super::http;
-use crate::notes;
+use crate::recording;
 
 /// Finished streams kept for resumption.
 const MAX_STREAMS: usize = 4_096;
@@ -210,8 +210,8 @@
 pub(super) async fn run(listener: TcpListener, shared: Arc<Shared>) {
     shared.lives.fetch_add(1, Ordering::SeqCst);
     shared.held.lock().clear();
-    shared.under_way.store(0, Ordering::SeqCst);
-    let _noted = notes::Life(shared.opts.notes.clone());
+    shared.in_flight.store(0, Ordering::SeqCst);
+    let _crash_guard = recording::CrashGuard(shared.opts.recording.clone());
     let life = Arc::new(Life::new(shared));
     tokio::select! {
         () = http::serve(listener, life.clone()) => {}
@@ -225,7 +225,7 @@
         let cache = cache::Cache::new(
             shared.opts.cache,
             shared.opts.cache_gap,
-            shared.opts.notes.clone(),
+            shared.opts.recording.clone(),
         );
         Self {
             state: Mutex::new(State {
@@ -253,23 +253,23 @@
         let mut sequence = Sequence::new(req, 0);
         let stream = sequence.stream.clone();
         self.count_run(sequence.digest);
-        sequence.run = self.note_start(sequence.req.work.take());
+        sequence.run = self.record_start(sequence.req.work.take());
         state.streams.insert(id, stream.clone());
         state.waiting.push_back(sequence);
-        self.shared.under_way.fetch_add(1, Ordering::SeqCst);
+        self.shared.in_flight.fetch_add(1, Ordering::SeqCst);
         self.work.notify_one();
         stream
     }
 
     /// Notes that a run begins, if runs are recorded.
-    pub(super) fn note_start(&self, work: Option<event::Work>) -> Option<event::RunId> {
-        let notes = self.shared.opts.notes.as_ref()?;
-        Some(notes.run_started(work?))
+    pub(super) fn record_start(&self, work: Option<event::Work>) -> Option<event::RunId> {
+        let recording = self.shared.opts.recording.as_ref()?;
+        Some(recording.record_run_start(work?))
     }
 
-    fn note_end(&self, sequence: &Sequence, answer: Option<digest::Digest>) {
-        if let (Some(notes), Some(run)) = (&self.shared.opts.notes, sequence.run) {
-            notes.run_ended(run, answer);
+    fn record_end(&self, sequence: &Sequence, answer: Option<digest::Digest>) {
+        if let (Some(recording), Some(run)) = (&self.shared.opts.recording, sequence.run) {
+            recording.record_run_end(run, answer);
         }
     }
 
@@ -355,7 +355,7 @@
             state.running.push(sequence);
         }
         let mut counts = self.shared.counts.lock();
-        counts.widest = counts.widest.max(state.running.len());
+        counts.peak_batch = counts.peak_batch.max(state.running.len());
     }
 
     fn prefill(&self, state: &mut State) -> id::Tokens {
@@ -376,7 +376,7 @@
             if sequence.to_prefill > 0 || !sequence.step() {
                 return true;
             }
-            self.note_end(sequence, Some(sequence.answer));
+            self.record_end(sequence, Some(sequence.answer));
             sequence.finish();
             if let Some(program) = &sequence.req.program {
                 state.cache.put(program, sequence.marks_after());
@@ -395,7 +395,7 @@
             .collect();
         for (was_running, sequence) in all {
             if sequence.stream.cancelled.load(Ordering::SeqCst) {
-                self.note_end(&sequence, None);
+                self.record_end(&sequence, None);
                 self.end(state, &sequence);
             } else if was_running {
                 state.running.push(sequence);
@@ -407,7 +407,7 @@
 
     fn end(&self, state: &mut State, sequence: &Sequence) {
         sequence.stream.end();
-        self.shared.under_way.fetch_sub(1, Ordering::SeqCst);
+        self.shared.in_flight.fetch_sub(1, Ordering::SeqCst);
         state.ended.push_back(sequence.req.id.clone());
         if state.ended.len() > MAX_STREAMS
             && let Some(oldest) = state.ended.pop_front()
--- a/fw-fake/src/engine/mod.rs
+++ b/fw-fake/src/engine/mod.rs
@@ -28,7 +28,7 @@
 use parking_lot::Mutex;
 use smol_str::SmolStr;
 
-use crate::notes;
+use crate::recording;
 
 pub use answer::text as answer_to;
 pub use answer::tokens_of;
@@ -59,7 +59,7 @@
     /// How long a crashed engine stays down; it stays down for good if this is absent.
     pub restart_after: Option<Duration>,
     /// Where runs, memory and crashes are noted; nowhere if absent.
-    pub notes: Option<notes::Notes>,
+    pub recording: Option<recording::Recording>,
 }
 
 impl Default for Options {
@@ -76,7 +76,7 @@
             checks_fence: true,
             answer: 24,
             restart_after: None,
-            notes: None,
+            recording: None,
         }
     }
 }
@@ -96,7 +96,7 @@
     poison: Mutex<Option<String>>,
     counts: Mutex<Counts>,
     held: Mutex<BTreeMap<id::ProgramId, id::Tokens>>,
-    under_way: AtomicU32,
+    in_flight: AtomicU32,
     control: Arc<process::Control>,
 }
 
@@ -122,7 +122,7 @@
     /// Prompt tokens found in the cache.
     pub cached: id::Tokens,
     /// Most requests that ran in one step.
-    pub widest: usize,
+    pub peak_batch: usize,
 }
 
 /// A running stand-in engine; dropped, it crashes for good.
@@ -139,7 +139,7 @@
     ///
     /// When no port can be bound.
     pub fn spawn(mut opts: Options) -> io::Result<Self> {
-        opts.notes = opts.notes.map(notes::Notes::named);
+        opts.recording = opts.recording.map(recording::Recording::with_unique_name);
         let shared = Arc::new(Shared {
             control: process::Control::new(opts.restart_after),
             opts,
@@ -158,9 +158,9 @@
     }
 
     /// The engine's name in the record of a run, if there is one.
-    pub fn noted_as(&self) -> Option<&id::UpstreamId> {
-        let notes = self.shared.opts.notes.as_ref();
-        notes.map(|notes| &notes.upstream)
+    pub fn recorded_name(&self) -> Option<&id::UpstreamId> {
+        let recording = self.shared.opts.recording.as_ref();
+        recording.map(|recording| &recording.upstream)
     }
 
     /// Drops all connections and refuses new ones. The cache and all streams are lost.
@@ -195,7 +195,7 @@
 
     /// Stops sending on all streams that are open now; the requests run on and can be resumed
     /// over new connections.
-    pub fn silence(&self) {
+    pub fn stall_streams(&self) {
         let open = self.shared.deliveries.load(Ordering::SeqCst);
         self.shared.silenced.store(open, Ordering::SeqCst);
     }
@@ -233,12 +233,12 @@
     }
 
     /// Requests inside the engine, running and waiting.
-    pub fn under_way(&self) -> u32 {
-        self.shared.under_way.load(Ordering::SeqCst)
+    pub fn in_flight(&self) -> u32 {
+        self.shared.in_flight.load(Ordering::SeqCst)
     }
 
     /// Cached tokens of each program.
-    pub fn held(&self) -> BTreeMap<id::ProgramId, id::Tokens> {
+    pub fn cached(&self) -> BTreeMap<id::ProgramId, id::Tokens> {
         self.shared.held.lock().clone()
     }
 }
--- a/fw-fake/src/lib.rs
+++ b/fw-fake/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod engine;
 pub mod instances;
-pub mod notes;
 pub mod plain;
+pub mod recording;
 pub mod relay;
 pub mod store;
--- a/fw-fake/src/plain.rs
+++ b/fw-fake/src/plain.rs
@@ -24,7 +24,7 @@
 use smol_str::SmolStr;
 
 use crate::engine::process;
-use crate::notes;
+use crate::recording;
 
 /// Header with the caller's idempotency key.
 const KEY: &str = "idempotency-key";
@@ -40,7 +40,7 @@
     /// How long a crashed service stays down; for good if absent.
     pub restart_after: Option<Duration>,
     /// Where runs and crashes are noted; nowhere if absent.
-    pub notes: Option<notes::Notes>,
+    pub recording: Option<recording::Recording>,
 }
 
 /// What goes wrong with the next requests.
@@ -78,7 +78,7 @@
     delay: Mutex<Duration>,
     fault: Mutex<Fault>,
     runs: Mutex<Vec<Run>>,
-    notes: Option<notes::Notes>,
+    recording: Option<recording::Recording>,
 }
 
 /// A running stand-in service; dropped, it crashes for good.
@@ -98,7 +98,7 @@
         let shared = Arc::new(Shared {
             control: process::Control::new(opts.restart_after),
             delay: Mutex::new(opts.delay),
-            notes: opts.notes.map(notes::Notes::named),
+            recording: opts.recording.map(recording::Recording::with_unique_name),
             ..Shared::default()
         });
         let lives = shared.clone();
@@ -150,7 +150,7 @@
 }
 
 async fn serve(listener: TcpListener, shared: Arc<Shared>) {
-    let _noted = notes::Life(shared.notes.clone());
+    let _crash_guard = recording::CrashGuard(shared.recording.clone());
     let router = Router::new()
         .fallback(answer)
         .layer(DefaultBodyLimit::disable())
@@ -181,9 +181,9 @@
         body: body.slice(..body.len().min(KEPT_BODY)),
     };
     shared.runs.lock().push(run);
-    let noted = shared.notes.as_ref().map(|notes| {
+    let recorded = shared.recording.as_ref().map(|log| {
         let request = event::request_of(method.as_str(), &uri.to_string(), &body);
-        (notes, notes.run_started(event::Work::Plain(request)))
+        (log, log.record_run_start(event::Work::Plain(request)))
     });
     let delay = *shared.delay.lock();
     if !delay.is_zero() {
@@ -193,8 +193,8 @@
         Fault::Hang => std::future::pending().await,
         Fault::CrashAfter => crash(&shared).await,
         _ => {
-            if let Some((notes, run)) = noted {
-                notes.run_ended(run, Some(digest::Digest::of_bytes(&body)));
+            if let Some((recording, run)) = recorded {
+                recording.record_run_end(run, Some(digest::Digest::of_bytes(&body)));
             }
             echo(&headers, body)
         }
--- a/fw-fake/src/relay.rs
+++ b/fw-fake/src/relay.rs
@@ -36,7 +36,7 @@
     /// Connections of an earlier epoch are silent.
     epoch: AtomicU64,
     accepted: AtomicU64,
-    swallowed: AtomicU64,
+    blackholed_with_data: AtomicU64,
 }
 
 impl Relay {
@@ -65,7 +65,7 @@
     }
 
     /// Silences for good all connections that are open now.
-    pub fn silence(&self) {
+    pub fn blackhole(&self) {
         self.running.shared.epoch.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -75,8 +75,11 @@
     }
 
     /// Silent connections on which the caller has sent something, counted once each.
-    pub fn swallowed(&self) -> u64 {
-        self.running.shared.swallowed.load(Ordering::Relaxed)
+    pub fn blackholed_with_data(&self) -> u64 {
+        self.running
+            .shared
+            .blackholed_with_data
+            .load(Ordering::Relaxed)
     }
 }
 
@@ -111,13 +114,13 @@
     counts: bool,
 ) {
     let mut buf = vec![0; CHUNK];
-    let mut has_swallowed = false;
+    let mut is_counted = false;
     loop {
         let read = from.read(&mut buf).await.unwrap_or(0);
         let is_silent = shared.epoch.load(Ordering::Relaxed) != epoch;
-        if is_silent && read > 0 && counts && !has_swallowed {
-            shared.swallowed.fetch_add(1, Ordering::Relaxed);
-            has_swallowed = true;
+        if is_silent && read > 0 && counts && !is_counted {
+            shared.blackholed_with_data.fetch_add(1, Ordering::Relaxed);
+            is_counted = true;
         }
         match (read, is_silent) {
             (0, true) if !counts => return std::future::pending().await,
--- a/fw-fake/src/store/gateway.rs
+++ b/fw-fake/src/store/gateway.rs
@@ -338,7 +338,7 @@
             "header": header(revision),
             "deleted": count.to_string(),
         }}),
-        mvcc::Reply::Got { kvs, more } => json!({ "response_range": {
+        mvcc::Reply::Range { kvs, more } => json!({ "response_range": {
             "header": header(revision),
             "kvs": kvs.iter().map(kv_json).collect::<Vec<_>>(),
             "more": more,
--- a/fw-fake/src/store/mod.rs
+++ b/fw-fake/src/store/mod.rs
@@ -63,7 +63,7 @@
     /// Watches opened.
     pub watches: u64,
     /// Watches open now.
-    pub waiting: u64,
+    pub open_watches: u64,
 }
 
 /// A running stand-in. Clones share it; it stops when the last one is dropped.
@@ -97,7 +97,7 @@
     writes: AtomicU64,
     leases: AtomicU64,
     watches: AtomicU64,
-    waiting: AtomicU64,
+    open_watches: AtomicU64,
 }
 
 impl Store {
@@ -160,7 +160,7 @@
     }
 
     /// Silences for good the watches open on a port now; later ones work.
-    pub fn silence_watches(&self, port: usize) {
+    pub fn stall_watches(&self, port: usize) {
         self.core().ports[port].lock().epoch += 1;
     }
 
@@ -173,7 +173,7 @@
             writes: of(&counters.writes),
             leases: of(&counters.leases),
             watches: of(&counters.watches),
-            waiting: of(&counters.waiting),
+            open_watches: of(&counters.open_watches),
         }
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// Ends a lease, as if it had lapsed.
-    pub fn lapse(&self, lease: i64) {
+    pub fn expire_lease(&self, lease: i64) {
         self.core().state.lock().revoke(lease);
         self.core().wake();
     }
@@ -237,7 +237,7 @@
             ..mvcc::Read::default()
         };
         match self.core().state.lock().read(&read) {
-            Ok(mvcc::Reply::Got { kvs, .. }) => kvs,
+            Ok(mvcc::Reply::Range { kvs, .. }) => kvs,
             _ => Vec::new(),
         }
     }
--- a/fw-fake/src/store/mvcc.rs
+++ b/fw-fake/src/store/mvcc.rs
@@ -104,7 +104,7 @@
     /// Deleted so many keys.
     Deleted(usize),
     /// Read these keys.
-    Got {
+    Range {
         /// The keys, in order.
         kvs: Vec<Kv>,
         /// Whether the limit left keys out.
@@ -198,7 +198,7 @@
         if more {
             kvs.truncate(read.limit);
         }
-        Ok(Reply::Got { kvs, more })
+        Ok(Reply::Range { kvs, more })
     }
 
     /// Runs a transaction. Refused as a whole if one step is.
@@ -234,7 +234,7 @@
     ///
     /// When some of them are compacted.
     pub fn changes(&self, span: &Span, from: i64) -> Result<Vec<Kv>, Refusal> {
-        self.some_changes(span, from, usize::MAX)
+        self.changes_limited(span, from, usize::MAX)
     }
 
     /// The first changes within `span` from `from` on, oldest first: those of up to `most` revisions.
@@ -242,7 +242,7 @@
     /// # Errors
     ///
     /// When some of them are compacted.
-    pub fn some_changes(&self, span: &Span, from: i64, most: usize) -> Result<Vec<Kv>, Refusal> {
+    pub fn changes_limited(&self, span: &Span, from: i64, most: usize) -> Result<Vec<Kv>, Refusal> {
         if from <= self.compacted {
             return Err(Refusal::Compacted(self.oldest_watchable()));
         }
@@ -383,7 +383,7 @@
                 }
                 Reply::Deleted(count)
             }
-            Op::Get(read) => self.read(&read).unwrap_or(Reply::Got {
+            Op::Get(read) => self.read(&read).unwrap_or(Reply::Range {
                 kvs: Vec::new(),
                 more: false,
             }),
--- a/fw-fake/src/store/watching.rs
+++ b/fw-fake/src/store/watching.rs
@@ -45,14 +45,14 @@
 
 impl Waiting {
     fn new(core: Arc<Core>) -> Self {
-        core.counters.waiting.fetch_add(1, Ordering::Relaxed);
+        core.counters.open_watches.fetch_add(1, Ordering::Relaxed);
         Self(core)
     }
 }
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        self.0.counters.waiting.fetch_sub(1, Ordering::Relaxed);
+        self.0.counters.open_watches.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -139,7 +139,7 @@
 
     fn changes(&mut self) -> Option<Value> {
         let state = self.view.core.state.lock();
-        let changes = state.some_changes(&self.span, self.next, MESSAGE_REVISIONS);
+        let changes = state.changes_limited(&self.span, self.next, MESSAGE_REVISIONS);
         drop(state);
         let changes = match changes {
             Ok(changes) => changes,
--- a/fw-fake/tests/fake/engine_faults.rs
+++ b/fw-fake/tests/fake/engine_faults.rs
@@ -63,7 +63,7 @@
     let engine = engine::Engine::spawn(engine::Options::default()).unwrap();
     let client = fw_http::Client::default();
     let _silent = client.stream(request(&engine, "r", "hello")).await.unwrap();
-    engine.silence();
+    engine.stall_streams();
     let uri = url(&engine, "/streams/r?offset=0");
     let resumed = client.get(&uri).await.unwrap();
     let text = String::from_utf8(resumed.body.to_vec()).unwrap();
--- a/fw-fake/tests/fake/engine_stream.rs
+++ b/fw-fake/tests/fake/engine_stream.rs
@@ -71,7 +71,7 @@
     let details = &again["usage"]["prompt_tokens_details"];
     expect_that!(details["cached_tokens"].as_u64(), some(gt(0)));
     ask(&engine, "b", &"x".repeat(200)).await;
-    let held: Vec<_> = engine.held().into_keys().collect();
+    let held: Vec<_> = engine.cached().into_keys().collect();
     expect_that!(held, elements_are![eq("b")]);
 }
 
@@ -93,7 +93,7 @@
     ask(&from, "p", "hello").await;
     let (_, exported) = post(&from, "/cache/export", json!({ "program": "p" })).await;
     post(&to, "/cache/import", exported).await;
-    expect_that!(to.held(), eq(&from.held()));
+    expect_that!(to.cached(), eq(&from.cached()));
 }
 
 #[gtest]
--- a/fw-fake/tests/fake/store_state.rs
+++ b/fw-fake/tests/fake/store_state.rs
@@ -45,7 +45,7 @@
         revision: at,
         limit: 0,
     };
-    let mvcc::Reply::Got { kvs, .. } = state.read(&read).unwrap() else {
+    let mvcc::Reply::Range { kvs, .. } = state.read(&read).unwrap() else {
         panic!("a read brings keys");
     };
     expect_eq!(kvs[0].value, b"1");
@@ -67,7 +67,7 @@
     let got = state.read(&read).unwrap();
     expect_that!(
         got,
-        matches_pattern!(mvcc::Reply::Got {
+        matches_pattern!(mvcc::Reply::Range {
             kvs: len(eq(2)),
             ..
         })
--- a/fw-keep/tests/keep/fleet.rs
+++ b/fw-keep/tests/keep/fleet.rs
@@ -71,7 +71,7 @@
     /// Ends the lease of `name`, as if it had lapsed.
     pub fn lapse(&self, name: &str) {
         let entry = self.store.get(&keys::entry(ROOT, name)).unwrap();
-        self.store.lapse(entry.lease);
+        self.store.expire_lease(entry.lease);
     }
 }
 
--- a/fw-keep/tests/keep/keeper_takeover.rs
+++ b/fw-keep/tests/keep/keeper_takeover.rs
@@ -286,7 +286,7 @@
     fleet::until_kept(&a, 8).await;
     fleet::until_kept(&b, 8).await;
     fleet.store.faults(1, |faults| faults.hang_watches = true);
-    fleet.store.silence_watches(1);
+    fleet.store.stall_watches(1);
     a.close().await;
     fleet::until_kept(&b, 16).await;
 }
--- a/fw-keep/tests/keep/memory_store.rs
+++ b/fw-keep/tests/keep/memory_store.rs
@@ -38,7 +38,7 @@
 
     pub fn range(&self, range: &kv::Range) -> kv::RangeReply {
         match self.mvcc.read(&read(range)).unwrap() {
-            mvcc::Reply::Got { kvs, .. } => got(kvs),
+            mvcc::Reply::Range { kvs, .. } => got(kvs),
             _ => kv::RangeReply::default(),
         }
     }
@@ -103,7 +103,7 @@
         mvcc::Reply::Deleted(count) => kv::Reply::Deleted {
             count: i64::try_from(count).unwrap(),
         },
-        mvcc::Reply::Got { kvs, .. } => kv::Reply::Range(got(kvs)),
+        mvcc::Reply::Range { kvs, .. } => kv::Reply::Range(got(kvs)),
     }
 }
 
--- a/fw-local/src/faults.rs
+++ b/fw-local/src/faults.rs
@@ -210,7 +210,7 @@
             }
             Fault::CrashEngine(engine) => engines[engine].upstream.crash(),
             Fault::FreezeEngine(engine) => engines[engine].upstream.freeze(true),
-            Fault::SilenceEngine(engine) => engines[engine].upstream.silence(),
+            Fault::SilenceEngine(engine) => engines[engine].upstream.stall_streams(),
             Fault::SlowEngine(engine) => engines[engine].upstream.slow(ENGINE_FACTOR),
             Fault::LoseReleases(engine) => engines[engine].upstream.lose_releases(true),
             Fault::LeaveEngine(engine) => self.leave_engine(engine),
@@ -282,7 +282,7 @@
 
     fn leave_engine(&mut self, engine: usize) {
         let upstream = &self.system.engines[engine].upstream;
-        if let Some(name) = upstream.noted_as() {
+        if let Some(name) = upstream.recorded_name() {
             let upstream = name.clone();
             self.recorder.record(Event::UpstreamLeaving { upstream });
         }
--- a/fw-local/src/history/mod.rs
+++ b/fw-local/src/history/mod.rs
@@ -20,8 +20,8 @@
 use fw_check::event;
 use fw_check::recorder;
 use fw_fake::engine;
-use fw_fake::notes;
 use fw_fake::plain;
+use fw_fake::recording;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use tokio::task::JoinSet;
@@ -217,7 +217,7 @@
 
 fn shape(recorder: &recorder::Recorder) -> system::Options {
     let notes = |upstream: &str| {
-        Some(notes::Notes {
+        Some(recording::Recording {
             recorder: recorder.clone(),
             upstream: upstream.into(),
         })
@@ -227,12 +227,12 @@
         engines: vec!["hall-a", "hall-b", "hall-c"],
         tools: vec!["hall-a", "hall-b"],
         engine: engine::Options {
-            notes: notes(system::AGENTS),
+            recording: notes(system::AGENTS),
             ..engine::Options::default()
         },
         tool: plain::Options {
             restart_after: Some(TOOL_RESTART),
-            notes: notes(system::TOOLS),
+            recording: notes(system::TOOLS),
             ..plain::Options::default()
         },
         spare_ports: SPARE_PORTS,
@@ -295,7 +295,7 @@
     let until = Instant::now() + limit;
     let ended: Vec<_> = programs.iter().filter(|p| p.ended).collect();
     let holds_any = || {
-        let held = system.engines.iter().map(|worker| worker.upstream.held());
+        let held = system.engines.iter().map(|worker| worker.upstream.cached());
         held.into_iter()
             .any(|held| ended.iter().any(|p| held.contains_key(&p.program)))
     };
--- a/fw-local/tests/local/rig.rs
+++ b/fw-local/tests/local/rig.rs
@@ -115,7 +115,7 @@
         let busy = system
             .engines
             .iter()
-            .position(|w| w.upstream.under_way() > 0);
+            .position(|w| w.upstream.in_flight() > 0);
         if let Some(engine) = busy {
             return engine;
         }
@@ -167,7 +167,7 @@
 /// The engine that holds the cache of a program.
 pub fn engine_of(system: &system::System, program: &str) -> usize {
     let holds = |worker: &system::Worker<engine::Engine>| {
-        let held = worker.upstream.held();
+        let held = worker.upstream.cached();
         held.keys().any(|held| held == program)
     };
     let found = system.engines.iter().position(holds);
--- a/fw-record/tests/record/load_follow.rs
+++ b/fw-record/tests/record/load_follow.rs
@@ -78,7 +78,7 @@
     let first = store.put(&name().key(), share(1));
     reach(&holder, first).await;
     store.faults(0, |faults| faults.hang_watches = true);
-    store.silence_watches(0);
+    store.stall_watches(0);
     let second = store.put(&name().key(), share(2));
     expect_eq!(reach(&holder, second).await.team("t").unwrap().share, 2.0);
     follower.abort();
--- a/fw-side/tests/side/cancel_turn.rs
+++ b/fw-side/tests/side/cancel_turn.rs
@@ -56,5 +56,5 @@
     rig.start_streaming(&rig::first_turn("p", 2, "hello")).await;
     let state = rig.read_all(1).await.state;
     expect_that!(rig::failure(&state), some(eq(error::Kind::Cancelled)));
-    rig::until("one run is left", || rig.engine.under_way() == 1).await;
+    rig::until("one run is left", || rig.engine.in_flight() == 1).await;
 }
--- a/fw-side/tests/side/engine_faults.rs
+++ b/fw-side/tests/side/engine_faults.rs
@@ -21,7 +21,7 @@
     let rig = rig::Rig::with(rig::slow(), opts).await;
     let start = rig::first_turn("p", 1, "hello");
     rig.start_streaming(&start).await;
-    rig.engine.silence();
+    rig.engine.stall_streams();
     let reply = rig.read_all(1).await;
     let attempt::State::Done(finish) = reply.state else {
         panic!("not whole: {:?}", reply.state);
@@ -151,5 +151,5 @@
         rig::failure(&state),
         some(eq(error::Kind::DeadlineExceeded))
     );
-    rig::until("the engine is idle", || rig.engine.under_way() == 0).await;
+    rig::until("the engine is idle", || rig.engine.in_flight() == 0).await;
 }
--- a/fw-side/tests/side/engine_memory.rs
+++ b/fw-side/tests/side/engine_memory.rs
@@ -24,13 +24,13 @@
     let rig = rig::Rig::with(rig::quick(), short_sessions()).await;
     rig.engine.lose_releases(true);
     rig.turn(&rig::first_turn("p", 1, "hello")).await;
-    expect_that!(rig.engine.held().len(), eq(1));
+    expect_that!(rig.engine.cached().len(), eq(1));
     let core = rig.side.core().clone();
     rig::until("a release is lost", || core.sessions.unconfirmed() == 1).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
-    expect_that!(rig.engine.held().len(), eq(1));
+    expect_that!(rig.engine.cached().len(), eq(1));
     rig.engine.lose_releases(false);
-    rig::until("the memory is free", || rig.engine.held().is_empty()).await;
+    rig::until("the memory is free", || rig.engine.cached().is_empty()).await;
     rig::until("the order is confirmed", || {
         core.sessions.unconfirmed() == 0
     })
@@ -48,7 +48,7 @@
         rig.heartbeat(rig::renewing("p", rig::FENCE)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    expect_that!(rig.engine.held().len(), eq(1));
+    expect_that!(rig.engine.cached().len(), eq(1));
 }
 
 // The keeper's order to free a program was lost. The side asks after it when it is idle, and
@@ -70,7 +70,7 @@
         ..rig::renewing("p", rig::FENCE)
     };
     rig.heartbeat(gone).await;
-    rig::until("the memory is free", || rig.engine.held().is_empty()).await;
+    rig::until("the memory is free", || rig.engine.cached().is_empty()).await;
 }
 
 // The side is restarted and knows no session, while the engine beside it holds the memory of a
@@ -85,8 +85,8 @@
     let mut opts = short_sessions();
     opts.settings.engine.address = rig.engine.addr();
     let _side = fw_side::Side::spawn(opts).await.unwrap();
-    expect_that!(rig.engine.held().len(), eq(1));
-    rig::until("the memory is free", || rig.engine.held().is_empty()).await;
+    expect_that!(rig.engine.cached().len(), eq(1));
+    rig::until("the memory is free", || rig.engine.cached().is_empty()).await;
 }
 
 // The engine's cache events come late and with gaps. An entry must not go on believing in a cache
--- a/fw-side/tests/side/fencing_check.rs
+++ b/fw-side/tests/side/fencing_check.rs
@@ -54,7 +54,7 @@
         rig.client.release(cx, req).await.unwrap();
         expect_that!(rig.side.core().sessions.len(), eq(left));
     }
-    rig::until("the memory is free", || rig.engine.held().is_empty()).await;
+    rig::until("the memory is free", || rig.engine.cached().is_empty()).await;
 }
 
 // A message names a shard that its program does not hash to. The check of another shard's number
--- a/fw-side/tests/side/plain_lane.rs
+++ b/fw-side/tests/side/plain_lane.rs
@@ -234,7 +234,7 @@
         .await
         .unwrap();
     expect_that!(error(&answer), some(eq("unknown_route")));
-    expect_that!(rig.engine.held().len(), eq(1));
+    expect_that!(rig.engine.cached().len(), eq(1));
 }
 
 #[gtest]
--- a/fw-store/tests/store/lease_life.rs
+++ b/fw-store/tests/store/lease_life.rs
@@ -27,7 +27,7 @@
     };
     client.txn(&txn).await.unwrap();
     client.keep_alive(lease.id).await.unwrap();
-    store.lapse(lease.id);
+    store.expire_lease(lease.id);
     let renewed = client.keep_alive(lease.id).await;
     expect_true!(matches!(renewed, Err(Error::LeaseGone { id }) if id == lease.id));
     expect_true!(store.get("/a").is_none());
--- a/fw-store/tests/store/silent_connections.rs
+++ b/fw-store/tests/store/silent_connections.rs
@@ -32,9 +32,9 @@
     }
     expect_eq!(relay.accepted(), IDLE as u64);
     store.faults(0, |faults| faults.delay = std::time::Duration::ZERO);
-    relay.silence();
+    relay.blackhole();
     for _ in 0..IDLE {
         expect_that!(client.range(&range).await, ok(anything()));
     }
-    expect_eq!(relay.swallowed(), 1);
+    expect_eq!(relay.blackholed_with_data(), 1);
 }
--- a/fw-store/tests/store/watch_events.rs
+++ b/fw-store/tests/store/watch_events.rs
@@ -65,7 +65,7 @@
     let mut watch = connect(store.endpoints()).watch("/a/", 1);
     store.put("/a/1", "one");
     expect_that!(next_events(&mut watch).await.events, len(eq(1)));
-    store.silence_watches(0);
+    store.stall_watches(0);
     store.put("/a/2", "two");
     let batch = next_events(&mut watch).await;
     expect_that!(batch.events, len(eq(1)));
@@ -81,7 +81,7 @@
     let mut watch = connect(store.endpoints()).watch("/a/", 1);
     store.put("/a/1", "one");
     next_events(&mut watch).await;
-    store.silence_watches(0);
+    store.stall_watches(0);
     store.put("/a/2", "two");
     let mut seen = None;
     for _ in 0..MAX_STEPS {
