--- a/fw-side/src/process/attempts.rs
+++ b/fw-side/src/process/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that the side knows, under way and finished.
+//! Table of the attempts accepted by the side, both in progress and finished.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,43 +19,44 @@
 
 use super::histories;
 
-/// Memory of one event besides its text, in bytes.
+/// Memory overhead of one event in addition to its text, in bytes.
 const EVENT_OVERHEAD: usize = 32;
 
-/// Bounds of the answers that are kept.
+/// Limits on the retained answers.
 #[derive(Clone, Copy, Debug)]
-pub struct Keep {
-    /// Longest time that an answer is kept.
-    pub time: Duration,
-    /// Most answers.
-    pub count: usize,
-    /// Most bytes of their events and of the messages that their turns added.
-    pub bytes: usize,
+pub struct Retention {
+    /// Maximum age of an answer.
+    pub max_age: Duration,
+    /// Maximum number of answers.
+    pub max_count: usize,
+    /// Maximum size in bytes of their events and of the messages that their turns added.
+    pub max_bytes: usize,
 }
 
 /// One attempt.
 #[derive(Debug)]
 pub struct Attempt {
-    /// What was asked; its messages were moved into `prompt`.
+    /// The request; its messages have been moved into `prompt`.
     pub start: side::Start,
     prompt: Mutex<histories::Prompt>,
-    /// The messages that the turn adds to the history; kept to its end and beyond, with the answer.
+    /// The messages that the turn adds to the history; retained with the answer after the turn has
+    /// ended.
     pub added: Vec<chat::Message>,
-    /// When it arrived.
-    pub arrived: Instant,
-    /// The events and the end.
+    /// Arrival time of the request.
+    pub arrived_at: Instant,
+    /// The events and the final state.
     pub buffer: buffer::Buffer,
-    /// Stops the run. The end is in `buffer` before this is cancelled.
+    /// Stops the run. The final state is written to `buffer` before this token is cancelled.
     pub stop: CancellationToken,
-    ended: Mutex<Option<Instant>>,
+    ended_at: Mutex<Option<Instant>>,
     bytes: AtomicUsize,
-    is_whole: AtomicBool,
-    fetched: AtomicBool,
+    is_complete: AtomicBool,
+    end_read: AtomicBool,
 }
 
 impl Attempt {
-    /// An attempt that waits.
-    pub fn new(start: side::Start, prompt: histories::Prompt, arrived: Instant) -> Self {
+    /// Creates an attempt that is not running yet.
+    pub fn new(start: side::Start, prompt: histories::Prompt, arrived_at: Instant) -> Self {
         let messages = prompt.messages();
         let before = messages.len().saturating_sub(start.added as usize);
         let added = messages[before..].to_vec();
@@ -64,17 +65,17 @@
             added,
             start,
             prompt: Mutex::new(prompt),
-            arrived,
+            arrived_at,
             buffer: buffer::Buffer::new(),
             stop: CancellationToken::new(),
-            ended: Mutex::default(),
+            ended_at: Mutex::default(),
             bytes: AtomicUsize::new(bytes),
-            is_whole: AtomicBool::new(false),
-            fetched: AtomicBool::new(false),
+            is_complete: AtomicBool::new(false),
+            end_read: AtomicBool::new(false),
         }
     }
 
-    /// Takes out the whole prompt, for the run; it is empty from then on.
+    /// Takes the prompt for the run, leaving an empty one.
     pub fn take_prompt(&self) -> histories::Prompt {
         std::mem::take(&mut *self.prompt.lock())
     }
@@ -86,22 +87,23 @@
         self.buffer.push([event]);
     }
 
-    /// When the caller's deadline passes.
+    /// The caller's deadline.
     pub fn deadline(&self) -> Instant {
-        self.arrived + self.start.deadline
+        self.arrived_at + self.start.deadline
     }
 
-    /// Ends the attempt; the first end stands.
+    /// Ends the attempt with `state`. Later calls have no effect.
     pub fn end(&self, state: attempt::State) {
-        let is_whole = matches!(state, attempt::State::Done(_));
-        let mut ended = self.ended.lock();
-        if ended.is_none() {
-            self.is_whole.store(is_whole, Ordering::Release);
+        let is_complete = matches!(state, attempt::State::Done(_));
+        let mut ended_at = self.ended_at.lock();
+        if ended_at.is_none() {
+            self.is_complete.store(is_complete, Ordering::Release);
             self.buffer.end(state);
-            *ended = Some(Instant::now());
+            *ended_at = Some(Instant::now());
         }
-        drop(ended);
-        // An answer is kept for long, and its prompt would keep a history from being evicted.
+        drop(ended_at);
+        // Answers are retained for a long time; a retained prompt would keep the memory of its
+        // history in use after the history was evicted.
         drop(self.take_prompt());
     }
 
@@ -111,12 +113,12 @@
         self.stop.cancel();
     }
 
-    /// Whether it has ended.
+    /// Whether the attempt has ended.
     pub fn is_ended(&self) -> bool {
-        self.ended.lock().is_some()
+        self.ended_at.lock().is_some()
     }
 
-    /// The whole answer, if it has ended with one.
+    /// The complete answer, if the attempt succeeded.
     pub fn finish(&self) -> Option<attempt::Finish> {
         match self.buffer.state() {
             attempt::State::Done(finish) => Some(*finish),
@@ -124,45 +126,45 @@
         }
     }
 
-    /// Reads events by offset.
+    /// Reads events from an offset.
     pub async fn read(&self, req: &attempt::Read) -> attempt::ReadReply {
         let reply = self.buffer.gather(req).await;
         if reply.state.is_final() {
-            self.fetched.store(true, Ordering::Release);
+            self.end_read.store(true, Ordering::Release);
         }
         reply
     }
 
-    /// Whether its end still has to reach a reader.
-    fn is_owed(&self) -> bool {
-        !self.fetched.load(Ordering::Acquire)
+    /// Whether no reader has received the final state yet.
+    fn has_unread_end(&self) -> bool {
+        !self.end_read.load(Ordering::Acquire)
     }
 }
 
-/// What became of an offered attempt.
+/// Result of [`Attempts::insert`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Insert {
-    /// It is new.
+    /// The attempt was added.
     New,
-    /// It was known already.
-    Known,
+    /// An attempt with this id already exists.
+    Duplicate,
 }
 
-/// Attempts by id. One lock: an engine takes a few calls a second, and no lock is held while a
-/// message is read or written.
+/// Attempts by id. A single lock suffices: an engine receives a few calls per second, and the lock
+/// is never held during I/O.
 #[derive(Debug, Default)]
 pub struct Attempts {
     inner: Mutex<HashMap<id::AttemptId, Arc<Attempt>>>,
 }
 
 impl Attempts {
-    /// The attempt with this id.
+    /// Returns the attempt with this id.
     pub fn get(&self, id: id::AttemptId) -> Option<Arc<Attempt>> {
         self.inner.lock().get(&id).cloned()
     }
 
-    /// Adds an attempt if it is not known and `accept` allows it. Both happen under one lock, so
-    /// that a call sent twice is queued once.
+    /// Adds an attempt if its id is new and `accept` succeeds. Both steps happen under one lock, so
+    /// that a duplicate request is queued only once.
     ///
     /// # Errors
     ///
@@ -175,14 +177,14 @@
         let mut inner = self.inner.lock();
         let id = attempt.start.attempt;
         if inner.contains_key(&id) {
-            return Ok(Insert::Known);
+            return Ok(Insert::Duplicate);
         }
         accept()?;
         inner.insert(id, attempt);
         Ok(Insert::New)
     }
 
-    /// Forgets a finished attempt; one under way stays.
+    /// Removes a finished attempt; an attempt in progress stays.
     pub fn forget(&self, id: id::AttemptId) {
         let mut inner = self.inner.lock();
         if inner.get(&id).is_some_and(|attempt| attempt.is_ended()) {
@@ -190,42 +192,45 @@
         }
     }
 
-    /// Every attempt that has not ended.
-    pub fn under_way(&self) -> Vec<Arc<Attempt>> {
+    /// All attempts that have not ended.
+    pub fn unfinished(&self) -> Vec<Arc<Attempt>> {
         let inner = self.inner.lock();
         let open = inner.values().filter(|attempt| !attempt.is_ended());
         open.cloned().collect()
     }
 
-    /// Every attempt that has ended whole and was not forgotten.
-    pub fn done(&self) -> Vec<Arc<Attempt>> {
+    /// All attempts that succeeded and have not been removed.
+    pub fn completed(&self) -> Vec<Arc<Attempt>> {
         let inner = self.inner.lock();
-        // Each heartbeat asks; comparing states would copy every answer.
-        let is_whole = |attempt: &&Arc<Attempt>| attempt.is_whole.load(Ordering::Acquire);
-        let done = inner.values().filter(is_whole);
+        // Called for each heartbeat; reading the state from the buffer would copy every answer.
+        let is_complete = |attempt: &&Arc<Attempt>| attempt.is_complete.load(Ordering::Acquire);
+        let done = inner.values().filter(is_complete);
         done.cloned().collect()
     }
 
     /// Attempts of `program` that have not ended.
-    pub fn of_program(&self, program: &id::ProgramId) -> Vec<Arc<Attempt>> {
-        let mut open = self.under_way();
+    pub fn unfinished_of(&self, program: &id::ProgramId) -> Vec<Arc<Attempt>> {
+        let mut open = self.unfinished();
         open.retain(|attempt| attempt.start.program == *program);
         open
     }
 
-    /// Attempts that are under way, or whose end no reader has seen.
-    pub fn owed(&self) -> usize {
+    /// Number of attempts whose final state no reader has received, including those in progress.
+    pub fn unread_count(&self) -> usize {
         let inner = self.inner.lock();
-        inner.values().filter(|attempt| attempt.is_owed()).count()
+        inner
+            .values()
+            .filter(|attempt| attempt.has_unread_end())
+            .count()
     }
 
-    /// Drops answers that are too old, and the oldest of those that are too many or too large;
-    /// returns how many.
-    pub fn sweep(&self, keep: Keep, now: Instant) -> usize {
+    /// Drops answers beyond the maximum age, then the oldest ones until count and size are within
+    /// their limits. Returns the number of dropped answers.
+    pub fn sweep(&self, retention: Retention, now: Instant) -> usize {
         let mut inner = self.inner.lock();
         let mut ends = Vec::new();
         for (id, attempt) in inner.iter() {
-            if let Some(at) = *attempt.ended.lock() {
+            if let Some(at) = *attempt.ended_at.lock() {
                 ends.push((at, *id, attempt.bytes.load(Ordering::Relaxed)));
             }
         }
@@ -234,8 +239,8 @@
         let mut bytes: usize = ends.iter().map(|(_, _, bytes)| bytes).sum();
         let before = count;
         for (at, id, size) in ends {
-            let is_old = now.saturating_duration_since(at) > keep.time;
-            if !is_old && count <= keep.count && bytes <= keep.bytes {
+            let is_old = now.saturating_duration_since(at) > retention.max_age;
+            if !is_old && count <= retention.max_count && bytes <= retention.max_bytes {
                 break;
             }
             inner.remove(&id);
--- a/fw-side/src/process/sessions.rs
+++ b/fw-side/src/process/sessions.rs
@@ -1,7 +1,7 @@
-//! Programs that hold engine memory, and the orders to free it.
+//! Sessions: programs that hold KV cache in the engine, and the pending releases of that cache.
 //!
-//! A session lives while some heartbeat renews its shard. An order to free is repeated until the
-//! engine confirms it, so that a lost one holds no memory.
+//! A session lives while heartbeats renew its shard. A release is repeated until the engine
+//! confirms it, so that a lost request does not leak cache.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -13,172 +13,172 @@
 
 use super::fences;
 
-/// Most programs asked after in one heartbeat.
-const MAX_ASKED: usize = 256;
+/// Maximum number of idle programs reported in one heartbeat.
+const MAX_IDLE_REPORTED: usize = 256;
 
-/// Most shards named as not renewed in one heartbeat.
-const MAX_UNRENEWED: usize = 512;
+/// Maximum number of unrenewed shards reported in one heartbeat.
+const MAX_UNRENEWED_REPORTED: usize = 512;
 
 #[derive(Debug)]
 struct Session {
     shard: id::ShardId,
-    began: Instant,
-    used: Instant,
+    created_at: Instant,
+    last_used_at: Instant,
     running: u32,
-    /// Known from the engine only: its keeper is asked after it with the next heartbeat.
-    in_doubt: bool,
-    /// The program ended or moved while it ran: its memory is freed after the run.
-    gone: bool,
+    /// Reported only by the engine; the next heartbeat reply asks its keeper whether it exists.
+    unverified: bool,
+    /// The program ended or moved during a run: its cache is released after the run.
+    release_after_run: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Order {
-    due: Instant,
-    pause: Duration,
+struct PendingRelease {
+    due_at: Instant,
+    delay: Duration,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     sessions: HashMap<id::ProgramId, Session>,
-    orders: HashMap<id::ProgramId, Order>,
+    releases: HashMap<id::ProgramId, PendingRelease>,
 }
 
-/// Pauses between repeated orders.
+/// Delays between repeated releases.
 #[derive(Clone, Copy, Debug)]
-pub struct Pauses {
-    /// The first.
-    pub first: Duration,
-    /// The longest.
-    pub longest: Duration,
+pub struct Backoff {
+    /// Delay before the first repetition.
+    pub initial: Duration,
+    /// Maximum delay.
+    pub max: Duration,
 }
 
 /// The sessions of one engine.
 #[derive(Debug)]
 pub struct Sessions {
-    pauses: Pauses,
+    backoff: Backoff,
     inner: Mutex<Inner>,
 }
 
 impl Sessions {
-    /// No sessions yet.
-    pub fn new(pauses: Pauses) -> Self {
+    /// Creates an empty table.
+    pub fn new(backoff: Backoff) -> Self {
         Self {
-            pauses,
+            backoff,
             inner: Mutex::default(),
         }
     }
 
-    /// Notes that a run of `program` begins in the engine.
-    pub fn begin(&self, program: &id::ProgramId, shard: id::ShardId, now: Instant) {
+    /// Records that a run of `program` begins in the engine.
+    pub fn begin_run(&self, program: &id::ProgramId, shard: id::ShardId, now: Instant) {
         let mut inner = self.inner.lock();
-        // A waiting order to free would throw away what this run is about to use.
-        inner.orders.remove(program);
+        // A pending release would evict the cache that this run is about to use.
+        inner.releases.remove(program);
         let session = inner.session(program, shard, now);
-        session.used = now;
-        session.in_doubt = false;
-        session.gone = false;
+        session.last_used_at = now;
+        session.unverified = false;
+        session.release_after_run = false;
         session.running += 1;
     }
 
-    /// Takes over a program whose memory the engine says it holds and that is not known here.
+    /// Adds a session for a program that the engine reports as cached and that has none here.
     ///
-    /// Guards against a side that was restarted: it has no sessions, while the engine beside it
-    /// still holds the memory of every program that ran before; and against a late event that tells
-    /// of memory from before it was freed. Either program may have ended, so its keeper is asked.
+    /// Guards against a restart of the side, after which it has no sessions while the engine still
+    /// caches every program that ran before; and against a delayed event that reports cache from
+    /// before its release. In both cases the program may have ended, so its keeper is asked.
     pub fn adopt(&self, program: &id::ProgramId, shard: id::ShardId, now: Instant) {
         let mut inner = self.inner.lock();
-        if !inner.orders.contains_key(program) {
+        if !inner.releases.contains_key(program) {
             let session = inner.session(program, shard, now);
-            session.in_doubt = session.running == 0 && session.began == now;
+            session.unverified = session.running == 0 && session.created_at == now;
         }
     }
 
-    /// The engine says that it holds nothing of `program`.
-    pub fn evicted(&self, program: &id::ProgramId) {
+    /// Records that the engine no longer caches `program`.
+    pub fn record_eviction(&self, program: &id::ProgramId) {
         let mut inner = self.inner.lock();
-        inner.orders.remove(program);
+        inner.releases.remove(program);
         if inner.sessions.get(program).is_some_and(|s| s.running == 0) {
             inner.sessions.remove(program);
         }
     }
 
-    /// Notes that a run of `program` left the engine.
-    pub fn end(&self, program: &id::ProgramId, now: Instant) {
+    /// Records that a run of `program` left the engine.
+    pub fn end_run(&self, program: &id::ProgramId, now: Instant) {
         let mut inner = self.inner.lock();
         let Some(session) = inner.sessions.get_mut(program) else {
             return;
         };
-        session.used = now;
+        session.last_used_at = now;
         session.running = session.running.saturating_sub(1);
-        if session.gone && session.running == 0 {
-            inner.order(program, now, self.pauses.first);
+        if session.release_after_run && session.running == 0 {
+            inner.release(program, now, self.backoff.initial);
         }
     }
 
-    /// Orders that the memory of `program` is freed, once no run of it is under way.
-    pub fn free(&self, program: &id::ProgramId, now: Instant) {
+    /// Schedules the release of `program`'s cache, once no run of it is in progress.
+    pub fn schedule_release(&self, program: &id::ProgramId, now: Instant) {
         let mut inner = self.inner.lock();
         let Some(session) = inner.sessions.get_mut(program) else {
             return;
         };
-        session.gone = true;
+        session.release_after_run = true;
         if session.running == 0 {
-            inner.order(program, now, self.pauses.first);
+            inner.release(program, now, self.backoff.initial);
         }
     }
 
-    /// Frees every session whose shard was not renewed for `ttl`; returns how many.
+    /// Releases every session whose shard was not renewed for `ttl`. Returns their number.
     ///
-    /// Guards against engine memory that stays held when a keeper dies and no other entry takes
-    /// an interest in its programs: the free part of the cache would shrink for good.
-    pub fn lapse(&self, fences: &fences::Fences, ttl: Duration, now: Instant) -> usize {
-        let lapsed: Vec<_> = {
+    /// Guards against a cache leak when a keeper dies and no other entry takes over its programs:
+    /// the free part of the cache would shrink permanently.
+    pub fn expire(&self, fences: &fences::Fences, ttl: Duration, now: Instant) -> usize {
+        let expired: Vec<_> = {
             let inner = self.inner.lock();
-            let is_lapsed = |session: &Session| {
-                let known = now.saturating_duration_since(session.began);
-                let renewed = fences.age(session.shard, now);
-                known.min(renewed.unwrap_or(known)) > ttl
+            let is_expired = |session: &Session| {
+                let age = now.saturating_duration_since(session.created_at);
+                let renewed = fences.time_since_renewal(session.shard, now);
+                age.min(renewed.unwrap_or(age)) > ttl
             };
             let sessions = inner.sessions.iter();
             sessions
-                .filter(|(_, session)| session.running == 0 && is_lapsed(session))
+                .filter(|(_, session)| session.running == 0 && is_expired(session))
                 .map(|(program, _)| program.clone())
                 .collect()
         };
-        for program in &lapsed {
-            self.free(program, now);
+        for program in &expired {
+            self.schedule_release(program, now);
         }
-        lapsed.len()
+        expired.len()
     }
 
-    /// Idle programs of `shards`, to ask their keeper after. Each is asked after again only when
-    /// `idle` has passed once more.
-    pub fn ask(
+    /// Idle programs of `shards`, whose keepers are to be asked whether they still exist. Each is
+    /// returned again only after `idle` has passed once more.
+    pub fn take_idle(
         &self,
         shards: &HashSet<id::ShardId>,
         idle: Duration,
         now: Instant,
     ) -> Vec<id::ProgramId> {
         let mut inner = self.inner.lock();
-        let mut asked = Vec::new();
+        let mut reported = Vec::new();
         for (program, session) in &mut inner.sessions {
-            let age = now.saturating_duration_since(session.used);
-            let is_idle = session.in_doubt || age >= idle;
+            let age = now.saturating_duration_since(session.last_used_at);
+            let is_idle = session.unverified || age >= idle;
             if session.running > 0 || !is_idle || !shards.contains(&session.shard) {
                 continue;
             }
-            session.used = now;
-            session.in_doubt = false;
-            asked.push(program.clone());
-            if asked.len() == MAX_ASKED {
+            session.last_used_at = now;
+            session.unverified = false;
+            reported.push(program.clone());
+            if reported.len() == MAX_IDLE_REPORTED {
                 break;
             }
         }
-        asked
+        reported
     }
 
-    /// Shards with sessions that no heartbeat renewed within the last `within`.
-    pub fn unrenewed(
+    /// Shards with sessions that were not renewed within the last `within`.
+    pub fn unrenewed_shards(
         &self,
         fences: &fences::Fences,
         within: Duration,
@@ -186,51 +186,55 @@
     ) -> Vec<id::ShardId> {
         let inner = self.inner.lock();
         let shards: HashSet<_> = inner.sessions.values().map(|s| s.shard).collect();
-        let is_old = |shard: &id::ShardId| fences.age(*shard, now).is_none_or(|age| age > within);
-        let old = shards.into_iter().filter(is_old);
-        old.take(MAX_UNRENEWED).collect()
+        let is_overdue = |shard: &id::ShardId| {
+            fences
+                .time_since_renewal(*shard, now)
+                .is_none_or(|age| age > within)
+        };
+        let overdue = shards.into_iter().filter(is_overdue);
+        overdue.take(MAX_UNRENEWED_REPORTED).collect()
     }
 
-    /// Programs whose memory is to be freed now. Each is due again after a growing pause, until
-    /// [`Sessions::freed`] confirms it.
-    pub fn due(&self, now: Instant) -> Vec<id::ProgramId> {
+    /// Programs whose cache is to be released now. Each is due again after an increasing delay,
+    /// until [`Sessions::confirm_release`] is called.
+    pub fn due_releases(&self, now: Instant) -> Vec<id::ProgramId> {
         let mut inner = self.inner.lock();
-        let longest = self.pauses.longest;
-        let orders = inner.orders.iter_mut();
-        let due = orders.filter(|(_, order)| order.due <= now);
-        due.map(|(program, order)| {
-            order.due = now + order.pause;
-            order.pause = (order.pause * 2).min(longest);
+        let max = self.backoff.max;
+        let releases = inner.releases.iter_mut();
+        let due = releases.filter(|(_, release)| release.due_at <= now);
+        due.map(|(program, release)| {
+            release.due_at = now + release.delay;
+            release.delay = (release.delay * 2).min(max);
             program.clone()
         })
         .collect()
     }
 
-    /// The engine confirmed that it freed the memory of `program`.
-    pub fn freed(&self, program: &id::ProgramId) {
-        self.inner.lock().orders.remove(program);
+    /// Records that the engine confirmed the release of `program`'s cache.
+    pub fn confirm_release(&self, program: &id::ProgramId) {
+        self.inner.lock().releases.remove(program);
     }
 
-    /// The engine lost all its memory: there is nothing left to free.
-    pub fn lost(&self) {
+    /// Removes all releases and idle sessions after the engine lost its cache.
+    pub fn clear_idle(&self) {
         let mut inner = self.inner.lock();
-        inner.orders.clear();
+        inner.releases.clear();
         inner.sessions.retain(|_, session| session.running > 0);
     }
 
-    /// Sessions held.
+    /// Number of sessions.
     pub fn len(&self) -> usize {
         self.inner.lock().sessions.len()
     }
 
-    /// Whether no session is held.
+    /// Whether there are no sessions.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Orders to free that the engine has not confirmed.
-    pub fn unconfirmed(&self) -> usize {
-        self.inner.lock().orders.len()
+    /// Number of releases that the engine has not confirmed.
+    pub fn unconfirmed_releases(&self) -> usize {
+        self.inner.lock().releases.len()
     }
 }
 
@@ -241,20 +245,22 @@
         shard: id::ShardId,
         now: Instant,
     ) -> &mut Session {
-        let fresh = || Session {
+        let new_session = || Session {
             shard,
-            began: now,
-            used: now,
+            created_at: now,
+            last_used_at: now,
             running: 0,
-            in_doubt: false,
-            gone: false,
+            unverified: false,
+            release_after_run: false,
         };
-        self.sessions.entry(program.clone()).or_insert_with(fresh)
+        self.sessions
+            .entry(program.clone())
+            .or_insert_with(new_session)
     }
 
-    fn order(&mut self, program: &id::ProgramId, now: Instant, pause: Duration) {
+    fn release(&mut self, program: &id::ProgramId, now: Instant, delay: Duration) {
         self.sessions.remove(program);
-        let order = Order { due: now, pause };
-        self.orders.insert(program.clone(), order);
+        let release = PendingRelease { due_at: now, delay };
+        self.releases.insert(program.clone(), release);
     }
 }
--- a/fw-side/src/request/body.rs
+++ b/fw-side/src/request/body.rs
@@ -1,4 +1,4 @@
-//! The body of a chat completion, written once.
+//! Serialization of the body of a chat completion, with a single copy of the messages.
 
 use bytes::Bytes;
 use fw_base::chat;
@@ -8,19 +8,19 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::refuse;
+use crate::errors;
 
-/// Room for the fields besides messages and parameters, in bytes.
-const FIELDS: usize = 256;
+/// Buffer capacity for the fields other than messages and parameters, in bytes.
+const FIELDS_CAPACITY: usize = 256;
 
-/// What the body says besides the messages.
+/// The fields of the body other than the messages.
 #[derive(Clone, Copy, Debug)]
 pub struct Options<'a> {
-    /// The model.
+    /// Name of the model.
     pub model: &'a str,
-    /// Most tokens to generate; 0 sets no bound.
+    /// Maximum number of tokens to generate; 0 for no limit.
     pub max_tokens: id::Tokens,
-    /// The caller's other fields: a JSON object as text.
+    /// The caller's other fields, as the text of a JSON object.
     pub params: &'a str,
 }
 
@@ -28,18 +28,18 @@
 ///
 /// # Errors
 ///
-/// `BadRequest` if they are no JSON object.
+/// `BadRequest` if they are not a JSON object.
 pub fn check_params(params: &str) -> Result<(), error::Error> {
-    parse(params).map(|_| ())
+    parse_params(params).map(|_| ())
 }
 
-/// Writes the body. The messages' text is copied here and nowhere else.
+/// Writes the body. This is the only place that copies the text of the messages.
 ///
 /// # Errors
 ///
-/// `BadRequest` if the parameters are no JSON object.
+/// `BadRequest` if the parameters are not a JSON object.
 pub fn write(opts: &Options<'_>, messages: &[chat::Message]) -> Result<Bytes, error::Error> {
-    let mut fields = parse(opts.params)?;
+    let mut fields = parse_params(opts.params)?;
     fields.remove("messages");
     fields.insert("model".into(), json!(opts.model));
     fields.insert("stream".into(), json!(true));
@@ -49,7 +49,7 @@
     }
     let head = Value::Object(fields).to_string();
     let texts = messages.iter().map(|message| message.as_str().len() + 1);
-    let mut buf = Vec::with_capacity(head.len() + FIELDS + texts.sum::<usize>());
+    let mut buf = Vec::with_capacity(head.len() + FIELDS_CAPACITY + texts.sum::<usize>());
     let open = head.strip_suffix('}').unwrap_or(&head);
     buf.extend_from_slice(open.as_bytes());
     buf.extend_from_slice(b",\"messages\":[");
@@ -63,12 +63,12 @@
     Ok(buf.into())
 }
 
-fn parse(params: &str) -> Result<Map<String, Value>, error::Error> {
+fn parse_params(params: &str) -> Result<Map<String, Value>, error::Error> {
     if params.is_empty() {
         return Ok(Map::new());
     }
     serde_json::from_str(params).map_err(|err| {
         let why = format!("`params` must be a JSON object: {err}");
-        refuse::with(error::Kind::BadRequest, why)
+        errors::counted(error::Kind::BadRequest, why)
     })
 }
--- a/fw-side/src/request/run.rs
+++ b/fw-side/src/request/run.rs
@@ -1,4 +1,4 @@
-//! One run of an attempt in the engine.
+//! Execution of one attempt in the engine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,278 +14,291 @@
 
 use super::answer;
 use super::body;
-use super::events;
+use super::sse;
+use crate::errors;
 use crate::process::attempts;
 use crate::process::core;
 use crate::process::engine;
 use crate::process::histories;
-use crate::refuse;
 
-/// Times that a cancellation is sent until the engine confirms it.
-const CANCEL_TRIES: u32 = 5;
-/// Pause between them.
-const CANCEL_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum number of times that a cancellation is sent while the engine does not confirm it.
+const MAX_CANCEL_ATTEMPTS: u32 = 5;
+/// Delay between cancellations.
+const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How a run went over its connections to the engine.
+/// Failure of a run.
 #[derive(Debug)]
-enum Fault {
-    /// No connection was made, so no byte was sent.
+enum RunError {
+    /// No connection was established, so no byte was sent.
     Unsent {
-        /// Nobody listens: the engine is not there.
+        /// The connection was refused: no process listens at the engine's address.
         refused: bool,
     },
-    /// The engine went away, or lost what it was doing.
+    /// The engine is gone, or lost the request.
     Crashed(String),
-    /// The engine's answer, or its lack, ends this attempt only.
+    /// A failure that concerns only this attempt.
     Failed(error::Error),
 }
 
-/// A run under way.
+/// State of a run.
 struct Run<'a> {
     core: &'a core::Core,
     attempt: &'a attempts::Attempt,
     prompt: histories::Prompt,
-    name: String,
-    released: Instant,
+    request_id: String,
+    dispatched_at: Instant,
     answer: answer::Answer,
-    /// The engine answered, so it has the request.
+    /// The engine sent a response, so it has received the request.
     accepted: bool,
-    /// Events received from the engine.
-    received: usize,
-    first: Option<Instant>,
-    last: Option<Instant>,
+    /// Number of events received from the engine.
+    received_events: usize,
+    first_token_at: Option<Instant>,
+    last_token_at: Option<Instant>,
 }
 
-/// Runs `attempt`, which was released from the queue, and ends it. Never sends it twice.
+/// Runs a dispatched `attempt` to its end. The request is never sent twice.
 pub async fn run(core: Arc<core::Core>, attempt: Arc<attempts::Attempt>) {
     let start = &attempt.start;
     core.sessions
-        .begin(&start.program, start.shard, Instant::now());
+        .begin_run(&start.program, start.shard, Instant::now());
     attempt.buffer.mark_running();
     let mut run = Run {
-        name: name_of(start.attempt),
+        request_id: request_id_of(start.attempt),
         core: &core,
         attempt: &attempt,
         prompt: attempt.take_prompt(),
-        released: Instant::now(),
+        dispatched_at: Instant::now(),
         answer: answer::Answer::default(),
         accepted: false,
-        received: 0,
-        first: None,
-        last: None,
+        received_events: 0,
+        first_token_at: None,
+        last_token_at: None,
     };
     let deadline = tokio::time::Instant::from_std(attempt.deadline());
     let outcome = tokio::select! {
-        outcome = run.drive() => Some(outcome),
+        outcome = run.execute() => Some(outcome),
         () = attempt.stop.cancelled() => None,
-        () = core.dead.cancelled() => return,
-        () = tokio::time::sleep_until(deadline) => Some(Err(Fault::Failed(refuse::with(
+        () = core.aborted.cancelled() => return,
+        () = tokio::time::sleep_until(deadline) => Some(Err(RunError::Failed(errors::counted(
             error::Kind::DeadlineExceeded,
-            "the caller's deadline passed while the turn ran; allow more time",
+            "the caller's deadline passed during the run; allow more time",
         )))),
     };
     let needs_cancel = !matches!(outcome, Some(Ok(())));
     run.conclude(outcome);
     if needs_cancel {
-        cancel(&core, &run.name).await;
+        cancel(&core, &run.request_id).await;
     }
-    // Only now is the place in the engine free again: a request that runs on there would share
-    // the batch with the next one, unseen by the queue.
-    core.sessions.end(&start.program, Instant::now());
-    core.line.done(start.attempt);
-    core.work.notify_one();
+    // The slot in the engine is free only after the cancellation: a request that still runs would
+    // share the batch with the next one without being counted by the queue.
+    core.sessions.end_run(&start.program, Instant::now());
+    core.queue.finish(start.attempt);
+    core.queue_changed.notify_one();
 }
 
-/// The engine's name of an attempt's request.
-fn name_of(attempt: id::AttemptId) -> String {
+/// Request id of an attempt in the engine.
+fn request_id_of(attempt: id::AttemptId) -> String {
     format!("{attempt:016x}")
 }
 
-async fn cancel(core: &core::Core, name: &str) {
-    for _ in 0..CANCEL_TRIES {
-        if core.is_down() || core.engine.cancel(name).await == engine::Order::Confirmed {
+async fn cancel(core: &core::Core, request_id: &str) {
+    for _ in 0..MAX_CANCEL_ATTEMPTS {
+        if core.is_down()
+            || core.engine.cancel(request_id).await == engine::CommandResult::Confirmed
+        {
             return;
         }
-        tokio::time::sleep(CANCEL_PAUSE).await;
+        tokio::time::sleep(CANCEL_RETRY_DELAY).await;
     }
     metrics::counter!("fw_side_cancels_unconfirmed_total").increment(1);
 }
 
 impl Run<'_> {
-    /// Sends the request once and takes in its stream until it is whole.
-    async fn drive(&mut self) -> Result<(), Fault> {
+    /// Sends the request once and reads its stream until it is complete.
+    async fn execute(&mut self) -> Result<(), RunError> {
         let start = &self.attempt.start;
         let opts = body::Options {
             model: &start.model,
             max_tokens: start.max_tokens,
             params: &start.params,
         };
-        let body = body::write(&opts, self.prompt.messages()).map_err(Fault::Failed)?;
-        let sent = self.core.engine.complete(&self.name, &start.program, body);
+        let body = body::write(&opts, self.prompt.messages()).map_err(RunError::Failed)?;
+        let sent = self
+            .core
+            .engine
+            .complete(&self.request_id, &start.program, body);
         let mut next = match sent.await {
-            Ok(head) => Some(accepted(head).await?),
+            Ok(head) => Some(open_stream(head).await?),
             Err(err) if err.is_unsent() => {
-                let refused = engine::is_refused(&err);
-                return Err(Fault::Unsent { refused });
+                let refused = engine::is_connection_refused(&err);
+                return Err(RunError::Unsent { refused });
             }
-            // The connection is of no use any more, but the engine may have the request.
+            // The connection has failed, but the engine may have received the request.
             Err(_) => None,
         };
         self.accepted = next.is_some();
-        let mut silent = 0;
+        let mut empty_reads = 0;
         loop {
-            let before = self.received;
+            let before = self.received_events;
             if let Some(body) = next.take()
-                && self.follow(body).await?
+                && self.read_stream(body).await?
             {
                 return Ok(());
             }
-            silent = if self.received > before {
+            empty_reads = if self.received_events > before {
                 0
             } else {
-                silent + 1
+                empty_reads + 1
             };
-            if silent > self.core.opts.resumes {
-                return Err(self.timed_out());
+            if empty_reads > self.core.opts.max_resumes {
+                return Err(self.timeout_error());
             }
             next = self.resume().await?;
         }
     }
 
-    /// Takes in one connection's part of the stream; true when the answer is whole, false when
-    /// the connection broke or went silent.
-    async fn follow(&mut self, mut body: Incoming) -> Result<bool, Fault> {
-        let mut events = events::Events::default();
+    /// Reads the stream from one connection. Returns true when the answer is complete, and false
+    /// when the connection failed or exceeded the idle timeout.
+    async fn read_stream(&mut self, mut body: Incoming) -> Result<bool, RunError> {
+        let mut decoder = sse::Decoder::default();
         loop {
             loop {
-                match events.cut() {
-                    events::Next::Data(data) => self.take(data)?,
-                    events::Next::Done => return self.whole().map(|()| true),
-                    events::Next::Incomplete => break,
-                    events::Next::Malformed => {
-                        return Err(failed("the engine's stream is malformed"));
+                match decoder.next_event() {
+                    sse::Decoded::Data(data) => self.handle_chunk(data)?,
+                    sse::Decoded::Done => return self.check_complete().map(|()| true),
+                    sse::Decoded::Incomplete => break,
+                    sse::Decoded::Malformed => {
+                        return Err(upstream_error("the engine's stream is malformed"));
                     }
                 }
             }
-            let patience = self.patience();
-            let Ok(Some(Ok(frame))) = tokio::time::timeout(patience, body.frame()).await else {
+            let idle_timeout = self.idle_timeout();
+            let Ok(Some(Ok(frame))) = tokio::time::timeout(idle_timeout, body.frame()).await else {
                 return Ok(false);
             };
             if let Some(bytes) = frame.data_ref() {
-                events.feed(bytes);
+                decoder.feed(bytes);
             }
         }
     }
 
-    /// How long the stream may be silent.
-    fn patience(&self) -> Duration {
+    /// Idle timeout of the stream.
+    fn idle_timeout(&self) -> Duration {
         let cfg = &self.core.opts.settings.engine;
-        match self.first {
+        match self.first_token_at {
             None => cfg.first_token_timeout,
             Some(_) => cfg.between_tokens_timeout,
         }
     }
 
-    /// Reads the stream on over a new connection.
+    /// Resumes the stream over a new connection.
     ///
-    /// Guards against a connection that went silent for good while new ones work: the caller
-    /// would wait for ever, and sending the request again would run the turn twice. The engine
-    /// knows the request by its name and gives the chunks from the offset on.
-    async fn resume(&self) -> Result<Option<Incoming>, Fault> {
+    /// Guards against a connection that stops responding permanently while new ones work: the
+    /// caller would wait forever, and sending the request again would run the turn twice. The
+    /// engine identifies the request by its id and sends the chunks from the offset on.
+    async fn resume(&self) -> Result<Option<Incoming>, RunError> {
         metrics::counter!("fw_side_resumes_total").increment(1);
-        let head = match self.core.engine.resume(&self.name, self.received).await {
+        let head = match self
+            .core
+            .engine
+            .resume(&self.request_id, self.received_events)
+            .await
+        {
             Ok(head) => head,
-            Err(err) if engine::is_refused(&err) => {
-                return Err(Fault::Crashed("it refuses connections".into()));
+            Err(err) if engine::is_connection_refused(&err) => {
+                return Err(RunError::Crashed("it refuses connections".into()));
             }
             Err(_) => return Ok(None),
         };
         if head.status() == http::StatusCode::NOT_FOUND {
-            return Err(self.unknown_to_engine());
+            return Err(self.unknown_request_error());
         }
-        accepted(head).await.map(Some)
+        open_stream(head).await.map(Some)
     }
 
-    /// An engine that took the request and does not know it any more was restarted. One that never
-    /// answered may not have got it, or may have been restarted too: that concerns this turn only.
-    fn unknown_to_engine(&self) -> Fault {
-        let why = "it does not know the request";
+    /// Error for a request that is unknown to the engine. If the engine had accepted it, the engine
+    /// was restarted. If it never responded, it may not have received the request, or may have been
+    /// restarted too: this fails only the one turn.
+    fn unknown_request_error(&self) -> RunError {
+        let why = "the request is unknown to it";
         if self.accepted {
-            return Fault::Crashed(why.into());
+            return RunError::Crashed(why.into());
         }
-        Fault::Failed(refuse::with(
+        RunError::Failed(errors::counted(
             error::Kind::UpstreamCrashed,
-            "the connection to the engine failed, and the engine does not know the request",
+            "the connection to the engine failed, and the request is unknown to the engine",
         ))
     }
 
-    fn take(&mut self, data: String) -> Result<(), Fault> {
-        self.received += 1;
-        match self.answer.take(&data) {
-            answer::Taken::Part { has_content } => {
+    fn handle_chunk(&mut self, data: String) -> Result<(), RunError> {
+        self.received_events += 1;
+        match self.answer.apply_chunk(&data) {
+            answer::ChunkKind::Part { has_content } => {
                 if has_content {
-                    self.note_token();
+                    self.record_token();
                 }
                 self.attempt.push(attempt::Event::from(data));
                 Ok(())
             }
-            answer::Taken::Usage => Ok(()),
-            answer::Taken::Error(why) => Err(failed(&format!("the engine says: {why}"))),
-            answer::Taken::Malformed(why) => {
-                Err(failed(&format!("the engine sent no valid chunk: {why}")))
-            }
+            answer::ChunkKind::Usage => Ok(()),
+            answer::ChunkKind::Error(why) => Err(upstream_error(&format!(
+                "the engine reported an error: {why}"
+            ))),
+            answer::ChunkKind::Malformed(why) => Err(upstream_error(&format!(
+                "the engine sent an invalid chunk: {why}"
+            ))),
         }
     }
 
-    fn note_token(&mut self) {
+    fn record_token(&mut self) {
         let now = Instant::now();
-        self.core.meter.token(now);
-        if let Some(last) = self.last {
-            self.core.meter.step(now - last);
+        self.core.meter.record_token(now);
+        if let Some(last_token_at) = self.last_token_at {
+            self.core.meter.record_step(now - last_token_at);
         }
-        self.last = Some(now);
-        if self.first.is_none() {
-            self.first = Some(now);
-            self.core.line.prefilled(self.attempt.start.attempt);
-            self.core.work.notify_one();
+        self.last_token_at = Some(now);
+        if self.first_token_at.is_none() {
+            self.first_token_at = Some(now);
+            self.core.queue.finish_prefill(self.attempt.start.attempt);
+            self.core.queue_changed.notify_one();
         }
     }
 
-    fn whole(&self) -> Result<(), Fault> {
+    fn check_complete(&self) -> Result<(), RunError> {
         match self.answer.finish_reason() {
             Some(_) => Ok(()),
-            None => Err(failed(
+            None => Err(upstream_error(
                 "the engine ended the stream without a finish reason",
             )),
         }
     }
 
-    fn timed_out(&self) -> Fault {
-        Fault::Failed(refuse::with(
+    fn timeout_error(&self) -> RunError {
+        RunError::Failed(errors::counted(
             error::Kind::UpstreamTimeout,
-            "the engine stopped sending, and reading on over new connections brought nothing",
+            "the engine stopped sending, and resuming over new connections yielded no data",
         ))
     }
 
-    fn conclude(&self, outcome: Option<Result<(), Fault>>) {
+    fn conclude(&self, outcome: Option<Result<(), RunError>>) {
         match outcome {
             Some(Ok(())) => self.finish(),
-            Some(Err(Fault::Unsent { refused })) => {
-                let why = "no connection to the engine is made; nothing was sent";
-                self.fail(refuse::with(error::Kind::NoUpstream, why));
+            Some(Err(RunError::Unsent { refused })) => {
+                let why = "could not connect to the engine; nothing was sent";
+                self.fail(errors::counted(error::Kind::NoUpstream, why));
                 if refused {
-                    self.core.crashed("it refuses connections");
+                    self.core.mark_crashed("it refuses connections");
                 }
             }
-            Some(Err(Fault::Crashed(why))) => {
-                self.fail(refuse::with(
+            Some(Err(RunError::Crashed(why))) => {
+                self.fail(errors::counted(
                     error::Kind::UpstreamCrashed,
-                    format!("the engine crashed under the turn: {why}"),
+                    format!("the engine crashed during the turn: {why}"),
                 ));
-                self.core.crashed(&why);
+                self.core.mark_crashed(&why);
             }
-            Some(Err(Fault::Failed(err))) => self.fail(err),
-            // Whoever stopped the run ended the attempt before.
+            Some(Err(RunError::Failed(err))) => self.fail(err),
+            // The attempt was ended before its run was stopped.
             None => {}
         }
     }
@@ -297,53 +310,55 @@
     fn finish(&self) {
         let message = match self.answer.message() {
             Ok(message) => message,
-            Err(err) => return self.fail(refuse::with(error::Kind::Internal, err.to_string())),
+            Err(err) => return self.fail(errors::counted(error::Kind::Internal, err.to_string())),
         };
         let usage = self.answer.usage();
-        let first = self.first.unwrap_or_else(Instant::now);
-        let first_token = first.saturating_duration_since(self.released);
-        let missed = usage.prompt.saturating_sub(usage.cached);
-        self.core.meter.prefill(missed, first_token);
-        self.remember(&message, usage);
+        let first_token_at = self.first_token_at.unwrap_or_else(Instant::now);
+        let first_token = first_token_at.saturating_duration_since(self.dispatched_at);
+        let uncached = usage.prompt.saturating_sub(usage.cached);
+        self.core.meter.record_prefill(uncached, first_token);
+        self.store_history(&message, usage);
         let finish = attempt::Finish {
             message,
             finish_reason: self.answer.finish_reason().unwrap_or("stop").to_owned(),
             usage,
             queued: self
-                .released
-                .saturating_duration_since(self.attempt.arrived),
+                .dispatched_at
+                .saturating_duration_since(self.attempt.arrived_at),
             first_token,
-            ran: self.released.elapsed(),
+            ran: self.dispatched_at.elapsed(),
         };
         metrics::histogram!("fw_side_first_token_seconds").record(first_token.as_secs_f64());
-        metrics::counter!("fw_side_prefilled_tokens_total").increment(missed);
+        metrics::counter!("fw_side_prefilled_tokens_total").increment(uncached);
         metrics::counter!("fw_side_cached_tokens_total").increment(usage.cached);
         self.attempt.end(attempt::State::Done(Box::new(finish)));
     }
 
-    /// Keeps the history for the next turn, and notes what the engine's cache holds of it now;
-    /// the engine's own events say so later.
-    fn remember(&self, message: &chat::Message, usage: chat::Usage) {
+    /// Stores the history for the next turn, and updates the view of the engine's cache without
+    /// waiting for the engine's own events.
+    fn store_history(&self, message: &chat::Message, usage: chat::Usage) {
         let program = &self.attempt.start.program;
         let mut prompt = self.prompt.clone();
         prompt.push(message.clone());
         self.core.histories.put(program, prompt);
         self.core
-            .changes
-            .note(program, usage.prompt + usage.completion);
+            .cache_view
+            .set_cached(program, usage.prompt + usage.completion);
     }
 }
 
-/// The stream of an answer whose status is good.
-async fn accepted(head: http::Response<Incoming>) -> Result<Incoming, Fault> {
+/// The body of a response with a success status, or an error for any other status.
+async fn open_stream(head: http::Response<Incoming>) -> Result<Incoming, RunError> {
     let status = head.status();
     if status.is_success() {
         return Ok(head.into_body());
     }
     let text = engine::error_text(head.into_body()).await;
-    Err(failed(&format!("the engine answered {status}: {text}")))
+    Err(upstream_error(&format!(
+        "the engine answered {status}: {text}"
+    )))
 }
 
-fn failed(why: &str) -> Fault {
-    Fault::Failed(refuse::with(error::Kind::UpstreamError, why))
+fn upstream_error(why: &str) -> RunError {
+    RunError::Failed(errors::counted(error::Kind::UpstreamError, why))
 }
