--- a/fw-fake/src/engine/cache.rs
+++ b/fw-fake/src/engine/cache.rs
@@ -84,13 +84,13 @@
             return 0;
         };
         let pairs = entry.marks.iter().zip(prompt);
-        let common = pairs.take_while(|(held, asked)| held.digest == asked.digest);
-        common.last().map_or(0, |(held, _)| held.tokens)
+        let common = pairs.take_while(|(cached, requested)| cached.digest == requested.digest);
+        common.last().map_or(0, |(cached, _)| cached.tokens)
     }
 
     /// Holds `marks` for `program`, and evicts others for it.
     pub(super) fn put(&mut self, program: &id::ProgramId, marks: Vec<Mark>) {
-        let was_held = self.forget(program);
+        let was_cached = self.take_out(program);
         let entry = Entry {
             marks,
             used_at: self.clock,
@@ -98,7 +98,7 @@
         let tokens = entry.tokens();
         if tokens > self.size {
             self.publish(program, 0);
-            if let Some(recording) = self.recording.as_ref().filter(|_| was_held) {
+            if let Some(recording) = self.recording.as_ref().filter(|_| was_cached) {
                 recording.record_memory_freed(program);
             }
             return;
@@ -113,7 +113,7 @@
         self.order.insert(self.clock, program.clone());
         self.clock += 1;
         self.programs.insert(program.clone(), entry);
-        if let Some(recording) = self.recording.as_ref().filter(|_| !was_held) {
+        if let Some(recording) = self.recording.as_ref().filter(|_| !was_cached) {
             recording.record_memory_held(program);
         }
         self.publish(program, tokens);
@@ -121,21 +121,21 @@
 
     /// Frees what is held for `program`; false if nothing was.
     pub(super) fn remove(&mut self, program: &id::ProgramId) -> bool {
-        let held = self.forget(program);
-        if held {
+        let was_cached = self.take_out(program);
+        if was_cached {
             self.publish(program, 0);
             if let Some(recording) = &self.recording {
                 recording.record_memory_freed(program);
             }
         }
-        held
+        was_cached
     }
 
     pub(super) fn marks(&self, program: &str) -> Option<&[Mark]> {
         Some(&self.programs.get(program)?.marks)
     }
 
-    pub(super) fn held(&self) -> BTreeMap<id::ProgramId, id::Tokens> {
+    pub(super) fn contents(&self) -> BTreeMap<id::ProgramId, id::Tokens> {
         let entries = self.programs.iter();
         entries
             .map(|(program, entry)| (program.clone(), entry.tokens()))
@@ -148,7 +148,7 @@
         self.events.iter().filter(due).cloned().collect()
     }
 
-    fn forget(&mut self, program: &id::ProgramId) -> bool {
+    fn take_out(&mut self, program: &id::ProgramId) -> bool {
         let Some(entry) = self.programs.remove(program) else {
             return false;
         };
--- a/fw-fake/src/engine/http.rs
+++ b/fw-fake/src/engine/http.rs
@@ -31,23 +31,23 @@
 
 use super::answer;
 use super::cache;
-use super::life;
+use super::incarnation;
 use super::process;
 use crate::recording;
 
 /// Header with the request's own name, for `/cancel` and `/streams`.
-const REQUEST_ID: &str = "x-request-id";
+const REQUEST_ID_HEADER: &str = "x-request-id";
 /// Header with the program whose prefix cache the request uses.
-const PROGRAM: &str = "x-program";
+const PROGRAM_HEADER: &str = "x-program";
 
-type Shared = State<Arc<life::Life>>;
+type Shared = State<Arc<incarnation::Incarnation>>;
 
 /// Serves until it is dropped.
-pub(super) async fn serve(listener: TcpListener, life: Arc<life::Life>) {
-    process::serve_http(listener, router(life)).await;
+pub(super) async fn serve(listener: TcpListener, engine: Arc<incarnation::Incarnation>) {
+    process::serve_http(listener, router(engine)).await;
 }
 
-fn router(life: Arc<life::Life>) -> Router {
+fn router(engine: Arc<incarnation::Incarnation>) -> Router {
     Router::new()
         .route("/v1/chat/completions", routing::post(complete))
         .route("/v1/models", routing::get(models))
@@ -59,57 +59,60 @@
         .route("/cache/export", routing::post(export))
         .route("/cache/import", routing::post(import))
         .route("/orders", routing::post(order))
-        .layer(middleware::from_fn_with_state(life.clone(), freeze))
+        .layer(middleware::from_fn_with_state(
+            engine.clone(),
+            hang_if_frozen,
+        ))
         .layer(DefaultBodyLimit::disable())
-        .with_state(life)
+        .with_state(engine)
 }
 
 /// A frozen engine accepts requests and never answers.
-async fn freeze(State(life): Shared, req: Request, next: middleware::Next) -> Response {
-    if life.shared.frozen.load(Ordering::SeqCst) {
+async fn hang_if_frozen(State(engine): Shared, req: Request, next: middleware::Next) -> Response {
+    if engine.shared.frozen.load(Ordering::SeqCst) {
         std::future::pending::<()>().await;
     }
     next.run(req).await
 }
 
-async fn complete(State(life): Shared, headers: HeaderMap, body: Bytes) -> Response {
-    let status = life.shared.status.load(Ordering::SeqCst);
+async fn complete(State(engine): Shared, headers: HeaderMap, body: Bytes) -> Response {
+    let status = engine.shared.fail_status.load(Ordering::SeqCst);
     if status != 0 {
         let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-        return refuse(status, "injected by the test");
+        return error_response(status, "injected by the test");
     }
     let parsed = match chat::Request::parse(&body) {
         Ok(parsed) => parsed,
-        Err(err) => return refuse(StatusCode::BAD_REQUEST, &err.to_string()),
+        Err(err) => return error_response(StatusCode::BAD_REQUEST, &err.to_string()),
     };
-    if is_poisonous(&life, &parsed) {
-        life.count_run(digest::Digest::EMPTY.extend_all(&parsed.messages));
-        life.record_start(Some(recording::turn_work(&parsed.messages)));
-        life.shared.control.crash();
+    if contains_poison(&engine, &parsed) {
+        engine.count_run(digest::Digest::EMPTY.extend_all(&parsed.messages));
+        engine.record_start(Some(recording::turn_work(&parsed.messages)));
+        engine.shared.control.crash();
         std::future::pending::<()>().await;
     }
     let header = |name| headers.get(name).and_then(|value| value.to_str().ok());
-    let id = header(REQUEST_ID).map_or_else(|| super::fresh_id(&life.ids), SmolStr::from);
+    let id = header(REQUEST_ID_HEADER).map_or_else(|| super::next_id(&engine.ids), SmolStr::from);
     let bound = parsed.max_tokens.unwrap_or(id::Tokens::MAX);
-    let tokens = id::Tokens::from(life.shared.opts.answer).min(bound);
-    let recorded = life.shared.opts.recording.as_ref();
-    let stream = life.submit(life::Request {
+    let tokens = id::Tokens::from(engine.shared.opts.answer).min(bound);
+    let recorded = engine.shared.opts.recording.as_ref();
+    let stream = engine.submit(incarnation::Request {
         id: id.clone(),
-        program: header(PROGRAM).map(id::ProgramId::from),
+        program: header(PROGRAM_HEADER).map(id::ProgramId::from),
         model: parsed.model.to_string(),
         marks: marks(&parsed.messages),
         tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
         work: recorded.map(|_| recording::turn_work(&parsed.messages)),
     });
     if parsed.stream {
-        deliver(&life, stream, 0)
+        stream_chunks(&engine, stream, 0)
     } else {
-        whole(&id, &parsed.model, &stream).await
+        collect_answer(&id, &parsed.model, &stream).await
     }
 }
 
-fn is_poisonous(life: &life::Life, parsed: &chat::Request) -> bool {
-    let poison = life.shared.poison.lock();
+fn contains_poison(engine: &incarnation::Incarnation, parsed: &chat::Request) -> bool {
+    let poison = engine.shared.poison.lock();
     let Some(poison) = poison.as_deref() else {
         return false;
     };
@@ -129,9 +132,13 @@
 }
 
 /// Sends the chunks of `stream` from `offset` on, as they come.
-fn deliver(life: &Arc<life::Life>, stream: Arc<life::Stream>, offset: usize) -> Response {
-    let number = life.shared.deliveries.fetch_add(1, Ordering::SeqCst);
-    let shared = life.shared.clone();
+fn stream_chunks(
+    engine: &Arc<incarnation::Incarnation>,
+    stream: Arc<incarnation::Stream>,
+    offset: usize,
+) -> Response {
+    let number = engine.shared.deliveries.fetch_add(1, Ordering::SeqCst);
+    let shared = engine.shared.clone();
     let at = Some((stream, offset));
     let chunks = stream::unfold(at, move |at| {
         let shared = shared.clone();
@@ -139,7 +146,7 @@
             let (stream, offset) = at?;
             let mut progress = stream.progress.subscribe();
             loop {
-                if number < shared.silenced.load(Ordering::SeqCst) {
+                if number < shared.stalled.load(Ordering::SeqCst) {
                     std::future::pending::<()>().await;
                 }
                 let ended = stream.is_ended();
@@ -160,7 +167,7 @@
 }
 
 /// Waits for the whole answer and gives it as one object.
-async fn whole(id: &str, model: &str, stream: &life::Stream) -> Response {
+async fn collect_answer(id: &str, model: &str, stream: &incarnation::Stream) -> Response {
     let mut progress = stream.progress.subscribe();
     while !stream.is_ended() {
         let _ = progress.changed().await;
@@ -195,51 +202,51 @@
     id: SmolStr,
 }
 
-async fn cancel(State(life): Shared, Json(req): Json<Cancel>) -> Response {
-    let stream = life.state.lock().streams.get(&req.id).cloned();
+async fn cancel(State(engine): Shared, Json(req): Json<Cancel>) -> Response {
+    let stream = engine.state.lock().streams.get(&req.id).cloned();
     let Some(stream) = stream else {
-        return refuse(StatusCode::NOT_FOUND, "no such request");
+        return error_response(StatusCode::NOT_FOUND, "no such request");
     };
     if !stream.is_ended() {
         stream.cancelled.store(true, Ordering::SeqCst);
-        life.shared.counts.lock().cancelled += 1;
-        life.work.notify_one();
+        engine.shared.counts.lock().cancelled += 1;
+        engine.work.notify_one();
     }
     Json(json!({ "cancelled": true })).into_response()
 }
 
 #[derive(Deserialize)]
-struct Offset {
+struct StreamQuery {
     #[serde(default)]
     offset: usize,
 }
 
 async fn resume(
-    State(life): Shared,
+    State(engine): Shared,
     Path(id): Path<SmolStr>,
-    Query(query): Query<Offset>,
+    Query(query): Query<StreamQuery>,
 ) -> Response {
-    let stream = life.state.lock().streams.get(&id).cloned();
+    let stream = engine.state.lock().streams.get(&id).cloned();
     let Some(stream) = stream else {
-        return refuse(StatusCode::NOT_FOUND, "no such stream");
+        return error_response(StatusCode::NOT_FOUND, "no such stream");
     };
-    life.shared.counts.lock().resumed += 1;
-    deliver(&life, stream, query.offset)
+    engine.shared.counts.lock().resumed += 1;
+    stream_chunks(&engine, stream, query.offset)
 }
 
-async fn load(State(life): Shared) -> Response {
-    Json(life.lagged_report()).into_response()
+async fn load(State(engine): Shared) -> Response {
+    Json(engine.lagged_report()).into_response()
 }
 
 #[derive(Deserialize)]
-struct From {
+struct EventsQuery {
     #[serde(default)]
     from: u64,
 }
 
-async fn events(State(life): Shared, Query(query): Query<From>) -> Response {
-    let lag = life.shared.opts.cache_lag;
-    let events = life.state.lock().cache.events(query.from, lag);
+async fn events(State(engine): Shared, Query(query): Query<EventsQuery>) -> Response {
+    let lag = engine.shared.opts.cache_lag;
+    let events = engine.state.lock().cache.events(query.from, lag);
     Json(json!({ "events": events })).into_response()
 }
 
@@ -248,21 +255,21 @@
     program: id::ProgramId,
 }
 
-async fn release(State(life): Shared, Json(req): Json<Release>) -> Response {
-    if life.shared.release_lost.load(Ordering::SeqCst) {
-        return refuse(StatusCode::SERVICE_UNAVAILABLE, "lost, as set by the test");
+async fn release(State(engine): Shared, Json(req): Json<Release>) -> Response {
+    if engine.shared.loses_releases.load(Ordering::SeqCst) {
+        return error_response(StatusCode::SERVICE_UNAVAILABLE, "lost, as set by the test");
     }
-    let held = life.state.lock().cache.remove(&req.program);
-    life.shared.counts.lock().released += u32::from(held);
-    life.show_cache();
+    let held = engine.state.lock().cache.remove(&req.program);
+    engine.shared.counts.lock().released += u32::from(held);
+    engine.publish_cache();
     Json(json!({ "held": held })).into_response()
 }
 
-async fn export(State(life): Shared, Json(req): Json<Release>) -> Response {
-    let state = life.state.lock();
+async fn export(State(engine): Shared, Json(req): Json<Release>) -> Response {
+    let state = engine.state.lock();
     match state.cache.marks(&req.program) {
         Some(marks) => Json(json!({ "program": req.program, "marks": marks })).into_response(),
-        None => refuse(StatusCode::NOT_FOUND, "nothing is held for this program"),
+        None => error_response(StatusCode::NOT_FOUND, "nothing is held for this program"),
     }
 }
 
@@ -272,9 +279,9 @@
     marks: Vec<cache::Mark>,
 }
 
-async fn import(State(life): Shared, Json(req): Json<Import>) -> Response {
-    life.state.lock().cache.put(&req.program, req.marks);
-    life.show_cache();
+async fn import(State(engine): Shared, Json(req): Json<Import>) -> Response {
+    engine.state.lock().cache.put(&req.program, req.marks);
+    engine.publish_cache();
     Json(json!({ "imported": true })).into_response()
 }
 
@@ -286,23 +293,23 @@
     program: Option<id::ProgramId>,
 }
 
-async fn order(State(life): Shared, Json(req): Json<Order>) -> Response {
-    let mut state = life.state.lock();
-    if life.shared.opts.checks_fence && req.fence < state.fence {
-        life.shared.counts.lock().refused_orders += 1;
-        return refuse(StatusCode::CONFLICT, "the fencing number is old");
+async fn order(State(engine): Shared, Json(req): Json<Order>) -> Response {
+    let mut state = engine.state.lock();
+    if engine.shared.opts.checks_fence && req.fence < state.fence {
+        engine.shared.counts.lock().refused_orders += 1;
+        return error_response(StatusCode::CONFLICT, "the fencing number is old");
     }
     state.fence = state.fence.max(req.fence);
-    life.shared.counts.lock().orders += 1;
+    engine.shared.counts.lock().orders += 1;
     if let ("free", Some(program)) = (req.order.as_str(), &req.program) {
         state.cache.remove(program);
     }
     drop(state);
-    life.show_cache();
+    engine.publish_cache();
     Json(json!({ "accepted": true })).into_response()
 }
 
-fn refuse(status: StatusCode, message: &str) -> Response {
+fn error_response(status: StatusCode, message: &str) -> Response {
     let body = json!({ "error": { "message": message } });
     (status, Json(body)).into_response()
 }
--- a/fw-fake/src/engine/life.rs
+++ b/fw-fake/src/engine/incarnation.rs
@@ -27,14 +27,14 @@
 use crate::recording;
 
 /// Finished streams kept for resumption.
-const MAX_STREAMS: usize = 4_096;
+const MAX_FINISHED_STREAMS: usize = 4_096;
 
 /// Oldest load reports kept.
 const MAX_REPORTS: usize = 1_024;
 
 /// What one life shares between its connections and its steps.
 #[derive(Debug)]
-pub(super) struct Life {
+pub(super) struct Incarnation {
     pub(super) shared: Arc<Shared>,
     pub(super) state: Mutex<State>,
     pub(super) work: Notify,
@@ -46,7 +46,7 @@
     waiting: VecDeque<Sequence>,
     running: Vec<Sequence>,
     pub(super) streams: HashMap<SmolStr, Arc<Stream>>,
-    ended: VecDeque<SmolStr>,
+    finished: VecDeque<SmolStr>,
     pub(super) cache: cache::Cache,
     reports: VecDeque<(Instant, Report)>,
     pub(super) fence: id::Fence,
@@ -125,9 +125,9 @@
     digest: digest::Digest,
     prompt: id::Tokens,
     cached: id::Tokens,
-    to_prefill: id::Tokens,
-    made: u32,
-    message_digest: digest::Digest,
+    left_to_prefill: id::Tokens,
+    generated: u32,
+    digest_after: digest::Digest,
     /// Digest of the answer as the record of a run has it.
     answer: digest::Digest,
     /// The run in the record, if there is one.
@@ -146,9 +146,9 @@
             digest,
             prompt,
             cached,
-            to_prefill: prompt - cached,
-            made: 0,
-            message_digest: digest.extend(&message),
+            left_to_prefill: prompt - cached,
+            generated: 0,
+            digest_after: digest.extend(&message),
             answer: event::digest_of(&message),
             run: None,
             req,
@@ -167,15 +167,15 @@
 
     /// Adds one token; true when the answer is whole.
     fn step(&mut self) -> bool {
-        if self.made == 0 {
+        if self.generated == 0 {
             let first = json!({ "role": "assistant", "content": "" });
             self.stream.push(&self.chunk(first, None));
         }
-        let text = answer::word(self.digest, self.made);
+        let text = answer::word(self.digest, self.generated);
         self.stream
             .push(&self.chunk(json!({ "content": text }), None));
-        self.made += 1;
-        self.made >= self.req.tokens
+        self.generated += 1;
+        self.generated >= self.req.tokens
     }
 
     fn finish(&self) {
@@ -188,8 +188,8 @@
             "choices": [],
             "usage": {
                 "prompt_tokens": self.prompt,
-                "completion_tokens": self.made,
-                "total_tokens": self.prompt + id::Tokens::from(self.made),
+                "completion_tokens": self.generated,
+                "total_tokens": self.prompt + id::Tokens::from(self.generated),
                 "prompt_tokens_details": { "cached_tokens": self.cached },
             },
         }));
@@ -199,8 +199,8 @@
     fn marks_after(&self) -> Vec<cache::Mark> {
         let mut marks = self.req.marks.clone();
         marks.push(cache::Mark {
-            digest: self.message_digest,
-            tokens: self.prompt + id::Tokens::from(self.made),
+            digest: self.digest_after,
+            tokens: self.prompt + id::Tokens::from(self.generated),
         });
         marks
     }
@@ -208,19 +208,19 @@
 
 /// Runs one life, until it is dropped.
 pub(super) async fn run(listener: TcpListener, shared: Arc<Shared>) {
-    shared.lives.fetch_add(1, Ordering::SeqCst);
-    shared.held.lock().clear();
+    shared.incarnations.fetch_add(1, Ordering::SeqCst);
+    shared.cached.lock().clear();
     shared.in_flight.store(0, Ordering::SeqCst);
     let _crash_guard = recording::CrashGuard(shared.opts.recording.clone());
-    let life = Arc::new(Life::new(shared));
+    let engine = Arc::new(Incarnation::new(shared));
     tokio::select! {
-        () = http::serve(listener, life.clone()) => {}
-        () = steps(&life) => {}
-        () = samples(&life) => {}
+        () = http::serve(listener, engine.clone()) => {}
+        () = run_steps(&engine) => {}
+        () = sample_load(&engine) => {}
     }
 }
 
-impl Life {
+impl Incarnation {
     fn new(shared: Arc<Shared>) -> Self {
         let cache = cache::Cache::new(
             shared.opts.cache,
@@ -232,7 +232,7 @@
                 waiting: VecDeque::new(),
                 running: Vec::new(),
                 streams: HashMap::new(),
-                ended: VecDeque::new(),
+                finished: VecDeque::new(),
                 cache,
                 reports: VecDeque::new(),
                 fence: 0,
@@ -284,10 +284,10 @@
         let state = self.state.lock();
         let sequences = state.waiting.iter().chain(&state.running);
         Report {
-            incarnation: self.shared.lives.load(Ordering::SeqCst),
+            incarnation: self.shared.incarnations.load(Ordering::SeqCst),
             queued: state.waiting.len(),
             running: state.running.len(),
-            prefill_tokens: sequences.map(|seq| seq.to_prefill).sum(),
+            prefill_tokens: sequences.map(|seq| seq.left_to_prefill).sum(),
             cache_used: state.cache.used(),
             cache_size: self.shared.opts.cache,
             batch: self.shared.opts.batch,
@@ -318,29 +318,29 @@
             age_ms: at.elapsed().as_millis() as u64,
             ..report.clone()
         });
-        report.incarnation = self.shared.lives.load(Ordering::SeqCst);
+        report.incarnation = self.shared.incarnations.load(Ordering::SeqCst);
         report.leaving = self.shared.leaving.load(Ordering::SeqCst);
         report
     }
 
     /// Publishes what the cache holds to the test.
-    pub(super) fn show_cache(&self) {
-        let held = self.state.lock().cache.held();
-        *self.shared.held.lock() = held;
+    pub(super) fn publish_cache(&self) {
+        let cached = self.state.lock().cache.contents();
+        *self.shared.cached.lock() = cached;
     }
 
     /// One step of the batch. Returns how long it takes.
     fn step(&self) -> Duration {
         let mut state = self.state.lock();
-        self.drop_cancelled(&mut state);
+        self.remove_cancelled(&mut state);
         self.admit(&mut state);
-        let taken_in = self.prefill(&mut state);
+        let prefilled = self.prefill(&mut state);
         self.decode(&mut state);
         drop(state);
-        self.show_cache();
+        self.publish_cache();
         let opts = &self.shared.opts;
-        let usual = opts.step + opts.prefill * u32::try_from(taken_in).unwrap_or(u32::MAX);
-        usual * self.shared.slow_percent.load(Ordering::SeqCst) / 100
+        let normal = opts.step + opts.prefill * u32::try_from(prefilled).unwrap_or(u32::MAX);
+        normal * self.shared.slow_percent.load(Ordering::SeqCst) / 100
     }
 
     fn admit(&self, state: &mut State) {
@@ -350,7 +350,7 @@
             };
             let program = sequence.req.program.as_deref().unwrap_or_default();
             sequence.cached = state.cache.cached(program, &sequence.req.marks);
-            sequence.to_prefill = sequence.prompt - sequence.cached;
+            sequence.left_to_prefill = sequence.prompt - sequence.cached;
             self.shared.counts.lock().cached += sequence.cached;
             state.running.push(sequence);
         }
@@ -361,19 +361,19 @@
     fn prefill(&self, state: &mut State) -> id::Tokens {
         let mut left = self.shared.opts.chunk;
         for sequence in &mut state.running {
-            let part = sequence.to_prefill.min(left);
-            sequence.to_prefill -= part;
+            let part = sequence.left_to_prefill.min(left);
+            sequence.left_to_prefill -= part;
             left -= part;
         }
-        let taken_in = self.shared.opts.chunk - left;
-        self.shared.counts.lock().prefilled += taken_in;
-        taken_in
+        let prefilled = self.shared.opts.chunk - left;
+        self.shared.counts.lock().prefilled += prefilled;
+        prefilled
     }
 
     fn decode(&self, state: &mut State) {
         let mut running = std::mem::take(&mut state.running);
         running.retain_mut(|sequence| {
-            if sequence.to_prefill > 0 || !sequence.step() {
+            if sequence.left_to_prefill > 0 || !sequence.step() {
                 return true;
             }
             self.record_end(sequence, Some(sequence.answer));
@@ -388,7 +388,7 @@
         state.running = running;
     }
 
-    fn drop_cancelled(&self, state: &mut State) {
+    fn remove_cancelled(&self, state: &mut State) {
         let all = state.waiting.drain(..).map(|sequence| (false, sequence));
         let all: Vec<_> = all
             .chain(state.running.drain(..).map(|sequence| (true, sequence)))
@@ -408,9 +408,9 @@
     fn end(&self, state: &mut State, sequence: &Sequence) {
         sequence.stream.end();
         self.shared.in_flight.fetch_sub(1, Ordering::SeqCst);
-        state.ended.push_back(sequence.req.id.clone());
-        if state.ended.len() > MAX_STREAMS
-            && let Some(oldest) = state.ended.pop_front()
+        state.finished.push_back(sequence.req.id.clone());
+        if state.finished.len() > MAX_FINISHED_STREAMS
+            && let Some(oldest) = state.finished.pop_front()
         {
             state.streams.remove(&oldest);
         }
@@ -423,34 +423,34 @@
 }
 
 /// Runs steps for as long as there is work; the times of steps add up without drift.
-async fn steps(life: &Life) {
+async fn run_steps(engine: &Incarnation) {
     let mut next = tokio::time::Instant::now();
     loop {
-        if life.is_idle() {
-            life.work.notified().await;
+        if engine.is_idle() {
+            engine.work.notified().await;
             next = tokio::time::Instant::now();
             continue;
         }
-        if life.shared.frozen.load(Ordering::SeqCst) {
+        if engine.shared.frozen.load(Ordering::SeqCst) {
             tokio::time::sleep(Duration::from_millis(1)).await;
             next = tokio::time::Instant::now();
             continue;
         }
-        let took = life.step();
-        if took.is_zero() {
+        let step_time = engine.step();
+        if step_time.is_zero() {
             tokio::task::yield_now().await;
             continue;
         }
-        next += took;
+        next += step_time;
         tokio::time::sleep_until(next).await;
     }
 }
 
 /// Samples the load, so that a late report can be given.
-async fn samples(life: &Life) {
-    const EVERY: Duration = Duration::from_millis(5);
+async fn sample_load(engine: &Incarnation) {
+    const INTERVAL: Duration = Duration::from_millis(5);
     loop {
-        life.sample();
-        tokio::time::sleep(EVERY).await;
+        engine.sample();
+        tokio::time::sleep(INTERVAL).await;
     }
 }
--- a/fw-fake/src/engine/mod.rs
+++ b/fw-fake/src/engine/mod.rs
@@ -8,7 +8,7 @@
 mod answer;
 mod cache;
 mod http;
-mod life;
+mod incarnation;
 pub(crate) mod process;
 
 use std::collections::BTreeMap;
@@ -87,15 +87,15 @@
     opts: Options,
     frozen: AtomicBool,
     leaving: AtomicBool,
-    release_lost: AtomicBool,
+    loses_releases: AtomicBool,
     slow_percent: AtomicU32,
-    status: AtomicU16,
-    silenced: AtomicU64,
+    fail_status: AtomicU16,
+    stalled: AtomicU64,
     deliveries: AtomicU64,
-    lives: AtomicU64,
+    incarnations: AtomicU64,
     poison: Mutex<Option<String>>,
     counts: Mutex<Counts>,
-    held: Mutex<BTreeMap<id::ProgramId, id::Tokens>>,
+    cached: Mutex<BTreeMap<id::ProgramId, id::Tokens>>,
     in_flight: AtomicU32,
     control: Arc<process::Control>,
 }
@@ -146,8 +146,8 @@
             slow_percent: AtomicU32::new(100),
             ..Shared::default()
         });
-        let lives = shared.clone();
-        let serve = move |listener| life::run(listener, lives.clone()).boxed_local();
+        let state = shared.clone();
+        let serve = move |listener| incarnation::run(listener, state.clone()).boxed_local();
         let process = process::Process::spawn(shared.control.clone(), serve)?;
         Ok(Self { shared, process })
     }
@@ -197,13 +197,13 @@
     /// over new connections.
     pub fn stall_streams(&self) {
         let open = self.shared.deliveries.load(Ordering::SeqCst);
-        self.shared.silenced.store(open, Ordering::SeqCst);
+        self.shared.stalled.store(open, Ordering::SeqCst);
     }
 
     /// Answers each chat request with an error status; `None` ends that.
     pub fn fail_with(&self, status: Option<u16>) {
         self.shared
-            .status
+            .fail_status
             .store(status.unwrap_or(0), Ordering::SeqCst);
     }
 
@@ -214,7 +214,7 @@
 
     /// Whether cache releases are lost: not carried out, and their connection closed unanswered.
     pub fn lose_releases(&self, lost: bool) {
-        self.shared.release_lost.store(lost, Ordering::SeqCst);
+        self.shared.loses_releases.store(lost, Ordering::SeqCst);
     }
 
     /// What was counted so far.
@@ -239,12 +239,12 @@
 
     /// Cached tokens of each program.
     pub fn cached(&self) -> BTreeMap<id::ProgramId, id::Tokens> {
-        self.shared.held.lock().clone()
+        self.shared.cached.lock().clone()
     }
 }
 
 /// A name made unique within one engine by a counter.
-fn fresh_id(counter: &AtomicU64) -> SmolStr {
+fn next_id(counter: &AtomicU64) -> SmolStr {
     let number = counter.fetch_add(1, Ordering::SeqCst);
     smol_str::format_smolstr!("engine-{number}")
 }
--- a/fw-fake/src/engine/process.rs
+++ b/fw-fake/src/engine/process.rs
@@ -15,9 +15,9 @@
 use tokio::sync::Notify;
 
 /// Times that a port is bound again before that fails.
-const BIND_TRIES: u32 = 100;
+const BIND_ATTEMPTS: u32 = 100;
 /// Pause between two such tries.
-const BIND_PAUSE: Duration = Duration::from_millis(20);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What one life of the process does with its listener, until it is dropped.
 type Serve = dyn Fn(TcpListener) -> future::LocalBoxFuture<'static, ()> + Send + Sync;
@@ -92,8 +92,8 @@
         let addr = self.addr;
         let control = self.control.clone();
         let serve = self.serve.clone();
-        let lives = move || run_lives(listener, addr, &control, &*serve);
-        *self.thread.lock() = Some(thread::spawn(lives));
+        let run = move || run_incarnations(listener, addr, &control, &*serve);
+        *self.thread.lock() = Some(thread::spawn(run));
     }
 
     fn join(&self) {
@@ -120,14 +120,14 @@
 }
 
 /// Runs one life after another, if a crashed process comes back by itself.
-fn run_lives(listener: TcpListener, addr: SocketAddr, control: &Control, serve: &Serve) {
+fn run_incarnations(listener: TcpListener, addr: SocketAddr, control: &Control, serve: &Serve) {
     let mut next = Some(listener);
     while let Some(listener) = next.take() {
-        run_life(listener, control, serve);
-        let Some(pause) = control.restart_after else {
+        run_incarnation(listener, control, serve);
+        let Some(delay) = control.restart_after else {
             return;
         };
-        thread::sleep(pause);
+        thread::sleep(delay);
         if !control.stop.load(Ordering::SeqCst) {
             next = rebind(addr).ok();
         }
@@ -135,7 +135,7 @@
 }
 
 /// Runs one life. All its connections and the listener are gone on return.
-fn run_life(listener: TcpListener, control: &Control, serve: &Serve) {
+fn run_incarnation(listener: TcpListener, control: &Control, serve: &Serve) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -168,11 +168,11 @@
 
 /// Binds a port again whose last listener was closed a moment ago.
 fn rebind(addr: SocketAddr) -> io::Result<TcpListener> {
-    for _ in 1..BIND_TRIES {
+    for _ in 1..BIND_ATTEMPTS {
         if let Ok(listener) = TcpListener::bind(addr) {
             return Ok(listener);
         }
-        thread::sleep(BIND_PAUSE);
+        thread::sleep(BIND_RETRY_DELAY);
     }
     TcpListener::bind(addr)
 }
--- a/fw-fake/src/instances.rs
+++ b/fw-fake/src/instances.rs
@@ -103,7 +103,7 @@
     /// Adds an instance, or replaces the one of the same id.
     pub fn put(&self, instance: Instance) {
         self.change(|list| {
-            list.retain(|known| known.id != instance.id);
+            list.retain(|listed| listed.id != instance.id);
             list.push(instance);
         });
     }
@@ -111,7 +111,7 @@
     /// Marks an instance as leaving.
     pub fn leave(&self, id: &str) {
         self.change(|list| {
-            for instance in list.iter_mut().filter(|known| known.id == id) {
+            for instance in list.iter_mut().filter(|listed| listed.id == id) {
                 instance.state = State::Leaving;
             }
         });
@@ -119,7 +119,7 @@
 
     /// Takes an instance off the list.
     pub fn remove(&self, id: &str) {
-        self.change(|list| list.retain(|known| known.id != id));
+        self.change(|list| list.retain(|listed| listed.id != id));
     }
 
     fn change(&self, change: impl FnOnce(&mut Vec<Instance>)) {
@@ -133,17 +133,17 @@
 
 impl Timeline {
     /// The list as it was `lag` ago.
-    fn shown(&mut self, now: Instant) -> Vec<Instance> {
+    fn lagged_list(&mut self, now: Instant) -> Vec<Instance> {
         let lag = self.lag;
-        let is_shown = |at: &Instant| *at + lag <= now;
-        while self.lists.get(1).is_some_and(|(at, _)| is_shown(at)) {
+        let is_visible = |at: &Instant| *at + lag <= now;
+        while self.lists.get(1).is_some_and(|(at, _)| is_visible(at)) {
             self.lists.pop_front();
         }
-        let oldest = self.lists.front().filter(|(at, _)| is_shown(at));
+        let oldest = self.lists.front().filter(|(at, _)| is_visible(at));
         oldest.map_or_else(Vec::new, |(_, list)| list.clone())
     }
 }
 
 async fn list(Shared(timeline): Shared<Arc<Mutex<Timeline>>>) -> Json<Vec<Instance>> {
-    Json(timeline.lock().shown(Instant::now()))
+    Json(timeline.lock().lagged_list(Instant::now()))
 }
--- a/fw-fake/src/plain.rs
+++ b/fw-fake/src/plain.rs
@@ -27,10 +27,10 @@
 use crate::recording;
 
 /// Header with the caller's idempotency key.
-const KEY: &str = "idempotency-key";
+const KEY_HEADER: &str = "idempotency-key";
 
 /// Largest body that is kept of a request, in bytes.
-const KEPT_BODY: usize = 64 << 10;
+const MAX_RECORDED_BODY: usize = 64 << 10;
 
 /// How a stand-in service behaves.
 #[derive(Clone, Debug, Default)]
@@ -101,8 +101,8 @@
             recording: opts.recording.map(recording::Recording::with_unique_name),
             ..Shared::default()
         });
-        let lives = shared.clone();
-        let serve = move |listener| serve(listener, lives.clone()).boxed_local();
+        let state = shared.clone();
+        let serve = move |listener| serve(listener, state.clone()).boxed_local();
         let process = process::Process::spawn(shared.control.clone(), serve)?;
         Ok(Self { shared, process })
     }
@@ -152,13 +152,13 @@
 async fn serve(listener: TcpListener, shared: Arc<Shared>) {
     let _crash_guard = recording::CrashGuard(shared.recording.clone());
     let router = Router::new()
-        .fallback(answer)
+        .fallback(handle)
         .layer(DefaultBodyLimit::disable())
         .with_state(shared);
     process::serve_http(listener, router).await;
 }
 
-async fn answer(
+async fn handle(
     State(shared): State<Arc<Shared>>,
     method: Method,
     uri: Uri,
@@ -177,8 +177,8 @@
     let run = Run {
         method: method.as_str().into(),
         path: uri.to_string(),
-        key: key_of(&headers),
-        body: body.slice(..body.len().min(KEPT_BODY)),
+        key: idempotency_key(&headers),
+        body: body.slice(..body.len().min(MAX_RECORDED_BODY)),
     };
     shared.runs.lock().push(run);
     let recorded = shared.recording.as_ref().map(|log| {
@@ -207,8 +207,8 @@
     std::future::pending().await
 }
 
-fn key_of(headers: &HeaderMap) -> Option<String> {
-    let key = headers.get(KEY)?.to_str().ok()?;
+fn idempotency_key(headers: &HeaderMap) -> Option<String> {
+    let key = headers.get(KEY_HEADER)?.to_str().ok()?;
     Some(key.to_owned())
 }
 
--- a/fw-fake/src/relay.rs
+++ b/fw-fake/src/relay.rs
@@ -99,31 +99,31 @@
     let epoch = shared.epoch.load(Ordering::Relaxed);
     let (from_caller, to_caller) = caller.into_split();
     let (from_server, to_server) = server.into_split();
-    let there = pass(from_caller, to_server, epoch, &shared, true);
-    let back = pass(from_server, to_caller, epoch, &shared, false);
-    tokio::join!(there, back);
+    let upload = forward(from_caller, to_server, epoch, &shared, true);
+    let download = forward(from_server, to_caller, epoch, &shared, false);
+    tokio::join!(upload, download);
 }
 
 /// Passes bytes on until the end, or swallows them once the connection is silent. A silent
 /// connection also hides that the other end has closed.
-async fn pass(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     epoch: u64,
     shared: &Shared,
-    counts: bool,
+    is_upload: bool,
 ) {
     let mut buf = vec![0; CHUNK];
     let mut is_counted = false;
     loop {
         let read = from.read(&mut buf).await.unwrap_or(0);
-        let is_silent = shared.epoch.load(Ordering::Relaxed) != epoch;
-        if is_silent && read > 0 && counts && !is_counted {
+        let is_blackholed = shared.epoch.load(Ordering::Relaxed) != epoch;
+        if is_blackholed && read > 0 && is_upload && !is_counted {
             shared.blackholed_with_data.fetch_add(1, Ordering::Relaxed);
             is_counted = true;
         }
-        match (read, is_silent) {
-            (0, true) if !counts => return std::future::pending().await,
+        match (read, is_blackholed) {
+            (0, true) if !is_upload => return std::future::pending().await,
             (0, _) => return,
             (_, true) => (),
             (_, false) => {
--- a/fw-fake/src/store/faults.rs
+++ b/fw-fake/src/store/faults.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether to lose the answer at hand.
-    pub fn loses(&mut self, answer: Answer) -> bool {
+    pub fn draw_loss(&mut self, answer: Answer) -> bool {
         let faults = &mut self.faults;
         let (left, probability) = match answer {
             Answer::Write => (&mut faults.lose_answers, faults.lose_probability),
--- a/fw-fake/src/store/gateway.rs
+++ b/fw-fake/src/store/gateway.rs
@@ -23,7 +23,7 @@
 use super::Core;
 use super::faults;
 use super::mvcc;
-use super::watching;
+use super::watch_stream;
 
 /// gRPC status codes.
 const INVALID_ARGUMENT: u32 = 3;
@@ -36,7 +36,7 @@
 
 /// The shared state as one port sees it.
 #[derive(Clone, Debug)]
-pub(super) struct View {
+pub(super) struct Endpoint {
     pub core: Arc<Core>,
     pub port: usize,
 }
@@ -48,19 +48,19 @@
         .route("/v3/lease/grant", post(grant))
         .route("/v3/lease/keepalive", post(keep_alive))
         .route("/v3/lease/revoke", post(revoke))
-        .route("/v3/watch", post(watching::open))
+        .route("/v3/watch", post(watch_stream::open))
         .layer(DefaultBodyLimit::max(MAX_BODY))
-        .with_state(View { core, port })
+        .with_state(Endpoint { core, port })
 }
 
 /// An error answer, as the gateway writes it.
-pub(super) struct Fault {
+pub(super) struct ErrorReply {
     status: StatusCode,
     code: u32,
     message: String,
 }
 
-impl Fault {
+impl ErrorReply {
     fn invalid(message: impl Into<String>) -> Self {
         Self {
             status: StatusCode::BAD_REQUEST,
@@ -70,7 +70,7 @@
     }
 }
 
-impl IntoResponse for Fault {
+impl IntoResponse for ErrorReply {
     fn into_response(self) -> Response {
         let body = json!({
             "error": self.message,
@@ -81,7 +81,7 @@
     }
 }
 
-impl From<mvcc::Refusal> for Fault {
+impl From<mvcc::Refusal> for ErrorReply {
     fn from(refusal: mvcc::Refusal) -> Self {
         let (status, code, message) = match refusal {
             mvcc::Refusal::Compacted(_) => (
@@ -108,9 +108,9 @@
     }
 }
 
-impl View {
+impl Endpoint {
     /// Waits out the port's delay, and meets an outage.
-    pub async fn admit(&self) -> Result<(), Fault> {
+    pub async fn admit(&self) -> Result<(), ErrorReply> {
         let faults = self.port().lock().faults.clone();
         if faults.delay > Duration::ZERO {
             tokio::time::sleep(faults.delay).await;
@@ -118,7 +118,7 @@
         match faults.outage {
             None => Ok(()),
             Some(faults::Outage::Hang) => std::future::pending().await,
-            Some(faults::Outage::Refuse) => Err(Fault {
+            Some(faults::Outage::Refuse) => Err(ErrorReply {
                 status: StatusCode::SERVICE_UNAVAILABLE,
                 code: UNAVAILABLE,
                 message: "etcdserver: no leader".to_owned(),
@@ -132,43 +132,49 @@
 
     /// The answer, or a body that breaks off before its first byte if it is to be lost.
     fn answer(&self, kind: faults::Answer, body: Value) -> Response {
-        if !self.port().lock().loses(kind) {
+        if !self.port().lock().draw_loss(kind) {
             return Json(body).into_response();
         }
-        let broken: Result<&'static str, _> = Err(std::io::Error::other("answer lost"));
-        Body::from_stream(stream::iter([broken])).into_response()
+        let aborted: Result<&'static str, _> = Err(std::io::Error::other("answer lost"));
+        Body::from_stream(stream::iter([aborted])).into_response()
     }
 }
 
-async fn range(State(view): State<View>, Json(req): Json<Value>) -> Result<Response, Fault> {
-    view.core.counters.reads.fetch_add(1, Ordering::Relaxed);
-    view.admit().await?;
+async fn range(
+    State(endpoint): State<Endpoint>,
+    Json(req): Json<Value>,
+) -> Result<Response, ErrorReply> {
+    endpoint.core.counters.reads.fetch_add(1, Ordering::Relaxed);
+    endpoint.admit().await?;
     let read = parse_read(&req)?;
     let (reply, revision) = {
-        let state = view.core.state.lock();
+        let state = endpoint.core.state.lock();
         (state.read(&read)?, state.revision())
     };
     let mut body = reply_json(&reply, revision);
     Ok(Json(body["response_range"].take()).into_response())
 }
 
-async fn txn(State(view): State<View>, Json(req): Json<Value>) -> Result<Response, Fault> {
+async fn txn(
+    State(endpoint): State<Endpoint>,
+    Json(req): Json<Value>,
+) -> Result<Response, ErrorReply> {
     let compares = items(&req, "compare").iter().map(parse_compare);
     let compares = compares.collect::<Result<Vec<_>, _>>()?;
-    let then = parse_ops(&view, &req, "success")?;
-    let otherwise = parse_ops(&view, &req, "failure")?;
+    let then = parse_ops(&endpoint, &req, "success")?;
+    let otherwise = parse_ops(&endpoint, &req, "failure")?;
     let mut steps = then.iter().chain(&otherwise);
     let can_write = steps.any(|op| !matches!(op, mvcc::Op::Get(_)));
-    let counters = &view.core.counters;
+    let counters = &endpoint.core.counters;
     let counter = if can_write {
         &counters.writes
     } else {
         &counters.reads
     };
     counter.fetch_add(1, Ordering::Relaxed);
-    view.admit().await?;
-    let outcome = view.core.state.lock().txn(&compares, then, otherwise)?;
-    view.core.wake();
+    endpoint.admit().await?;
+    let outcome = endpoint.core.state.lock().txn(&compares, then, otherwise)?;
+    endpoint.core.wake();
     let replies = outcome.replies.iter();
     let body = json!({
         "header": header(outcome.revision),
@@ -176,65 +182,86 @@
         "responses": replies.map(|r| reply_json(r, outcome.revision)).collect::<Vec<_>>(),
     });
     if can_write {
-        Ok(view.answer(faults::Answer::Write, body))
+        Ok(endpoint.answer(faults::Answer::Write, body))
     } else {
         Ok(Json(body).into_response())
     }
 }
 
-async fn grant(State(view): State<View>, Json(req): Json<Value>) -> Result<Response, Fault> {
-    view.core.counters.leases.fetch_add(1, Ordering::Relaxed);
-    view.admit().await?;
+async fn grant(
+    State(endpoint): State<Endpoint>,
+    Json(req): Json<Value>,
+) -> Result<Response, ErrorReply> {
+    endpoint
+        .core
+        .counters
+        .leases
+        .fetch_add(1, Ordering::Relaxed);
+    endpoint.admit().await?;
     let secs = u64::try_from(int(&req, "TTL")?).unwrap_or(0);
     if secs == 0 {
-        return Err(Fault::invalid("TTL must be positive"));
+        return Err(ErrorReply::invalid("TTL must be positive"));
     }
     let ttl = Duration::from_secs(secs);
-    let id = view.core.state.lock().grant(ttl, Instant::now());
+    let id = endpoint.core.state.lock().grant(ttl, Instant::now());
     let body = json!({ "ID": id.to_string(), "TTL": secs.to_string() });
-    Ok(view.answer(faults::Answer::Lease, body))
+    Ok(endpoint.answer(faults::Answer::Lease, body))
 }
 
-async fn keep_alive(State(view): State<View>, Json(req): Json<Value>) -> Result<Response, Fault> {
-    view.core.counters.leases.fetch_add(1, Ordering::Relaxed);
-    view.admit().await?;
+async fn keep_alive(
+    State(endpoint): State<Endpoint>,
+    Json(req): Json<Value>,
+) -> Result<Response, ErrorReply> {
+    endpoint
+        .core
+        .counters
+        .leases
+        .fetch_add(1, Ordering::Relaxed);
+    endpoint.admit().await?;
     let id = int(&req, "ID")?;
-    let ttl = view.core.state.lock().keep_alive(id, Instant::now());
+    let ttl = endpoint.core.state.lock().keep_alive(id, Instant::now());
     // The real one leaves out a TTL of 0, which says that the lease is gone.
     let result = match ttl {
         Some(ttl) => json!({ "ID": id.to_string(), "TTL": ttl.as_secs().to_string() }),
         None => json!({ "ID": id.to_string() }),
     };
-    Ok(view.answer(faults::Answer::Lease, json!({ "result": result })))
+    Ok(endpoint.answer(faults::Answer::Lease, json!({ "result": result })))
 }
 
-async fn revoke(State(view): State<View>, Json(req): Json<Value>) -> Result<Response, Fault> {
-    view.core.counters.leases.fetch_add(1, Ordering::Relaxed);
-    view.admit().await?;
+async fn revoke(
+    State(endpoint): State<Endpoint>,
+    Json(req): Json<Value>,
+) -> Result<Response, ErrorReply> {
+    endpoint
+        .core
+        .counters
+        .leases
+        .fetch_add(1, Ordering::Relaxed);
+    endpoint.admit().await?;
     let id = int(&req, "ID")?;
-    if !view.core.state.lock().revoke(id) {
+    if !endpoint.core.state.lock().revoke(id) {
         return Err(mvcc::Refusal::NoLease.into());
     }
-    view.core.wake();
-    Ok(view.answer(faults::Answer::Lease, json!({})))
+    endpoint.core.wake();
+    Ok(endpoint.answer(faults::Answer::Lease, json!({})))
 }
 
-fn parse_ops(view: &View, req: &Value, branch: &str) -> Result<Vec<mvcc::Op>, Fault> {
+fn parse_ops(endpoint: &Endpoint, req: &Value, branch: &str) -> Result<Vec<mvcc::Op>, ErrorReply> {
     let ops = items(req, branch);
-    if ops.len() > view.core.opts.max_ops {
-        return Err(Fault::invalid(
+    if ops.len() > endpoint.core.opts.max_ops {
+        return Err(ErrorReply::invalid(
             "etcdserver: too many operations in txn request",
         ));
     }
-    let max_value = view.core.opts.max_value;
+    let max_value = endpoint.core.opts.max_value;
     ops.iter().map(|op| parse_op(op, max_value)).collect()
 }
 
-fn parse_op(op: &Value, max_value: usize) -> Result<mvcc::Op, Fault> {
+fn parse_op(op: &Value, max_value: usize) -> Result<mvcc::Op, ErrorReply> {
     if let Some(put) = op.get("request_put") {
         let value = bytes(put, "value")?;
         if value.len() > max_value {
-            return Err(Fault::invalid("etcdserver: request is too large"));
+            return Err(ErrorReply::invalid("etcdserver: request is too large"));
         }
         return Ok(mvcc::Op::Put {
             key: bytes(put, "key")?,
@@ -247,14 +274,14 @@
     }
     match op.get("request_range") {
         Some(read) => Ok(mvcc::Op::Get(parse_read(read)?)),
-        None => Err(Fault::invalid("unknown step")),
+        None => Err(ErrorReply::invalid("unknown step")),
     }
 }
 
-fn parse_compare(compare: &Value) -> Result<mvcc::Compare, Fault> {
+fn parse_compare(compare: &Value) -> Result<mvcc::Compare, ErrorReply> {
     let key = bytes(compare, "key")?;
     if text(compare, "result") != "EQUAL" {
-        return Err(Fault::invalid("only EQUAL is supported"));
+        return Err(ErrorReply::invalid("only EQUAL is supported"));
     }
     Ok(match text(compare, "target") {
         "MOD" => mvcc::Compare::Mod(key, int(compare, "mod_revision")?),
@@ -262,11 +289,11 @@
         "VERSION" => mvcc::Compare::Version(key, int(compare, "version")?),
         "LEASE" => mvcc::Compare::Lease(key, int(compare, "lease")?),
         "VALUE" => mvcc::Compare::Value(key, bytes(compare, "value")?),
-        _ => return Err(Fault::invalid("unknown target")),
+        _ => return Err(ErrorReply::invalid("unknown target")),
     })
 }
 
-fn parse_read(req: &Value) -> Result<mvcc::Read, Fault> {
+fn parse_read(req: &Value) -> Result<mvcc::Read, ErrorReply> {
     Ok(mvcc::Read {
         span: parse_span(req)?,
         limit: usize::try_from(int(req, "limit")?).unwrap_or(0),
@@ -274,7 +301,7 @@
     })
 }
 
-pub(super) fn parse_span(req: &Value) -> Result<mvcc::Span, Fault> {
+pub(super) fn parse_span(req: &Value) -> Result<mvcc::Span, ErrorReply> {
     Ok(mvcc::Span {
         key: bytes(req, "key")?,
         end: bytes(req, "range_end")?,
@@ -290,20 +317,20 @@
     req.get(field).and_then(Value::as_str).unwrap_or_default()
 }
 
-fn bytes(req: &Value, field: &str) -> Result<Vec<u8>, Fault> {
+fn bytes(req: &Value, field: &str) -> Result<Vec<u8>, ErrorReply> {
     let decoded = STANDARD.decode(text(req, field));
-    decoded.map_err(|err| Fault::invalid(format!("{field}: {err}")))
+    decoded.map_err(|err| ErrorReply::invalid(format!("{field}: {err}")))
 }
 
-pub(super) fn int(req: &Value, field: &str) -> Result<i64, Fault> {
+pub(super) fn int(req: &Value, field: &str) -> Result<i64, ErrorReply> {
     match req.get(field) {
         None | Some(Value::Null) => Ok(0),
         Some(Value::String(text)) => text
             .parse()
-            .map_err(|err| Fault::invalid(format!("{field}: {err}"))),
+            .map_err(|err| ErrorReply::invalid(format!("{field}: {err}"))),
         Some(value) => value
             .as_i64()
-            .ok_or_else(|| Fault::invalid(format!("{field}: no number"))),
+            .ok_or_else(|| ErrorReply::invalid(format!("{field}: no number"))),
     }
 }
 
--- a/fw-fake/src/store/mod.rs
+++ b/fw-fake/src/store/mod.rs
@@ -6,7 +6,7 @@
 mod faults;
 mod gateway;
 pub mod mvcc;
-mod watching;
+mod watch_stream;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/fw-fake/src/store/mvcc.rs
+++ b/fw-fake/src/store/mvcc.rs
@@ -137,7 +137,7 @@
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
-    lapses_at: Instant,
+    expires_at: Instant,
 }
 
 /// The state.
@@ -212,13 +212,13 @@
         then: Vec<Op>,
         otherwise: Vec<Op>,
     ) -> Result<Outcome, Refusal> {
-        let succeeded = compares.iter().all(|compare| self.holds(compare));
+        let succeeded = compares.iter().all(|compare| self.is_met(compare));
         let ops = if succeeded { then } else { otherwise };
         self.check(&ops)?;
         let revision = self.revision + 1;
-        let logged = self.log.len();
+        let log_len = self.log.len();
         let replies = ops.into_iter().map(|op| self.apply(op, revision)).collect();
-        if self.log.len() > logged {
+        if self.log.len() > log_len {
             self.revision = revision;
         }
         Ok(Outcome {
@@ -242,7 +242,12 @@
     /// # Errors
     ///
     /// When some of them are compacted.
-    pub fn changes_limited(&self, span: &Span, from: i64, most: usize) -> Result<Vec<Kv>, Refusal> {
+    pub fn changes_limited(
+        &self,
+        span: &Span,
+        from: i64,
+        max_revisions: usize,
+    ) -> Result<Vec<Kv>, Refusal> {
         if from <= self.compacted {
             return Err(Refusal::Compacted(self.oldest_watchable()));
         }
@@ -255,7 +260,7 @@
                 .last()
                 .is_none_or(|last| last.mod_revision < kv.mod_revision);
             revisions += usize::from(is_next);
-            if revisions > most {
+            if revisions > max_revisions {
                 break;
             }
             found.push(kv.clone());
@@ -266,10 +271,10 @@
     /// Forgets changes at or below `revision`; the live versions stay.
     pub fn compact(&mut self, revision: i64) {
         self.compacted = revision.min(self.revision).max(self.compacted);
-        let gone = self.compacted;
-        self.log.retain(|kv| kv.mod_revision > gone);
+        let compacted = self.compacted;
+        self.log.retain(|kv| kv.mod_revision > compacted);
         for versions in self.keys.values_mut() {
-            let last = versions.partition_point(|kv| kv.mod_revision <= gone);
+            let last = versions.partition_point(|kv| kv.mod_revision <= compacted);
             versions.drain(..last.saturating_sub(1));
         }
     }
@@ -277,16 +282,16 @@
     /// Grants a lease.
     pub fn grant(&mut self, ttl: Duration, now: Instant) -> i64 {
         self.next_lease += 1;
-        let lapses_at = now + ttl;
+        let expires_at = now + ttl;
         self.leases
-            .insert(self.next_lease, Lease { ttl, lapses_at });
+            .insert(self.next_lease, Lease { ttl, expires_at });
         self.next_lease
     }
 
     /// Renews a lease; `None` if it has ended.
     pub fn keep_alive(&mut self, id: i64, now: Instant) -> Option<Duration> {
-        let lease = self.leases.get_mut(&id).filter(|l| l.lapses_at > now)?;
-        lease.lapses_at = now + lease.ttl;
+        let lease = self.leases.get_mut(&id).filter(|l| l.expires_at > now)?;
+        lease.expires_at = now + lease.ttl;
         Some(lease.ttl)
     }
 
@@ -312,9 +317,9 @@
 
     /// Ends every lease that lapsed before `now`.
     pub fn expire(&mut self, now: Instant) {
-        let lapsed = self.leases.iter().filter(|(_, l)| l.lapses_at <= now);
-        let lapsed: Vec<_> = lapsed.map(|(id, _)| *id).collect();
-        for id in lapsed {
+        let expired = self.leases.iter().filter(|(_, l)| l.expires_at <= now);
+        let expired: Vec<_> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
             self.revoke(id);
         }
     }
@@ -337,7 +342,7 @@
         bound.map(|kv| kv.key.clone()).collect()
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn is_met(&self, compare: &Compare) -> bool {
         let absent = Kv::default();
         let live = |key| self.live(key).unwrap_or(&absent);
         match compare {
@@ -372,9 +377,9 @@
                 Reply::Put
             }
             Op::Delete(span) => {
-                let gone = self.live_at(&span, i64::MAX);
-                let count = gone.len();
-                for kv in gone {
+                let deleted = self.live_at(&span, i64::MAX);
+                let count = deleted.len();
+                for kv in deleted {
                     self.push(Kv {
                         key: kv.key,
                         mod_revision: revision,
@@ -391,9 +396,9 @@
     }
 
     fn put(&mut self, key: Vec<u8>, value: Vec<u8>, lease: i64, revision: i64) {
-        let before = self.live(&key);
-        let create_revision = before.map_or(revision, |kv| kv.create_revision);
-        let version = before.map_or(1, |kv| kv.version + 1);
+        let previous = self.live(&key);
+        let create_revision = previous.map_or(revision, |kv| kv.create_revision);
+        let version = previous.map_or(1, |kv| kv.version + 1);
         self.push(Kv {
             key,
             value,
--- a/fw-fake/src/store/watching.rs
+++ b/fw-fake/src/store/watch_stream.rs
@@ -20,83 +20,83 @@
 use super::mvcc;
 
 /// Revisions told of in one message to a watch that is behind, as etcd does it.
-const MESSAGE_REVISIONS: usize = 1_000;
+const MAX_REVISIONS_PER_MESSAGE: usize = 1_000;
 
 /// One open watch.
-struct Watching {
-    view: gateway::View,
+struct WatchStream {
+    endpoint: gateway::Endpoint,
     span: mvcc::Span,
     /// First revision not yet delivered.
     next: i64,
     revision: watch::Receiver<i64>,
     epoch: u64,
     stage: Stage,
-    _waiting: Waiting,
+    _open: OpenWatch,
 }
 
 enum Stage {
     New,
     Live,
-    Over,
+    Ended,
 }
 
 /// Counts a watch as waiting until it is dropped.
-struct Waiting(Arc<Core>);
+struct OpenWatch(Arc<Core>);
 
-impl Waiting {
+impl OpenWatch {
     fn new(core: Arc<Core>) -> Self {
         core.counters.open_watches.fetch_add(1, Ordering::Relaxed);
         Self(core)
     }
 }
 
-impl Drop for Waiting {
+impl Drop for OpenWatch {
     fn drop(&mut self) {
         self.0.counters.open_watches.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 pub(super) async fn open(
-    State(view): State<gateway::View>,
+    State(endpoint): State<gateway::Endpoint>,
     Json(req): Json<Value>,
-) -> Result<Response, gateway::Fault> {
-    let counters = &view.core.counters;
+) -> Result<Response, gateway::ErrorReply> {
+    let counters = &endpoint.core.counters;
     counters.watches.fetch_add(1, Ordering::Relaxed);
-    let waiting = Waiting::new(Arc::clone(&view.core));
-    view.admit().await?;
-    let hangs = view.port().lock().faults.hang_watches;
+    let open_watch = OpenWatch::new(Arc::clone(&endpoint.core));
+    endpoint.admit().await?;
+    let hangs = endpoint.port().lock().faults.hang_watches;
     if hangs {
         return std::future::pending().await;
     }
     let create = &req["create_request"];
     let from = gateway::int(create, "start_revision")?;
-    let now = view.core.state.lock().revision();
-    let epoch = view.port().lock().epoch;
-    let watching = Watching {
+    let now = endpoint.core.state.lock().revision();
+    let epoch = endpoint.port().lock().epoch;
+    let watch_stream = WatchStream {
         span: gateway::parse_span(create)?,
         next: if from == 0 { now + 1 } else { from },
-        revision: view.core.revision.subscribe(),
+        revision: endpoint.core.revision.subscribe(),
         epoch,
         stage: Stage::New,
-        _waiting: waiting,
-        view,
+        _open: open_watch,
+        endpoint,
     };
-    let lines = watching.into_lines();
+    let lines = watch_stream.into_lines();
     Ok(Response::new(Body::from_stream(lines)))
 }
 
-impl Watching {
+impl WatchStream {
     fn into_lines(self) -> impl Stream<Item = Result<String, Infallible>> {
-        stream::unfold(self, |mut watching| async {
-            let line = watching.line().await?;
-            Some((Ok(format!("{line}\n")), watching))
+        stream::unfold(self, |mut watch_stream| async {
+            let line = watch_stream.next_message().await?;
+            Some((Ok(format!("{line}\n")), watch_stream))
         })
     }
 
     /// The next message; `None` at the end.
-    async fn line(&mut self) -> Option<Value> {
+    async fn next_message(&mut self) -> Option<Value> {
         match self.stage {
-            Stage::Over => return None,
+            Stage::Ended => return None,
             Stage::New => {
                 self.stage = Stage::Live;
                 return Some(self.message(json!({ "created": true })));
@@ -105,30 +105,30 @@
             Stage::Live => tokio::task::yield_now().await,
         }
         loop {
-            self.meet_faults().await?;
+            self.apply_faults().await?;
             self.revision.mark_unchanged();
-            if let Some(message) = self.changes() {
+            if let Some(message) = self.next_changes() {
                 return Some(message);
             }
-            let progress = self.view.core.opts.progress;
-            let woken = tokio::time::timeout(progress, self.revision.changed()).await;
-            if woken.is_ok() {
+            let progress = self.endpoint.core.opts.progress;
+            let changed = tokio::time::timeout(progress, self.revision.changed()).await;
+            if changed.is_ok() {
                 continue;
             }
-            self.meet_faults().await?;
-            if let Some(message) = self.changes() {
+            self.apply_faults().await?;
+            if let Some(message) = self.next_changes() {
                 return Some(message);
             }
-            if !self.view.port().lock().faults.no_progress {
+            if !self.endpoint.port().lock().faults.no_progress {
                 return Some(self.message(json!({})));
             }
         }
     }
 
     /// Ends the watch or silences it for good, as the faults of its port say.
-    async fn meet_faults(&self) -> Option<()> {
+    async fn apply_faults(&self) -> Option<()> {
         let (outage, epoch) = {
-            let port = self.view.port().lock();
+            let port = self.endpoint.port().lock();
             (port.faults.outage, port.epoch)
         };
         if epoch != self.epoch || outage == Some(faults::Outage::Hang) {
@@ -137,14 +137,14 @@
         outage.is_none().then_some(())
     }
 
-    fn changes(&mut self) -> Option<Value> {
-        let state = self.view.core.state.lock();
-        let changes = state.changes_limited(&self.span, self.next, MESSAGE_REVISIONS);
+    fn next_changes(&mut self) -> Option<Value> {
+        let state = self.endpoint.core.state.lock();
+        let changes = state.changes_limited(&self.span, self.next, MAX_REVISIONS_PER_MESSAGE);
         drop(state);
         let changes = match changes {
             Ok(changes) => changes,
             Err(mvcc::Refusal::Compacted(oldest)) => {
-                self.stage = Stage::Over;
+                self.stage = Stage::Ended;
                 let compacted = json!({
                     "canceled": true,
                     "compact_revision": oldest.to_string(),
@@ -160,7 +160,7 @@
     }
 
     fn message(&self, mut result: Value) -> Value {
-        let revision = self.view.core.state.lock().revision();
+        let revision = self.endpoint.core.state.lock().revision();
         result["header"] = gateway::header(revision);
         result["watch_id"] = "0".into();
         json!({ "result": result })
