--- a/fw-fake/src/store/mvcc.rs
+++ b/fw-fake/src/store/mvcc.rs
@@ -234,7 +234,7 @@
     ///
     /// When some of them are compacted.
     pub fn changes(&self, span: &Span, from: i64) -> Result<Vec<Kv>, Refusal> {
-        self.changes_limited(span, from, usize::MAX)
+        self.first_changes(span, from, usize::MAX)
     }
 
     /// The first changes within `span` from `from` on, oldest first: those of up to `most` revisions.
@@ -242,12 +242,7 @@
     /// # Errors
     ///
     /// When some of them are compacted.
-    pub fn changes_limited(
-        &self,
-        span: &Span,
-        from: i64,
-        max_revisions: usize,
-    ) -> Result<Vec<Kv>, Refusal> {
+    pub fn first_changes(&self, span: &Span, from: i64, limit: usize) -> Result<Vec<Kv>, Refusal> {
         if from <= self.compacted {
             return Err(Refusal::Compacted(self.oldest_watchable()));
         }
@@ -260,7 +255,7 @@
                 .last()
                 .is_none_or(|last| last.mod_revision < kv.mod_revision);
             revisions += usize::from(is_next);
-            if revisions > max_revisions {
+            if revisions > limit {
                 break;
             }
             found.push(kv.clone());
--- a/fw-fake/src/store/watch_stream.rs
+++ b/fw-fake/src/store/watch_stream.rs
@@ -139,7 +139,7 @@
 
     fn next_changes(&mut self) -> Option<Value> {
         let state = self.endpoint.core.state.lock();
-        let changes = state.changes_limited(&self.span, self.next, MAX_REVISIONS_PER_MESSAGE);
+        let changes = state.first_changes(&self.span, self.next, MAX_REVISIONS_PER_MESSAGE);
         drop(state);
         let changes = match changes {
             Ok(changes) => changes,
