--- a/fw-fake/src/engine/cache.rs
+++ b/fw-fake/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of a stand-in engine: whole programs in, least recently used out.
+//! Prefix cache of a stand-in engine: an LRU cache with one entry per program.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -13,32 +13,32 @@
 
 use crate::recording;
 
-/// Most cache events kept for readers.
+/// Maximum number of cache events retained for readers.
 const MAX_EVENTS: usize = 10_000;
 
-/// The end of one message within a prompt: the digest up to there and the tokens up to there.
+/// End of one message within a prompt, with digest and token count of the prefix up to it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct Mark {
-    /// Digest of the prompt up to here.
+    /// Digest of the prefix.
     pub digest: digest::Digest,
-    /// Tokens of the prompt up to here.
+    /// Tokens in the prefix.
     pub tokens: id::Tokens,
 }
 
-/// A published change.
+/// A published change of the cache.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Event {
-    /// Position in the log; 1 is the first.
+    /// Sequence number in the event log, from 1.
     pub seq: u64,
-    /// The program.
+    /// Program whose entry changed.
     pub program: id::ProgramId,
-    /// Tokens held from now on.
+    /// Tokens cached after the change; 0 after an eviction.
     pub tokens: id::Tokens,
     #[serde(skip)]
     at: Instant,
 }
 
-/// What a cache holds, and the log of its changes.
+/// Cached prefixes by program, and the log of their changes.
 #[derive(Debug, Default)]
 pub(super) struct Cache {
     size: id::Tokens,
@@ -78,7 +78,7 @@
         self.used
     }
 
-    /// Tokens at the head of `prompt` that are cached for `program`.
+    /// Tokens of the longest prefix of `prompt` that is cached for `program`.
     pub(super) fn cached(&self, program: &str, prompt: &[Mark]) -> id::Tokens {
         let Some(entry) = self.programs.get(program) else {
             return 0;
@@ -88,7 +88,7 @@
         common.last().map_or(0, |(cached, _)| cached.tokens)
     }
 
-    /// Holds `marks` for `program`, and evicts others for it.
+    /// Caches `marks` for `program`, evicting least recently used programs to make room.
     pub(super) fn put(&mut self, program: &id::ProgramId, marks: Vec<Mark>) {
         let was_cached = self.take_out(program);
         let entry = Entry {
@@ -119,7 +119,7 @@
         self.publish(program, tokens);
     }
 
-    /// Frees what is held for `program`; false if nothing was.
+    /// Evicts the entry of `program`; returns false if there was none.
     pub(super) fn remove(&mut self, program: &id::ProgramId) -> bool {
         let was_cached = self.take_out(program);
         if was_cached {
@@ -142,7 +142,7 @@
             .collect()
     }
 
-    /// Events after `from` that are at least `lag` old.
+    /// Events with a sequence number above `from` that are at least `lag` old.
     pub(super) fn events(&self, from: u64, lag: Duration) -> Vec<Event> {
         let due = |event: &&Event| event.seq > from && event.at.elapsed() >= lag;
         self.events.iter().filter(due).cloned().collect()
--- a/fw-fake/src/engine/http.rs
+++ b/fw-fake/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of a stand-in engine.
+//! HTTP interface of a stand-in engine.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -35,14 +35,14 @@
 use super::process;
 use crate::recording;
 
-/// Header with the request's own name, for `/cancel` and `/streams`.
+/// Header with the request id, which `/cancel` and `/streams` refer to.
 const REQUEST_ID_HEADER: &str = "x-request-id";
 /// Header with the program whose prefix cache the request uses.
 const PROGRAM_HEADER: &str = "x-program";
 
 type Shared = State<Arc<incarnation::Incarnation>>;
 
-/// Serves until it is dropped.
+/// Serves until the future is dropped.
 pub(super) async fn serve(listener: TcpListener, engine: Arc<incarnation::Incarnation>) {
     process::serve_http(listener, router(engine)).await;
 }
@@ -67,7 +67,7 @@
         .with_state(engine)
 }
 
-/// A frozen engine accepts requests and never answers.
+/// Middleware that accepts requests but never answers them while the engine is frozen.
 async fn hang_if_frozen(State(engine): Shared, req: Request, next: middleware::Next) -> Response {
     if engine.shared.frozen.load(Ordering::SeqCst) {
         std::future::pending::<()>().await;
@@ -131,7 +131,7 @@
     messages.iter().map(mark).collect()
 }
 
-/// Sends the chunks of `stream` from `offset` on, as they come.
+/// Sends the chunks of `stream` from `offset` on as server-sent events, as they are generated.
 fn stream_chunks(
     engine: &Arc<incarnation::Incarnation>,
     stream: Arc<incarnation::Stream>,
@@ -158,7 +158,7 @@
                     let event = sse::Event::default().data("[DONE]");
                     return Some((Ok(event), None));
                 }
-                // The sender lives in `stream`, which is held here.
+                // The sender is owned by `stream`, which is alive here, so that this cannot fail.
                 let _ = progress.changed().await;
             }
         }
@@ -166,7 +166,7 @@
     sse::Sse::new(chunks).into_response()
 }
 
-/// Waits for the whole answer and gives it as one object.
+/// Waits for the complete answer and returns it as a single object.
 async fn collect_answer(id: &str, model: &str, stream: &incarnation::Stream) -> Response {
     let mut progress = stream.progress.subscribe();
     while !stream.is_ended() {
--- a/fw-fake/src/engine/incarnation.rs
+++ b/fw-fake/src/engine/incarnation.rs
@@ -1,4 +1,4 @@
-//! One life of a stand-in engine: its batch, its streams and the loop of steps.
+//! One incarnation of a stand-in engine: batch scheduler, streams and step loop.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -26,13 +26,13 @@
 use super::http;
 use crate::recording;
 
-/// Finished streams kept for resumption.
+/// Maximum number of finished streams retained for resumption.
 const MAX_FINISHED_STREAMS: usize = 4_096;
 
-/// Oldest load reports kept.
+/// Maximum number of past load reports retained.
 const MAX_REPORTS: usize = 1_024;
 
-/// What one life shares between its connections and its steps.
+/// State of one incarnation, shared by its connections and its step loop.
 #[derive(Debug)]
 pub(super) struct Incarnation {
     pub(super) shared: Arc<Shared>,
@@ -52,7 +52,7 @@
     pub(super) fence: id::Fence,
 }
 
-/// What `GET /load` says.
+/// Response body of `GET /load`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct Report {
     pub(super) incarnation: u64,
@@ -66,7 +66,7 @@
     pub(super) leaving: bool,
 }
 
-/// The chunks of one answer so far.
+/// Chunks of one answer that have been generated so far.
 #[derive(Debug)]
 pub(super) struct Stream {
     chunks: Mutex<Vec<Arc<str>>>,
@@ -95,18 +95,18 @@
         self.progress.send_modify(|count| *count += 1);
     }
 
-    /// The chunk at `offset`, if it is there.
+    /// The chunk at `offset`, if it has been generated.
     pub(super) fn chunk(&self, offset: usize) -> Option<Arc<str>> {
         self.chunks.lock().get(offset).cloned()
     }
 
-    /// Whether no further chunk will come.
+    /// Whether the stream is complete or cancelled.
     pub(super) fn is_ended(&self) -> bool {
         self.ended.load(Ordering::SeqCst)
     }
 }
 
-/// A request to run.
+/// An accepted chat request.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) id: SmolStr,
@@ -114,7 +114,7 @@
     pub(super) model: String,
     pub(super) marks: Vec<cache::Mark>,
     pub(super) tokens: u32,
-    /// What to note of the run, if it is recorded.
+    /// The work to record for the run; `None` if runs are not recorded.
     pub(super) work: Option<event::Work>,
 }
 
@@ -128,9 +128,9 @@
     left_to_prefill: id::Tokens,
     generated: u32,
     digest_after: digest::Digest,
-    /// Digest of the answer as the record of a run has it.
+    /// Digest of the answer message, as recorded at the end of the run.
     answer: digest::Digest,
-    /// The run in the record, if there is one.
+    /// Identifier of the recorded run, if runs are recorded.
     run: Option<event::RunId>,
 }
 
@@ -165,7 +165,7 @@
         })
     }
 
-    /// Adds one token; true when the answer is whole.
+    /// Generates one token; returns true when the answer is complete.
     fn step(&mut self) -> bool {
         if self.generated == 0 {
             let first = json!({ "role": "assistant", "content": "" });
@@ -195,7 +195,7 @@
         }));
     }
 
-    /// What the cache holds once the answer is whole.
+    /// Cache entry of the program once the answer is complete.
     fn marks_after(&self) -> Vec<cache::Mark> {
         let mut marks = self.req.marks.clone();
         marks.push(cache::Mark {
@@ -206,7 +206,7 @@
     }
 }
 
-/// Runs one life, until it is dropped.
+/// Runs one incarnation until the future is dropped.
 pub(super) async fn run(listener: TcpListener, shared: Arc<Shared>) {
     shared.incarnations.fetch_add(1, Ordering::SeqCst);
     shared.cached.lock().clear();
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Accepts a request; the same id again gives the stream that it has already.
+    /// Enqueues a request. A repeated request id returns the existing stream.
     pub(super) fn submit(&self, req: Request) -> Arc<Stream> {
         let mut state = self.state.lock();
         if let Some(stream) = state.streams.get(&req.id) {
@@ -261,7 +261,7 @@
         stream
     }
 
-    /// Notes that a run begins, if runs are recorded.
+    /// Records the start of a run, if runs are recorded.
     pub(super) fn record_start(&self, work: Option<event::Work>) -> Option<event::RunId> {
         let recording = self.shared.opts.recording.as_ref()?;
         Some(recording.record_run_start(work?))
@@ -273,13 +273,13 @@
         }
     }
 
-    /// Counts a run of the prompt with this digest.
+    /// Counts a run of the prompt that has this digest.
     pub(super) fn count_run(&self, digest: digest::Digest) {
         let mut counts = self.shared.counts.lock();
         *counts.runs.entry(String::from(digest)).or_default() += 1;
     }
 
-    /// The state as it is now.
+    /// Current load.
     fn report(&self) -> Report {
         let state = self.state.lock();
         let sequences = state.waiting.iter().chain(&state.running);
@@ -305,7 +305,7 @@
         state.reports.push_back((Instant::now(), report));
     }
 
-    /// The state as it was `load_lag` ago.
+    /// Load as of `load_lag` ago; the incarnation number and the leaving flag are current.
     pub(super) fn lagged_report(&self) -> Report {
         let lag = self.shared.opts.load_lag;
         if lag.is_zero() {
@@ -323,13 +323,13 @@
         report
     }
 
-    /// Publishes what the cache holds to the test.
+    /// Copies the cache contents to where the test reads them.
     pub(super) fn publish_cache(&self) {
         let cached = self.state.lock().cache.contents();
         *self.shared.cached.lock() = cached;
     }
 
-    /// One step of the batch. Returns how long it takes.
+    /// Runs one step of the batch. Returns the duration of the step.
     fn step(&self) -> Duration {
         let mut state = self.state.lock();
         self.remove_cancelled(&mut state);
@@ -422,7 +422,7 @@
     }
 }
 
-/// Runs steps for as long as there is work; the times of steps add up without drift.
+/// Runs steps while there is work, each scheduled from the previous deadline to avoid drift.
 async fn run_steps(engine: &Incarnation) {
     let mut next = tokio::time::Instant::now();
     loop {
@@ -446,7 +446,7 @@
     }
 }
 
-/// Samples the load, so that a late report can be given.
+/// Samples the load periodically, so that reports can lag by `load_lag`.
 async fn sample_load(engine: &Incarnation) {
     const INTERVAL: Duration = Duration::from_millis(5);
     loop {
--- a/fw-fake/src/engine/mod.rs
+++ b/fw-fake/src/engine/mod.rs
@@ -1,9 +1,9 @@
-//! Stand-in of a model engine, in the test's own process.
+//! Stand-in for a model engine, running within the test process.
 //!
-//! It batches continuously, caches prompt prefixes in limited memory, streams OpenAI chunks,
-//! resumes and cancels streams, reports load and cache changes late, and fails on demand. Each
-//! life of an engine runs on a thread with a runtime of its own, so that a crash drops every
-//! connection at once and refuses new ones, as the death of a process does.
+//! It implements continuous batching, a prefix cache of limited size, OpenAI chunk streaming,
+//! resumption and cancellation of streams, delayed load reports and cache events, and fault
+//! injection. Each incarnation of an engine runs on a thread with its own runtime, so that a crash
+//! drops all connections at once and refuses new ones, as a process crash does.
 
 mod answer;
 mod cache;
@@ -33,32 +33,32 @@
 pub use answer::text as answer_to;
 pub use answer::tokens_of;
 
-/// How a stand-in engine behaves while nothing is wrong.
+/// Behaviour of a stand-in engine without faults.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Time of one step, in which each running request gains one token.
+    /// Duration of one step, which generates one token for each running request.
     pub step: Duration,
-    /// Most requests that run together; the others wait inside the engine.
+    /// Maximum number of concurrently running requests; further ones are queued in the engine.
     pub batch: usize,
-    /// Added to a step for each uncached prompt token that it takes in.
+    /// Additional step time per uncached prompt token that the step prefills.
     pub prefill: Duration,
-    /// Most prompt tokens taken in by one step.
+    /// Maximum number of prompt tokens prefilled per step.
     pub chunk: id::Tokens,
-    /// Tokens that the prefix cache can hold.
+    /// Capacity of the prefix cache, in tokens.
     pub cache: id::Tokens,
-    /// How old the load report is.
+    /// Age of load reports.
     pub load_lag: Duration,
-    /// How late cache events are published.
+    /// Delay before cache events are published.
     pub cache_lag: Duration,
-    /// Each n-th cache event is never published; 0 publishes all.
+    /// Every n-th cache event is dropped; 0 drops none.
     pub cache_gap: u64,
-    /// Whether orders with a fencing number below one seen before are refused.
+    /// Whether orders with a fencing number below the highest one received are refused.
     pub checks_fence: bool,
-    /// Tokens of an answer whose request sets no lower bound.
+    /// Tokens per answer, unless the request sets a lower `max_tokens`.
     pub answer: u32,
-    /// How long a crashed engine stays down; it stays down for good if this is absent.
+    /// Delay before a crashed engine restarts; `None` disables automatic restarts.
     pub restart_after: Option<Duration>,
-    /// Where runs, memory and crashes are noted; nowhere if absent.
+    /// Where runs, cache contents and crashes are recorded; `None` records nothing.
     pub recording: Option<recording::Recording>,
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// Faults in force, and what the engine counted; both outlive a crash.
+/// Injected faults and counters; both survive a crash.
 #[derive(Debug, Default)]
 struct Shared {
     opts: Options,
@@ -100,32 +100,32 @@
     control: Arc<process::Control>,
 }
 
-/// What an engine counted since it was spawned.
+/// Counters of an engine since it was spawned.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Runs begun, by the digest of the whole prompt.
+    /// Started runs, by the digest of the complete prompt.
     pub runs: BTreeMap<String, u32>,
-    /// Answers given to their end.
+    /// Completed answers.
     pub finished: u32,
-    /// Streams resumed.
+    /// Resumed streams.
     pub resumed: u32,
-    /// Requests cancelled.
+    /// Cancelled requests.
     pub cancelled: u32,
-    /// Cache releases carried out.
+    /// Cache releases that freed an entry.
     pub released: u32,
-    /// Orders refused for an old fencing number.
+    /// Orders refused because of a stale fencing number.
     pub refused_orders: u32,
-    /// Orders accepted.
+    /// Accepted orders.
     pub orders: u32,
-    /// Prompt tokens taken in.
+    /// Prefilled prompt tokens.
     pub prefilled: id::Tokens,
-    /// Prompt tokens found in the cache.
+    /// Prompt tokens served from the cache.
     pub cached: id::Tokens,
-    /// Most requests that ran in one step.
+    /// Maximum number of requests that ran in one step.
     pub peak_batch: usize,
 }
 
-/// A running stand-in engine; dropped, it crashes for good.
+/// A running stand-in engine. Dropping it stops the engine as a crash does.
 #[derive(Debug)]
 pub struct Engine {
     shared: Arc<Shared>,
@@ -152,77 +152,77 @@
         Ok(Self { shared, process })
     }
 
-    /// Where the engine listens, also after a restart.
+    /// Listen address, which a restart keeps.
     pub fn addr(&self) -> SocketAddr {
         self.process.addr()
     }
 
-    /// The engine's name in the record of a run, if there is one.
+    /// Name under which the engine records its runs, if it records them.
     pub fn recorded_name(&self) -> Option<&id::UpstreamId> {
         let recording = self.shared.opts.recording.as_ref();
         recording.map(|recording| &recording.upstream)
     }
 
-    /// Drops all connections and refuses new ones. The cache and all streams are lost.
+    /// Crashes the engine: drops all connections, refuses new ones and loses cache and streams.
     pub fn crash(&self) {
         self.process.crash();
     }
 
-    /// Starts a crashed engine again on its old port, with an empty cache.
+    /// Restarts a crashed engine on its previous port, with an empty cache.
     ///
     /// # Errors
     ///
-    /// When the port cannot be bound again.
+    /// When the port cannot be rebound.
     pub fn restart(&self) -> io::Result<()> {
         self.process.restart()
     }
 
-    /// Makes the engine crash when a prompt holds `text`; `None` ends that.
+    /// Makes the engine crash on any prompt that contains `text`; `None` clears the fault.
     pub fn poison(&self, text: Option<&str>) {
         *self.shared.poison.lock() = text.map(str::to_owned);
     }
 
-    /// Whether the engine accepts connections and requests but never answers.
+    /// Sets whether the engine is frozen: it accepts connections and requests but never answers.
     pub fn freeze(&self, frozen: bool) {
         self.shared.frozen.store(frozen, Ordering::SeqCst);
     }
 
-    /// Makes each step take `factor` times its usual time.
+    /// Multiplies the duration of each step by `factor`.
     pub fn slow(&self, factor: f32) {
         let percent = (factor * 100.0) as u32;
         self.shared.slow_percent.store(percent, Ordering::SeqCst);
     }
 
-    /// Stops sending on all streams that are open now; the requests run on and can be resumed
+    /// Stops sending on all currently open streams; their requests keep running and can be resumed
     /// over new connections.
     pub fn stall_streams(&self) {
         let open = self.shared.deliveries.load(Ordering::SeqCst);
         self.shared.stalled.store(open, Ordering::SeqCst);
     }
 
-    /// Answers each chat request with an error status; `None` ends that.
+    /// Answers every chat request with this error status; `None` clears the fault.
     pub fn fail_with(&self, status: Option<u16>) {
         self.shared
             .fail_status
             .store(status.unwrap_or(0), Ordering::SeqCst);
     }
 
-    /// Whether the load report says that the engine is leaving.
+    /// Sets whether load reports state that the engine is leaving.
     pub fn leave(&self, leaving: bool) {
         self.shared.leaving.store(leaving, Ordering::SeqCst);
     }
 
-    /// Whether cache releases are lost: not carried out, and their connection closed unanswered.
+    /// Sets whether cache releases fail: they are not executed and are answered with status 503.
     pub fn lose_releases(&self, lost: bool) {
         self.shared.loses_releases.store(lost, Ordering::SeqCst);
     }
 
-    /// What was counted so far.
+    /// Snapshot of the counters.
     pub fn counts(&self) -> Counts {
         self.shared.counts.lock().clone()
     }
 
-    /// How often the prompt with this digest began to run.
+    /// Number of started runs of the prompt that has this digest.
     pub fn runs(&self, digest: digest::Digest) -> u32 {
         let counts = self.shared.counts.lock();
         counts
@@ -232,18 +232,18 @@
             .unwrap_or_default()
     }
 
-    /// Requests inside the engine, running and waiting.
+    /// Number of running and queued requests.
     pub fn in_flight(&self) -> u32 {
         self.shared.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Cached tokens of each program.
+    /// Cached tokens by program.
     pub fn cached(&self) -> BTreeMap<id::ProgramId, id::Tokens> {
         self.shared.cached.lock().clone()
     }
 }
 
-/// A name made unique within one engine by a counter.
+/// Generates a request id that is unique within one engine.
 fn next_id(counter: &AtomicU64) -> SmolStr {
     let number = counter.fetch_add(1, Ordering::SeqCst);
     smol_str::format_smolstr!("engine-{number}")
--- a/fw-fake/src/engine/process.rs
+++ b/fw-fake/src/engine/process.rs
@@ -1,4 +1,6 @@
-//! A thread with a runtime of its own, standing for a process that can crash.
+//! Simulates a process that can crash: a thread with its own runtime.
+//!
+//! The process runs one incarnation after another; each ends with a crash.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,15 +16,15 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-/// Times that a port is bound again before that fails.
+/// Attempts to rebind a port before giving up.
 const BIND_ATTEMPTS: u32 = 100;
-/// Pause between two such tries.
+/// Delay between two attempts to rebind a port.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What one life of the process does with its listener, until it is dropped.
+/// Serves the listener during one incarnation; the future is dropped at its end.
 type Serve = dyn Fn(TcpListener) -> future::LocalBoxFuture<'static, ()> + Send + Sync;
 
-/// Ends lives.
+/// Crashes and stops a [`Process`].
 #[derive(Debug, Default)]
 pub(crate) struct Control {
     restart_after: Option<Duration>,
@@ -38,13 +40,13 @@
         })
     }
 
-    /// Ends the present life: its connections break and new ones are refused.
+    /// Ends the current incarnation: its connections break and new ones are refused.
     pub(crate) fn crash(&self) {
         self.crash.notify_one();
     }
 }
 
-/// A thread that serves one port for one life after another.
+/// A thread that serves one port through successive incarnations.
 pub(crate) struct Process {
     addr: SocketAddr,
     control: Arc<Control>,
@@ -53,7 +55,7 @@
 }
 
 impl Process {
-    /// Starts the first life on a free port of the loopback interface.
+    /// Starts the first incarnation on a free port of the loopback interface.
     pub(crate) fn spawn<F>(control: Arc<Control>, serve: F) -> io::Result<Self>
     where
         F: Fn(TcpListener) -> future::LocalBoxFuture<'static, ()> + Send + Sync + 'static,
@@ -73,7 +75,7 @@
         self.addr
     }
 
-    /// Ends the present life, and waits for its end if no other follows by itself.
+    /// Ends the current incarnation, and waits for its end unless it restarts automatically.
     pub(crate) fn crash(&self) {
         self.control.crash();
         if self.control.restart_after.is_none() {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Starts another life on the same port after a crash.
+    /// Starts a new incarnation on the same port after a crash.
     pub(crate) fn restart(&self) -> io::Result<()> {
         self.join();
         self.start(rebind(self.addr)?);
@@ -99,7 +101,7 @@
     fn join(&self) {
         let thread = self.thread.lock().take();
         if let Some(thread) = thread {
-            // A panic of the thread has been printed; the process is down either way.
+            // A panic of the thread has already been printed; the process is down either way.
             let _ = thread.join();
         }
     }
@@ -119,7 +121,7 @@
     }
 }
 
-/// Runs one life after another, if a crashed process comes back by itself.
+/// Runs one incarnation, and further ones if the process restarts automatically.
 fn run_incarnations(listener: TcpListener, addr: SocketAddr, control: &Control, serve: &Serve) {
     let mut next = Some(listener);
     while let Some(listener) = next.take() {
@@ -134,7 +136,7 @@
     }
 }
 
-/// Runs one life. All its connections and the listener are gone on return.
+/// Runs one incarnation. The listener and all connections are closed on return.
 fn run_incarnation(listener: TcpListener, control: &Control, serve: &Serve) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -146,11 +148,11 @@
             () = control.crash.notified() => {}
         }
     });
-    // Dropping the runtime drops each connection's task, and with it the socket.
+    // Dropping the runtime drops the task of each connection, and with it the socket.
     drop(runtime);
 }
 
-/// Serves HTTP until it is dropped.
+/// Serves HTTP until the future is dropped.
 pub(crate) async fn serve_http(listener: TcpListener, router: axum::Router) {
     if listener.set_nonblocking(true).is_err() {
         return;
@@ -158,15 +160,15 @@
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
         return;
     };
-    // Without it each chunk after the first waits for an acknowledgement, up to 40 ms.
+    // With Nagle's algorithm each chunk after the first waits up to 40 ms for an acknowledgement.
     let listener = listener.tap_io(|socket| {
         let _ = socket.set_nodelay(true);
     });
-    // The only error of `serve` is a failing listener, which ends this life.
+    // The only error of `serve` is a failed listener, which ends this incarnation.
     let _ = axum::serve(listener, router).await;
 }
 
-/// Binds a port again whose last listener was closed a moment ago.
+/// Rebinds a port whose previous listener has just been closed.
 fn rebind(addr: SocketAddr) -> io::Result<TcpListener> {
     for _ in 1..BIND_ATTEMPTS {
         if let Ok(listener) = TcpListener::bind(addr) {
--- a/fw-fake/src/instances.rs
+++ b/fw-fake/src/instances.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's instance list, which lags behind the truth.
+//! Stand-in for the platform's instance list, with a configurable propagation lag.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -16,41 +16,42 @@
 use smol_str::SmolStr;
 use tokio::task::JoinSet;
 
-/// What the platform believes of an instance.
+/// State of an instance according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It runs.
+    /// The instance is running.
     Live,
-    /// It will be stopped soon.
+    /// The instance will be stopped soon.
     Leaving,
 }
 
-/// One instance, as the list shows it.
+/// One entry of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its name.
+    /// Instance id.
     pub id: SmolStr,
-    /// The service it runs.
+    /// Service that the instance runs.
     pub service: SmolStr,
-    /// Where it runs.
+    /// Place of the instance.
     pub place: SmolStr,
-    /// `ip:port` at which its side takes calls from entries.
+    /// `ip:port` on which its side accepts calls from entries.
     pub side: SmolStr,
-    /// `ip:port` at which its side takes plain HTTP calls.
+    /// `ip:port` on which its side accepts plain HTTP calls.
     pub http: SmolStr,
-    /// What the platform believes of it.
+    /// State according to the platform.
     pub state: State,
 }
 
 #[derive(Debug, Default)]
 struct Timeline {
     lag: Duration,
-    /// Every list that still matters, with the time it became true; never empty after a change.
+    /// Versions of the list that can still be served, with the time of the change; never empty
+    /// after the first change.
     lists: VecDeque<(Instant, Vec<Instance>)>,
 }
 
-/// A running instance list. Clones share it; it stops when the last one is dropped.
+/// Handle to a running instance list, which stops when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct Instances {
     running: Arc<Running>,
@@ -65,7 +66,7 @@
 }
 
 impl Instances {
-    /// Starts with an empty list on a loopback port that the system chooses.
+    /// Starts with an empty list on a free loopback port.
     ///
     /// # Errors
     ///
@@ -79,7 +80,7 @@
             .with_state(Arc::clone(&timeline));
         let mut tasks = JoinSet::new();
         tasks.spawn(async move {
-            // Serving ends only with the task.
+            // `serve` returns only when the task is aborted.
             let _ = axum::serve(listener, app).await;
         });
         let running = Arc::new(Running {
@@ -90,17 +91,17 @@
         Ok(Self { running })
     }
 
-    /// Its address, as `ip:port`.
+    /// Listen address, as `ip:port`.
     pub fn endpoint(&self) -> String {
         self.running.addr.to_string()
     }
 
-    /// Sets how far the list lags behind the truth.
+    /// Sets the delay until a change appears in the served list.
     pub fn set_lag(&self, lag: Duration) {
         self.running.timeline.lock().lag = lag;
     }
 
-    /// Adds an instance, or replaces the one of the same id.
+    /// Adds an instance, or replaces the one with the same id.
     pub fn put(&self, instance: Instance) {
         self.change(|list| {
             list.retain(|listed| listed.id != instance.id);
@@ -117,7 +118,7 @@
         });
     }
 
-    /// Takes an instance off the list.
+    /// Removes an instance from the list.
     pub fn remove(&self, id: &str) {
         self.change(|list| list.retain(|listed| listed.id != id));
     }
@@ -132,7 +133,7 @@
 }
 
 impl Timeline {
-    /// The list as it was `lag` ago.
+    /// The list as of `lag` ago.
     fn lagged_list(&mut self, now: Instant) -> Vec<Instance> {
         let lag = self.lag;
         let is_visible = |at: &Instant| *at + lag <= now;
--- a/fw-fake/src/lib.rs
+++ b/fw-fake/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins of the platform and of upstreams, with faults to inject.
+//! Small stand-ins for the platform and for upstreams, with fault injection.
 
 pub mod engine;
 pub mod instances;
--- a/fw-fake/src/plain.rs
+++ b/fw-fake/src/plain.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service or a tool: records each request that it ran, and fails on demand.
+//! Stand-in for a plain service or a tool: records each request that it ran, and injects faults.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,34 +26,34 @@
 use crate::engine::process;
 use crate::recording;
 
-/// Header with the caller's idempotency key.
+/// Header with the idempotency key of the caller.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Largest body that is kept of a request, in bytes.
+/// Maximum number of body bytes recorded per request.
 const MAX_RECORDED_BODY: usize = 64 << 10;
 
-/// How a stand-in service behaves.
+/// Behaviour of a stand-in service.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Time that each request takes.
+    /// Processing time of each request.
     pub delay: Duration,
-    /// How long a crashed service stays down; for good if absent.
+    /// Delay before a crashed service restarts; `None` disables automatic restarts.
     pub restart_after: Option<Duration>,
-    /// Where runs and crashes are noted; nowhere if absent.
+    /// Where runs and crashes are recorded; `None` records nothing.
     pub recording: Option<recording::Recording>,
 }
 
-/// What goes wrong with the next requests.
+/// Fault injected into subsequent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The request runs and is never answered.
+    /// The request runs but is never answered.
     Hang,
     /// The service crashes before the request runs.
     CrashBefore,
-    /// The service crashes after the request ran, before it is answered.
+    /// The service crashes after the request has run and before it is answered.
     CrashAfter,
     /// The request does not run and is answered with this status.
     Status(u16),
@@ -62,13 +62,13 @@
 /// A request that ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// The method.
+    /// HTTP method.
     pub method: SmolStr,
     /// Path and query.
     pub path: String,
-    /// The `Idempotency-Key`, if the request had one.
+    /// Value of the `Idempotency-Key` header, if present.
     pub key: Option<String>,
-    /// The body's first bytes, 64 KiB at most.
+    /// First 64 KiB of the body.
     pub body: Bytes,
 }
 
@@ -81,7 +81,7 @@
     recording: Option<recording::Recording>,
 }
 
-/// A running stand-in service; dropped, it crashes for good.
+/// A running stand-in service. Dropping it stops the service as a crash does.
 #[derive(Debug)]
 pub struct Service {
     shared: Arc<Shared>,
@@ -107,41 +107,41 @@
         Ok(Self { shared, process })
     }
 
-    /// Where the service listens, also after a restart.
+    /// Listen address, which a restart keeps.
     pub fn addr(&self) -> SocketAddr {
         self.process.addr()
     }
 
-    /// Sets what goes wrong from now on.
+    /// Sets the fault for subsequent requests.
     pub fn fault(&self, fault: Fault) {
         *self.shared.fault.lock() = fault;
     }
 
-    /// Sets how long each request takes from now on.
+    /// Sets the processing time of subsequent requests.
     pub fn slow(&self, delay: Duration) {
         *self.shared.delay.lock() = delay;
     }
 
-    /// Drops all connections and refuses new ones. What ran stays recorded.
+    /// Crashes the service: drops all connections and refuses new ones. The recorded runs are kept.
     pub fn crash(&self) {
         self.process.crash();
     }
 
-    /// Starts a crashed service again on its old port.
+    /// Restarts a crashed service on its previous port.
     ///
     /// # Errors
     ///
-    /// When the port cannot be bound again.
+    /// When the port cannot be rebound.
     pub fn restart(&self) -> io::Result<()> {
         self.process.restart()
     }
 
-    /// Every request that ran, in order.
+    /// All requests that ran, in order.
     pub fn runs(&self) -> Vec<Run> {
         self.shared.runs.lock().clone()
     }
 
-    /// How many requests ran under this idempotency key.
+    /// Number of requests that ran with this idempotency key.
     pub fn runs_of(&self, key: &str) -> usize {
         let runs = self.shared.runs.lock();
         let same = |run: &&Run| run.key.as_deref() == Some(key);
@@ -201,7 +201,7 @@
     }
 }
 
-/// Ends this life, and with it the connection that waits here.
+/// Crashes the service, which also closes the connection of the pending request.
 async fn crash(shared: &Shared) -> Response {
     shared.control.crash();
     std::future::pending().await
@@ -212,7 +212,7 @@
     Some(key.to_owned())
 }
 
-/// Answers with the request's own body, so that a test can tell whose answer it is.
+/// Echoes the request body, so that a test can match an answer to its request.
 fn echo(headers: &HeaderMap, body: Bytes) -> Response {
     let plain = header::HeaderValue::from_static("text/plain");
     let content_type = headers.get(header::CONTENT_TYPE).cloned().unwrap_or(plain);
--- a/fw-fake/src/recording.rs
+++ b/fw-fake/src/recording.rs
@@ -1,4 +1,4 @@
-//! What a stand-in upstream notes of itself in the record of a run.
+//! Records the events of a stand-in upstream (runs, cache contents, crashes) for `fw_check`.
 
 use fw_base::chat;
 use fw_base::digest;
@@ -6,24 +6,24 @@
 use fw_check::event;
 use fw_check::recorder;
 
-/// Where upstreams note their runs, and what they are called there.
+/// Destination of recorded events, and the name of the upstream in them.
 #[derive(Clone, Debug)]
 pub struct Recording {
-    /// The record.
+    /// Recorder that receives the events.
     pub recorder: recorder::Recorder,
-    /// The upstream's name. Each one that is started adds a number of its own to it.
+    /// Name of the upstream. Each started upstream appends a unique number to it.
     pub upstream: id::UpstreamId,
 }
 
 impl Recording {
-    /// The same, with a name that no other upstream of the record has.
+    /// Appends a number to the name that makes it unique within the recording.
     pub(crate) fn with_unique_name(self) -> Self {
         let number = self.recorder.next_id();
         let upstream = smol_str::format_smolstr!("{}-{number}", self.upstream);
         Self { upstream, ..self }
     }
 
-    /// Records that a run begins, and returns its number.
+    /// Records the start of a run and returns its id.
     pub(crate) fn record_run_start(&self, work: event::Work) -> event::RunId {
         let run = self.recorder.next_id();
         let upstream = self.upstream.clone();
@@ -35,12 +35,12 @@
         run
     }
 
-    /// Records that a run ends; to be called before the last byte of its answer is sent.
+    /// Records the end of a run. Must be called before the last byte of the answer is sent.
     pub(crate) fn record_run_end(&self, run: event::RunId, answer: Option<digest::Digest>) {
         self.recorder.record(event::Event::RunEnded { run, answer });
     }
 
-    /// Records that memory is held for `program`.
+    /// Records that the cache holds an entry for `program`.
     pub(crate) fn record_memory_held(&self, program: &id::ProgramId) {
         self.recorder.record(event::Event::MemoryHeld {
             upstream: self.upstream.clone(),
@@ -48,7 +48,7 @@
         });
     }
 
-    /// Records that no memory is held for `program` any more.
+    /// Records that the cache no longer holds an entry for `program`.
     pub(crate) fn record_memory_freed(&self, program: &id::ProgramId) {
         self.recorder.record(event::Event::MemoryFreed {
             upstream: self.upstream.clone(),
@@ -57,12 +57,12 @@
     }
 }
 
-/// The work of a turn with this prompt.
+/// Describes a turn with this prompt.
 pub(crate) fn turn_work(messages: &[chat::Message]) -> event::Work {
     event::Work::Turn(messages.iter().map(event::digest_of).collect())
 }
 
-/// Records the end of a life when dropped: all that the upstream held is gone then.
+/// Records a crash when dropped: everything that the upstream held in memory is lost.
 #[derive(Debug)]
 pub(crate) struct CrashGuard(pub Option<Recording>);
 
--- a/fw-fake/src/relay.rs
+++ b/fw-fake/src/relay.rs
@@ -1,5 +1,7 @@
-//! A TCP relay whose open connections can fall silent for good while new ones work, as when a
-//! firewall or address translator between the two ends forgets them.
+//! TCP relay that can blackhole its open connections while new ones work.
+//!
+//! This simulates a firewall or NAT that drops its connection state: neither end is notified, and
+//! packets of the old connections are discarded.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,10 +16,10 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::task::JoinSet;
 
-/// Bytes passed on at a time.
+/// Size of the forwarding buffer, in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// A running relay. Clones share it; it stops when the last one is dropped.
+/// Handle to a running relay, which stops when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct Relay {
     running: Arc<Running>,
@@ -33,14 +35,14 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    /// Connections of an earlier epoch are silent.
+    /// Connections opened in an earlier epoch are blackholed.
     epoch: AtomicU64,
     accepted: AtomicU64,
     blackholed_with_data: AtomicU64,
 }
 
 impl Relay {
-    /// Starts a relay to `target` on a loopback port that the system chooses.
+    /// Starts a relay to `target` on a free loopback port.
     ///
     /// # Errors
     ///
@@ -59,22 +61,22 @@
         Ok(Self { running })
     }
 
-    /// Its address.
+    /// Listen address.
     pub fn addr(&self) -> SocketAddr {
         self.running.addr
     }
 
-    /// Silences for good all connections that are open now.
+    /// Blackholes all currently open connections permanently.
     pub fn blackhole(&self) {
         self.running.shared.epoch.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub fn accepted(&self) -> u64 {
         self.running.shared.accepted.load(Ordering::Relaxed)
     }
 
-    /// Silent connections on which the caller has sent something, counted once each.
+    /// Number of blackholed connections on which the caller has sent data.
     pub fn blackholed_with_data(&self) -> u64 {
         self.running
             .shared
@@ -104,8 +106,8 @@
     tokio::join!(upload, download);
 }
 
-/// Passes bytes on until the end, or swallows them once the connection is silent. A silent
-/// connection also hides that the other end has closed.
+/// Forwards bytes until end of stream, or discards them once the connection is blackholed. A
+/// blackholed connection does not pass on to the caller that the server has closed it.
 async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/fw-fake/src/store/faults.rs
+++ b/fw-fake/src/store/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of one port of the store, to be set while it runs.
+//! Faults of one port of the store, which can be changed while it runs.
 
 use std::time::Duration;
 
@@ -6,48 +6,48 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
-/// How calls fail while the store is away. Nothing is applied.
+/// How calls fail while the store is unavailable. No call takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// Calls are answered with "unavailable"; open watches end.
+    /// Calls are answered with the gRPC status "unavailable"; open watches end.
     Refuse,
-    /// Calls get no answer; open watches fall silent for good.
+    /// Calls are never answered; open watches stall permanently.
     Hang,
 }
 
 /// The faults of one port.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Whether and how the store is away.
+    /// Outage of the store, if any.
     pub outage: Option<Outage>,
-    /// Wait before a call is looked at.
+    /// Delay before a call is processed.
     pub delay: Duration,
-    /// Answers to the next so many transactions that can write are lost after they took effect.
+    /// Number of subsequent write transactions whose answer is lost after they take effect.
     pub lose_answers: u32,
-    /// Chance that the answer to a transaction that can write is lost after it took effect.
+    /// Probability that the answer to a write transaction is lost after it takes effect.
     pub lose_probability: f64,
-    /// Answers to the next so many lease calls are lost after they took effect.
+    /// Number of subsequent lease calls whose answer is lost after they take effect.
     pub lose_lease_answers: u32,
-    /// Chance that the answer to a lease call is lost after it took effect.
+    /// Probability that the answer to a lease call is lost after it takes effect.
     pub lose_lease_probability: f64,
-    /// Whether new watches get no answer while all else is served.
+    /// Whether new watches are never answered while all other calls are served.
     pub hang_watches: bool,
-    /// Whether progress notifications are left out.
+    /// Whether progress notifications are suppressed.
     pub no_progress: bool,
 }
 
-/// Which sort of answer may be lost.
+/// Kinds of answers that can be lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Answer {
     Write,
     Lease,
 }
 
-/// Faults of a port with what they need to draw lots.
+/// Faults of a port and the random generator for probabilistic ones.
 #[derive(Debug)]
 pub(crate) struct Port {
     pub faults: Faults,
-    /// Watches opened in an earlier epoch stay silent.
+    /// Watches opened in an earlier epoch are stalled.
     pub epoch: u64,
     rng: Pcg64,
 }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether to lose the answer at hand.
+    /// Decides whether this answer is lost.
     pub fn draw_loss(&mut self, answer: Answer) -> bool {
         let faults = &mut self.faults;
         let (left, probability) = match answer {
--- a/fw-fake/src/store/gateway.rs
+++ b/fw-fake/src/store/gateway.rs
@@ -1,4 +1,4 @@
-//! The HTTP/JSON face of the stand-in: unary calls.
+//! HTTP/JSON interface of the stand-in: unary calls.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -31,10 +31,10 @@
 const OUT_OF_RANGE: u32 = 11;
 const UNAVAILABLE: u32 = 14;
 
-/// Largest request body, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY: usize = 256 << 20;
 
-/// The shared state as one port sees it.
+/// Handler state of one port: the shared state and the index of the port.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
     pub core: Arc<Core>,
@@ -53,7 +53,7 @@
         .with_state(Endpoint { core, port })
 }
 
-/// An error answer, as the gateway writes it.
+/// Error response in the format of the etcd gateway.
 pub(super) struct ErrorReply {
     status: StatusCode,
     code: u32,
@@ -109,7 +109,7 @@
 }
 
 impl Endpoint {
-    /// Waits out the port's delay, and meets an outage.
+    /// Applies the delay and the outage of the port before a call is processed.
     pub async fn admit(&self) -> Result<(), ErrorReply> {
         let faults = self.port().lock().faults.clone();
         if faults.delay > Duration::ZERO {
@@ -130,7 +130,7 @@
         &self.core.ports[self.port]
     }
 
-    /// The answer, or a body that breaks off before its first byte if it is to be lost.
+    /// Builds the response. For a lost answer, its body is aborted before the first byte.
     fn answer(&self, kind: faults::Answer, body: Value) -> Response {
         if !self.port().lock().draw_loss(kind) {
             return Json(body).into_response();
@@ -220,7 +220,7 @@
     endpoint.admit().await?;
     let id = int(&req, "ID")?;
     let ttl = endpoint.core.state.lock().keep_alive(id, Instant::now());
-    // The real one leaves out a TTL of 0, which says that the lease is gone.
+    // etcd omits a TTL of 0, which means that the lease does not exist.
     let result = match ttl {
         Some(ttl) => json!({ "ID": id.to_string(), "TTL": ttl.as_secs().to_string() }),
         None => json!({ "ID": id.to_string() }),
@@ -338,7 +338,7 @@
     json!({ "cluster_id": "1", "member_id": "1", "revision": revision.to_string() })
 }
 
-/// A key as the gateway writes it: zero values left out.
+/// Encodes a key-value pair as the etcd gateway does, omitting zero values.
 pub(super) fn kv_json(kv: &mvcc::Kv) -> Value {
     let mut out = json!({ "key": STANDARD.encode(&kv.key) });
     if !kv.value.is_empty() {
--- a/fw-fake/src/store/mod.rs
+++ b/fw-fake/src/store/mod.rs
@@ -1,7 +1,8 @@
-//! A stand-in of the platform's key-value service behind the etcd v3 HTTP/JSON gateway.
+//! Stand-in for the platform's key-value store, with the HTTP/JSON API of the etcd v3 gateway.
 //!
-//! It keeps everything in memory, listens on one or more loopback ports, each with faults of its
-//! own, so that one client may be cut off while others are not, and counts the calls it takes.
+//! It stores all data in memory and counts the calls it receives. It listens on one or more
+//! loopback ports, and faults are set per port, so that one client can be cut off while others are
+//! served.
 
 mod faults;
 mod gateway;
@@ -21,21 +22,21 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// How often lapsed leases are looked for.
+/// Interval between two checks for expired leases.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How the stand-in runs.
+/// Configuration of the stand-in.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Number of ports.
     pub ports: usize,
-    /// Interval of progress notifications on a watch.
+    /// Interval between progress notifications on an idle watch.
     pub progress: Duration,
-    /// Largest value accepted, in bytes.
+    /// Maximum size of a value, in bytes.
     pub max_value: usize,
-    /// Most steps in one branch of a transaction.
+    /// Maximum number of operations in one branch of a transaction.
     pub max_ops: usize,
-    /// Seed for the faults that happen by chance.
+    /// Seed for probabilistic faults.
     pub seed: u64,
 }
 
@@ -51,22 +52,22 @@
     }
 }
 
-/// Calls taken so far, failed ones included.
+/// Number of calls received so far, including failed ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Ranges, and transactions that can write nothing.
+    /// Range reads and read-only transactions.
     pub reads: u64,
-    /// Transactions that can write.
+    /// Transactions that contain a put or delete.
     pub writes: u64,
-    /// Leases granted, renewed and revoked.
+    /// Lease grants, renewals and revocations.
     pub leases: u64,
-    /// Watches opened.
+    /// Watch requests.
     pub watches: u64,
-    /// Watches open now.
+    /// Currently open watches.
     pub open_watches: u64,
 }
 
-/// A running stand-in. Clones share it; it stops when the last one is dropped.
+/// Handle to a running stand-in, which stops when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct Store {
     running: Arc<Running>,
@@ -80,13 +81,13 @@
     _tasks: JoinSet<()>,
 }
 
-/// What the ports share.
+/// State shared by all ports.
 #[derive(Debug)]
 struct Core {
     opts: Options,
     state: Mutex<mvcc::Mvcc>,
     ports: Vec<Mutex<faults::Port>>,
-    /// The newest revision, for watches to wait on.
+    /// Current revision; watches wait for it to change.
     revision: watch::Sender<i64>,
     counters: Counters,
 }
@@ -101,7 +102,7 @@
 }
 
 impl Store {
-    /// Starts on loopback ports that the system chooses.
+    /// Starts on free loopback ports.
     ///
     /// # Errors
     ///
@@ -116,7 +117,7 @@
             addrs.push(listener.local_addr()?);
             let app = gateway::router(Arc::clone(&core), port);
             tasks.spawn(async move {
-                // Serving ends only with the task.
+                // `serve` returns only when the task is aborted.
                 let _ = axum::serve(listener, app).await;
             });
         }
@@ -141,30 +142,30 @@
         self.running.addrs[port].to_string()
     }
 
-    /// Changes the faults of one port.
+    /// Updates the faults of one port.
     pub fn faults(&self, port: usize, change: impl FnOnce(&mut Faults)) {
         change(&mut self.core().ports[port].lock().faults);
         self.core().wake();
     }
 
-    /// Changes the faults of all ports.
+    /// Updates the faults of all ports.
     pub fn faults_everywhere(&self, change: impl Fn(&mut Faults)) {
         for port in 0..self.core().ports.len() {
             self.faults(port, &change);
         }
     }
 
-    /// Begins or ends an outage of all ports.
+    /// Starts or ends an outage on all ports.
     pub fn set_outage(&self, outage: Option<Outage>) {
         self.faults_everywhere(|faults| faults.outage = outage);
     }
 
-    /// Silences for good the watches open on a port now; later ones work.
+    /// Permanently stalls the watches that are open on a port now; later ones work.
     pub fn stall_watches(&self, port: usize) {
         self.core().ports[port].lock().epoch += 1;
     }
 
-    /// Calls taken so far.
+    /// Snapshot of the call counters.
     pub fn counts(&self) -> Counts {
         let counters = &self.core().counters;
         let of = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
@@ -177,12 +178,12 @@
         }
     }
 
-    /// The newest revision.
+    /// Current revision.
     pub fn revision(&self) -> i64 {
         self.core().state.lock().revision()
     }
 
-    /// Reads a key, past all faults and counters.
+    /// Reads a key, bypassing faults and counters.
     pub fn get(&self, key: &str) -> Option<mvcc::Kv> {
         let span = mvcc::Span {
             key: key.into(),
@@ -191,7 +192,7 @@
         self.read(span).pop()
     }
 
-    /// Reads all keys, past all faults and counters.
+    /// Reads all keys, bypassing faults and counters.
     pub fn all(&self) -> Vec<mvcc::Kv> {
         self.read(mvcc::Span {
             key: vec![0],
@@ -199,7 +200,7 @@
         })
     }
 
-    /// Writes a key, past all faults and counters. Returns the revision.
+    /// Writes a key, bypassing faults and counters. Returns the new revision.
     pub fn put(&self, key: &str, value: impl Into<Vec<u8>>) -> i64 {
         self.write(mvcc::Op::Put {
             key: key.into(),
@@ -208,7 +209,7 @@
         })
     }
 
-    /// Deletes a key, past all faults and counters. Returns the revision.
+    /// Deletes a key, bypassing faults and counters. Returns the new revision.
     pub fn delete(&self, key: &str) -> i64 {
         self.write(mvcc::Op::Delete(mvcc::Span {
             key: key.into(),
@@ -216,12 +217,12 @@
         }))
     }
 
-    /// Forgets all changes at or below `revision`.
+    /// Compacts the change log up to and including `revision`.
     pub fn compact(&self, revision: i64) {
         self.core().state.lock().compact(revision);
     }
 
-    /// Ends a lease, as if it had lapsed.
+    /// Ends a lease, as if it had expired.
     pub fn expire_lease(&self, lease: i64) {
         self.core().state.lock().revoke(lease);
         self.core().wake();
@@ -265,14 +266,14 @@
         }
     }
 
-    /// Lets watches look again.
+    /// Notifies watches, so that they check for changes and faults.
     fn wake(&self) {
         let revision = self.state.lock().revision();
         self.revision.send_replace(revision);
     }
 }
 
-/// Ends leases as they lapse.
+/// Revokes leases as they expire.
 async fn expire(core: Arc<Core>) {
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL).await;
--- a/fw-fake/src/store/mvcc.rs
+++ b/fw-fake/src/store/mvcc.rs
@@ -1,6 +1,6 @@
-//! The state of the store: keys with all their versions, a log of changes, and leases.
+//! State of the store: multi-version keys, a change log, and leases.
 //!
-//! No I/O and no clock: the time comes in as an argument.
+//! Performs no I/O and reads no clock: the caller passes the current time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,38 +11,38 @@
 /// One version of a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Kv {
-    /// The key.
+    /// Key.
     pub key: Vec<u8>,
-    /// The value; empty for a deletion.
+    /// Value; empty for a deletion.
     pub value: Vec<u8>,
-    /// Revision of creation; 0 marks a deletion.
+    /// Revision in which the key was created; 0 marks a deletion.
     pub create_revision: i64,
-    /// Revision of this version.
+    /// Revision in which this version was written.
     pub mod_revision: i64,
-    /// Number of writes since creation.
+    /// Number of writes since the key was created.
     pub version: i64,
-    /// The lease it is bound to, or 0.
+    /// Lease that the key is attached to, or 0.
     pub lease: i64,
 }
 
 impl Kv {
-    /// Whether this version marks a deletion.
+    /// Whether this version is a tombstone.
     pub fn is_deletion(&self) -> bool {
         self.create_revision == 0
     }
 }
 
-/// A span of keys.
+/// A range of keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Span {
-    /// First key.
+    /// First key, inclusive.
     pub key: Vec<u8>,
-    /// End, exclusive; empty for the one key, `\0` for no end.
+    /// End, exclusive. Empty for the single key `key`, `\0` for an unbounded range.
     pub end: Vec<u8>,
 }
 
 impl Span {
-    /// Whether `key` lies within.
+    /// Whether the range contains `key`.
     pub fn contains(&self, key: &[u8]) -> bool {
         match self.end.as_slice() {
             [] => key == self.key,
@@ -52,22 +52,22 @@
     }
 }
 
-/// A condition: property of a key equals the value.
+/// A transaction condition: a property of a key equals a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Compare {
-    /// Revision of the last write.
+    /// Compares the revision of the last write.
     Mod(Vec<u8>, i64),
-    /// Revision of creation.
+    /// Compares the revision of creation.
     Create(Vec<u8>, i64),
-    /// Writes since creation.
+    /// Compares the number of writes since creation.
     Version(Vec<u8>, i64),
-    /// Value.
+    /// Compares the value.
     Value(Vec<u8>, Vec<u8>),
-    /// Lease.
+    /// Compares the lease.
     Lease(Vec<u8>, i64),
 }
 
-/// One step of a transaction.
+/// One operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Op {
     /// Writes a key.
@@ -76,59 +76,59 @@
         key: Vec<u8>,
         /// The value.
         value: Vec<u8>,
-        /// The lease, or 0.
+        /// Lease to attach the key to, or 0.
         lease: i64,
     },
-    /// Deletes a span.
+    /// Deletes a range of keys.
     Delete(Span),
-    /// Reads a span.
+    /// Reads a range of keys.
     Get(Read),
 }
 
-/// A read.
+/// A range read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Read {
-    /// The keys.
+    /// Keys to read.
     pub span: Span,
-    /// Most keys to return; 0 for all.
+    /// Maximum number of keys to return; 0 for all.
     pub limit: usize,
-    /// Revision to read at; 0 for the newest.
+    /// Revision to read at; 0 for the current one.
     pub revision: i64,
 }
 
-/// What a step did.
+/// Result of one operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Written.
+    /// The key was written.
     Put,
-    /// Deleted so many keys.
+    /// Number of deleted keys.
     Deleted(usize),
-    /// Read these keys.
+    /// Result of a range read.
     Range {
-        /// The keys, in order.
+        /// The key-value pairs, in key order.
         kvs: Vec<Kv>,
-        /// Whether the limit left keys out.
+        /// Whether the limit truncated the result.
         more: bool,
     },
 }
 
-/// What a transaction did.
+/// Result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// Whether the conditions held.
+    /// Whether all conditions were met.
     pub succeeded: bool,
-    /// Revision afterwards.
+    /// Revision after the transaction.
     pub revision: i64,
-    /// One reply a step.
+    /// One reply per operation.
     pub replies: Vec<Reply>,
 }
 
-/// Why a step is refused.
+/// Reason why an operation is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The revision was compacted; the oldest that can be read is given.
+    /// The revision has been compacted; holds the oldest available revision.
     Compacted(i64),
-    /// The revision is not there yet.
+    /// The revision is higher than the current one.
     FutureRevision,
     /// The lease does not exist.
     NoLease,
@@ -140,11 +140,11 @@
     expires_at: Instant,
 }
 
-/// The state.
+/// State of the store.
 #[derive(Debug)]
 pub struct Mvcc {
     revision: i64,
-    /// Changes at or below this revision are gone.
+    /// Changes at or below this revision have been compacted.
     compacted: i64,
     keys: BTreeMap<Vec<u8>, Vec<Kv>>,
     log: Vec<Kv>,
@@ -166,21 +166,21 @@
 }
 
 impl Mvcc {
-    /// The newest revision.
+    /// Current revision.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// The oldest revision that a watch may start from.
+    /// Oldest revision that a watch can start from.
     pub fn oldest_watchable(&self) -> i64 {
         self.compacted + 1
     }
 
-    /// Reads a span.
+    /// Reads a range of keys.
     ///
     /// # Errors
     ///
-    /// When the revision asked for is compacted or yet to come.
+    /// When the requested revision is compacted or in the future.
     pub fn read(&self, read: &Read) -> Result<Reply, Refusal> {
         if read.revision > self.revision {
             return Err(Refusal::FutureRevision);
@@ -201,7 +201,7 @@
         Ok(Reply::Range { kvs, more })
     }
 
-    /// Runs a transaction. Refused as a whole if one step is.
+    /// Runs a transaction. If one operation is refused, none is applied.
     ///
     /// # Errors
     ///
@@ -228,7 +228,7 @@
         })
     }
 
-    /// Changes within `span` from `from` on, oldest first.
+    /// Changes within `span` since revision `from`, inclusive, oldest first.
     ///
     /// # Errors
     ///
@@ -237,7 +237,8 @@
         self.first_changes(span, from, usize::MAX)
     }
 
-    /// The first changes within `span` from `from` on, oldest first: those of up to `most` revisions.
+    /// Changes within `span` since revision `from`, inclusive, oldest first, from at most `limit`
+    /// revisions.
     ///
     /// # Errors
     ///
@@ -263,7 +264,7 @@
         Ok(found)
     }
 
-    /// Forgets changes at or below `revision`; the live versions stay.
+    /// Drops changes at or below `revision`; versions still in effect are kept.
     pub fn compact(&mut self, revision: i64) {
         self.compacted = revision.min(self.revision).max(self.compacted);
         let compacted = self.compacted;
@@ -283,14 +284,14 @@
         self.next_lease
     }
 
-    /// Renews a lease; `None` if it has ended.
+    /// Renews a lease and returns its TTL, or `None` if the lease does not exist.
     pub fn keep_alive(&mut self, id: i64, now: Instant) -> Option<Duration> {
         let lease = self.leases.get_mut(&id).filter(|l| l.expires_at > now)?;
         lease.expires_at = now + lease.ttl;
         Some(lease.ttl)
     }
 
-    /// Ends a lease and deletes its keys; `false` if it had ended.
+    /// Revokes a lease and deletes its keys; returns `false` if the lease does not exist.
     pub fn revoke(&mut self, id: i64) -> bool {
         if self.leases.remove(&id).is_none() {
             return false;
@@ -310,7 +311,7 @@
         true
     }
 
-    /// Ends every lease that lapsed before `now`.
+    /// Revokes all leases that have expired by `now`.
     pub fn expire(&mut self, now: Instant) {
         let expired = self.leases.iter().filter(|(_, l)| l.expires_at <= now);
         let expired: Vec<_> = expired.map(|(id, _)| *id).collect();
@@ -345,7 +346,7 @@
             Compare::Create(key, rev) => live(key).create_revision == *rev,
             Compare::Version(key, version) => live(key).version == *version,
             Compare::Lease(key, lease) => live(key).lease == *lease,
-            // A missing key has no value, so that the comparison fails.
+            // A missing key has no value, so the comparison fails.
             Compare::Value(key, value) => self.live(key).is_some_and(|kv| kv.value == *value),
         }
     }
@@ -410,7 +411,7 @@
     }
 }
 
-/// The version in force at `revision`, unless that is a deletion.
+/// The version in effect at `revision`, or `None` if that is a deletion.
 fn version_at(versions: &[Kv], revision: i64) -> Option<&Kv> {
     let count = versions.partition_point(|kv| kv.mod_revision <= revision);
     let newest = versions.get(count.checked_sub(1)?)?;
--- a/fw-fake/src/store/watch_stream.rs
+++ b/fw-fake/src/store/watch_stream.rs
@@ -1,4 +1,4 @@
-//! The HTTP/JSON face of the stand-in: watches.
+//! HTTP/JSON interface of the stand-in: watches.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use super::gateway;
 use super::mvcc;
 
-/// Revisions told of in one message to a watch that is behind, as etcd does it.
+/// Maximum number of revisions in one message to a watch that is catching up, as in etcd.
 const MAX_REVISIONS_PER_MESSAGE: usize = 1_000;
 
 /// One open watch.
@@ -40,7 +40,7 @@
     Ended,
 }
 
-/// Counts a watch as waiting until it is dropped.
+/// Counts a watch as open until dropped.
 struct OpenWatch(Arc<Core>);
 
 impl OpenWatch {
@@ -93,7 +93,7 @@
         })
     }
 
-    /// The next message; `None` at the end.
+    /// The next message, or `None` when the watch has ended.
     async fn next_message(&mut self) -> Option<Value> {
         match self.stage {
             Stage::Ended => return None,
@@ -101,7 +101,7 @@
                 self.stage = Stage::Live;
                 return Some(self.message(json!({ "created": true })));
             }
-            // What was told so far is sent before the history is read and encoded.
+            // Yields, so that the previous message is sent before changes are read and encoded.
             Stage::Live => tokio::task::yield_now().await,
         }
         loop {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Ends the watch or silences it for good, as the faults of its port say.
+    /// Applies the faults of the port: `None` ends the watch, and a stalled watch never returns.
     async fn apply_faults(&self) -> Option<()> {
         let (outage, epoch) = {
             let port = self.endpoint.port().lock();
--- a/fw-fake/tests/fake/engine_faults.rs
+++ b/fw-fake/tests/fake/engine_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the stand-in engine.
+//! Fault injection of the stand-in engine.
 
 use fw_base::chat;
 use fw_base::digest;
@@ -10,7 +10,7 @@
 use crate::engine_stream::quick;
 use crate::engine_stream::url;
 
-/// A streaming request named `id`.
+/// A streaming request with the request id `id`.
 fn request(
     engine: &engine::Engine,
     id: &str,
--- a/fw-fake/tests/fake/engine_stream.rs
+++ b/fw-fake/tests/fake/engine_stream.rs
@@ -1,4 +1,4 @@
-//! Answers, prefix cache and orders of the stand-in engine.
+//! Answers, prefix cache and fenced orders of the stand-in engine.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Options without pauses.
+/// Options without delays.
 pub(crate) fn quick() -> engine::Options {
     engine::Options {
         step: Duration::ZERO,
@@ -24,7 +24,7 @@
     format!("http://{}{path}", engine.addr())
 }
 
-/// Sends one message as `program` and gives the answer's status and body.
+/// Sends one message as `program` and returns the status and body of the answer.
 async fn ask(engine: &engine::Engine, program: &str, text: &str) -> (u16, Value) {
     let body = json!({ "model": "m", "messages": [{ "role": "user", "content": text }] });
     let uri = url(engine, "/v1/chat/completions");
--- a/fw-fake/tests/fake/instance_list.rs
+++ b/fw-fake/tests/fake/instance_list.rs
@@ -1,4 +1,4 @@
-//! The lag of the instance list.
+//! Propagation lag of the instance list.
 
 use std::time::Duration;
 
--- a/fw-fake/tests/fake/main.rs
+++ b/fw-fake/tests/fake/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the stand-ins.
+//! Tests of the stand-ins for the platform and for upstreams.
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod engine_faults;
--- a/fw-fake/tests/fake/plain_service.rs
+++ b/fw-fake/tests/fake/plain_service.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a plain service.
+//! Fault injection of the stand-in for a plain service.
 
 use fw_fake::plain;
 use googletest::prelude::*;
--- a/fw-fake/tests/fake/store_state.rs
+++ b/fw-fake/tests/fake/store_state.rs
@@ -1,4 +1,4 @@
-//! Revisions, transactions and leases of the store's state.
+//! Revisions, transactions, compaction and leases of the store's state.
 
 use std::time::Duration;
 use std::time::Instant;
