--- a/fw-fake/src/engine/http.rs
+++ b/fw-fake/src/engine/http.rs
@@ -205,7 +205,7 @@
 async fn cancel(State(engine): Shared, Json(req): Json<Cancel>) -> Response {
     let stream = engine.state.lock().streams.get(&req.id).cloned();
     let Some(stream) = stream else {
-        return error_response(StatusCode::NOT_FOUND, "no such request");
+        return error_response(StatusCode::NOT_FOUND, "request not found");
     };
     if !stream.is_ended() {
         stream.cancelled.store(true, Ordering::SeqCst);
@@ -228,7 +228,7 @@
 ) -> Response {
     let stream = engine.state.lock().streams.get(&id).cloned();
     let Some(stream) = stream else {
-        return error_response(StatusCode::NOT_FOUND, "no such stream");
+        return error_response(StatusCode::NOT_FOUND, "stream not found");
     };
     engine.shared.counts.lock().resumed += 1;
     stream_chunks(&engine, stream, query.offset)
@@ -257,7 +257,7 @@
 
 async fn release(State(engine): Shared, Json(req): Json<Release>) -> Response {
     if engine.shared.loses_releases.load(Ordering::SeqCst) {
-        return error_response(StatusCode::SERVICE_UNAVAILABLE, "lost, as set by the test");
+        return error_response(StatusCode::SERVICE_UNAVAILABLE, "lost by injected fault");
     }
     let held = engine.state.lock().cache.remove(&req.program);
     engine.shared.counts.lock().released += u32::from(held);
@@ -269,7 +269,7 @@
     let state = engine.state.lock();
     match state.cache.marks(&req.program) {
         Some(marks) => Json(json!({ "program": req.program, "marks": marks })).into_response(),
-        None => error_response(StatusCode::NOT_FOUND, "nothing is held for this program"),
+        None => error_response(StatusCode::NOT_FOUND, "no cache entry for this program"),
     }
 }
 
@@ -297,7 +297,7 @@
     let mut state = engine.state.lock();
     if engine.shared.opts.checks_fence && req.fence < state.fence {
         engine.shared.counts.lock().refused_orders += 1;
-        return error_response(StatusCode::CONFLICT, "the fencing number is old");
+        return error_response(StatusCode::CONFLICT, "stale fencing number");
     }
     state.fence = state.fence.max(req.fence);
     engine.shared.counts.lock().orders += 1;
--- a/fw-fake/src/store/gateway.rs
+++ b/fw-fake/src/store/gateway.rs
@@ -274,14 +274,14 @@
     }
     match op.get("request_range") {
         Some(read) => Ok(mvcc::Op::Get(parse_read(read)?)),
-        None => Err(ErrorReply::invalid("unknown step")),
+        None => Err(ErrorReply::invalid("unknown operation in txn request")),
     }
 }
 
 fn parse_compare(compare: &Value) -> Result<mvcc::Compare, ErrorReply> {
     let key = bytes(compare, "key")?;
     if text(compare, "result") != "EQUAL" {
-        return Err(ErrorReply::invalid("only EQUAL is supported"));
+        return Err(ErrorReply::invalid("compare result must be EQUAL"));
     }
     Ok(match text(compare, "target") {
         "MOD" => mvcc::Compare::Mod(key, int(compare, "mod_revision")?),
@@ -289,7 +289,7 @@
         "VERSION" => mvcc::Compare::Version(key, int(compare, "version")?),
         "LEASE" => mvcc::Compare::Lease(key, int(compare, "lease")?),
         "VALUE" => mvcc::Compare::Value(key, bytes(compare, "value")?),
-        _ => return Err(ErrorReply::invalid("unknown target")),
+        _ => return Err(ErrorReply::invalid("unknown compare target")),
     })
 }
 
@@ -330,7 +330,7 @@
             .map_err(|err| ErrorReply::invalid(format!("{field}: {err}"))),
         Some(value) => value
             .as_i64()
-            .ok_or_else(|| ErrorReply::invalid(format!("{field}: no number"))),
+            .ok_or_else(|| ErrorReply::invalid(format!("{field}: not an integer"))),
     }
 }
 
--- a/fw-fake/tests/fake/store_state.rs
+++ b/fw-fake/tests/fake/store_state.rs
@@ -46,7 +46,7 @@
         limit: 0,
     };
     let mvcc::Reply::Range { kvs, .. } = state.read(&read).unwrap() else {
-        panic!("a read brings keys");
+        panic!("a read returns keys");
     };
     expect_eq!(kvs[0].value, b"1");
 }
