--- a/fw-fake/tests/fake/engine_faults.rs
+++ b/fw-fake/tests/fake/engine_faults.rs
@@ -7,8 +7,8 @@
 use http_body_util::BodyExt;
 use serde_json::json;
 
-use crate::engine_stream::quick;
 use crate::engine_stream::url;
+use crate::engine_stream::without_delays;
 
 /// A streaming request with the request id `id`.
 fn request(
@@ -48,7 +48,7 @@
 #[gtest]
 #[tokio::test]
 async fn poison_crashes_the_engine() {
-    let engine = engine::Engine::spawn(quick()).unwrap();
+    let engine = engine::Engine::spawn(without_delays()).unwrap();
     engine.poison(Some("venom"));
     let client = fw_http::Client::default();
     let healthy = client.call(request(&engine, "r", "hello")).await;
--- a/fw-fake/tests/fake/engine_stream.rs
+++ b/fw-fake/tests/fake/engine_stream.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 /// Options without delays.
-pub(crate) fn quick() -> engine::Options {
+pub(crate) fn without_delays() -> engine::Options {
     engine::Options {
         step: Duration::ZERO,
         prefill: Duration::ZERO,
@@ -25,7 +25,7 @@
 }
 
 /// Sends one message as `program` and returns the status and body of the answer.
-async fn ask(engine: &engine::Engine, program: &str, text: &str) -> (u16, Value) {
+async fn complete(engine: &engine::Engine, program: &str, text: &str) -> (u16, Value) {
     let body = json!({ "model": "m", "messages": [{ "role": "user", "content": text }] });
     let uri = url(engine, "/v1/chat/completions");
     let mut req = fw_http::json_request(axum::http::Method::POST, &uri, &body).unwrap();
@@ -48,8 +48,8 @@
 #[gtest]
 #[tokio::test]
 async fn an_answer_names_its_prompt() {
-    let engine = engine::Engine::spawn(quick()).unwrap();
-    let (status, answer) = ask(&engine, "p", "hello").await;
+    let engine = engine::Engine::spawn(without_delays()).unwrap();
+    let (status, answer) = complete(&engine, "p", "hello").await;
     let prompt = [chat::Message::text("user", "hello")];
     let digest = digest::Digest::EMPTY.extend_all(&prompt);
     let text = answer["choices"][0]["message"]["content"].as_str();
@@ -63,22 +63,22 @@
 async fn the_cache_serves_a_prefix_and_evicts_the_oldest() {
     let engine = engine::Engine::spawn(engine::Options {
         cache: 100,
-        ..quick()
+        ..without_delays()
     })
     .unwrap();
-    ask(&engine, "a", "hello").await;
-    let (_, again) = ask(&engine, "a", "hello").await;
+    complete(&engine, "a", "hello").await;
+    let (_, again) = complete(&engine, "a", "hello").await;
     let details = &again["usage"]["prompt_tokens_details"];
     expect_that!(details["cached_tokens"].as_u64(), some(gt(0)));
-    ask(&engine, "b", &"x".repeat(200)).await;
-    let held: Vec<_> = engine.cached().into_keys().collect();
-    expect_that!(held, elements_are![eq("b")]);
+    complete(&engine, "b", &"x".repeat(200)).await;
+    let cached: Vec<_> = engine.cached().into_keys().collect();
+    expect_that!(cached, elements_are![eq("b")]);
 }
 
 #[gtest]
 #[tokio::test]
 async fn an_order_with_an_old_fencing_number_is_refused() {
-    let engine = engine::Engine::spawn(quick()).unwrap();
+    let engine = engine::Engine::spawn(without_delays()).unwrap();
     let order = |fence: i64| json!({ "fence": fence, "order": "load" });
     let (newer, _) = post(&engine, "/orders", order(7)).await;
     let (older, _) = post(&engine, "/orders", order(6)).await;
@@ -88,9 +88,9 @@
 #[gtest]
 #[tokio::test]
 async fn an_exported_cache_can_be_imported_elsewhere() {
-    let from = engine::Engine::spawn(quick()).unwrap();
-    let to = engine::Engine::spawn(quick()).unwrap();
-    ask(&from, "p", "hello").await;
+    let from = engine::Engine::spawn(without_delays()).unwrap();
+    let to = engine::Engine::spawn(without_delays()).unwrap();
+    complete(&from, "p", "hello").await;
     let (_, exported) = post(&from, "/cache/export", json!({ "program": "p" })).await;
     post(&to, "/cache/import", exported).await;
     expect_that!(to.cached(), eq(&from.cached()));
@@ -98,14 +98,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn cache_events_have_the_gaps_asked_for() {
+async fn cache_events_have_the_configured_gaps() {
     let engine = engine::Engine::spawn(engine::Options {
         cache_gap: 2,
-        ..quick()
+        ..without_delays()
     })
     .unwrap();
     for program in ["a", "b", "c"] {
-        ask(&engine, program, "hello").await;
+        complete(&engine, program, "hello").await;
     }
     let events = fw_http::Client::default()
         .get(&url(&engine, "/cache/events?from=0"))
--- a/fw-fake/tests/fake/instance_list.rs
+++ b/fw-fake/tests/fake/instance_list.rs
@@ -5,7 +5,7 @@
 use fw_fake::instances;
 use googletest::prelude::*;
 
-async fn shown(list: &instances::Instances) -> Vec<instances::Instance> {
+async fn fetch(list: &instances::Instances) -> Vec<instances::Instance> {
     let uri = format!("http://{}/instances", list.endpoint());
     let answer = fw_http::Client::default().get(&uri).await.unwrap();
     serde_json::from_slice(&answer.body).unwrap()
@@ -13,7 +13,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn list_shows_the_past() {
+async fn the_list_lags_behind_changes() {
     let list = instances::Instances::start().await.unwrap();
     list.put(instances::Instance {
         id: "w1".into(),
@@ -23,10 +23,10 @@
         http: "127.0.0.1:2".into(),
         state: instances::State::Live,
     });
-    expect_that!(shown(&list).await, len(eq(1)));
+    expect_that!(fetch(&list).await, len(eq(1)));
     list.set_lag(Duration::from_secs(3600));
-    expect_that!(shown(&list).await, is_empty());
+    expect_that!(fetch(&list).await, is_empty());
     list.leave("w1");
     list.set_lag(Duration::ZERO);
-    expect_eq!(shown(&list).await[0].state, instances::State::Leaving);
+    expect_eq!(fetch(&list).await[0].state, instances::State::Leaving);
 }
--- a/fw-fake/tests/fake/store_state.rs
+++ b/fw-fake/tests/fake/store_state.rs
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn reads_see_the_revision_asked_for() {
+fn reads_see_the_requested_revision() {
     let mut state = mvcc::Mvcc::default();
     let at = state
         .txn(&[], vec![put("a", "1", 0)], vec![])
@@ -58,8 +58,8 @@
     state.txn(&[], vec![put("b", "2", 0)], vec![]).unwrap();
     let newest = state.revision();
     state.compact(newest);
-    let gone = mvcc::Refusal::Compacted(newest + 1);
-    expect_that!(state.changes(&everything(), newest), err(eq(&gone)));
+    let compacted = mvcc::Refusal::Compacted(newest + 1);
+    expect_that!(state.changes(&everything(), newest), err(eq(&compacted)));
     let read = mvcc::Read {
         span: everything(),
         ..mvcc::Read::default()
@@ -75,7 +75,7 @@
 }
 
 #[gtest]
-fn lapsed_lease_takes_its_keys_along() {
+fn an_expired_lease_deletes_its_keys() {
     let mut state = mvcc::Mvcc::default();
     let start = Instant::now();
     let lease = state.grant(Duration::from_secs(1), start);
