--- a/fw-check/src/promise/once.rs
+++ b/fw-check/src/promise/once.rs
@@ -1,7 +1,7 @@
 //! A call that is not idempotent runs at most once, however often it is sent.
 //!
-//! The same request under another key is another call, so a request may run as often as there are
-//! keys under which it was sent and not refused as not run.
+//! The same request under another idempotency key is another call. A request may therefore run as
+//! often as there are keys under which at least one of its calls was not reported as not run.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,10 +10,10 @@
 
 use crate::check::Tally;
 use crate::event::Work;
-use crate::index::Asked;
 use crate::index::Index;
+use crate::index::Request;
 
-/// The calls that carry one request.
+/// The calls that carry the same request.
 #[derive(Default)]
 struct Group<'a> {
     indices: Vec<usize>,
@@ -24,7 +24,7 @@
     let mut tally = Tally::default();
     let mut groups: BTreeMap<[u8; 32], Group<'_>> = BTreeMap::new();
     for call in index.calls.values() {
-        let Asked::Plain(sent) = call.asked else {
+        let Request::Plain(sent) = call.request else {
             continue;
         };
         if sent.idempotent {
@@ -42,10 +42,10 @@
             Work::Turn(_) => false,
         });
         let started: Vec<_> = runs.map(|run| run.started).collect();
-        let (count, most) = (started.len(), group.keys.len());
+        let (count, allowed) = (started.len(), group.keys.len());
         let indices = [group.indices, started].concat();
-        tally.expect(count <= most, &indices, || {
-            format!("a call that is not idempotent ran {count} times under {most} keys")
+        tally.expect(count <= allowed, &indices, || {
+            format!("a call that is not idempotent ran {count} times under {allowed} keys")
         });
     }
     tally
--- a/fw-fake/src/engine/incarnation.rs
+++ b/fw-fake/src/engine/incarnation.rs
@@ -149,7 +149,7 @@
             left_to_prefill: prompt - cached,
             generated: 0,
             digest_after: digest.extend(&message),
-            answer: event::digest_of(&message),
+            answer: event::message_digest(&message),
             run: None,
             req,
         }
--- a/fw-fake/src/plain.rs
+++ b/fw-fake/src/plain.rs
@@ -182,7 +182,7 @@
     };
     shared.runs.lock().push(run);
     let recorded = shared.recording.as_ref().map(|log| {
-        let request = event::request_of(method.as_str(), &uri.to_string(), &body);
+        let request = event::request_digest(method.as_str(), &uri.to_string(), &body);
         (log, log.record_run_start(event::Work::Plain(request)))
     });
     let delay = *shared.delay.lock();
--- a/fw-fake/src/recording.rs
+++ b/fw-fake/src/recording.rs
@@ -59,7 +59,7 @@
 
 /// Describes a turn with this prompt.
 pub(crate) fn turn_work(messages: &[chat::Message]) -> event::Work {
-    event::Work::Turn(messages.iter().map(event::digest_of).collect())
+    event::Work::Turn(messages.iter().map(event::message_digest).collect())
 }
 
 /// Records a crash when dropped: everything that the upstream held in memory is lost.
