--- a/fw-fake/tests/fake/engine_faults.rs
+++ b/fw-fake/tests/fake/engine_faults.rs
@@ -59,10 +59,10 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_silenced_stream_can_be_resumed_whole() {
+async fn a_stalled_stream_can_be_resumed_completely() {
     let engine = engine::Engine::spawn(engine::Options::default()).unwrap();
     let client = fw_http::Client::default();
-    let _silent = client.stream(request(&engine, "r", "hello")).await.unwrap();
+    let _stalled = client.stream(request(&engine, "r", "hello")).await.unwrap();
     engine.stall_streams();
     let uri = url(&engine, "/streams/r?offset=0");
     let resumed = client.get(&uri).await.unwrap();
