--- a/fw-record/src/route.rs
+++ b/fw-record/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes from paths to plain services.
+//! Routes from path prefixes to plain services.
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
@@ -8,34 +8,34 @@
 use smol_str::SmolStr;
 
 use crate::field;
+use crate::schema::Encoding;
 use crate::schema::Field;
-use crate::schema::Form;
 
 const PATH: Field = Field::same(&["path"]);
 const SERVICE: Field = Field::same(&["service"]);
 const REPEATABLE: Field = Field {
     v1: Some("repeatable"),
     v2: &["methods", "repeatable"],
-    form: Form::Same,
+    encoding: Encoding::Same,
 };
 const TIMEOUT: Field = Field {
     v1: Some("timeout_ms"),
     v2: &["timeout", "total"],
-    form: Form::Millis,
+    encoding: Encoding::Millis,
 };
 const HEDGE: Field = Field {
     v1: Some("hedge_ms"),
     v2: &["hedge", "after"],
-    form: Form::Millis,
+    encoding: Encoding::Millis,
 };
 
-/// Every field of the kind.
+/// The fields of a route record.
 pub const FIELDS: &[Field] = &[PATH, SERVICE, REPEATABLE, TIMEOUT, HEDGE];
 
-/// Methods that may be repeated unless the record says otherwise: those that change nothing.
+/// Safe methods, which change nothing: the repeatable ones unless the record names others.
 const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 
-/// Paths that the entry answers itself.
+/// Paths that the entry handles itself.
 const RESERVED: [&str; 6] = [
     "/v1/chat",
     "/v1/programs",
@@ -53,30 +53,31 @@
 /// A path prefix that leads to a plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: SmolStr,
-    /// The path itself and everything below it. No `/` at the end, except for the root.
+    /// Path prefix, matched by whole segments. No trailing `/`, except for the root.
     pub path: SmolStr,
     /// The plain service.
     pub service: id::ServiceId,
-    /// Methods, in capitals, whose calls are idempotent. Every other needs an `Idempotency-Key`.
+    /// Methods, in upper case, whose calls are idempotent. Calls with other methods need an
+    /// `Idempotency-Key`.
     pub repeatable: BTreeSet<SmolStr>,
-    /// Longest wait for an answer; the service's own if absent.
+    /// Longest wait for an answer; the service's timeout if absent.
     pub timeout: Option<Duration>,
-    /// Time after which a repeatable call is sent to a second upstream too; never if absent.
+    /// Delay after which a repeatable call is hedged to a second upstream; no hedging if absent.
     pub hedge: Option<Duration>,
 }
 
 impl Route {
-    /// Reads the record `name`.
+    /// Parses the record `name`.
     ///
     /// # Errors
     ///
-    /// When a field is missing, of a wrong type or out of bounds.
+    /// When a field is missing, has the wrong type or is out of bounds.
     pub fn read(name: &str, fields: &field::Reader<'_>) -> field::Result<Self> {
         let service = fields.text(&SERVICE, id::MAX_NAME)?;
         let service =
-            service.ok_or_else(|| fields.refuse(&SERVICE, "the name of a plain service"))?;
+            service.ok_or_else(|| fields.invalid(&SERVICE, "the name of a plain service"))?;
         Ok(Self {
             name: name.into(),
             path: read_path(fields)?,
@@ -92,7 +93,7 @@
         is_below(path, &self.path)
     }
 
-    /// Whether a call with `method` may be sent again.
+    /// Whether a call with `method` may be repeated.
     pub fn is_repeatable(&self, method: &str) -> bool {
         self.repeatable.contains(method)
     }
@@ -113,8 +114,9 @@
         .all(|b| b.is_ascii_graphic() && !b"?#%".contains(&b));
     let is_dotted = path.split('/').any(|part| matches!(part, "." | ".."));
     if !path.starts_with('/') || !is_clean || is_dotted {
-        let expected = "a path that begins with `/`, without `?`, `#`, `%`, `.` or `..`";
-        return Err(fields.refuse(&PATH, expected));
+        let expected =
+            "a path that begins with `/`, without `?`, `#`, `%` or segments `.` and `..`";
+        return Err(fields.invalid(&PATH, expected));
     }
     let path = match path.trim_end_matches('/') {
         "" => "/",
@@ -122,7 +124,7 @@
     };
     if RESERVED.iter().any(|reserved| is_below(path, reserved)) {
         let expected = format!("outside of {}, which entries answer", RESERVED.join(", "));
-        return Err(fields.refuse(&PATH, expected));
+        return Err(fields.invalid(&PATH, expected));
     }
     Ok(path.into())
 }
@@ -134,7 +136,7 @@
     let methods = fields.texts(&REPEATABLE, MAX_METHODS, MAX_METHOD)?;
     let is_method = |method: &SmolStr| method.bytes().all(|b| b.is_ascii_uppercase());
     if !methods.iter().all(is_method) {
-        return Err(fields.refuse(&REPEATABLE, "methods in capitals, such as `GET`"));
+        return Err(fields.invalid(&REPEATABLE, "methods in upper case, such as `GET`"));
     }
     Ok(methods.into_iter().collect())
 }
