--- a/foxtailweir/src/budget.rs
+++ b/foxtailweir/src/budget.rs
@@ -1,13 +1,13 @@
-//! A budget of log lines for each kind.
+//! Rate limit on log lines per call site.
 //!
-//! *Load pattern:* a cut or an overload makes every request end the same way, thousands a second,
-//! each with its line.
+//! *Load pattern:* during a network partition or an overload every request fails in the same way,
+//! thousands per second, and each writes a log line.
 //!
-//! *Without it:* the lines that tell the cause are lost among them, or are left out because the
-//! writer's queue is full of the others.
+//! *Without it:* the lines that show the cause are hard to find among them, or are dropped because
+//! the writer's queue is full of the repeated ones.
 //!
-//! *Rule:* of each place in the code that writes lines, so many are written each second; the others
-//! are counted in `fw_log_left_out_total` by place.
+//! *Rule:* each call site of a log macro may write a fixed number of lines per second; the excess
+//! is dropped and counted in `fw_log_left_out_total` by call site.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -16,46 +16,47 @@
 use tracing::{Event, Metadata, callsite};
 use tracing_subscriber::layer::{Context, Filter};
 
-const SECOND: Duration = Duration::from_secs(1);
+/// Length of a counting window. A window starts with the first line after the previous one ended.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Lines of one kind in the present second.
+/// Lines of one call site in its present window.
 #[derive(Debug)]
-struct Spent {
+struct LineCount {
     since: Instant,
     lines: u32,
 }
 
-/// Passes so many lines of each kind a second.
+/// Log filter that passes a limited number of lines per call site and second.
 #[derive(Debug)]
 pub struct Budget {
-    most: u32,
-    spent: Mutex<HashMap<callsite::Identifier, Spent>>,
+    max_lines: u32,
+    counts: Mutex<HashMap<callsite::Identifier, LineCount>>,
 }
 
 impl Budget {
-    /// Passes `most` lines of each kind a second.
-    pub fn new(most: u32) -> Self {
+    /// Creates a filter that passes `max_lines` lines per call site and second.
+    pub fn new(max_lines: u32) -> Self {
         Self {
-            most,
-            spent: Mutex::default(),
+            max_lines,
+            counts: Mutex::default(),
         }
     }
 
-    /// Whether one more line of `kind` at `now` is within the budget.
-    fn allows(&self, kind: callsite::Identifier, now: Instant) -> bool {
-        let mut spent = self.spent.lock();
-        let spent = spent.entry(kind).or_insert(Spent {
+    /// Counts a line of `site` at `now`; returns whether it is within the limit.
+    fn try_take(&self, site: callsite::Identifier, now: Instant) -> bool {
+        let mut counts = self.counts.lock();
+        let count = counts.entry(site).or_insert(LineCount {
             since: now,
             lines: 0,
         });
-        if now.duration_since(spent.since) >= SECOND {
-            *spent = Spent {
+        if now.duration_since(count.since) >= WINDOW {
+            *count = LineCount {
                 since: now,
                 lines: 0,
             };
         }
-        spent.lines = spent.lines.saturating_add(1);
-        spent.lines <= self.most
+        count.lines = count.lines.saturating_add(1);
+        count.lines <= self.max_lines
     }
 }
 
@@ -65,10 +66,10 @@
     }
 
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
-        let kind = event.metadata();
-        let allowed = self.allows(kind.callsite(), Instant::now());
+        let site = event.metadata();
+        let allowed = self.try_take(site.callsite(), Instant::now());
         if !allowed {
-            metrics::counter!("fw_log_left_out_total", "place" => kind.name()).increment(1);
+            metrics::counter!("fw_log_left_out_total", "place" => site.name()).increment(1);
         }
         allowed
     }
--- a/foxtailweir/src/command/mod.rs
+++ b/foxtailweir/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The table of commands, and the way from arguments to one of them.
+//! Table of commands, and dispatch of the command line to them.
 
 mod check;
 pub mod error;
@@ -22,15 +22,15 @@
 
 /// One command.
 struct Command {
-    /// One or two words.
+    /// One or two words on the command line.
     name: &'static str,
-    /// What follows the options.
+    /// Positional arguments, as in the usage line.
     args: &'static str,
-    /// One sentence.
+    /// Description for the help text, one sentence.
     about: &'static str,
-    /// Adds its options.
+    /// Adds the command's own options to the parser.
     options: fn(&mut Options),
-    /// Runs it.
+    /// Runs the command.
     run: fn(&Matches, &mut io::Io<'_>) -> Result<exit::Exit, error::Error>,
 }
 
@@ -38,7 +38,7 @@
     Command {
         name: "serve",
         args: "SETTINGS",
-        about: "Runs an entry until it is told to stop (SIGTERM or SIGINT).",
+        about: "Runs an entry until SIGTERM or SIGINT.",
         options: no_options,
         run: serve::run,
     },
@@ -66,7 +66,7 @@
     Command {
         name: "demo",
         args: "",
-        about: "Runs entries, sides and stand-ins in one process and judges what they did.",
+        about: "Runs entries, sides and stand-ins in one process and checks the results.",
         options: demo_options,
         run: run_demo,
     },
@@ -80,7 +80,7 @@
     Command {
         name: "records get",
         args: "KIND/NAME",
-        about: "Prints a record, ready to be edited and put again.",
+        about: "Prints a record in the form that `records put` reads.",
         options: entry_option,
         run: record::get,
     },
@@ -116,36 +116,36 @@
     Command {
         name: "explain",
         args: "PROGRAM",
-        about: "Tells why calls of a program were placed, delayed, retried or refused.",
+        about: "Explains why calls of a program were placed, delayed, retried or refused.",
         options: entry_option,
         run: program::explain,
     },
 ];
 
-/// Runs the command that `args` name, without the program's own name in front.
+/// Runs the command that `args` name; `args` do not include the program's own name.
 pub fn run(args: &[String], io: &mut io::Io<'_>) -> exit::Exit {
     let words: Vec<_> = args.iter().map(String::as_str).collect();
     match words.as_slice() {
         [] => {
-            io.note(overview());
+            io.report(overview());
             return exit::Exit::Usage;
         }
         ["-h" | "--help" | "help", ..] => {
-            io.say(overview());
+            io.print(overview());
             return exit::Exit::Success;
         }
         _ => (),
     }
     match find(&words) {
-        Some((command, rest)) => command.start(rest, io),
+        Some((command, rest)) => command.execute(rest, io),
         None => {
-            let tried = words.iter().take(2).copied();
-            let tried: Vec<_> = tried.take_while(|word| !word.starts_with('-')).collect();
-            io.note(format_args!(
+            let given = words.iter().take(2).copied();
+            let given: Vec<_> = given.take_while(|word| !word.starts_with('-')).collect();
+            io.report(format_args!(
                 "{PROGRAM}: no command `{}`\n",
-                tried.join(" ")
+                given.join(" ")
             ));
-            io.note(overview());
+            io.report(overview());
             exit::Exit::Usage
         }
     }
@@ -160,13 +160,13 @@
 }
 
 impl Command {
-    fn start(&self, args: &[&str], io: &mut io::Io<'_>) -> exit::Exit {
+    fn execute(&self, args: &[&str], io: &mut io::Io<'_>) -> exit::Exit {
         match self.parse(args) {
             Ok(matches) if matches.opt_present("help") => {
-                io.say(self.help());
+                io.print(self.help());
                 exit::Exit::Success
             }
-            Ok(matches) => match self.check_free(&matches) {
+            Ok(matches) => match self.check_argument_count(&matches) {
                 Ok(()) => self.finish((self.run)(&matches, io), io),
                 Err(err) => self.finish(Err(err), io),
             },
@@ -188,9 +188,9 @@
         }
     }
 
-    fn check_free(&self, matches: &Matches) -> Result<(), error::Error> {
-        let wanted = self.args.split_whitespace().count();
-        if matches.free.len() == wanted {
+    fn check_argument_count(&self, matches: &Matches) -> Result<(), error::Error> {
+        let expected = self.args.split_whitespace().count();
+        if matches.free.len() == expected {
             return Ok(());
         }
         let found = matches.free.len();
@@ -209,14 +209,14 @@
         };
         let name = self.name;
         match &err {
-            // Each line names its file.
-            error::Error::Settings { source } => io.note(source),
+            // Each line of the source names its file already, so no prefix is added.
+            error::Error::Settings { source } => io.report(source),
             error::Error::Usage { message } => {
-                io.note(format_args!(
+                io.report(format_args!(
                     "{PROGRAM} {name}: {message}; see `{PROGRAM} {name} --help`"
                 ));
             }
-            _ => io.note(format_args!("{PROGRAM} {name}: {err}")),
+            _ => io.report(format_args!("{PROGRAM} {name}: {err}")),
         }
         err.exit()
     }
@@ -237,7 +237,9 @@
         let Command { name, about, .. } = command;
         text.push_str(&format!("    {name:<16} {about}\n"));
     }
-    text.push_str("\n`COMMAND --help` tells more. Exit codes: 0 done, 1 failed, 2 wrong command ");
+    text.push_str(
+        "\n`COMMAND --help` shows the options. Exit codes: 0 done, 1 failed, 2 wrong command ",
+    );
     text.push_str("line or settings.");
     text
 }
@@ -252,7 +254,7 @@
     options.optopt("e", "entry", &about, "IP:PORT");
 }
 
-/// A client of the entry that the options name.
+/// Returns a client of the entry given by `--entry`, or of the default one.
 fn client(matches: &Matches) -> admin::Client {
     let entry = matches.opt_str("entry");
     admin::Client::new(entry.unwrap_or_else(|| admin::DEFAULT_ENTRY.to_owned()))
@@ -276,26 +278,26 @@
     demo::run(&opts, io)
 }
 
-/// Runs `work` on a runtime of its own.
+/// Runs `work` on a new multi-threaded runtime.
 pub(crate) fn block_on<T>(
     work: impl Future<Output = Result<T, error::Error>>,
 ) -> Result<T, error::Error> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .whatever_failed("cannot start the runtime")?;
+        .or_fail("cannot start the runtime")?;
     runtime.block_on(work)
 }
 
-/// Turns any error into a failed command.
-pub(crate) trait Failed<T> {
-    fn whatever_failed(self, what: &str) -> Result<T, error::Error>;
+/// Converts any error to [`error::Error::Failed`], with `context` before its text.
+pub(crate) trait OrFail<T> {
+    fn or_fail(self, context: &str) -> Result<T, error::Error>;
 }
 
-impl<T, E: std::error::Error> Failed<T> for Result<T, E> {
-    fn whatever_failed(self, what: &str) -> Result<T, error::Error> {
+impl<T, E: std::error::Error> OrFail<T> for Result<T, E> {
+    fn or_fail(self, context: &str) -> Result<T, error::Error> {
         self.map_err(|err| error::Error::Failed {
-            message: format!("{what}: {err}"),
+            message: format!("{context}: {err}"),
         })
     }
 }
--- a/foxtailweir/src/command/wait.rs
+++ b/foxtailweir/src/command/wait.rs
@@ -1,4 +1,4 @@
-//! Waits until a change is in force everywhere.
+//! Polls an entry until a change is in force in every process.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 use super::io;
 use crate::admin;
 
-/// Time between two questions.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two polls of the entry.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Most names of processes that a line shows.
-const NAMES: usize = 5;
+/// Maximum number of process names in one progress line.
+const MAX_NAMES: usize = 5;
 
-/// What became of the wait.
+/// Result of the wait.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// In force in every process.
     Everywhere,
-    /// Not yet, when the time was over.
-    Partly,
+    /// Not in force in some process when the timeout expired.
+    TimedOut,
 }
 
-/// Waits until records of `revision` are in force in all processes, and shows the progress.
+/// Waits until records of `revision` are in force in all processes, and reports the progress.
 ///
-/// An entry that does not answer for a moment does not end the wait: the change is accepted
-/// whatever happens here. Nor does a count that shrinks: an entry that is cut off from the store
-/// drops out of the list of entries while it still answers callers by its old records, so that
-/// "1 of 1" would be reported although one of two goes without the change.
+/// A failed poll does not end the wait, since the change is already accepted. Nor does a shrinking
+/// count of processes: an entry that is partitioned from the store drops out of the list of entries
+/// but still serves callers with its old records, so that "1 of 1" would be reported although one
+/// of two entries lacks the change.
 pub async fn until_in_force(
     client: &admin::Client,
     revision: id::Revision,
@@ -36,34 +36,34 @@
     io: &mut io::Io<'_>,
 ) -> Outcome {
     let end = Instant::now() + timeout;
-    let mut shown = String::new();
-    let mut most = 1;
+    let mut last_line = String::new();
+    let mut max_seen = 1;
     loop {
         let line = match client.in_force(revision).await {
             Ok(state) => {
-                most = most.max(state.of);
-                let line = describe(&state, most);
-                if state.in_force == most {
-                    io.note(line);
+                max_seen = max_seen.max(state.of);
+                let line = describe(&state, max_seen);
+                if state.in_force == max_seen {
+                    io.report(line);
                     return Outcome::Everywhere;
                 }
                 line
             }
             Err(err) => err.to_string(),
         };
-        if line != shown {
-            io.note(&line);
-            shown = line;
+        if line != last_line {
+            io.report(&line);
+            last_line = line;
         }
         if Instant::now() >= end {
-            return Outcome::Partly;
+            return Outcome::TimedOut;
         }
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// One line; `most` is the largest number of processes seen.
-fn describe(state: &admin::InForce, most: usize) -> String {
+/// Formats a progress line; `max_seen` is the largest number of processes reported so far.
+fn describe(state: &admin::InForce, max_seen: usize) -> String {
     let admin::InForce {
         in_force,
         of,
@@ -71,15 +71,15 @@
     } = state;
     let mut line = format!("in force at {in_force} of {of}");
     if !waiting.is_empty() {
-        let names: Vec<_> = waiting.iter().take(NAMES).map(String::as_str).collect();
+        let names: Vec<_> = waiting.iter().take(MAX_NAMES).map(String::as_str).collect();
         line.push_str(&format!("; waiting for {}", names.join(", ")));
     }
-    if waiting.len() > NAMES {
-        line.push_str(&format!(" and {} more", waiting.len() - NAMES));
+    if waiting.len() > MAX_NAMES {
+        line.push_str(&format!(" and {} more", waiting.len() - MAX_NAMES));
     }
-    if *of < most {
-        let gone = most - of;
-        line.push_str(&format!("; {gone} seen before no longer listed"));
+    if *of < max_seen {
+        let missing = max_seen - of;
+        line.push_str(&format!("; {missing} seen before no longer listed"));
     }
     line
 }
--- a/foxtailweir/src/serve.rs
+++ b/foxtailweir/src/serve.rs
@@ -1,4 +1,4 @@
-//! An entry from its start to its end.
+//! Runs an entry from start to graceful shutdown, with its metrics recorder and stop signals.
 
 use std::time::Duration;
 
@@ -11,52 +11,53 @@
 use tokio::signal::unix;
 use tracing::info;
 
-/// Time between two sweeps of histograms, which would otherwise grow until somebody scrapes.
-const UPKEEP: Duration = Duration::from_secs(5);
+/// Time between two upkeep runs of the recorder. Without them, histogram samples accumulate until
+/// the next scrape.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why an entry does not run.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// An address cannot be listened on.
+    /// A listener cannot be bound.
     #[snafu(transparent)]
     Bind {
-        /// Which, and why not.
+        /// The address and the cause.
         source: serve::Error,
     },
-    /// The system refuses something else.
-    #[snafu(display("cannot {what}: {source}"))]
+    /// Another system call failed.
+    #[snafu(display("cannot {operation}: {source}"))]
     System {
-        /// What was tried.
-        what: &'static str,
-        /// Why not.
+        /// The operation, in words that follow "cannot".
+        operation: &'static str,
+        /// The system's error.
         source: std::io::Error,
     },
 }
 
-/// Installs the recorder of metrics; `None` if the process has one already.
+/// Installs the global metrics recorder; `None` if the process has one already.
 pub fn recorder() -> Option<PrometheusHandle> {
     PrometheusBuilder::new().install_recorder().ok()
 }
 
-/// Runs an entry until `stop` is ready, then stops it gracefully. Calls `started` with its
-/// addresses as soon as it serves.
+/// Runs an entry until `stop` completes, then shuts it down gracefully. Calls `on_started` with the
+/// entry's addresses as soon as it serves.
 ///
 /// # Errors
 ///
-/// When it cannot start.
+/// When the entry cannot start.
 pub async fn run(
     settings: entry::Settings,
     metrics: Option<PrometheusHandle>,
-    started: impl FnOnce(serve::Addresses),
+    on_started: impl FnOnce(serve::Addresses),
     stop: impl Future<Output = ()>,
 ) -> Result<serve::Stopped, Error> {
     let bound = serve::Bound::new(settings).await?;
-    let upkeep = metrics.clone().map(keep_up);
-    let what = "read the addresses";
-    let running = bound.start(metrics).context(SystemSnafu { what })?;
+    let upkeep = metrics.clone().map(spawn_upkeep);
+    let operation = "read the addresses";
+    let running = bound.start(metrics).context(SystemSnafu { operation })?;
     let addrs = running.addresses();
-    info!(admin = %addrs.admin, "operators are answered");
-    started(addrs);
+    info!(admin = %addrs.admin, "admin address is served");
+    on_started(addrs);
     stop.await;
     let stopped = running.stop().await;
     if let Some(upkeep) = upkeep {
@@ -65,15 +66,16 @@
     Ok(stopped)
 }
 
-/// Ready once the process is told to stop, by SIGTERM or SIGINT.
+/// Completes on SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// When the system does not deliver signals.
+/// When a signal handler cannot be installed.
 pub fn stop_signal() -> Result<impl Future<Output = ()>, Error> {
-    let what = "take signals";
-    let mut term = unix::signal(unix::SignalKind::terminate()).context(SystemSnafu { what })?;
-    let mut int = unix::signal(unix::SignalKind::interrupt()).context(SystemSnafu { what })?;
+    let operation = "install signal handlers";
+    let mut term =
+        unix::signal(unix::SignalKind::terminate()).context(SystemSnafu { operation })?;
+    let mut int = unix::signal(unix::SignalKind::interrupt()).context(SystemSnafu { operation })?;
     Ok(async move {
         tokio::select! {
             _ = term.recv() => {}
@@ -82,11 +84,11 @@
     })
 }
 
-/// Sweeps histograms until aborted.
-pub fn keep_up(metrics: PrometheusHandle) -> tokio::task::JoinHandle<()> {
+/// Spawns a task that runs the recorder's upkeep until aborted.
+pub fn spawn_upkeep(metrics: PrometheusHandle) -> tokio::task::JoinHandle<()> {
     tokio::spawn(async move {
         loop {
-            tokio::time::sleep(UPKEEP).await;
+            tokio::time::sleep(UPKEEP_INTERVAL).await;
             metrics.run_upkeep();
         }
     })
--- a/foxtailweir/tests/foxtailweir/demo_script.rs
+++ b/foxtailweir/tests/foxtailweir/demo_script.rs
@@ -8,13 +8,13 @@
 use fw_check::check;
 use googletest::prelude::*;
 
-// Bounds so wide that a machine kept busy by other tests does not break them.
+// Wide enough for a machine that other tests keep busy.
 const WIDE: Duration = Duration::from_secs(40);
-// So wide that no record is long enough to judge by it.
-const UNSEEN: Duration = Duration::from_secs(3_600);
+// Longer than any recorded run, so that the promise cannot be judged.
+const UNOBSERVABLE: Duration = Duration::from_secs(3_600);
 
 #[gtest]
-fn a_short_script_tells_of_every_promise_and_claims_none_unseen() {
+fn short_script_reports_every_promise_and_claims_none_unobserved() {
     let opts = demo::Options {
         sites: 4,
         mediations: 2,
@@ -22,7 +22,7 @@
         limit: Duration::from_secs(60),
         check: check::Options {
             free_within: WIDE,
-            leave_within: UNSEEN,
+            leave_within: UNOBSERVABLE,
             in_force_within: WIDE,
         },
         ..demo::Options::default()
@@ -39,12 +39,9 @@
         let lines = out.lines().filter(|line| line.contains(promise.text()));
         expect_that!(lines.count(), eq(1), "{promise:?}");
     }
-    let unseen = "not observed: leaving upstreams get no new work";
-    expect_that!(out, contains_substring(unseen));
+    let unobserved = "not observed: leaving upstreams get no new work";
+    expect_that!(out, contains_substring(unobserved));
     expect_that!(out, contains_substring("\nGOOD: "));
-    expect_that!(
-        out,
-        contains_substring("7 of 7 programs ended as they should")
-    );
+    expect_that!(out, contains_substring("7 of 7 programs ended as expected"));
     expect_that!(out, not(contains_substring("VIOLATED")));
 }
--- a/foxtailweir/tests/foxtailweir/standin.rs
+++ b/foxtailweir/tests/foxtailweir/standin.rs
@@ -1,4 +1,4 @@
-//! The admin address of an entry, over a stand-in of the store.
+//! A stand-in for an entry's admin API, over a fake store.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -20,12 +20,12 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Processes of which the answers tell.
+/// Number of processes that the answers report.
 const PROCESSES: usize = 3;
 
-/// A running admin address.
+/// A running stand-in.
 pub struct Entry {
-    /// Its address.
+    /// Its admin address.
     pub addr: String,
     /// The store behind it.
     pub store: store::Store,
@@ -33,23 +33,23 @@
 
 struct Shared {
     client: client::Client,
-    /// Processes in which the change is in force, one more with each question.
+    /// Processes in which the change is in force; grows by one with each request.
     in_force: AtomicUsize,
-    /// Most of them that it ever reaches.
+    /// Upper bound of that number.
     reach: usize,
-    /// Whether the others drop out of the list after a while.
+    /// Whether the other processes drop out of the list after [`DROP_AFTER`] requests.
     drops: bool,
 }
 
-/// Questions after which processes drop out of the list.
+/// Number of requests after which processes drop out of the list.
 const DROP_AFTER: usize = 4;
 
-/// Starts one whose changes reach `reach` of three processes.
+/// Starts a stand-in whose changes reach `reach` of three processes.
 pub async fn start(reach: usize) -> Entry {
     start_with(reach, false).await
 }
 
-/// As [`start`]; the processes that are not reached drop out of the list if `drops`.
+/// Same as [`start`]; the processes that are not reached drop out of the list if `drops`.
 pub async fn start_with(reach: usize, drops: bool) -> Entry {
     let store = store::Store::start(store::Options::default())
         .await
@@ -96,9 +96,9 @@
 }
 
 async fn in_force(State(shared): State<Arc<Shared>>) -> Json<Value> {
-    let asked = shared.in_force.fetch_add(1, Ordering::Relaxed);
-    let count = asked.min(shared.reach);
-    let listed = match shared.drops && asked > DROP_AFTER {
+    let earlier = shared.in_force.fetch_add(1, Ordering::Relaxed);
+    let count = earlier.min(shared.reach);
+    let listed = match shared.drops && earlier > DROP_AFTER {
         true => shared.reach,
         false => PROCESSES,
     };
@@ -113,8 +113,8 @@
 }
 
 async fn explain(uri: Uri) -> Json<Value> {
-    let known = uri.path().ends_with("/p-1");
+    let is_known = uri.path().ends_with("/p-1");
     let event = json!({ "at_ms": 12, "what": "placed", "why": "cache of 700 tokens at w1" });
-    let events = if known { vec![event] } else { Vec::new() };
+    let events = if is_known { vec![event] } else { Vec::new() };
     Json(json!({ "keeper": "this entry", "events": events }))
 }
