--- a/foxtailweir/src/demo/programs.rs
+++ b/foxtailweir/src/demo/programs.rs
@@ -135,8 +135,8 @@
         stream: true,
         pause: Duration::ZERO,
         tools: Vec::new(),
-        doubled: some(DOUBLED, &[2, 4]),
-        left: some(LEFT, &[3]),
+        duplicated: some(DOUBLED, &[2, 4]),
+        abandoned: some(LEFT, &[3]),
         end: n % KEPT != 1,
         limit: Duration::ZERO,
     }
--- a/foxtailweir/src/demo/script.rs
+++ b/foxtailweir/src/demo/script.rs
@@ -91,9 +91,9 @@
     let system = system::System::start(shape).await?;
     let cx = calls::Context {
         recorder,
-        doors: Arc::default(),
+        endpoints: Arc::default(),
     };
-    let driver = faults::Driver::new(system, cx.recorder.clone(), Arc::clone(&cx.doors));
+    let driver = faults::Driver::new(system, cx.recorder.clone(), Arc::clone(&cx.endpoints));
     let mut script = Script {
         opts,
         io,
@@ -155,9 +155,14 @@
         let mut others = JoinSet::new();
         for (n, name) in ["reader-a", "reader-b"].into_iter().enumerate() {
             let rng = Pcg64::seed_from_u64(SEED + n as u64);
-            others.spawn(operate::look_up(self.cx.clone(), name, rng, stop.clone()));
+            others.spawn(operate::run_reader(
+                self.cx.clone(),
+                name,
+                rng,
+                stop.clone(),
+            ));
         }
-        others.spawn(operate::watch(self.cx.clone(), stop.clone()));
+        others.spawn(operate::sample_until_stopped(self.cx.clone(), stop.clone()));
         others
     }
 
@@ -173,7 +178,12 @@
         self.tell("it is back");
         for (n, name) in ["operator-a", "operator-b"].into_iter().enumerate() {
             let rng = Pcg64::new(SEED.into(), n as u128);
-            others.spawn(operate::change(self.cx.clone(), name, rng, stop.clone()));
+            others.spawn(operate::run_operator(
+                self.cx.clone(),
+                name,
+                rng,
+                stop.clone(),
+            ));
         }
         self.tell("two operators begin to change the same record, again and again");
         tokio::time::sleep(STEP).await;
@@ -237,10 +247,10 @@
         let Self {
             opts, cx, driver, ..
         } = self;
-        operate::settle(&cx, opts.check.in_force_within).await;
+        operate::wait_in_force(&cx, opts.check.in_force_within).await;
         let unread = read_kept(&cx, &programs).await;
         wait_freed(&driver.system, &programs).await;
-        operate::look(&cx);
+        operate::sample(&cx);
         let counts = driver.system.engines.iter();
         let counts: Vec<_> = counts.map(|worker| worker.upstream.counts()).collect();
         let entries = cx.recorder.entries();
--- a/fw-local/src/agent.rs
+++ b/fw-local/src/agent.rs
@@ -89,7 +89,7 @@
         opts,
         next: 0,
         outcome: Outcome::default(),
-        held: 0,
+        cached_tokens: 0,
     };
     let started = Instant::now();
     for turn in 1..=opts.turns {
@@ -115,7 +115,7 @@
     next: usize,
     outcome: Outcome,
     /// Tokens that the last turn left in a cache.
-    held: u64,
+    cached_tokens: u64,
 }
 
 impl Agent<'_> {
@@ -141,10 +141,10 @@
         for _ in 0..=self.opts.retries {
             let answer = self.caller.chat(self.addr(), &chat).await;
             if answer.is_ok() {
-                self.take(message, &answer);
+                self.record_answer(message, &answer);
                 return true;
             }
-            if !self.may_go_on(&answer).await {
+            if !self.prepare_retry(&answer).await {
                 return false;
             }
         }
@@ -162,15 +162,15 @@
         headers
     }
 
-    fn take(&mut self, message: Value, answer: &caller::Answer) {
+    fn record_answer(&mut self, message: Value, answer: &caller::Answer) {
         self.outcome.turns += 1;
         self.outcome.prompt += answer.prompt;
         self.outcome.cached += answer.cached;
-        self.outcome.reusable += self.held.min(answer.prompt);
+        self.outcome.reusable += self.cached_tokens.min(answer.prompt);
         self.outcome.first.push(answer.first);
         self.outcome.history.push(message);
         self.outcome.history.push(answer.message());
-        self.held = answer.prompt + answer.completion;
+        self.cached_tokens = answer.prompt + answer.completion;
     }
 
     /// Calls the tool once for each turn, under a key that names both.
@@ -190,7 +190,7 @@
                 self.outcome.tool_keys.push(key);
                 return true;
             }
-            if !self.may_go_on(&answer).await {
+            if !self.prepare_retry(&answer).await {
                 return false;
             }
         }
@@ -198,7 +198,7 @@
     }
 
     /// After an error: whether the call may be sent again, to the next entry, and when.
-    async fn may_go_on(&mut self, answer: &caller::Answer) -> bool {
+    async fn prepare_retry(&mut self, answer: &caller::Answer) -> bool {
         self.outcome.errors.extend(answer.kind);
         self.next += 1;
         // A broken connection without any answer may be tried again: turns and keys are idempotent.
--- a/fw-local/src/caller.rs
+++ b/fw-local/src/caller.rs
@@ -17,7 +17,7 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Longest that a caller waits for a further piece of a streamed answer.
-const PIECE_TIMEOUT: Duration = Duration::from_secs(60);
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A caller. Clones share its connections.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
     }
 }
 
-/// What a caller got.
+/// What a caller result.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     /// HTTP status; 0 if no answer came.
@@ -140,13 +140,13 @@
             return Answer::default();
         };
         let streamed = chat.stream && answer.status() == http::StatusCode::OK;
-        let mut got = head(&answer);
+        let mut result = head(&answer);
         match streamed {
-            true => read_stream(answer.into_body(), started, &mut got).await,
-            false => read_whole(answer.into_body(), started, &mut got).await,
+            true => read_stream(answer.into_body(), started, &mut result).await,
+            false => read_whole(answer.into_body(), started, &mut result).await,
         }
-        got.took = started.elapsed();
-        got
+        result.took = started.elapsed();
+        result
     }
 
     /// Sends any other request and collects its answer.
@@ -162,10 +162,10 @@
         let Some(answer) = self.send(addr, method, path, headers, body).await else {
             return Answer::default();
         };
-        let mut got = head(&answer);
-        read_whole(answer.into_body(), started, &mut got).await;
-        got.took = started.elapsed();
-        got
+        let mut result = head(&answer);
+        read_whole(answer.into_body(), started, &mut result).await;
+        result.took = started.elapsed();
+        result
     }
 
     async fn send(
@@ -210,80 +210,80 @@
     }
 }
 
-async fn read_whole(body: Incoming, started: Instant, got: &mut Answer) {
-    let collected = tokio::time::timeout(PIECE_TIMEOUT, body.collect()).await;
+async fn read_whole(body: Incoming, started: Instant, result: &mut Answer) {
+    let collected = tokio::time::timeout(CHUNK_TIMEOUT, body.collect()).await;
     let Ok(Ok(collected)) = collected else {
         return;
     };
     let bytes = collected.to_bytes();
-    got.first = started.elapsed();
-    got.whole = true;
-    got.text = String::from_utf8_lossy(&bytes).into_owned();
+    result.first = started.elapsed();
+    result.whole = true;
+    result.text = String::from_utf8_lossy(&bytes).into_owned();
     let Ok(value) = serde_json::from_slice::<Value>(&bytes) else {
         return;
     };
-    note_error(&value, got);
-    note_usage(&value, got);
+    parse_error(&value, result);
+    parse_usage(&value, result);
     let content = value.pointer("/choices/0/message/content");
     if let Some(content) = content.and_then(Value::as_str) {
-        got.text = content.to_owned();
+        result.text = content.to_owned();
     }
-    got.body = value;
+    result.body = value;
 }
 
-async fn read_stream(mut body: Incoming, started: Instant, got: &mut Answer) {
+async fn read_stream(mut body: Incoming, started: Instant, result: &mut Answer) {
     let mut rest = String::new();
-    while let Ok(Some(Ok(frame))) = tokio::time::timeout(PIECE_TIMEOUT, body.frame()).await {
+    while let Ok(Some(Ok(frame))) = tokio::time::timeout(CHUNK_TIMEOUT, body.frame()).await {
         let Some(data) = frame.data_ref() else {
             continue;
         };
         rest.push_str(&String::from_utf8_lossy(data));
         while let Some(end) = rest.find("\n\n") {
             let line: String = rest.drain(..end + 2).collect();
-            take_event(line.trim(), started, got);
+            handle_event(line.trim(), started, result);
         }
     }
 }
 
-fn take_event(line: &str, started: Instant, got: &mut Answer) {
+fn handle_event(line: &str, started: Instant, result: &mut Answer) {
     let Some(data) = line.strip_prefix("data: ") else {
         return;
     };
     if data == "[DONE]" {
-        got.whole = true;
+        result.whole = true;
         return;
     }
     let Ok(value) = serde_json::from_str::<Value>(data) else {
         return;
     };
-    note_error(&value, got);
-    note_usage(&value, got);
+    parse_error(&value, result);
+    parse_usage(&value, result);
     let content = value.pointer("/choices/0/delta/content");
     if let Some(content) = content.and_then(Value::as_str) {
-        if got.text.is_empty() {
-            got.first = started.elapsed();
+        if result.text.is_empty() {
+            result.first = started.elapsed();
         }
-        got.text.push_str(content);
+        result.text.push_str(content);
     }
 }
 
-fn note_error(value: &Value, got: &mut Answer) {
+fn parse_error(value: &Value, result: &mut Answer) {
     let Some(err) = value.get("error") else {
         return;
     };
     let field = |name: &str| err.get(name).cloned().unwrap_or_default();
-    got.kind = serde_json::from_value(field("kind")).ok();
-    got.ran = serde_json::from_value(field("ran")).ok();
+    result.kind = serde_json::from_value(field("kind")).ok();
+    result.ran = serde_json::from_value(field("ran")).ok();
     let after = field("retry_after").as_f64();
-    got.retry_after = after.and_then(|secs| Duration::try_from_secs_f64(secs).ok());
+    result.retry_after = after.and_then(|secs| Duration::try_from_secs_f64(secs).ok());
 }
 
-fn note_usage(value: &Value, got: &mut Answer) {
+fn parse_usage(value: &Value, result: &mut Answer) {
     let Some(usage) = value.get("usage").filter(|usage| usage.is_object()) else {
         return;
     };
     let count = |path: &str| usage.pointer(path).and_then(Value::as_u64).unwrap_or(0);
-    got.prompt = count("/prompt_tokens");
-    got.completion = count("/completion_tokens");
-    got.cached = count("/prompt_tokens_details/cached_tokens");
+    result.prompt = count("/prompt_tokens");
+    result.completion = count("/completion_tokens");
+    result.cached = count("/prompt_tokens_details/cached_tokens");
 }
--- a/fw-local/src/faults.rs
+++ b/fw-local/src/faults.rs
@@ -12,15 +12,15 @@
 use tokio::task::JoinSet;
 
 use crate::caller;
-use crate::history::doors;
+use crate::history::endpoints;
 use crate::system;
 
 /// Most faults of a schedule.
-const MOST: usize = 3;
+const MAX_FAULTS: usize = 3;
 /// When the first faults begin, and the last, in milliseconds.
-const BEGIN_MS: std::ops::Range<u64> = 300..2_500;
+const START_MS: std::ops::Range<u64> = 300..2_500;
 /// How long a fault lasts, in milliseconds.
-const LAST_MS: std::ops::Range<u64> = 300..2_500;
+const DURATION_MS: std::ops::Range<u64> = 300..2_500;
 /// Delay of a slow store.
 const STORE_DELAY: Duration = Duration::from_millis(150);
 /// How much slower a slow engine is.
@@ -30,7 +30,7 @@
 /// Time between two looks whether a new entry is ready.
 const READY_POLL: Duration = Duration::from_millis(50);
 /// Most such looks.
-const READY_LOOKS: usize = 400;
+const MAX_READY_POLLS: usize = 400;
 
 /// Something that goes wrong. Numbers are indices into the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,10 +89,10 @@
 
 /// Draws one to three faults.
 pub fn draw(rng: &mut Pcg64, opts: &Options) -> Vec<Timed> {
-    let count = rng.random_range(1..=MOST);
+    let count = rng.random_range(1..=MAX_FAULTS);
     let timed = |_| Timed {
-        at: Duration::from_millis(rng.random_range(BEGIN_MS)),
-        lasts: Duration::from_millis(rng.random_range(LAST_MS)),
+        at: Duration::from_millis(rng.random_range(START_MS)),
+        lasts: Duration::from_millis(rng.random_range(DURATION_MS)),
         fault: draw_one(rng, opts),
     };
     let mut drawn: Vec<_> = (0..count).map(timed).collect();
@@ -138,13 +138,13 @@
     /// The system.
     pub system: system::System,
     recorder: recorder::Recorder,
-    doors: Arc<doors::Doors>,
+    endpoints: Arc<endpoints::Endpoints>,
     /// Entries that stop, and entries that are not ready yet.
     tasks: JoinSet<()>,
 }
 
 enum Step {
-    Begin,
+    Inject,
     Heal,
 }
 
@@ -153,17 +153,17 @@
     pub fn new(
         system: system::System,
         recorder: recorder::Recorder,
-        doors: Arc<doors::Doors>,
+        endpoints: Arc<endpoints::Endpoints>,
     ) -> Self {
         for (index, entry) in system.entries.iter().enumerate() {
             if let Some(running) = entry {
-                doors.open(doors::Door::new(index, running));
+                endpoints.open(endpoints::Endpoint::new(index, running));
             }
         }
         Self {
             system,
             recorder,
-            doors,
+            endpoints,
             tasks: JoinSet::new(),
         }
     }
@@ -171,14 +171,14 @@
     /// Brings `faults` about, each at its time from now on, and heals them.
     pub async fn run(&mut self, faults: &[Timed]) {
         let begun = tokio::time::Instant::now();
-        let begins = faults.iter().map(|f| (f.at, Step::Begin, f.fault));
+        let begins = faults.iter().map(|f| (f.at, Step::Inject, f.fault));
         let heals = faults.iter().map(|f| (f.at + f.lasts, Step::Heal, f.fault));
         let mut steps: Vec<_> = begins.chain(heals).collect();
         steps.sort_by_key(|(at, ..)| *at);
         for (at, step, fault) in steps {
             tokio::time::sleep_until(begun + at).await;
             match step {
-                Step::Begin => self.begin(fault),
+                Step::Inject => self.inject(fault),
                 Step::Heal => self.heal(fault).await,
             }
         }
@@ -192,12 +192,12 @@
     /// Ends the system at once.
     pub fn end(mut self) {
         for entry in 0..self.system.entries.len() {
-            self.doors.close(entry);
+            self.endpoints.close(entry);
             self.system.kill_entry(entry);
         }
     }
 
-    fn begin(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         let engines = &self.system.engines;
         let store = &self.system.store;
         match fault {
@@ -257,8 +257,8 @@
         if self.system.entries[entry].is_none() {
             return;
         }
-        self.doors.close(entry);
-        let process = doors::name(entry);
+        self.endpoints.close(entry);
+        let process = endpoints::name(entry);
         self.recorder.record(Event::Crashed { process });
         self.system.kill_entry(entry);
     }
@@ -267,9 +267,9 @@
         let Some(running) = self.system.entries[entry].take() else {
             return;
         };
-        self.doors.close(entry);
+        self.endpoints.close(entry);
         let recorder = self.recorder.clone();
-        let process = doors::name(entry);
+        let process = endpoints::name(entry);
         recorder.record(Event::ShutdownBegun {
             process: process.clone(),
         });
@@ -296,14 +296,14 @@
         let Some(running) = &self.system.entries[index] else {
             return;
         };
-        let door = doors::Door::new(index, running);
-        let doors = Arc::clone(&self.doors);
+        let endpoint = endpoints::Endpoint::new(index, running);
+        let endpoints = Arc::clone(&self.endpoints);
         self.tasks.spawn(async move {
-            for _ in 0..READY_LOOKS {
+            for _ in 0..MAX_READY_POLLS {
                 let caller = caller::Caller::new();
-                let ready = caller.plain(door.callers, "GET", "/readyz", &[], "".into());
+                let ready = caller.plain(endpoint.callers, "GET", "/readyz", &[], "".into());
                 if ready.await.status == 200 {
-                    doors.open(door);
+                    endpoints.open(endpoint);
                     return;
                 }
                 tokio::time::sleep(READY_POLL).await;
--- a/fw-local/src/history/calls.rs
+++ b/fw-local/src/history/calls.rs
@@ -14,7 +14,7 @@
 use smol_str::SmolStr;
 use tokio::net::TcpStream;
 
-use super::doors;
+use super::endpoints;
 use crate::caller;
 
 /// What recorded callers share.
@@ -23,11 +23,11 @@
     /// The record.
     pub recorder: recorder::Recorder,
     /// The entries that can be called.
-    pub doors: Arc<doors::Doors>,
+    pub endpoints: Arc<endpoints::Endpoints>,
 }
 
 /// How a call ended.
-pub enum Got {
+pub enum CallResult {
     /// With an answer.
     Answered(Box<caller::Answer>),
     /// With an error.
@@ -55,7 +55,7 @@
     /// The request.
     pub chat: caller::Chat,
     /// Longest that the caller waits before it goes away.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// A plain request to be sent.
@@ -72,47 +72,47 @@
     /// The body.
     pub body: String,
     /// Longest that the caller waits before it goes away.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 impl Context {
-    /// Sends a turn to the entry behind `door`.
-    pub async fn turn(&self, door: &doors::Door, turn: &Turn) -> Got {
+    /// Sends a turn to the entry behind `endpoint`.
+    pub async fn turn(&self, endpoint: &endpoints::Endpoint, turn: &Turn) -> CallResult {
         let call = self.recorder.next_id();
         self.recorder.record(Event::TurnSent(event::TurnSent {
             call,
             caller: turn.caller.clone(),
-            to: door.process.clone(),
+            to: endpoint.process.clone(),
             program: turn.program.clone(),
             turn: turn.turn,
             messages: digests(std::slice::from_ref(&turn.message)),
         }));
-        if !is_reachable(door).await {
+        if !is_reachable(endpoint).await {
             return self.lost(call, false, false);
         }
         // A connection for each call: none is found closed as the call is written to it.
         let caller = caller::Caller::new();
-        let answer = caller.chat(door.callers, &turn.chat);
-        let Ok(answer) = tokio::time::timeout(turn.patience, answer).await else {
+        let answer = caller.chat(endpoint.callers, &turn.chat);
+        let Ok(answer) = tokio::time::timeout(turn.timeout, answer).await else {
             return self.lost(call, true, true);
         };
         let digest = digests(&[answer.message()])[0];
         self.ended(call, answer, digest)
     }
 
-    /// Sends a plain request to the entry behind `door`.
-    pub async fn plain(&self, door: &doors::Door, plain: &Plain) -> Got {
+    /// Sends a plain request to the entry behind `endpoint`.
+    pub async fn plain(&self, endpoint: &endpoints::Endpoint, plain: &Plain) -> CallResult {
         let call = self.recorder.next_id();
         let body = plain.body.as_bytes();
         self.recorder.record(Event::PlainSent(event::PlainSent {
             call,
             caller: plain.caller.clone(),
-            to: door.process.clone(),
+            to: endpoint.process.clone(),
             request: event::request_of(plain.method, &plain.path, body),
             key: plain.key.clone(),
             idempotent: plain.key.is_none(),
         }));
-        if !is_reachable(door).await {
+        if !is_reachable(endpoint).await {
             return self.lost(call, false, false);
         }
         let key = plain
@@ -122,25 +122,30 @@
         let headers: Vec<_> = key.collect();
         let caller = caller::Caller::new();
         let answer = caller.plain(
-            door.callers,
+            endpoint.callers,
             plain.method,
             &plain.path,
             &headers,
             plain.body.clone().into(),
         );
-        let Ok(answer) = tokio::time::timeout(plain.patience, answer).await else {
+        let Ok(answer) = tokio::time::timeout(plain.timeout, answer).await else {
             return self.lost(call, true, true);
         };
         let digest = digest::Digest::of_bytes(answer.text.as_bytes());
         self.ended(call, answer, digest)
     }
 
-    fn ended(&self, call: event::CallId, answer: caller::Answer, digest: digest::Digest) -> Got {
+    fn ended(
+        &self,
+        call: event::CallId,
+        answer: caller::Answer,
+        digest: digest::Digest,
+    ) -> CallResult {
         if let Some(kind) = answer.kind {
             let ran = answer.ran.unwrap_or(kind.row().ran);
             self.recorder.record(Event::Refused { call, kind, ran });
             let after = answer.retry_after;
-            return Got::Refused { kind, after };
+            return CallResult::Refused { kind, after };
         }
         if !answer.is_ok() {
             return self.lost(call, true, false);
@@ -151,22 +156,22 @@
             whole: answer.whole,
             tokens: answer.prompt + answer.completion,
         });
-        Got::Answered(Box::new(answer))
+        CallResult::Answered(Box::new(answer))
     }
 
-    fn lost(&self, call: event::CallId, sent: bool, by_caller: bool) -> Got {
+    fn lost(&self, call: event::CallId, sent: bool, by_caller: bool) -> CallResult {
         self.recorder.record(Event::Lost {
             call,
             sent,
             by_caller,
         });
-        Got::Lost
+        CallResult::Lost
     }
 }
 
 /// Whether the entry takes connections.
-async fn is_reachable(door: &doors::Door) -> bool {
-    TcpStream::connect(door.callers).await.is_ok()
+async fn is_reachable(endpoint: &endpoints::Endpoint) -> bool {
+    TcpStream::connect(endpoint.callers).await.is_ok()
 }
 
 /// Digests of messages, as the record has them.
--- a/fw-local/src/history/doors.rs
+++ b/fw-local/src/history/endpoints.rs
@@ -14,7 +14,7 @@
 
 /// One entry that runs.
 #[derive(Clone)]
-pub struct Door {
+pub struct Endpoint {
     /// Its name in the record.
     pub process: event::ProcessId,
     /// Address for callers.
@@ -42,10 +42,10 @@
 
 /// The entries that run. Callers are not sent to one that stops.
 #[derive(Default)]
-pub struct Doors {
-    open: Mutex<Vec<Door>>,
+pub struct Endpoints {
+    open: Mutex<Vec<Endpoint>>,
     /// Those that were ever open.
-    known: Mutex<Vec<Door>>,
+    known: Mutex<Vec<Endpoint>>,
 }
 
 /// The name that the entry of this index has in the record.
@@ -53,7 +53,7 @@
     smol_str::format_smolstr!("entry-{entry}")
 }
 
-impl Door {
+impl Endpoint {
     /// The entry of index `entry`.
     pub fn new(entry: usize, running: &serve::Running) -> Self {
         let addresses = running.addresses();
@@ -68,22 +68,22 @@
     }
 }
 
-impl Doors {
+impl Endpoints {
     /// Adds an entry.
-    pub fn open(&self, door: Door) {
-        self.known.lock().push(door.clone());
-        self.open.lock().push(door);
+    pub fn open(&self, endpoint: Endpoint) {
+        self.known.lock().push(endpoint.clone());
+        self.open.lock().push(endpoint);
     }
 
     /// What every entry that was ever open decided about `program`, in order of time since `begun`.
     pub fn decisions(&self, program: &str, begun: Instant) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        for door in self.known.lock().iter() {
-            let started = door.started.saturating_duration_since(begun);
-            let events = door.decisions.events(program).into_iter();
+        for endpoint in self.known.lock().iter() {
+            let started = endpoint.started.saturating_duration_since(begun);
+            let events = endpoint.decisions.events(program).into_iter();
             decisions.extend(events.map(|event| Decision {
                 at: started + Duration::from_millis(event.at_ms),
-                process: door.process.clone(),
+                process: endpoint.process.clone(),
                 event,
             }));
         }
@@ -94,16 +94,18 @@
     /// Takes an entry off.
     pub fn close(&self, entry: usize) {
         let process = name(entry);
-        self.open.lock().retain(|door| door.process != process);
+        self.open
+            .lock()
+            .retain(|endpoint| endpoint.process != process);
     }
 
     /// All entries.
-    pub fn all(&self) -> Vec<Door> {
+    pub fn all(&self) -> Vec<Endpoint> {
         self.open.lock().clone()
     }
 
     /// One of the entries: the `n`-th, round and round.
-    pub fn pick(&self, n: usize) -> Option<Door> {
+    pub fn pick(&self, n: usize) -> Option<Endpoint> {
         let open = self.open.lock();
         let place = n.checked_rem(open.len())?;
         open.get(place).cloned()
--- a/fw-local/src/history/mod.rs
+++ b/fw-local/src/history/mod.rs
@@ -4,7 +4,7 @@
 //! What a run does is drawn from its seed; how its threads interleave is not.
 
 pub mod calls;
-pub mod doors;
+pub mod endpoints;
 pub mod operate;
 pub mod program;
 
@@ -35,10 +35,10 @@
 /// Time after which a crashed plain service is back.
 const TOOL_RESTART: Duration = Duration::from_millis(100);
 /// Longest wait for histories at the end of a run.
-const READ_LIMIT: Duration = Duration::from_secs(15);
+const READ_TIMEOUT: Duration = Duration::from_secs(15);
 /// Longest that an engine may hold memory of a program that was ended. A side that was crashed as the
 /// program ended asks its keeper only once the program was idle for 30 s (`ask_after` of the side).
-const FREE_WITHIN: Duration = Duration::from_secs(40);
+const FREE_TIMEOUT: Duration = Duration::from_secs(40);
 /// Time between two looks at the engines' memory.
 const MEMORY_POLL: Duration = Duration::from_millis(50);
 
@@ -65,7 +65,7 @@
             faults: true,
             limit: Duration::from_secs(40),
             check: check::Options {
-                free_within: FREE_WITHIN,
+                free_within: FREE_TIMEOUT,
                 leave_within: Duration::from_secs(4),
                 in_force_within: Duration::from_secs(8),
             },
@@ -87,7 +87,7 @@
     pub unread: Vec<id::ProgramId>,
     /// What the entries decided about programs that went wrong: the record tells what callers saw,
     /// these tell why.
-    pub decisions: Vec<(id::ProgramId, Vec<doors::Decision>)>,
+    pub decisions: Vec<(id::ProgramId, Vec<endpoints::Decision>)>,
     /// Time that the run took.
     pub took: Duration,
 }
@@ -109,7 +109,7 @@
     /// was refused for it, or the history could not be read.
     pub fn lost(&self) -> usize {
         let is_lost = |p: &&program::Outcome| {
-            let is_refused = p.answered > 0 && p.refused.is_some_and(tells_loss);
+            let is_refused = p.answered > 0 && p.refused.is_some_and(indicates_loss);
             is_refused || self.unread.contains(&p.program)
         };
         self.programs.iter().filter(is_lost).count()
@@ -136,7 +136,7 @@
             writeln!(f, "unread     {program}")?;
         }
         for (program, decisions) in &self.decisions {
-            for doors::Decision { at, process, event } in decisions {
+            for endpoints::Decision { at, process, event } in decisions {
                 let (what, why) = (&event.what, &event.why);
                 writeln!(f, "{program} at {at:?}, {process}: {what}: {why}")?;
             }
@@ -146,7 +146,7 @@
 }
 
 /// Whether an error to the next turn says that the turns before it are not known.
-fn tells_loss(kind: error::Kind) -> bool {
+fn indicates_loss(kind: error::Kind) -> bool {
     use error::Kind::HistoryMismatch;
     use error::Kind::UnknownProgram;
     use error::Kind::WrongTurn;
@@ -161,11 +161,11 @@
 pub async fn run(opts: &Options) -> io::Result<Outcome> {
     let begun = Instant::now();
     let recorder = recorder::Recorder::new();
-    let shape = shape(&recorder);
+    let system_opts = system_opts(&recorder);
     let sizes = faults::Options {
-        entries: shape.entries.len(),
-        engines: shape.engines.len(),
-        tools: shape.tools.len(),
+        entries: system_opts.entries.len(),
+        engines: system_opts.engines.len(),
+        tools: system_opts.tools.len(),
     };
     let mut rng = Pcg64::seed_from_u64(opts.seed);
     let faults = match opts.faults {
@@ -175,12 +175,12 @@
     let plans = plans(&mut rng, opts);
     let cx = calls::Context {
         recorder,
-        doors: Arc::default(),
+        endpoints: Arc::default(),
     };
-    let system = system::System::start(shape).await?;
-    let mut driver = faults::Driver::new(system, cx.recorder.clone(), Arc::clone(&cx.doors));
+    let system = system::System::start(system_opts).await?;
+    let mut driver = faults::Driver::new(system, cx.recorder.clone(), Arc::clone(&cx.endpoints));
     let stop = CancellationToken::new();
-    let mut others = others(&cx, opts.seed, &stop);
+    let mut background = start_background(&cx, opts.seed, &stop);
     let mut agents = JoinSet::new();
     for plan in plans {
         agents.spawn(program::run(cx.clone(), plan));
@@ -189,17 +189,17 @@
     let programs = agents.join_all().await;
     stop.cancel();
     driver.settle().await;
-    while others.join_next().await.is_some() {}
-    operate::settle(&cx, opts.check.in_force_within + Duration::from_secs(1)).await;
-    let unread = read_all(&cx, &programs).await;
+    while background.join_next().await.is_some() {}
+    operate::wait_in_force(&cx, opts.check.in_force_within + Duration::from_secs(1)).await;
+    let unread = read_histories(&cx, &programs).await;
     let limit = opts.check.free_within + Duration::from_secs(1);
     wait_freed(&driver.system, &programs, limit).await;
-    operate::look(&cx);
+    operate::sample(&cx);
     let entries = cx.recorder.entries();
     let report = check::record(&entries, &opts.check);
     let suspects = suspects(&programs, &unread, &report);
     let decided = |program: id::ProgramId| {
-        let decisions = cx.doors.decisions(&program, begun);
+        let decisions = cx.endpoints.decisions(&program, begun);
         (program, decisions)
     };
     let decisions = suspects.into_iter().map(decided).collect();
@@ -215,7 +215,7 @@
     })
 }
 
-fn shape(recorder: &recorder::Recorder) -> system::Options {
+fn system_opts(recorder: &recorder::Recorder) -> system::Options {
     let notes = |upstream: &str| {
         Some(notes::Notes {
             recorder: recorder.clone(),
@@ -248,26 +248,26 @@
 }
 
 /// Starts operators, readers and the look at records in force.
-fn others(cx: &calls::Context, seed: u64, stop: &CancellationToken) -> JoinSet<()> {
-    let mut others = JoinSet::new();
+fn start_background(cx: &calls::Context, seed: u64, stop: &CancellationToken) -> JoinSet<()> {
+    let mut background = JoinSet::new();
     for (n, name) in ["operator-a", "operator-b"].into_iter().enumerate() {
         let rng = Pcg64::new(seed.into(), n as u128);
-        others.spawn(operate::change(cx.clone(), name, rng, stop.clone()));
+        background.spawn(operate::run_operator(cx.clone(), name, rng, stop.clone()));
     }
     for (n, name) in ["reader-a", "reader-b"].into_iter().enumerate() {
         let rng = Pcg64::new(seed.into(), 2 + n as u128);
-        others.spawn(operate::look_up(cx.clone(), name, rng, stop.clone()));
+        background.spawn(operate::run_reader(cx.clone(), name, rng, stop.clone()));
     }
-    others.spawn(operate::watch(cx.clone(), stop.clone()));
-    others
+    background.spawn(operate::sample_until_stopped(cx.clone(), stop.clone()));
+    background
 }
 
 /// Reads the histories of all programs that were not ended; returns those that could not be read.
-async fn read_all(cx: &calls::Context, programs: &[program::Outcome]) -> Vec<id::ProgramId> {
-    let until = Instant::now() + READ_LIMIT;
+async fn read_histories(cx: &calls::Context, programs: &[program::Outcome]) -> Vec<id::ProgramId> {
+    let until = Instant::now() + READ_TIMEOUT;
     let mut unread = Vec::new();
-    let kept = programs.iter().filter(|p| !p.ended && p.answered > 0);
-    for program in kept {
+    let remaining = programs.iter().filter(|p| !p.ended && p.answered > 0);
+    for program in remaining {
         if !program::read(cx, &program.program, until).await {
             unread.push(program.program.clone());
         }
--- a/fw-local/src/history/operate.rs
+++ b/fw-local/src/history/operate.rs
@@ -13,19 +13,19 @@
 use tokio_util::sync::CancellationToken;
 
 use super::calls;
-use super::doors;
+use super::endpoints;
 use crate::caller;
 use crate::system;
 
 /// The record that operators race on.
 const RECORD: &str = "route/extra";
 /// Longest that an operator or reader waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(8);
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time between two looks at the records in force.
-const LOOK: Duration = Duration::from_millis(200);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Changes the record again and again, each time by compare-and-swap, until `stop`.
-pub async fn change(
+pub async fn run_operator(
     cx: calls::Context,
     name: &'static str,
     mut rng: Pcg64,
@@ -34,16 +34,16 @@
     let mut count = 0;
     while !stop.is_cancelled() {
         count += 1;
-        if let Some(door) = cx.doors.pick(rng.random_range(0..8)) {
+        if let Some(endpoint) = cx.endpoints.pick(rng.random_range(0..8)) {
             let path = format!("/extra/{name}/{count}");
-            change_once(&cx, &door, path).await;
+            change_record(&cx, &endpoint, path).await;
         }
         tokio::time::sleep(Duration::from_millis(rng.random_range(100..500))).await;
     }
 }
 
-async fn change_once(cx: &calls::Context, door: &doors::Door, path: String) {
-    let now = admin(door, "GET", &format!("/admin/records/{RECORD}"), "").await;
+async fn change_record(cx: &calls::Context, endpoint: &endpoints::Endpoint, path: String) {
+    let now = admin(endpoint, "GET", &format!("/admin/records/{RECORD}"), "").await;
     let revision = match now.status {
         200 => now.body["revision"].as_i64().unwrap_or(0),
         404 => 0,
@@ -52,7 +52,7 @@
     let record = json!({ "schema": 2, "path": path, "service": system::TOOLS });
     let value = Some(digest::Digest::of_bytes(path.as_bytes()));
     let at = format!("/admin/records/{RECORD}?revision={revision}");
-    let answer = admin(door, "PUT", &at, &record.to_string()).await;
+    let answer = admin(endpoint, "PUT", &at, &record.to_string()).await;
     let name = RECORD.into();
     match (answer.status, answer.body["revision"].as_i64(), answer.kind) {
         (200, Some(revision), _) => cx.recorder.record(Event::RecordAccepted {
@@ -65,17 +65,22 @@
     }
 }
 
-async fn admin(door: &doors::Door, method: &str, path: &str, body: &str) -> caller::Answer {
+async fn admin(
+    endpoint: &endpoints::Endpoint,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> caller::Answer {
     let caller = caller::Caller::new();
     let body = body.to_owned().into();
-    let answer = caller.plain(door.admin, method, path, &[], body);
-    tokio::time::timeout(PATIENCE, answer)
+    let answer = caller.plain(endpoint.admin, method, path, &[], body);
+    tokio::time::timeout(CALL_TIMEOUT, answer)
         .await
         .unwrap_or_default()
 }
 
 /// Reads from a plain service again and again until `stop`; each request is another one.
-pub async fn look_up(
+pub async fn run_reader(
     cx: calls::Context,
     name: &'static str,
     mut rng: Pcg64,
@@ -84,34 +89,34 @@
     let mut count = 0;
     while !stop.is_cancelled() {
         count += 1;
-        if let Some(door) = cx.doors.pick(count) {
+        if let Some(endpoint) = cx.endpoints.pick(count) {
             let call = calls::Plain {
                 caller: name.into(),
                 method: "GET",
                 path: format!("/lookup/{name}/{count}"),
                 key: None,
                 body: format!("{name} looks up {count}"),
-                patience: PATIENCE,
+                timeout: CALL_TIMEOUT,
             };
-            cx.plain(&door, &call).await;
+            cx.plain(&endpoint, &call).await;
         }
         tokio::time::sleep(Duration::from_millis(rng.random_range(20..120))).await;
     }
 }
 
 /// Notes again and again which records are in force at each entry, until `stop`.
-pub async fn watch(cx: calls::Context, stop: CancellationToken) {
+pub async fn sample_until_stopped(cx: calls::Context, stop: CancellationToken) {
     while !stop.is_cancelled() {
-        look(&cx);
-        tokio::time::sleep(LOOK).await;
+        sample(&cx);
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
     }
 }
 
 /// Notes which records are in force at each entry; returns the lowest revision.
-pub fn look(cx: &calls::Context) -> id::Revision {
+pub fn sample(cx: &calls::Context) -> id::Revision {
     let mut lowest = id::Revision::MAX;
-    for door in cx.doors.all() {
-        let Some(entry) = door.entry.upgrade() else {
+    for endpoint in cx.endpoints.all() {
+        let Some(entry) = endpoint.entry.upgrade() else {
             continue;
         };
         // A process that has no records yet takes no calls.
@@ -122,7 +127,7 @@
         let revision = set.revision();
         lowest = lowest.min(revision);
         cx.recorder.record(Event::RecordInForce {
-            process: door.process,
+            process: endpoint.process,
             revision,
             values: None,
         });
@@ -131,7 +136,7 @@
 }
 
 /// Waits until the records accepted last are in force at every entry, or `limit` has passed.
-pub async fn settle(cx: &calls::Context, limit: Duration) {
+pub async fn wait_in_force(cx: &calls::Context, limit: Duration) {
     let accepted = cx
         .recorder
         .entries()
@@ -142,7 +147,7 @@
         });
     let newest = accepted.max().unwrap_or(0);
     let until = Instant::now() + limit;
-    while look(cx) < newest && Instant::now() < until {
-        tokio::time::sleep(LOOK).await;
+    while sample(cx) < newest && Instant::now() < until {
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
     }
 }
--- a/fw-local/src/history/program.rs
+++ b/fw-local/src/history/program.rs
@@ -17,16 +17,16 @@
 use crate::caller;
 
 /// Longest that a caller waits for one answer.
-const PATIENCE: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest that a caller goes on to send a tool call again. A key may stay in use for long after its
 /// call has failed; the program goes on without knowing whether the tool ran.
-const TOOL_LIMIT: Duration = Duration::from_secs(6);
+const TOOL_TIMEOUT: Duration = Duration::from_secs(6);
 /// Longest pause before a call is sent again.
-const MAX_PAUSE: Duration = Duration::from_millis(600);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(600);
 /// Pause before a call is sent again if the error names none.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Tokens of an answer.
-const ANSWER: u64 = 24;
+const MAX_ANSWER_TOKENS: u64 = 24;
 
 /// What one program does.
 #[derive(Clone, Debug)]
@@ -46,9 +46,9 @@
     /// Turns after which a tool is called that must not run twice.
     pub tools: Vec<id::Turn>,
     /// Turns and tool calls that are sent through two entries at once.
-    pub doubled: Vec<id::Turn>,
+    pub duplicated: Vec<id::Turn>,
     /// Turns whose caller goes away soon and sends them again.
-    pub left: Vec<id::Turn>,
+    pub abandoned: Vec<id::Turn>,
     /// Whether it is ended by its caller.
     pub end: bool,
     /// Time after which its caller gives up for good.
@@ -59,11 +59,11 @@
     /// Draws what program `n` does.
     pub fn draw(rng: &mut Pcg64, name: &str, limit: Duration) -> Self {
         let turns = rng.random_range(2..=6);
-        let mut some = |chance: f64| -> Vec<id::Turn> {
+        let mut draw_turns = |chance: f64| -> Vec<id::Turn> {
             let all = 1..=turns;
             all.filter(|_| rng.random_bool(chance)).collect()
         };
-        let (tools, doubled, left) = (some(0.4), some(0.2), some(0.15));
+        let (tools, duplicated, abandoned) = (draw_turns(0.4), draw_turns(0.2), draw_turns(0.15));
         Self {
             program: name.into(),
             start: Duration::from_millis(rng.random_range(0..2_000)),
@@ -72,8 +72,8 @@
             stream: rng.random_bool(0.7),
             pause: Duration::from_millis(rng.random_range(20..400)),
             tools,
-            doubled,
-            left,
+            duplicated,
+            abandoned,
             end: rng.random_bool(0.5),
             limit,
         }
@@ -146,29 +146,29 @@
 
     async fn turn(&mut self, turn: id::Turn) -> bool {
         let mut call = self.call(turn);
-        if self.plan.left.contains(&turn) {
+        if self.plan.abandoned.contains(&turn) {
             let soon = Duration::from_millis(5 + u64::from(turn) * 7);
-            call.patience = soon;
+            call.timeout = soon;
         }
         while Instant::now() < self.until {
-            let got = match self.plan.doubled.contains(&turn) {
+            let result = match self.plan.duplicated.contains(&turn) {
                 true => self.send_twice(&call).await,
                 false => self.send(&call).await,
             };
-            call.patience = PATIENCE;
-            match got {
-                calls::Got::Answered(answer) => {
+            call.timeout = CALL_TIMEOUT;
+            match result {
+                calls::CallResult::Answered(answer) => {
                     self.history.push(call.message);
                     self.history.push(answer.message());
                     self.outcome.answered = turn;
                     return true;
                 }
-                calls::Got::Refused { kind, .. } if !may_repeat(kind) => {
+                calls::CallResult::Refused { kind, .. } if !is_retryable(kind) => {
                     self.outcome.refused = Some(kind);
                     return false;
                 }
-                calls::Got::Refused { after, .. } => self.pause(after).await,
-                calls::Got::Lost => self.pause(None).await,
+                calls::CallResult::Refused { after, .. } => self.pause(after).await,
+                calls::CallResult::Lost => self.pause(None).await,
             }
         }
         false
@@ -196,28 +196,28 @@
             chat: caller::Chat {
                 messages,
                 stream: self.plan.stream,
-                max_tokens: Some(ANSWER),
+                max_tokens: Some(MAX_ANSWER_TOKENS),
                 headers,
                 ..caller::Chat::default()
             },
-            patience: PATIENCE,
+            timeout: CALL_TIMEOUT,
         }
     }
 
-    async fn send(&self, call: &calls::Turn) -> calls::Got {
-        match self.cx.doors.pick(self.next) {
-            Some(door) => self.cx.turn(&door, call).await,
-            None => calls::Got::Lost,
+    async fn send(&self, call: &calls::Turn) -> calls::CallResult {
+        match self.cx.endpoints.pick(self.next) {
+            Some(endpoint) => self.cx.turn(&endpoint, call).await,
+            None => calls::CallResult::Lost,
         }
     }
 
     /// Sends a turn through two entries at the same time.
-    async fn send_twice(&self, call: &calls::Turn) -> calls::Got {
-        let (Some(one), Some(other)) = self.two_doors() else {
-            return calls::Got::Lost;
+    async fn send_twice(&self, call: &calls::Turn) -> calls::CallResult {
+        let (Some(one), Some(other)) = self.two_endpoints() else {
+            return calls::CallResult::Lost;
         };
         let (one, other) = tokio::join!(self.cx.turn(&one, call), self.cx.turn(&other, call));
-        better(one, other)
+        more_informative(one, other)
     }
 
     /// Calls a tool under a key that names program and turn.
@@ -229,65 +229,71 @@
             path: format!("/publish/{program}/{turn}"),
             key: Some(smol_str::format_smolstr!("{program}.{turn}")),
             body: format!("{program} publishes after turn {turn}"),
-            patience: PATIENCE,
+            timeout: CALL_TIMEOUT,
         };
-        let until = self.until.min(Instant::now() + TOOL_LIMIT);
+        let until = self.until.min(Instant::now() + TOOL_TIMEOUT);
         while Instant::now() < until {
-            let got = match (self.plan.doubled.contains(&turn), self.two_doors()) {
+            let result = match (self.plan.duplicated.contains(&turn), self.two_endpoints()) {
                 (true, (Some(one), Some(other))) => {
                     let (one, other) = (self.cx.plain(&one, &call), self.cx.plain(&other, &call));
                     let (one, other) = tokio::join!(one, other);
-                    better(one, other)
+                    more_informative(one, other)
                 }
                 (false, (Some(one), _)) => self.cx.plain(&one, &call).await,
-                _ => calls::Got::Lost,
+                _ => calls::CallResult::Lost,
             };
-            match got {
-                calls::Got::Answered(_) => return,
-                calls::Got::Refused { kind, .. } if !may_repeat(kind) => break,
-                calls::Got::Refused { after, .. } => self.pause(after).await,
-                calls::Got::Lost => self.pause(None).await,
+            match result {
+                calls::CallResult::Answered(_) => return,
+                calls::CallResult::Refused { kind, .. } if !is_retryable(kind) => break,
+                calls::CallResult::Refused { after, .. } => self.pause(after).await,
+                calls::CallResult::Lost => self.pause(None).await,
             }
         }
         self.outcome.unsure_tools += 1;
     }
 
-    fn two_doors(&self) -> (Option<super::doors::Door>, Option<super::doors::Door>) {
-        let doors = &self.cx.doors;
-        (doors.pick(self.next), doors.pick(self.next + 1))
+    fn two_endpoints(
+        &self,
+    ) -> (
+        Option<super::endpoints::Endpoint>,
+        Option<super::endpoints::Endpoint>,
+    ) {
+        let endpoints = &self.cx.endpoints;
+        (endpoints.pick(self.next), endpoints.pick(self.next + 1))
     }
 
     async fn pause(&mut self, after: Option<Duration>) {
         self.next += 1;
-        tokio::time::sleep(after.unwrap_or(PAUSE).min(MAX_PAUSE)).await;
+        tokio::time::sleep(after.unwrap_or(RETRY_PAUSE).min(MAX_RETRY_PAUSE)).await;
     }
 }
 
 /// Turns and keyed calls are idempotent, so a call may be sent again unless its error is final.
-fn may_repeat(kind: error::Kind) -> bool {
+fn is_retryable(kind: error::Kind) -> bool {
     kind.row().retry || kind == error::Kind::Cancelled
 }
 
 /// Of two ends of the same call the one that tells more.
-fn better(one: calls::Got, other: calls::Got) -> calls::Got {
-    let is_final = |got: &calls::Got| match got {
-        calls::Got::Refused { kind, .. } => !may_repeat(*kind),
+fn more_informative(one: calls::CallResult, other: calls::CallResult) -> calls::CallResult {
+    let is_final = |result: &calls::CallResult| match result {
+        calls::CallResult::Refused { kind, .. } => !is_retryable(*kind),
         _ => false,
     };
     match (one, other) {
-        (got @ calls::Got::Answered(_), _) | (_, got @ calls::Got::Answered(_)) => got,
+        (result @ calls::CallResult::Answered(_), _)
+        | (_, result @ calls::CallResult::Answered(_)) => result,
         (one, other) if is_final(&one) => match other {
-            calls::Got::Lost => one,
+            calls::CallResult::Lost => one,
             other => other,
         },
-        (calls::Got::Lost, other) => other,
+        (calls::CallResult::Lost, other) => other,
         (one, _) => one,
     }
 }
 
 /// Reads a program's history back, and notes it.
 pub async fn read(cx: &calls::Context, program: &id::ProgramId, until: Instant) -> bool {
-    let Some(answer) = ask(cx, "GET", program, until).await else {
+    let Some(answer) = request(cx, "GET", program, until).await else {
         return false;
     };
     let history = answer.body["history"].as_array();
@@ -299,7 +305,7 @@
 }
 
 async fn end(cx: &calls::Context, program: &id::ProgramId, until: Instant) -> bool {
-    if ask(cx, "DELETE", program, until).await.is_none() {
+    if request(cx, "DELETE", program, until).await.is_none() {
         return false;
     }
     let program = program.clone();
@@ -308,7 +314,7 @@
 }
 
 /// Asks the entries about a program, one after another, until one answers.
-async fn ask(
+async fn request(
     cx: &calls::Context,
     method: &str,
     program: &id::ProgramId,
@@ -317,10 +323,10 @@
     let path = format!("/v1/programs/{program}");
     let mut next = 0;
     while Instant::now() < until {
-        if let Some(door) = cx.doors.pick(next) {
+        if let Some(endpoint) = cx.endpoints.pick(next) {
             let caller = caller::Caller::new();
-            let answer = caller.plain(door.callers, method, &path, &[], "".into());
-            let answer = tokio::time::timeout(PATIENCE, answer).await;
+            let answer = caller.plain(endpoint.callers, method, &path, &[], "".into());
+            let answer = tokio::time::timeout(CALL_TIMEOUT, answer).await;
             match answer {
                 Ok(answer) if answer.is_ok() => return Some(answer),
                 // A lost answer to the first DELETE: the program is ended.
@@ -331,7 +337,7 @@
             }
         }
         next += 1;
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     None
 }
--- a/fw-local/src/system.rs
+++ b/fw-local/src/system.rs
@@ -303,7 +303,7 @@
             .filter(|worker| worker.side.is_some())
             .count();
         let expected = live + self.tools.len();
-        let hears_all = running().all(|entry| {
+        let reaches_all = running().all(|entry| {
             let sides = entry.sides.all();
             let reachable = sides
                 .iter()
@@ -313,8 +313,8 @@
         let has_records = running().all(|entry| entry.records.is_loaded());
         let all_kept = kept.iter().sum::<usize>() == usize::from(id::SHARDS);
         let count = running().count();
-        let know_each_other = running().all(|entry| entry.keeper.entries().len() >= count);
-        all_kept && is_balanced && hears_all && has_records && know_each_other
+        let see_each_other = running().all(|entry| entry.keeper.entries().len() >= count);
+        all_kept && is_balanced && reaches_all && has_records && see_each_other
     }
 
     fn running(&self, entry: usize) -> &serve::Running {
