--- a/fw-local/src/agent.rs
+++ b/fw-local/src/agent.rs
@@ -1,5 +1,5 @@
-//! An agent program as a caller runs it: turns that depend on each other, tool pauses, and calls to
-//! tools that must not run twice.
+//! An agent program as a caller runs it: turns that each continue the last, pauses for tools, and
+//! calls to tools that must run at most once.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,30 +11,30 @@
 
 use crate::caller;
 
-/// What a program does.
+/// Parameters of a program.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Its name.
     pub program: String,
-    /// Turns until it is done.
+    /// Number of turns.
     pub turns: u32,
-    /// Words of its first message.
+    /// Number of words in the first message.
     pub words: usize,
-    /// Words of each further message.
+    /// Number of words in each further message.
     pub more_words: usize,
-    /// Pause between turns, as for a tool.
+    /// Pause between turns, as a tool call would cause.
     pub pause: Duration,
     /// Most tokens of an answer.
     pub answer: u64,
     /// Whether answers are streamed.
     pub stream: bool,
-    /// Send only the new messages of a turn.
+    /// Whether each turn sends only its new message.
     pub delta: bool,
-    /// Path of a tool that is called, with an idempotency key, after each turn.
+    /// Path of a tool that is called with an idempotency key after each turn.
     pub tool: Option<String>,
-    /// Times that a turn or tool call is sent again after an error that allows it.
+    /// Most retries of a turn or tool call after retryable errors.
     pub retries: u32,
-    /// End the program when it is done.
+    /// Whether the program is ended after its last turn.
     pub end: bool,
 }
 
@@ -56,24 +56,24 @@
     }
 }
 
-/// How a program went.
+/// Result of a program.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Turns answered whole.
+    /// Number of turns answered completely.
     pub turns: u32,
     /// Whether all turns were answered.
     pub finished: bool,
     /// Time from the first turn to the last answer.
     pub took: Duration,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt: u64,
-    /// Prompt tokens that came from a cache.
+    /// Number of prompt tokens served from a cache.
     pub cached: u64,
-    /// Prompt tokens that an earlier turn had put into some cache.
+    /// Number of prompt tokens that an earlier turn had put into some cache.
     pub reusable: u64,
-    /// Times to the first token.
+    /// Time to the first token of each turn.
     pub first: Vec<Duration>,
-    /// Errors met, in order.
+    /// Errors received, in order.
     pub errors: Vec<error::Kind>,
     /// Keys of the tool calls that were answered.
     pub tool_keys: Vec<String>,
@@ -81,7 +81,7 @@
     pub history: Vec<Value>,
 }
 
-/// Runs a program against entries at `addrs`, going on to the next one after an error.
+/// Runs a program against the entries at `addrs`, moving to the next one after an error.
 pub async fn run(caller: &caller::Caller, addrs: &[SocketAddr], opts: &Options) -> Outcome {
     let mut agent = Agent {
         caller,
@@ -114,7 +114,7 @@
     opts: &'a Options,
     next: usize,
     outcome: Outcome,
-    /// Tokens that the last turn left in a cache.
+    /// Number of tokens that the last turn left in a cache.
     cached_tokens: u64,
 }
 
@@ -173,7 +173,7 @@
         self.cached_tokens = answer.prompt + answer.completion;
     }
 
-    /// Calls the tool once for each turn, under a key that names both.
+    /// Calls the tool once per turn, under an idempotency key made of program and turn.
     async fn tool(&mut self, turn: u32) -> bool {
         let Some(path) = self.opts.tool.clone() else {
             return true;
@@ -197,11 +197,13 @@
         false
     }
 
-    /// After an error: whether the call may be sent again, to the next entry, and when.
+    /// Records an error and moves to the next entry. Returns whether the call may be sent again, after
+    /// waiting as long as the error requires.
     async fn prepare_retry(&mut self, answer: &caller::Answer) -> bool {
         self.outcome.errors.extend(answer.kind);
         self.next += 1;
-        // A broken connection without any answer may be tried again: turns and keys are idempotent.
+        // A connection that broke before any answer may be retried: turns and keyed calls are
+        // idempotent.
         let may = answer.kind.is_none_or(|kind| kind.row().retry);
         let after = answer.retry_after.unwrap_or(Duration::from_millis(100));
         if may {
@@ -222,7 +224,7 @@
     }
 }
 
-/// Text that differs from program to program and from turn to turn.
+/// Message text that is unique to the program and the turn.
 pub fn text(program: &str, turn: u32, words: usize) -> String {
     let mut text = format!("{program} turn {turn}:");
     for word in 0..words {
--- a/fw-local/src/caller.rs
+++ b/fw-local/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: speaks OpenAI's API to an entry and takes down what it gets.
+//! A client of OpenAI's API that calls an entry and collects the answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Longest that a caller waits for the head of an answer.
+/// Longest wait for the head of an answer.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Longest that a caller waits for a further piece of a streamed answer.
+/// Longest wait for the next chunk of a streamed answer.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A caller. Clones share its connections.
@@ -37,7 +37,7 @@
     pub stream: bool,
     /// Most tokens to generate, if set.
     pub max_tokens: Option<u64>,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
 }
 
@@ -53,53 +53,53 @@
     }
 }
 
-/// What a caller result.
+/// The answer to a call, as far as it was received.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// HTTP status; 0 if no answer came.
+    /// HTTP status; 0 if no answer was received.
     pub status: u16,
-    /// The answer's text, as far as it came.
+    /// The answer's text, as far as it was received.
     pub text: String,
-    /// Whether the answer came to its end: the whole body, or `[DONE]`.
+    /// Whether the answer was received completely: the whole body, or a stream up to `[DONE]`.
     pub whole: bool,
-    /// The error's kind, if one was told.
+    /// Kind of the error, if one was received.
     pub kind: Option<error::Kind>,
-    /// Whether the call ran, as an error told it.
+    /// Whether the call ran, as stated by the error.
     pub ran: Option<error::Ran>,
-    /// When to send the call again, as an error told it.
+    /// Delay before a retry, as stated by the error.
     pub retry_after: Option<Duration>,
-    /// The program, as the answer named it.
+    /// The program, from the answer's headers.
     pub program: Option<String>,
-    /// The turn, as the answer named it.
+    /// The turn, from the answer's headers.
     pub turn: Option<u32>,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt: u64,
-    /// Prompt tokens that came from a cache.
+    /// Number of prompt tokens served from a cache.
     pub cached: u64,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub completion: u64,
-    /// Time to the first piece of text.
+    /// Time to the first chunk of text.
     pub first: Duration,
-    /// Time to the end.
+    /// Time to the end of the answer.
     pub took: Duration,
-    /// The body as JSON, where it was that.
+    /// The body of an answer that was not streamed, if it is JSON.
     pub body: Value,
 }
 
 impl Answer {
-    /// Whether the whole answer came.
+    /// Whether the answer was received completely and without an error.
     pub fn is_ok(&self) -> bool {
         self.status == 200 && self.whole && self.kind.is_none()
     }
 
-    /// The answer as the next turn's history holds it.
+    /// The answer as a message of the next turn's history.
     pub fn message(&self) -> Value {
         json!({ "role": "assistant", "content": self.text })
     }
 }
 
 impl Caller {
-    /// A caller without a key.
+    /// Creates a caller without a key.
     pub fn new() -> Self {
         let http = fw_http::Client::new(fw_http::Options {
             head_timeout: HEAD_TIMEOUT,
@@ -109,7 +109,7 @@
         Self { http, key: None }
     }
 
-    /// The same caller with a bearer key.
+    /// Sets the bearer key.
     pub fn with_key(self, key: &str) -> Self {
         Self {
             key: Some(key.to_owned()),
@@ -149,7 +149,7 @@
         result
     }
 
-    /// Sends any other request and collects its answer.
+    /// Sends any other request and collects the answer.
     pub async fn plain(
         &self,
         addr: SocketAddr,
--- a/fw-local/src/faults.rs
+++ b/fw-local/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed, brought about in a running system and healed again.
+//! Fault injection: faults drawn from a seed, injected into a running system and healed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,24 +15,24 @@
 use crate::history::endpoints;
 use crate::system;
 
-/// Most faults of a schedule.
+/// Most faults in a schedule.
 const MAX_FAULTS: usize = 3;
-/// When the first faults begin, and the last, in milliseconds.
+/// Range of the times at which faults begin, in milliseconds.
 const START_MS: std::ops::Range<u64> = 300..2_500;
-/// How long a fault lasts, in milliseconds.
+/// Range of the durations of faults, in milliseconds.
 const DURATION_MS: std::ops::Range<u64> = 300..2_500;
-/// Delay of a slow store.
+/// Delay added to each call of a slow store.
 const STORE_DELAY: Duration = Duration::from_millis(150);
-/// How much slower a slow engine is.
+/// Factor by which a slow engine is slower.
 const ENGINE_FACTOR: f32 = 8.0;
-/// How far a lagging instance list is behind.
+/// Age of a lagging instance list.
 const LIST_LAG: Duration = Duration::from_secs(2);
-/// Time between two looks whether a new entry is ready.
+/// Interval at which a new entry's readiness is polled.
 const READY_POLL: Duration = Duration::from_millis(50);
-/// Most such looks.
+/// Most polls of a new entry's readiness.
 const MAX_READY_POLLS: usize = 400;
 
-/// Something that goes wrong. Numbers are indices into the system.
+/// A kind of fault. Numbers are indices into the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// An entry crashes; another one is started later.
@@ -43,47 +43,47 @@
     KillSide(usize),
     /// An engine crashes and starts again.
     CrashEngine(usize),
-    /// An engine takes requests and does nothing.
+    /// An engine accepts requests and makes no progress.
     FreezeEngine(usize),
-    /// The streams that an engine has open fall silent.
+    /// The open streams of an engine stop sending.
     SilenceEngine(usize),
     /// An engine is slow.
     SlowEngine(usize),
-    /// An engine loses orders to free memory.
+    /// An engine loses the requests to release memory.
     LoseReleases(usize),
     /// An engine leaves for good.
     LeaveEngine(usize),
-    /// The store is away, for one entry or for all.
+    /// The store is unavailable to one entry or to all.
     StoreAway(Option<usize>, store::Outage),
-    /// The store loses each other answer to a change.
+    /// The store loses every answer to a change with a probability of one half.
     LoseAnswers,
     /// The store is slow.
     SlowStore,
-    /// A plain service crashes on each request, before or after it ran.
+    /// A plain service crashes on each request, before or after running it.
     CrashTool(usize, plain::Fault),
-    /// The instance list lags.
+    /// The instance list is out of date.
     LagList,
 }
 
-/// A fault with its time.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timed {
-    /// When it begins.
+    /// Time at which it is injected.
     pub at: Duration,
-    /// When it is healed, after that.
+    /// Time from injection until it is healed.
     pub lasts: Duration,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
 /// Sizes of the system that faults are drawn for.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Entries at the start.
+    /// Number of entries at the start.
     pub entries: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Plain services.
+    /// Number of plain services.
     pub tools: usize,
 }
 
@@ -96,7 +96,7 @@
         fault: draw_one(rng, opts),
     };
     let mut drawn: Vec<_> = (0..count).map(timed).collect();
-    // One engine at most leaves: the others are to go on.
+    // At most one engine leaves, so that the others can take over its work.
     let mut leaves = false;
     drawn.retain(|timed| match timed.fault {
         Fault::LeaveEngine(_) => !std::mem::replace(&mut leaves, true),
@@ -133,13 +133,13 @@
     }
 }
 
-/// Brings faults about in one system.
+/// Injects faults into one system.
 pub struct Driver {
     /// The system.
     pub system: system::System,
     recorder: recorder::Recorder,
     endpoints: Arc<endpoints::Endpoints>,
-    /// Entries that stop, and entries that are not ready yet.
+    /// Tasks of entries that are stopping or not ready yet.
     tasks: JoinSet<()>,
 }
 
@@ -149,7 +149,7 @@
 }
 
 impl Driver {
-    /// A driver of `system`, whose entries are open to callers from now on.
+    /// Creates a driver of `system` and opens its entries to callers.
     pub fn new(
         system: system::System,
         recorder: recorder::Recorder,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Brings `faults` about, each at its time from now on, and heals them.
+    /// Injects each fault at its time, counted from now, and heals it.
     pub async fn run(&mut self, faults: &[Timed]) {
         let begun = tokio::time::Instant::now();
         let begins = faults.iter().map(|f| (f.at, Step::Inject, f.fault));
@@ -184,12 +184,12 @@
         }
     }
 
-    /// Waits until entries that stop have ended and new ones are open.
+    /// Waits until stopping entries have stopped and new ones are open.
     pub async fn settle(&mut self) {
         while self.tasks.join_next().await.is_some() {}
     }
 
-    /// Ends the system at once.
+    /// Kills all entries of the system.
     pub fn end(mut self) {
         for entry in 0..self.system.entries.len() {
             self.endpoints.close(entry);
@@ -289,7 +289,7 @@
         upstream.leave(true);
     }
 
-    /// Starts an entry, which is open to callers as soon as it says that it is ready.
+    /// Starts an entry and opens it to callers once it reports readiness.
     async fn add_entry(&mut self) {
         let added = self.system.add_entry("hall-a").await;
         let index = added.expect("a port on loopback is free");
--- a/fw-local/src/history/calls.rs
+++ b/fw-local/src/history/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that are noted in a record: before they are sent, and after their answer came.
+//! Recorded calls: an event is recorded before a call is sent, and another when it ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,51 +17,51 @@
 use super::endpoints;
 use crate::caller;
 
-/// What recorded callers share.
+/// State shared by all recorded callers.
 #[derive(Clone)]
 pub struct Context {
-    /// The record.
+    /// Recorder of the run.
     pub recorder: recorder::Recorder,
-    /// The entries that can be called.
+    /// The entries that accept calls.
     pub endpoints: Arc<endpoints::Endpoints>,
 }
 
-/// How a call ended.
+/// Result of a call.
 pub enum CallResult {
-    /// With an answer.
+    /// The call was answered.
     Answered(Box<caller::Answer>),
-    /// With an error.
+    /// The call was refused with an error.
     Refused {
-        /// What sort of error.
+        /// Kind of the error.
         kind: error::Kind,
-        /// When to send it again.
+        /// Delay after which it may be sent again, if the error gives one.
         after: Option<Duration>,
     },
-    /// Without either.
+    /// Neither an answer nor an error arrived.
     Lost,
 }
 
-/// A turn to be sent.
+/// A turn to send.
 #[derive(Clone)]
 pub struct Turn {
-    /// Who sends it.
+    /// Its caller.
     pub caller: event::CallerId,
     /// The program.
     pub program: id::ProgramId,
     /// Its number.
     pub turn: id::Turn,
-    /// The message that it adds.
+    /// The message that it appends to the history.
     pub message: Value,
     /// The request.
     pub chat: caller::Chat,
-    /// Longest that the caller waits before it goes away.
+    /// Longest that the caller waits before it disconnects.
     pub timeout: Duration,
 }
 
-/// A plain request to be sent.
+/// A plain request to send.
 #[derive(Clone)]
 pub struct Plain {
-    /// Who sends it.
+    /// Its caller.
     pub caller: event::CallerId,
     /// The method.
     pub method: &'static str,
@@ -71,12 +71,12 @@
     pub key: Option<SmolStr>,
     /// The body.
     pub body: String,
-    /// Longest that the caller waits before it goes away.
+    /// Longest that the caller waits before it disconnects.
     pub timeout: Duration,
 }
 
 impl Context {
-    /// Sends a turn to the entry behind `endpoint`.
+    /// Sends a turn to the entry at `endpoint`.
     pub async fn turn(&self, endpoint: &endpoints::Endpoint, turn: &Turn) -> CallResult {
         let call = self.recorder.next_id();
         self.recorder.record(Event::TurnSent(event::TurnSent {
@@ -90,7 +90,7 @@
         if !is_reachable(endpoint).await {
             return self.lost(call, false, false);
         }
-        // A connection for each call: none is found closed as the call is written to it.
+        // A new connection for each call: a pooled one could turn out closed as the call is written.
         let caller = caller::Caller::new();
         let answer = caller.chat(endpoint.callers, &turn.chat);
         let Ok(answer) = tokio::time::timeout(turn.timeout, answer).await else {
@@ -100,7 +100,7 @@
         self.ended(call, answer, digest)
     }
 
-    /// Sends a plain request to the entry behind `endpoint`.
+    /// Sends a plain request to the entry at `endpoint`.
     pub async fn plain(&self, endpoint: &endpoints::Endpoint, plain: &Plain) -> CallResult {
         let call = self.recorder.next_id();
         let body = plain.body.as_bytes();
@@ -169,12 +169,12 @@
     }
 }
 
-/// Whether the entry takes connections.
+/// Whether the entry accepts connections.
 async fn is_reachable(endpoint: &endpoints::Endpoint) -> bool {
     TcpStream::connect(endpoint.callers).await.is_ok()
 }
 
-/// Digests of messages, as the record has them.
+/// Digests of messages, as the record holds them.
 pub fn digests(messages: &[Value]) -> Vec<digest::Digest> {
     let canonical = messages.iter().cloned().map(chat::Message::from_value);
     let known = canonical.filter_map(Result::ok);
--- a/fw-local/src/history/endpoints.rs
+++ b/fw-local/src/history/endpoints.rs
@@ -1,4 +1,4 @@
-//! The entries that callers and operators can reach, as a balancer would have them.
+//! The entries that callers and operators can reach, as a load balancer would list them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use fw_entry::process::serve;
 use parking_lot::Mutex;
 
-/// One entry that runs.
+/// A running entry.
 #[derive(Clone)]
 pub struct Endpoint {
     /// Its name in the record.
@@ -21,40 +21,40 @@
     pub callers: SocketAddr,
     /// Address for operators.
     pub admin: SocketAddr,
-    /// The entry itself, to see which records are in force there.
+    /// The entry itself, to read the records in force there.
     pub entry: Weak<entry::Entry>,
     /// When the entry started.
     pub started: Instant,
-    /// Its decisions, which outlive it.
+    /// Log of its decisions; outlives the entry.
     pub decisions: Arc<explain::Log>,
 }
 
-/// Something that an entry decided.
+/// A decision of an entry.
 #[derive(Clone, Debug)]
 pub struct Decision {
-    /// When, since the begin of the run.
+    /// Time since the start of the run.
     pub at: Duration,
     /// The entry's name in the record.
     pub process: event::ProcessId,
-    /// What, and why.
+    /// The decision and its reason.
     pub event: explain::Event,
 }
 
-/// The entries that run. Callers are not sent to one that stops.
+/// The running entries. Calls are not sent to an entry that is stopping.
 #[derive(Default)]
 pub struct Endpoints {
     open: Mutex<Vec<Endpoint>>,
-    /// Those that were ever open.
+    /// All entries that were ever open.
     known: Mutex<Vec<Endpoint>>,
 }
 
-/// The name that the entry of this index has in the record.
+/// Name in the record of the entry with this index.
 pub fn name(entry: usize) -> event::ProcessId {
     smol_str::format_smolstr!("entry-{entry}")
 }
 
 impl Endpoint {
-    /// The entry of index `entry`.
+    /// Endpoint of the entry with index `entry`.
     pub fn new(entry: usize, running: &serve::Running) -> Self {
         let addresses = running.addresses();
         Self {
@@ -75,7 +75,7 @@
         self.open.lock().push(endpoint);
     }
 
-    /// What every entry that was ever open decided about `program`, in order of time since `begun`.
+    /// Decisions about `program` of all entries that were ever open, ordered by time since `begun`.
     pub fn decisions(&self, program: &str, begun: Instant) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for endpoint in self.known.lock().iter() {
@@ -91,7 +91,7 @@
         decisions
     }
 
-    /// Takes an entry off.
+    /// Removes an entry.
     pub fn close(&self, entry: usize) {
         let process = name(entry);
         self.open
@@ -99,12 +99,12 @@
             .retain(|endpoint| endpoint.process != process);
     }
 
-    /// All entries.
+    /// All open entries.
     pub fn all(&self) -> Vec<Endpoint> {
         self.open.lock().clone()
     }
 
-    /// One of the entries: the `n`-th, round and round.
+    /// The `n`-th open entry, modulo their number.
     pub fn pick(&self, n: usize) -> Option<Endpoint> {
         let open = self.open.lock();
         let place = n.checked_rem(open.len())?;
--- a/fw-local/src/history/mod.rs
+++ b/fw-local/src/history/mod.rs
@@ -1,7 +1,8 @@
-//! Runs of callers, operators and faults against a whole system, each recorded and judged by the
-//! checker of the promises.
+//! Randomized runs of callers, operators and faults against a whole system. Each run is recorded and
+//! its record verified by the checker of the promises.
 //!
-//! What a run does is drawn from its seed; how its threads interleave is not.
+//! The workload and the faults are drawn from the run's seed; the interleaving of threads is not
+//! reproducible.
 
 pub mod calls;
 pub mod endpoints;
@@ -30,26 +31,27 @@
 use crate::faults;
 use crate::system;
 
-/// Ports of the store for entries that are started during a run.
+/// Store ports reserved for entries that are started during a run.
 const SPARE_PORTS: usize = 4;
-/// Time after which a crashed plain service is back.
+/// Time after which a crashed plain service restarts.
 const TOOL_RESTART: Duration = Duration::from_millis(100);
-/// Longest wait for histories at the end of a run.
+/// Longest time to read the histories at the end of a run.
 const READ_TIMEOUT: Duration = Duration::from_secs(15);
-/// Longest that an engine may hold memory of a program that was ended. A side that was crashed as the
-/// program ended asks its keeper only once the program was idle for 30 s (`ask_after` of the side).
+/// Longest that an engine may hold memory of a program that was ended. A side that was down when the
+/// program ended queries its keeper only once the program has been idle for 30 s (`ask_after` of the
+/// side).
 const FREE_TIMEOUT: Duration = Duration::from_secs(40);
-/// Time between two looks at the engines' memory.
+/// Interval at which the engines' memory is polled.
 const MEMORY_POLL: Duration = Duration::from_millis(50);
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// What programs and faults are drawn from.
+    /// Seed of the generator that programs and faults are drawn from.
     pub seed: u64,
-    /// Programs.
+    /// Number of programs.
     pub programs: usize,
-    /// Whether anything goes wrong.
+    /// Whether faults are injected.
     pub faults: bool,
     /// Time after which the caller of a program gives up.
     pub limit: Duration,
@@ -73,40 +75,40 @@
     }
 }
 
-/// What became of a run.
+/// Result of a run.
 pub struct Outcome {
-    /// The record.
+    /// The recorded events.
     pub entries: Vec<event::Entry>,
     /// The checker's verdicts.
     pub report: check::Report,
-    /// What went wrong, as drawn.
+    /// The injected faults.
     pub faults: Vec<faults::Timed>,
-    /// How the programs went.
+    /// Outcome of each program.
     pub programs: Vec<program::Outcome>,
     /// Programs whose history could not be read at the end.
     pub unread: Vec<id::ProgramId>,
-    /// What the entries decided about programs that went wrong: the record tells what callers saw,
-    /// these tell why.
+    /// Decisions of the entries about programs that failed or violated a promise. The record holds
+    /// only the results that callers saw; these explain them.
     pub decisions: Vec<(id::ProgramId, Vec<endpoints::Decision>)>,
-    /// Time that the run took.
+    /// Duration of the run.
     pub took: Duration,
 }
 
 impl Outcome {
-    /// Whether every promise held and every program was finished.
+    /// Whether every promise held, every program was finished and every history could be read.
     pub fn is_good(&self) -> bool {
         let all_finished = self.programs.iter().all(|program| program.finished);
         !self.report.is_violated() && all_finished && self.unread.is_empty()
     }
 
-    /// Programs finished.
+    /// Number of programs finished.
     pub fn finished(&self) -> usize {
         let finished = self.programs.iter().filter(|program| program.finished);
         finished.count()
     }
 
-    /// Programs that the system does not know as far as their callers were answered: a next turn
-    /// was refused for it, or the history could not be read.
+    /// Number of programs of which the system has lost turns that were answered to their callers: the
+    /// next turn was refused because of it, or the history could not be read.
     pub fn lost(&self) -> usize {
         let is_lost = |p: &&program::Outcome| {
             let is_refused = p.answered > 0 && p.refused.is_some_and(indicates_loss);
@@ -115,7 +117,7 @@
         self.programs.iter().filter(is_lost).count()
     }
 
-    /// How often `promise` was violated.
+    /// Number of violations of `promise`.
     pub fn violations(&self, promise: check::Promise) -> usize {
         match self.report.verdict(promise) {
             check::Verdict::Violated { evidence } => evidence.len(),
@@ -145,7 +147,7 @@
     }
 }
 
-/// Whether an error to the next turn says that the turns before it are not known.
+/// Whether an error to a turn shows that the entry lacks the turns before it.
 fn indicates_loss(kind: error::Kind) -> bool {
     use error::Kind::HistoryMismatch;
     use error::Kind::UnknownProgram;
@@ -153,7 +155,7 @@
     matches!(kind, HistoryMismatch | UnknownProgram | WrongTurn)
 }
 
-/// Runs callers, operators and faults against a system of their own, and judges the record.
+/// Runs callers, operators and faults against a system of their own, and checks the record.
 ///
 /// # Errors
 ///
@@ -247,7 +249,7 @@
         .collect()
 }
 
-/// Starts operators, readers and the look at records in force.
+/// Starts the operators, the readers and the sampling of the records in force.
 fn start_background(cx: &calls::Context, seed: u64, stop: &CancellationToken) -> JoinSet<()> {
     let mut background = JoinSet::new();
     for (n, name) in ["operator-a", "operator-b"].into_iter().enumerate() {
@@ -275,7 +277,7 @@
     unread
 }
 
-/// Programs that were not finished or not read, or that a violation names.
+/// Programs that were not finished, whose history was not read, or that a violation names.
 fn suspects(
     programs: &[program::Outcome],
     unread: &[id::ProgramId],
--- a/fw-local/src/history/operate.rs
+++ b/fw-local/src/history/operate.rs
@@ -1,4 +1,4 @@
-//! Operators that race on a record, readers of plain services, and a look at what is in force.
+//! Operators that race on a record, readers of plain services, and sampling of the records in force.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,14 +17,14 @@
 use crate::caller;
 use crate::system;
 
-/// The record that operators race on.
+/// The record that the operators change concurrently.
 const RECORD: &str = "route/extra";
 /// Longest that an operator or reader waits for an answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(8);
-/// Time between two looks at the records in force.
+/// Interval at which the records in force are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Changes the record again and again, each time by compare-and-swap, until `stop`.
+/// Changes the record repeatedly by compare-and-swap until `stop`.
 pub async fn run_operator(
     cx: calls::Context,
     name: &'static str,
@@ -79,7 +79,7 @@
         .unwrap_or_default()
 }
 
-/// Reads from a plain service again and again until `stop`; each request is another one.
+/// Reads from a plain service repeatedly until `stop`; no two requests are the same.
 pub async fn run_reader(
     cx: calls::Context,
     name: &'static str,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Notes again and again which records are in force at each entry, until `stop`.
+/// Records at intervals which records are in force at each entry, until `stop`.
 pub async fn sample_until_stopped(cx: calls::Context, stop: CancellationToken) {
     while !stop.is_cancelled() {
         sample(&cx);
@@ -112,14 +112,14 @@
     }
 }
 
-/// Notes which records are in force at each entry; returns the lowest revision.
+/// Records which revision is in force at each entry; returns the lowest.
 pub fn sample(cx: &calls::Context) -> id::Revision {
     let mut lowest = id::Revision::MAX;
     for endpoint in cx.endpoints.all() {
         let Some(entry) = endpoint.entry.upgrade() else {
             continue;
         };
-        // A process that has no records yet takes no calls.
+        // An entry that has not loaded its records yet accepts no calls.
         if !entry.records.is_loaded() {
             continue;
         }
@@ -135,7 +135,7 @@
     lowest
 }
 
-/// Waits until the records accepted last are in force at every entry, or `limit` has passed.
+/// Waits until the newest accepted revision is in force at every entry, or `limit` has passed.
 pub async fn wait_in_force(cx: &calls::Context, limit: Duration) {
     let accepted = cx
         .recorder
--- a/fw-local/src/history/program.rs
+++ b/fw-local/src/history/program.rs
@@ -1,5 +1,5 @@
-//! Recorded agents: programs with pauses, tool calls, resends, late duplicates and callers that go
-//! away.
+//! Recorded agents: programs with pauses, tool calls, retries, concurrent duplicates and callers that
+//! disconnect.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,47 +16,47 @@
 use crate::agent;
 use crate::caller;
 
-/// Longest that a caller waits for one answer.
+/// Longest wait for one answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest that a caller goes on to send a tool call again. A key may stay in use for long after its
-/// call has failed; the program goes on without knowing whether the tool ran.
+/// Longest time over which a tool call is retried. A key may stay in use long after its call has
+/// failed; the program then continues without knowing whether the tool ran.
 const TOOL_TIMEOUT: Duration = Duration::from_secs(6);
-/// Longest pause before a call is sent again.
+/// Longest pause before a retry.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(600);
-/// Pause before a call is sent again if the error names none.
+/// Pause before a retry if the error gives none.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Tokens of an answer.
+/// Most tokens of an answer.
 const MAX_ANSWER_TOKENS: u64 = 24;
 
-/// What one program does.
+/// Behaviour of one program.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Its name.
     pub program: id::ProgramId,
     /// Time before its first turn.
     pub start: Duration,
-    /// Turns until it is done.
+    /// Number of turns.
     pub turns: id::Turn,
-    /// Whether only new messages are sent.
+    /// Whether each turn sends only its new message instead of the whole history.
     pub delta: bool,
     /// Whether answers are streamed.
     pub stream: bool,
     /// Pause between turns.
     pub pause: Duration,
-    /// Turns after which a tool is called that must not run twice.
+    /// Turns after which a tool is called that must run at most once.
     pub tools: Vec<id::Turn>,
-    /// Turns and tool calls that are sent through two entries at once.
+    /// Turns whose call, and whose tool call, is sent through two entries concurrently.
     pub duplicated: Vec<id::Turn>,
-    /// Turns whose caller goes away soon and sends them again.
+    /// Turns whose caller disconnects after a few milliseconds and sends them again.
     pub abandoned: Vec<id::Turn>,
-    /// Whether it is ended by its caller.
+    /// Whether its caller ends it.
     pub end: bool,
-    /// Time after which its caller gives up for good.
+    /// Time after which its caller stops retrying.
     pub limit: Duration,
 }
 
 impl Plan {
-    /// Draws what program `n` does.
+    /// Draws the behaviour of the program `name`.
     pub fn draw(rng: &mut Pcg64, name: &str, limit: Duration) -> Self {
         let turns = rng.random_range(2..=6);
         let mut draw_turns = |chance: f64| -> Vec<id::Turn> {
@@ -80,20 +80,20 @@
     }
 }
 
-/// How a program went.
+/// Result of a program.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Its name.
     pub program: id::ProgramId,
-    /// Turns answered.
+    /// Number of turns answered.
     pub answered: id::Turn,
     /// Whether all turns were answered.
     pub finished: bool,
     /// Whether its end was confirmed.
     pub ended: bool,
-    /// The error that ended it early, if one did.
+    /// The error that ended it early, if any.
     pub refused: Option<error::Kind>,
-    /// Tool calls of which the caller cannot know whether they ran.
+    /// Number of tool calls that may or may not have run, as far as the caller can tell.
     pub unsure_tools: u32,
 }
 
@@ -119,7 +119,7 @@
     cx: calls::Context,
     plan: Plan,
     until: Instant,
-    /// The entry to call next.
+    /// Index of the entry to call next.
     next: usize,
     history: Vec<Value>,
     outcome: Outcome,
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Sends a turn through two entries at the same time.
+    /// Sends a turn through two entries concurrently.
     async fn send_twice(&self, call: &calls::Turn) -> calls::CallResult {
         let (Some(one), Some(other)) = self.two_endpoints() else {
             return calls::CallResult::Lost;
@@ -220,7 +220,7 @@
         more_informative(one, other)
     }
 
-    /// Calls a tool under a key that names program and turn.
+    /// Calls a tool under an idempotency key made of program and turn.
     async fn tool(&mut self, turn: id::Turn) {
         let program = &self.plan.program;
         let call = calls::Plain {
@@ -268,12 +268,13 @@
     }
 }
 
-/// Turns and keyed calls are idempotent, so a call may be sent again unless its error is final.
+/// Whether a call may be sent again after this error. Turns and keyed calls are idempotent, so only a
+/// final error forbids it.
 fn is_retryable(kind: error::Kind) -> bool {
     kind.row().retry || kind == error::Kind::Cancelled
 }
 
-/// Of two ends of the same call the one that tells more.
+/// Returns the more informative of two results of the same call.
 fn more_informative(one: calls::CallResult, other: calls::CallResult) -> calls::CallResult {
     let is_final = |result: &calls::CallResult| match result {
         calls::CallResult::Refused { kind, .. } => !is_retryable(*kind),
@@ -291,7 +292,7 @@
     }
 }
 
-/// Reads a program's history back, and notes it.
+/// Reads a program's history and records it; false if no entry answered until `until`.
 pub async fn read(cx: &calls::Context, program: &id::ProgramId, until: Instant) -> bool {
     let Some(answer) = request(cx, "GET", program, until).await else {
         return false;
@@ -313,7 +314,7 @@
     true
 }
 
-/// Asks the entries about a program, one after another, until one answers.
+/// Sends a request about a program to one entry after another until one answers.
 async fn request(
     cx: &calls::Context,
     method: &str,
@@ -329,7 +330,7 @@
             let answer = tokio::time::timeout(CALL_TIMEOUT, answer).await;
             match answer {
                 Ok(answer) if answer.is_ok() => return Some(answer),
-                // A lost answer to the first DELETE: the program is ended.
+                // The answer to an earlier DELETE was lost: the program is ended.
                 Ok(answer) if answer.kind == Some(error::Kind::ProgramEnded) => {
                     return (method == "DELETE").then_some(answer);
                 }
--- a/fw-local/src/lib.rs
+++ b/fw-local/src/lib.rs
@@ -1,5 +1,6 @@
-//! A whole system in one process on loopback: entries, sides, and stand-ins of engines, plain
-//! services and the platform. The demo, the tests across processes and the measurements share it.
+//! Harness that runs a whole system in one process on loopback: entries, sides, and stand-ins for
+//! engines, plain services and the platform. Shared by the demo, the tests across processes and the
+//! measurements.
 
 pub mod agent;
 pub mod caller;
--- a/fw-local/src/system.rs
+++ b/fw-local/src/system.rs
@@ -1,4 +1,4 @@
-//! Entries, sides and stand-ins that make up a whole system on loopback.
+//! A whole system on loopback, made of entries, sides and stand-ins.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,19 +20,19 @@
 
 use crate::caller;
 
-/// The model that the records of a local system offer.
+/// The model offered by the records of a local system.
 pub const MODEL: &str = "draft-1";
-/// The agent service that serves it.
+/// The agent service that serves the model.
 pub const AGENTS: &str = "agent-llm";
-/// The plain service beside it.
+/// The plain service.
 pub const TOOLS: &str = "edge-app";
 
 /// Longest wait for a system to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two looks whether it is.
+/// Interval at which readiness is polled.
 const READY_POLL: Duration = Duration::from_millis(20);
 
-/// What a system is made of.
+/// Parameters of a system.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Place of each entry. Each reaches the store through a port of its own.
@@ -41,19 +41,19 @@
     pub engines: Vec<&'static str>,
     /// Place of each plain service.
     pub tools: Vec<&'static str>,
-    /// How the engines behave.
+    /// Behaviour of the engines.
     pub engine: engine::Options,
-    /// How the plain services behave.
+    /// Behaviour of the plain services.
     pub tool: plain::Options,
     /// Settings of the entries; addresses and places are filled in.
     pub entry: entry_conf::Settings,
     /// Settings of the sides; addresses, names and places are filled in.
     pub side: side_conf::Settings,
-    /// How far the instance list lags.
+    /// Lag of the instance list.
     pub lag: Duration,
-    /// Ports of the store beyond those of the first entries, for entries started later.
+    /// Additional ports of the store, for entries started later.
     pub spare_ports: usize,
-    /// Renders `/metrics`, if the process has a recorder.
+    /// Renders `/metrics` if the process has a metrics recorder.
     pub metrics: Option<PrometheusHandle>,
 }
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// An engine, or plain service, and the side beside it.
+/// An engine or plain service with its side.
 pub struct Worker<U> {
     /// The upstream's name.
     pub name: SmolStr,
@@ -91,17 +91,17 @@
     pub store: store::Store,
     /// The platform's instance list.
     pub instances: instances::Instances,
-    /// The entries; absent ones were stopped or killed.
+    /// The entries; `None` for those that were stopped or killed.
     pub entries: Vec<Option<serve::Running>>,
-    /// Engines and the sides beside them.
+    /// Engines with their sides.
     pub engines: Vec<Worker<engine::Engine>>,
-    /// Plain services and the sides beside them.
+    /// Plain services with their sides.
     pub tools: Vec<Worker<plain::Service>>,
     opts: Options,
     next_port: usize,
 }
 
-/// Settings of an entry that reacts quickly, for tests and demos of seconds.
+/// Settings of an entry with short intervals, for tests and demos that last seconds.
 pub fn quick_entry() -> entry_conf::Settings {
     entry_conf::Settings {
         listen: entry_conf::Listen {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Settings of a side that reacts quickly, for tests and demos of seconds.
+/// Settings of a side with short intervals, for tests and demos that last seconds.
 pub fn quick_side() -> side_conf::Settings {
     side_conf::Settings {
         sessions: side_conf::Sessions {
@@ -137,7 +137,7 @@
 }
 
 impl System {
-    /// Starts everything, stores the records and waits until calls can be answered.
+    /// Starts all parts, stores the first records and waits until calls can be answered.
     ///
     /// # Errors
     ///
@@ -168,17 +168,17 @@
         Ok(system)
     }
 
-    /// Address for callers of an entry that runs.
+    /// Address for callers of a running entry.
     pub fn callers(&self, entry: usize) -> SocketAddr {
         self.running(entry).addresses().callers
     }
 
-    /// Address for operators of an entry that runs.
+    /// Address for operators of a running entry.
     pub fn admin(&self, entry: usize) -> SocketAddr {
         self.running(entry).addresses().admin
     }
 
-    /// Addresses for callers of all entries that run, as a balancer would have them.
+    /// Addresses for callers of all running entries, as a load balancer would list them.
     pub fn balancer(&self) -> Vec<SocketAddr> {
         let running = self.entries.iter().flatten();
         running.map(|entry| entry.addresses().callers).collect()
@@ -225,19 +225,19 @@
         }
     }
 
-    /// Ends an entry as a crash would.
+    /// Kills an entry without a shutdown, as a crash would.
     pub fn kill_entry(&mut self, entry: usize) {
         if let Some(running) = self.entries[entry].take() {
             running.kill();
         }
     }
 
-    /// Ends the side of an engine as a crash would; the engine goes on.
+    /// Kills the side of an engine, as a crash would; the engine keeps running.
     pub fn kill_side(&mut self, engine: usize) {
         self.engines[engine].side = None;
     }
 
-    /// Starts the side of an engine again, at new addresses.
+    /// Restarts the side of an engine at new addresses.
     ///
     /// # Errors
     ///
@@ -249,7 +249,7 @@
         Ok(())
     }
 
-    /// Stores a record through the first entry that runs, as an operator would.
+    /// Stores a record through the first running entry, as an operator would.
     pub async fn put_record(
         &self,
         kind: &str,
@@ -274,12 +274,12 @@
         lowest.min().unwrap_or(0)
     }
 
-    /// Waits until every shard has a keeper, those that keep shards share them, every side is heard by every
-    /// entry, and the entries know each other.
+    /// Waits until every shard has a keeper, the shards are balanced among the keepers, every entry
+    /// reaches every side and has loaded the records, and the entries see each other.
     ///
     /// # Errors
     ///
-    /// When that takes too long.
+    /// When the system is not ready within `READY_TIMEOUT`.
     pub async fn wait_ready(&self) -> io::Result<()> {
         let started = Instant::now();
         while !self.is_ready() {
