--- a/fw-local/tests/history/fixed_seeds.rs
+++ b/fw-local/tests/history/fixed_seeds.rs
@@ -7,10 +7,10 @@
 use tokio::sync::Semaphore;
 
 /// Systems that run at a time: leases and heartbeats go by real time.
-static PLACES: Semaphore = Semaphore::const_new(2);
+static SLOTS: Semaphore = Semaphore::const_new(2);
 
 async fn run(opts: history::Options) -> history::Outcome {
-    let _place = PLACES.acquire().await.expect("the semaphore stays open");
+    let _slot = SLOTS.acquire().await.expect("the semaphore stays open");
     let outcome = history::run(&opts).await.expect("a system on loopback");
     let seed = opts.seed;
     if !outcome.is_good() {
--- a/fw-local/tests/local/chat_calls.rs
+++ b/fw-local/tests/local/chat_calls.rs
@@ -11,10 +11,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streamed_and_whole_answers_agree() {
     let system = rig::system().await;
-    let streamed = rig::chat(system.callers(0), &rig::ask("hello")).await;
+    let streamed = rig::chat(system.callers(0), &rig::request("hello")).await;
     let whole = caller::Chat {
         stream: false,
-        ..rig::ask("hello")
+        ..rig::request("hello")
     };
     let whole = rig::chat(system.callers(1), &whole).await;
     expect_true!(streamed.is_ok());
@@ -27,14 +27,14 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_program_goes_on_at_any_entry() {
+async fn a_program_continues_at_any_entry() {
     let system = rig::system().await;
     let mut history = vec![rig::user("first")];
     for turn in 1..=3_usize {
         let chat = caller::Chat {
             messages: history.clone(),
             headers: vec![("x-program", "p-1".to_owned())],
-            ..rig::ask("")
+            ..rig::request("")
         };
         let answer = rig::chat(system.callers(turn % 2), &chat).await;
         expect_true!(answer.is_ok());
@@ -43,24 +43,24 @@
         history.push(rig::user(&format!("turn {turn}")));
     }
     let path = "/v1/programs/p-1";
-    let known = caller::Caller::new();
-    let known = known
+    let caller = caller::Caller::new();
+    let state = caller
         .plain(system.callers(0), "GET", path, &[], "".into())
         .await;
-    expect_that!(known.body["turn"], eq(&json!(3)));
-    expect_that!(known.body["status"], eq(&json!("idle")));
-    expect_that!(known.body["history"].as_array().map(Vec::len), some(eq(6)));
+    expect_that!(state.body["turn"], eq(&json!(3)));
+    expect_that!(state.body["status"], eq(&json!("idle")));
+    expect_that!(state.body["history"].as_array().map(Vec::len), some(eq(6)));
 }
 
 // A caller's answer was lost on the way, so its client library sends the same turn again, to
 // another entry. It must get the same answer, and the engine must not run the turn twice.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_turn_again_is_replayed() {
+async fn a_repeated_turn_is_replayed() {
     let system = rig::system().await;
     let chat = caller::Chat {
         headers: vec![("x-program", "p-2".to_owned())],
-        ..rig::ask("once")
+        ..rig::request("once")
     };
     let first = rig::chat(system.callers(0), &chat).await;
     let again = rig::chat(system.callers(1), &chat).await;
@@ -76,46 +76,46 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn refusals_are_clear() {
+async fn refusals_state_kind_status_and_ran() {
     let system = rig::system().await;
-    let known = caller::Chat {
+    let first = caller::Chat {
         headers: vec![("x-program", "p-3".into())],
-        ..rig::ask("x")
+        ..rig::request("x")
     };
-    expect_true!(rig::chat(system.callers(0), &known).await.is_ok());
+    expect_true!(rig::chat(system.callers(0), &first).await.is_ok());
     let cases = [
         (
             caller::Chat {
                 model: "none".into(),
-                ..rig::ask("x")
+                ..rig::request("x")
             },
             error::Kind::UnknownModel,
         ),
         (
             caller::Chat {
                 messages: vec![],
-                ..rig::ask("x")
+                ..rig::request("x")
             },
             error::Kind::BadRequest,
         ),
         (
             caller::Chat {
                 headers: vec![("x-program", "p-3".into()), ("x-turn", "7".into())],
-                ..rig::ask("x")
+                ..rig::request("x")
             },
             error::Kind::WrongTurn,
         ),
         (
             caller::Chat {
                 headers: vec![("x-program", "never".into()), ("x-turn", "7".into())],
-                ..rig::ask("x")
+                ..rig::request("x")
             },
             error::Kind::UnknownProgram,
         ),
         (
             caller::Chat {
                 headers: vec![("x-turn", "zero".into())],
-                ..rig::ask("x")
+                ..rig::request("x")
             },
             error::Kind::BadRequest,
         ),
@@ -136,7 +136,7 @@
     let system = rig::system().await;
     let chat = |text: &str| caller::Chat {
         headers: vec![("x-program", "p-4".to_owned())],
-        ..rig::ask(text)
+        ..rig::request(text)
     };
     expect_true!(rig::chat(system.callers(0), &chat("mine")).await.is_ok());
     let other = caller::Chat {
--- a/fw-local/tests/local/crashed_parts.rs
+++ b/fw-local/tests/local/crashed_parts.rs
@@ -25,7 +25,7 @@
 fn long(text: &str) -> caller::Chat {
     caller::Chat {
         max_tokens: Some(60),
-        ..rig::ask(text)
+        ..rig::request(text)
     }
 }
 
@@ -34,7 +34,7 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_its_engine() {
-    let system = rig::with(slow()).await;
+    let system = rig::start(slow()).await;
     let undisturbed = rig::chat(system.callers(0), &long("draft")).await;
     let addr = system.callers(0);
     let task = tokio::spawn(async move { rig::chat(addr, &long("draft")).await });
@@ -51,7 +51,7 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_its_side() {
-    let mut system = rig::with(slow()).await;
+    let mut system = rig::start(slow()).await;
     let addr = system.callers(0);
     let task = tokio::spawn(async move { rig::chat(addr, &long("draft")).await });
     let engine = rig::busy_engine(&system).await;
@@ -92,16 +92,16 @@
                 ("x-turn", "3".to_owned()),
                 ("x-history", "delta".to_owned()),
             ],
-            ..rig::ask("offer")
+            ..rig::request("offer")
         };
         let answer = rig::chat(system.callers(1), &chat).await;
         expect_that!(answer.kind, none());
         expect_that!(answer.turn, some(eq(3)));
         let path = format!("/v1/programs/{program}");
-        let known = caller
+        let state = caller
             .plain(system.callers(1), "GET", &path, &[], "".into())
             .await;
-        expect_that!(known.body["history"].as_array().map(Vec::len), some(eq(6)));
+        expect_that!(state.body["history"].as_array().map(Vec::len), some(eq(6)));
     }
 }
 
@@ -110,7 +110,7 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_turn_survives_its_keeper() {
-    let mut system = rig::with(slow()).await;
+    let mut system = rig::start(slow()).await;
     let other = system.entries[1].as_ref().unwrap().entry().clone();
     let mut names = (0..).map(|n| format!("turn-{n}"));
     let kept_by_0 = |name: &String| other.keeper.fence(other.keeper.shard_of(name)).is_none();
@@ -140,13 +140,13 @@
     }
     let poison = caller::Chat {
         headers: vec![("x-program", "bad".to_owned())],
-        ..rig::ask("poison")
+        ..rig::request("poison")
     };
     let mut kinds = Vec::new();
     for _ in 0..4 {
         kinds.extend(rig::chat(system.callers(0), &poison).await.kind);
     }
     expect_that!(kinds.last(), some(eq(&error::Kind::Quarantined)));
-    let good = rig::chat(system.callers(0), &rig::ask("good")).await;
+    let good = rig::chat(system.callers(0), &rig::request("good")).await;
     expect_that!(good.kind, none());
 }
--- a/fw-local/tests/local/graceful_stops.rs
+++ b/fw-local/tests/local/graceful_stops.rs
@@ -13,7 +13,7 @@
 // programs that it kept must go on at the other entry at once, not after a lease.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopped_entry_cuts_nothing_off() {
+async fn a_stopped_entry_interrupts_no_stream() {
     let opts = system::Options {
         engine: engine::Options {
             step: Duration::from_millis(20),
@@ -21,12 +21,12 @@
         },
         ..system::Options::default()
     };
-    let mut system = rig::with(opts).await;
+    let mut system = rig::start(opts).await;
     let addr = system.callers(0);
     let chat = |n: usize| caller::Chat {
         headers: vec![("x-program", format!("stop-{n}"))],
         max_tokens: Some(50),
-        ..rig::ask("draft")
+        ..rig::request("draft")
     };
     let tasks: Vec<_> = (0..12)
         .map(|n| {
@@ -49,7 +49,7 @@
                 ("x-turn", "2".to_owned()),
                 ("x-history", "delta".to_owned()),
             ],
-            ..rig::ask("more")
+            ..rig::request("more")
         };
         let answer = rig::chat(system.callers(1), &next).await;
         expect_that!(answer.kind, none());
@@ -67,7 +67,7 @@
     tokio::time::sleep(Duration::from_millis(600)).await;
     let before = leaving.counts().finished;
     for n in 0..12 {
-        let answer = rig::chat(system.callers(n % 2), &rig::ask(&format!("call {n}"))).await;
+        let answer = rig::chat(system.callers(n % 2), &rig::request(&format!("call {n}"))).await;
         expect_that!(answer.kind, none());
     }
     expect_that!(leaving.counts().finished, eq(before));
--- a/fw-local/tests/local/plain_calls.rs
+++ b/fw-local/tests/local/plain_calls.rs
@@ -87,7 +87,7 @@
 // and must be answered meanwhile.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn programs_do_not_hold_up_lookups() {
+async fn programs_do_not_delay_lookups() {
     let system = rig::system().await;
     for worker in &system.engines {
         worker.upstream.freeze(true);
@@ -97,7 +97,7 @@
         .map(|n| {
             let chat = caller::Chat {
                 headers: vec![("x-program", format!("stuck-{n}"))],
-                ..rig::ask("stuck")
+                ..rig::request("stuck")
             };
             tokio::spawn(async move { rig::chat(addr, &chat).await })
         })
@@ -114,7 +114,7 @@
 // hear that it may have run: told "not run", an operator would look for the cause elsewhere.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lookup_that_ran_is_not_told_as_not_run() {
+async fn a_lookup_that_ran_is_not_reported_as_not_run() {
     let system = rig::system().await;
     let caller = caller::Caller::new();
     system.tools[0].upstream.fault(plain::Fault::CrashAfter);
--- a/fw-local/tests/local/record_changes.rs
+++ b/fw-local/tests/local/record_changes.rs
@@ -11,10 +11,10 @@
 use super::rig;
 
 /// Longest wait for a change to be in force: the promise is three seconds.
-const POLLS: u32 = 150;
+const MAX_POLLS: u32 = 150;
 
 async fn in_force(system: &system::System, revision: i64) -> bool {
-    for _ in 0..POLLS {
+    for _ in 0..MAX_POLLS {
         if system.revision_in_force() >= revision {
             return true;
         }
@@ -35,7 +35,7 @@
     for entry in 0..2 {
         let chat = caller::Chat {
             model: "extra".to_owned(),
-            ..rig::ask("hello")
+            ..rig::request("hello")
         };
         expect_true!(rig::chat(system.callers(entry), &chat).await.is_ok());
     }
@@ -66,7 +66,7 @@
 // still act on the record, and the new one takes it from them or waits; nobody goes back.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_takes_nothing_back() {
+async fn an_outage_reverts_no_record() {
     let mut system = rig::system().await;
     let put = system
         .put_record("team", "officers", 0, &json!({ "schema": 2, "share": 2.0 }))
--- a/fw-local/tests/local/rig.rs
+++ b/fw-local/tests/local/rig.rs
@@ -17,14 +17,14 @@
 
 /// Systems that run at a time. Leases and heartbeats go by real time: on a machine that is kept
 /// busy by many systems at once they would lapse, and tests would fail for want of processor time.
-const SYSTEMS: usize = 3;
+const MAX_SYSTEMS: usize = 3;
 
-static PLACES: Semaphore = Semaphore::const_new(SYSTEMS);
+static SLOTS: Semaphore = Semaphore::const_new(MAX_SYSTEMS);
 
 /// A system of a test, and its place among those that run at a time.
 pub struct Rig {
     system: system::System,
-    _place: SemaphorePermit<'static>,
+    _slot: SemaphorePermit<'static>,
 }
 
 impl Deref for Rig {
@@ -43,7 +43,7 @@
 
 /// A system of the usual shape.
 pub async fn system() -> Rig {
-    with(system::Options::default()).await
+    start(system::Options::default()).await
 }
 
 /// Prints what the system logs if `RUST_LOG` says so. The system's tasks run on threads of their own,
@@ -58,13 +58,13 @@
 }
 
 /// A system of a given shape.
-pub async fn with(opts: system::Options) -> Rig {
+pub async fn start(opts: system::Options) -> Rig {
     log();
-    let place = PLACES.acquire().await.expect("the semaphore stays open");
+    let slot = SLOTS.acquire().await.expect("the semaphore stays open");
     let system = system::System::start(opts).await;
     Rig {
         system: system.expect("a system on loopback"),
-        _place: place,
+        _slot: slot,
     }
 }
 
@@ -74,7 +74,7 @@
 }
 
 /// A streamed request with one message.
-pub fn ask(text: &str) -> caller::Chat {
+pub fn request(text: &str) -> caller::Chat {
     caller::Chat {
         messages: vec![user(text)],
         stream: true,
@@ -105,7 +105,7 @@
             ("x-turn", turn.to_string()),
             ("x-history", "delta".to_owned()),
         ],
-        ..ask(&format!("offer {turn}"))
+        ..request(&format!("offer {turn}"))
     }
 }
 
@@ -125,13 +125,13 @@
 }
 
 /// Waits until an entry has committed a turn of a program in memory.
-pub async fn committed(system: &system::System, entry: usize, program: &str) {
+pub async fn wait_committed(system: &system::System, entry: usize, program: &str) {
     let running = system.entries[entry].as_ref().expect("the entry runs");
     let name = program.into();
-    let turn = |shard: &mut shard::Shard| shard.program(&name).map_or(0, |known| known.turn());
+    let turn = |shard: &mut shard::Shard| shard.program(&name).map_or(0, |program| program.turn());
     for _ in 0..1_000 {
-        let known = running.entry().keeper.with_program(program, turn);
-        if known.is_ok_and(|known| known.value > 0) {
+        let turn_count = running.entry().keeper.with_program(program, turn);
+        if turn_count.is_ok_and(|count| count.value > 0) {
             return;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -140,7 +140,7 @@
 }
 
 /// Waits until an entry keeps the shard of a program.
-pub async fn kept_by(system: &system::System, entry: usize, program: &str) {
+pub async fn wait_kept_by(system: &system::System, entry: usize, program: &str) {
     let running = system.entries[entry].as_ref().expect("the entry runs");
     let keeper = &running.entry().keeper;
     for _ in 0..1_000 {
@@ -153,7 +153,7 @@
 }
 
 /// Sends a turn until its program is kept again after a lease that lapsed.
-pub async fn until_kept(addr: SocketAddr, turn: &caller::Chat) -> caller::Answer {
+pub async fn send_until_kept(addr: SocketAddr, turn: &caller::Chat) -> caller::Answer {
     let mut answer = chat(addr, turn).await;
     for _ in 0..10 {
         if answer.kind != Some(error::Kind::KeeperUnavailable) {
--- a/fw-local/tests/local/store_outages.rs
+++ b/fw-local/tests/local/store_outages.rs
@@ -20,7 +20,7 @@
 // back, every turn answered meanwhile is in the journal: another entry knows it after a take-over.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn programs_go_on_and_are_kept() {
+async fn programs_continue_and_are_stored() {
     let mut system = rig::system().await;
     let caller = caller::Caller::new();
     let opts = agent::Options {
@@ -42,7 +42,7 @@
     tokio::time::sleep(Duration::from_secs(3)).await;
     expect_true!(system.stop_entry(0).await);
     let caller = caller::Caller::new();
-    let known = caller
+    let state = caller
         .plain(
             system.callers(1),
             "GET",
@@ -51,8 +51,8 @@
             "".into(),
         )
         .await;
-    expect_that!(known.body["turn"].as_u64(), some(eq(6)));
-    expect_that!(known.body["history"].as_array(), some(eq(&outcome.history)));
+    expect_that!(state.body["turn"].as_u64(), some(eq(6)));
+    expect_that!(state.body["history"].as_array(), some(eq(&outcome.history)));
 }
 
 // The store is away while a case officer's program makes two turns; its keeper and the side hold the
@@ -83,12 +83,12 @@
     expect_that!(fourth.kind, none());
     let path = format!("/v1/programs/{program}");
     let caller = caller::Caller::new();
-    let known = caller
+    let state = caller
         .plain(system.callers(1), "GET", &path, &[], "".into())
         .await;
-    expect_that!(known.body["turn"].as_u64(), some(eq(4)));
+    expect_that!(state.body["turn"].as_u64(), some(eq(4)));
     expect_that!(
-        known.body["history"][5]["content"].as_str(),
+        state.body["history"][5]["content"].as_str(),
         some(eq(third.text.as_str()))
     );
 }
@@ -135,24 +135,24 @@
     system
         .store
         .faults(0, |faults| faults.outage = Some(store::Outage::Hang));
-    let mut told = Vec::new();
+    let mut answers = Vec::new();
     for number in 2..=6 {
         let answer = rig::chat(system.callers(0), &turn(number)).await;
         if !answer.is_ok() {
             break;
         }
-        told.push(answer.text);
+        answers.push(answer.text);
     }
     system.store.faults(0, |faults| faults.outage = None);
     let caller = caller::Caller::new();
     let path = format!("/v1/programs/{program}");
-    let known = caller
+    let state = caller
         .plain(system.callers(1), "GET", &path, &[], "".into())
         .await;
-    let turns = known.body["turn"].as_u64().unwrap_or(0);
-    expect_that!(turns, ge(1 + told.len() as u64));
-    for (n, text) in told.iter().enumerate() {
-        let kept = known.body["history"][2 * (n + 1) + 1]["content"].as_str();
+    let turns = state.body["turn"].as_u64().unwrap_or(0);
+    expect_that!(turns, ge(1 + answers.len() as u64));
+    for (n, text) in answers.iter().enumerate() {
+        let kept = state.body["history"][2 * (n + 1) + 1]["content"].as_str();
         expect_that!(kept, some(eq(text.as_str())));
     }
 }
@@ -175,19 +175,19 @@
     system.kill_side(holder);
     // Back for the second entry only.
     system.store.faults(1, |faults| faults.outage = None);
-    rig::kept_by(&system, 1, &program).await;
-    let next = rig::until_kept(system.callers(1), &rig::delta(&program, 2)).await;
+    rig::wait_kept_by(&system, 1, &program).await;
+    let next = rig::send_until_kept(system.callers(1), &rig::delta(&program, 2)).await;
     expect_that!(next.kind, none());
     let path = format!("/v1/programs/{program}");
     let caller = caller::Caller::new();
-    let known = caller
+    let state = caller
         .plain(system.callers(1), "GET", &path, &[], "".into())
         .await;
     expect_that!(
-        known.body["history"][1]["content"].as_str(),
+        state.body["history"][1]["content"].as_str(),
         some(eq(first.text.as_str()))
     );
-    expect_that!(known.body["turn"].as_u64(), some(eq(2)));
+    expect_that!(state.body["turn"].as_u64(), some(eq(2)));
 }
 
 /// An entry that answers callers and keeps no programs.
@@ -211,7 +211,7 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_turn_broken_off_is_answered_again() {
-    let mut system = rig::with(system::Options {
+    let mut system = rig::start(system::Options {
         entries: vec!["hall-a"],
         engine: engine::Options {
             step: Duration::from_millis(20),
@@ -230,14 +230,14 @@
     system
         .store
         .faults(0, |faults| faults.outage = Some(store::Outage::Hang));
-    rig::committed(&system, 0, "cut-off").await;
+    rig::wait_committed(&system, 0, "cut-off").await;
     // No second holder: the answer may not be given out before the store has it.
     system.kill_side(engine);
     let broken = task.await.unwrap();
     expect_that!(broken.kind, some(eq(error::Kind::KeeperLost)));
     system.store.faults(0, |faults| faults.outage = None);
     for entry in [other, 0] {
-        let again = rig::until_kept(system.callers(entry), &turn).await;
+        let again = rig::send_until_kept(system.callers(entry), &turn).await;
         expect_that!(again.kind, none());
         expect_true!(again.is_ok());
     }
@@ -249,13 +249,13 @@
 // has not run and may be sent again; the program goes on at the next entry.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_without_records_refuses_nothing_for_good() {
+async fn an_entry_without_records_refuses_only_for_now() {
     let mut system = rig::system().await;
     system
         .store
         .faults(2, |faults| faults.outage = Some(store::Outage::Hang));
     let fresh = system.add_entry("hall-a").await.unwrap();
-    let turn = rig::chat(system.callers(fresh), &rig::ask("draft")).await;
+    let turn = rig::chat(system.callers(fresh), &rig::request("draft")).await;
     expect_that!(turn.kind, some(eq(error::Kind::NotReady)));
     expect_that!(turn.ran, some(eq(error::Ran::No)));
     expect_that!(turn.retry_after, some(anything()));
