--- a/fw-local/tests/history/fixed_seeds.rs
+++ b/fw-local/tests/history/fixed_seeds.rs
@@ -1,4 +1,4 @@
-//! The promises hold in runs with faults, each drawn from a fixed seed.
+//! Runs with faults drawn from fixed seeds, checked for every promise.
 
 use fw_check::check;
 use fw_check::check::Promise;
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use tokio::sync::Semaphore;
 
-/// Systems that run at a time: leases and heartbeats go by real time.
+/// Limits the systems that run concurrently, since leases and heartbeats depend on real time.
 static SLOTS: Semaphore = Semaphore::const_new(2);
 
 async fn run(opts: history::Options) -> history::Outcome {
@@ -29,7 +29,8 @@
     };
     let outcome = run(opts).await;
     expect_true!(outcome.is_good());
-    // The record holds what the checker needs: a promise that is not put to the test always holds.
+    // Guards against a vacuous pass: a promise for which nothing was recorded is never violated, so each
+    // of these must have been observed.
     let observed = [
         Promise::Order,
         Promise::History,
--- a/fw-local/tests/history/main.rs
+++ b/fw-local/tests/history/main.rs
@@ -1,3 +1,3 @@
-//! Recorded runs of callers, operators and faults against whole systems hold every promise.
+//! Randomized runs of callers, operators and faults against whole systems, checked for every promise.
 
 mod fixed_seeds;
--- a/fw-local/tests/local/chat_calls.rs
+++ b/fw-local/tests/local/chat_calls.rs
@@ -52,8 +52,8 @@
     expect_that!(state.body["history"].as_array().map(Vec::len), some(eq(6)));
 }
 
-// A caller's answer was lost on the way, so its client library sends the same turn again, to
-// another entry. It must get the same answer, and the engine must not run the turn twice.
+// An answer is lost on the way, so the client library sends the same turn again to another entry. It
+// must get the same answer, and the engine must not run the turn twice.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_turn_is_replayed() {
@@ -128,8 +128,8 @@
     }
 }
 
-// Two programs under one name, from callers that do not know of each other: the second's history
-// does not continue the first's. It must be refused, not mixed in.
+// Two independent callers use the same program name, and the second one's history does not continue
+// the first one's. It must be refused, not merged.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_foreign_history_is_refused() {
--- a/fw-local/tests/local/crashed_parts.rs
+++ b/fw-local/tests/local/crashed_parts.rs
@@ -1,4 +1,4 @@
-//! Engines, sides and entries that die between and under turns.
+//! Crashes of engines, sides and entries during and between turns.
 
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
     }
 }
 
-// A shopkeeper watches a page being drafted when the engine behind it crashes. The turn runs again
-// on another engine; the text goes on where it stopped, and is what an undisturbed run gives.
+// An engine crashes while it streams an answer. The turn runs again on another engine; the stream must
+// continue where it stopped, with the same text as in an undisturbed run.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_its_engine() {
@@ -47,7 +47,7 @@
     expect_that!(answer.text, eq(&undisturbed.text));
 }
 
-// The same, but the side beside the engine dies, so that nobody says what became of the turn.
+// The side crashes instead of the engine, so that the outcome of the turn is not reported.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_its_side() {
@@ -62,8 +62,8 @@
     expect_true!(answer.is_ok());
 }
 
-// A case officer's program has two turns behind it when the entry that keeps it dies. The balancer
-// sends the third turn to another entry. It must be answered with the whole history in place.
+// The entry that keeps a program crashes after two turns, and the load balancer sends the third turn to
+// another entry. It must be answered with the whole history in place.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_program_survives_its_keeper() {
@@ -105,8 +105,8 @@
     }
 }
 
-// The keeper dies while it runs a turn that came in through another entry. The caller's connection
-// is not with the dead one: it must get its whole answer, a lease later.
+// The keeper crashes while it runs a turn that was received by another entry. The caller's connection
+// is to the live entry, so it must get its whole answer once the lease has lapsed.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_turn_survives_its_keeper() {
@@ -129,8 +129,8 @@
     expect_true!(answer.is_ok());
 }
 
-// One request crashes each engine that runs it, and its caller sends it again. It is tried once
-// more, alone; then it is quarantined, and the third engine lives to answer the others.
+// A request crashes each engine that runs it, and its caller keeps sending it. It is retried once, alone
+// on an engine, and then quarantined, so that the third engine survives to answer other requests.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_poison_request_is_quarantined() {
--- a/fw-local/tests/local/graceful_stops.rs
+++ b/fw-local/tests/local/graceful_stops.rs
@@ -1,4 +1,4 @@
-//! Entries and upstreams that leave in order.
+//! Graceful shutdown of entries and upstreams.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 
 use super::rig;
 
-// An entry is replaced while it streams answers. Every one of them must come to its end, and the
-// programs that it kept must go on at the other entry at once, not after a lease.
+// An entry is stopped while it streams answers. Every stream must be completed, and the programs that it
+// kept must continue at the other entry at once, without waiting for a lease to lapse.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopped_entry_interrupts_no_stream() {
@@ -57,7 +57,8 @@
     }
 }
 
-// An engine is told to leave while it works. What runs there ends well; what comes goes elsewhere.
+// An engine is asked to leave. Its running calls may complete; later calls must be placed on other
+// engines.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_engine_gets_no_new_work() {
--- a/fw-local/tests/local/main.rs
+++ b/fw-local/tests/local/main.rs
@@ -1,4 +1,4 @@
-//! The whole path, across entries, sides and stand-ins, over real sockets.
+//! End-to-end tests across entries, sides and stand-ins over real sockets.
 
 mod chat_calls;
 mod crashed_parts;
--- a/fw-local/tests/local/plain_calls.rs
+++ b/fw-local/tests/local/plain_calls.rs
@@ -1,4 +1,4 @@
-//! Plain requests beside the programs.
+//! Plain requests.
 
 use fw_base::error;
 use fw_fake::plain;
@@ -27,8 +27,8 @@
     expect_that!(system.tools[0].upstream.runs().len(), eq(1));
 }
 
-// A publish request's answer was lost, so its caller sends it again, through another entry. The
-// page must not be published twice, and the caller gets the first answer.
+// The answer to a publish request is lost, so the caller sends it again through another entry. The page
+// must not be published twice, and the caller must get the first answer.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keyed_call_runs_once() {
@@ -51,8 +51,8 @@
     expect_that!(other.await.kind, some(eq(error::Kind::KeyReused)));
 }
 
-// The service crashes after a billing request ran and before it answered. Nobody can know whether
-// it ran: the caller must hear "maybe", and a repeat must not run it again.
+// The service crashes after it ran a billing request and before it answered, so the entry cannot
+// determine whether it ran. The caller must get "maybe", and a repeat must not run it again.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_of_unknown_outcome_never_runs_again() {
@@ -83,8 +83,8 @@
     expect_that!(tool.runs_of("bill-1"), eq(1));
 }
 
-// Engines crawl and programs pile up in front of them. Case-status lookups do not use the engines
-// and must be answered meanwhile.
+// The engines make no progress and programs queue up for them. Case-status lookups do not use the
+// engines and must still be answered.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn programs_do_not_delay_lookups() {
@@ -110,8 +110,9 @@
     stuck.iter().for_each(tokio::task::JoinHandle::abort);
 }
 
-// The only upstream of a lookup crashes while it runs there; its retry finds nobody. The caller must
-// hear that it may have run: told "not run", an operator would look for the cause elsewhere.
+// The only upstream of a lookup crashes while running it, and the retry finds no upstream. The error
+// must state that the call may have run: "not run" would lead an operator to look for the cause
+// elsewhere.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lookup_that_ran_is_not_reported_as_not_run() {
--- a/fw-local/tests/local/record_changes.rs
+++ b/fw-local/tests/local/record_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the operators' records, in force everywhere.
+//! Propagation of changes to the operators' records.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use super::rig;
 
-/// Longest wait for a change to be in force: the promise is three seconds.
+/// Most polls, 20 ms apart, until a change must be in force: the promise is three seconds.
 const MAX_POLLS: u32 = 150;
 
 async fn in_force(system: &system::System, revision: i64) -> bool {
@@ -41,8 +41,8 @@
     }
 }
 
-// Two operators read the same version of a record and both change it. The second must be told, and
-// shown both versions; the first's change stays.
+// Two operators read the same version of a record and both change it. The second must get a conflict
+// that shows both versions, and the first change must stay.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_operators_get_a_conflict() {
@@ -62,8 +62,8 @@
     expect_that!(lost.body.to_string(), contains_substring("2.0"));
 }
 
-// An accepted record, a store outage, and an entry that starts while the store is away: the others
-// still act on the record, and the new one takes it from them or waits; nobody goes back.
+// A record is accepted before a store outage. The running entries must keep it in force throughout, and
+// an entry that is started afterwards must load it: no entry may revert to an older revision.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outage_reverts_no_record() {
--- a/fw-local/tests/local/rig.rs
+++ b/fw-local/tests/local/rig.rs
@@ -1,4 +1,4 @@
-//! What the tests share.
+//! Shared helpers of the tests.
 
 use std::net::SocketAddr;
 use std::ops::Deref;
@@ -15,13 +15,13 @@
 use tokio::sync::Semaphore;
 use tokio::sync::SemaphorePermit;
 
-/// Systems that run at a time. Leases and heartbeats go by real time: on a machine that is kept
-/// busy by many systems at once they would lapse, and tests would fail for want of processor time.
+/// Most systems that run concurrently. Leases and heartbeats depend on real time: with many systems
+/// on one machine they would lapse, and tests would fail for lack of processor time.
 const MAX_SYSTEMS: usize = 3;
 
 static SLOTS: Semaphore = Semaphore::const_new(MAX_SYSTEMS);
 
-/// A system of a test, and its place among those that run at a time.
+/// A test's system, with its permit to run.
 pub struct Rig {
     system: system::System,
     _slot: SemaphorePermit<'static>,
@@ -41,23 +41,23 @@
     }
 }
 
-/// A system of the usual shape.
+/// Starts a system with default options.
 pub async fn system() -> Rig {
     start(system::Options::default()).await
 }
 
-/// Prints what the system logs if `RUST_LOG` says so. The system's tasks run on threads of their own,
-/// whose output the test runner does not hold back: run one test at a time.
+/// Prints the system's log lines as selected by `RUST_LOG`. The system's tasks run on threads of their
+/// own, whose output the test runner does not capture: run one test at a time.
 fn log() {
     let off = tracing_subscriber::filter::LevelFilter::OFF.into();
     let filter = tracing_subscriber::EnvFilter::builder().with_default_directive(off);
     let filter = filter.from_env_lossy();
     let lines = tracing_subscriber::fmt().with_env_filter(filter);
-    // Another test of this process has set it already.
+    // Fails if another test of this process has set the subscriber already.
     let _already_set = lines.try_init();
 }
 
-/// A system of a given shape.
+/// Starts a system with the given options.
 pub async fn start(opts: system::Options) -> Rig {
     log();
     let slot = SLOTS.acquire().await.expect("the semaphore stays open");
@@ -88,7 +88,7 @@
     caller::Caller::new().chat(addr, chat).await
 }
 
-/// A program whose shard the first of two entries keeps.
+/// Name of a program whose shard is kept by the first of two entries.
 pub fn kept_by_first(system: &system::System, prefix: &str) -> String {
     let other = system.entries[1].as_ref().expect("the second entry runs");
     let keeper = &other.entry().keeper;
@@ -97,7 +97,7 @@
     found.expect("the first entry keeps half of the shards")
 }
 
-/// A turn of a program that sends its new message only.
+/// A turn that sends only its new message.
 pub fn delta(program: &str, turn: u32) -> caller::Chat {
     caller::Chat {
         headers: vec![
@@ -109,7 +109,7 @@
     }
 }
 
-/// Waits until some engine runs a request, and says which.
+/// Waits until an engine runs a request and returns its index.
 pub async fn busy_engine(system: &system::System) -> usize {
     for _ in 0..500 {
         let busy = system
@@ -152,7 +152,7 @@
     panic!("the entry does not keep the program");
 }
 
-/// Sends a turn until its program is kept again after a lease that lapsed.
+/// Sends a turn repeatedly until its program has a keeper again after a lease lapsed.
 pub async fn send_until_kept(addr: SocketAddr, turn: &caller::Chat) -> caller::Answer {
     let mut answer = chat(addr, turn).await;
     for _ in 0..10 {
@@ -164,7 +164,7 @@
     answer
 }
 
-/// The engine that holds the cache of a program.
+/// Index of the engine that holds the KV cache of a program.
 pub fn engine_of(system: &system::System, program: &str) -> usize {
     let holds = |worker: &system::Worker<engine::Engine>| {
         let held = worker.upstream.held();
--- a/fw-local/tests/local/store_outages.rs
+++ b/fw-local/tests/local/store_outages.rs
@@ -1,4 +1,4 @@
-//! The platform's store down or slow while calls go on.
+//! Outages of the platform's store during calls.
 
 use std::time::Duration;
 
@@ -13,11 +13,12 @@
 
 use super::rig;
 
-/// An outage longer than every lease of the test's system.
+/// Duration of an outage, longer than every lease of the test's system.
 const OUTAGE: Duration = Duration::from_millis(3500);
 
-// The store is away for longer than the keepers' leases. Programs go on all the while; when it is
-// back, every turn answered meanwhile is in the journal: another entry knows it after a take-over.
+// The store is unavailable for longer than the keepers' leases. Programs must continue meanwhile, and
+// every turn answered in the outage must be in the journal once the store is back, so that another
+// entry has it after a takeover.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn programs_continue_and_are_stored() {
@@ -55,10 +56,10 @@
     expect_that!(state.body["history"].as_array(), some(eq(&outcome.history)));
 }
 
-// The store is away while a case officer's program makes two turns; its keeper and the side hold the
-// answers that the officer has seen. Then the keeper dies, before the store is back. Its successor
-// finds a journal without these turns: it must have them from the sides, or the officer's next turn
-// continues a history that the system does not know.
+// The store is unavailable while a program makes two turns, so only its keeper and the side hold their
+// answers. The keeper crashes before the store is back. Its successor finds a journal without these
+// turns and must recover them from the sides; otherwise the caller's next turn would continue a
+// history that the system has lost.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_survive_their_keeper_in_an_outage() {
@@ -94,7 +95,7 @@
 }
 
 // Without the store no claim can be made durable, so a publish request could run twice. It must be
-// refused as not run, at once, and with a time to come back; lookups are answered.
+// refused at once as not run, with a retry delay; lookups must still be answered.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn keyed_calls_are_refused_as_not_run() {
@@ -122,9 +123,9 @@
     expect_that!(system.tools[0].upstream.runs_of("page-9"), eq(1));
 }
 
-// One entry alone loses the store while it keeps a case officer's program. After a lease another
-// entry takes the program over. The cut-off one must not go on giving out answers: they would be
-// missing in the history that the officer's next turn meets.
+// One entry alone is cut off from the store while it keeps a program, and another entry takes the
+// program over once the lease has lapsed. The cut-off entry must stop giving out answers: they would
+// be missing from the history that the next turn continues.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_cut_off_alone_gives_out_nothing_new() {
@@ -157,12 +158,13 @@
     }
 }
 
-// The store is away for all while a program makes a turn: its keeper and the side beside the engine
-// hold the answer that the caller has. The side dies; the store is back, but not yet for the keeper,
-// whose lease lapses. Another entry takes the program from the journal, which lacks the turn, and
-// refused the next one as `unknown_program` or `wrong_turn`: it asked the sides that live, and not
-// the keeper before it, which lived and had the answer. What showed it: `shards taken` by others 0.9 s
-// before the keeper's `lease lapsed`, then `shard lost`.
+// A takeover must recover turns from the previous keeper too, not only from the sides. The store is
+// unavailable to all while a program makes a turn, so only its keeper and the engine's side hold the
+// answer. The side crashes, and the store is back for the other entry but not for the keeper, whose
+// lease lapses. The other entry loads the program from the journal, which lacks the turn. It used to
+// query only the live sides and not the previous keeper, which was alive and had the answer, and
+// refused the next turn as `unknown_program` or `wrong_turn`. Seen in the log as `shards taken` by
+// others 0.9 s before the keeper's `lease lapsed`, then `shard lost`.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_survive_their_side_and_a_lapsed_lease() {
@@ -173,7 +175,7 @@
     expect_true!(first.is_ok());
     let holder = rig::engine_of(&system, &program);
     system.kill_side(holder);
-    // Back for the second entry only.
+    // The store is available again to the second entry only.
     system.store.faults(1, |faults| faults.outage = None);
     rig::wait_kept_by(&system, 1, &program).await;
     let next = rig::send_until_kept(system.callers(1), &rig::delta(&program, 2)).await;
@@ -190,7 +192,7 @@
     expect_that!(state.body["turn"].as_u64(), some(eq(2)));
 }
 
-/// An entry that answers callers and keeps no programs.
+/// Settings of an entry that answers callers and keeps no programs.
 fn answers_only() -> entry_conf::Settings {
     let settings = system::quick_entry();
     entry_conf::Settings {
@@ -202,12 +204,12 @@
     }
 }
 
-// One entry alone is cut off from the store for longer than its lease while it ends a turn. It
-// breaks the turn off, since another may keep the program by now: its caller hears `keeper_lost`.
-// But nobody took the program; with the store back the entry keeps it again, the turn committed.
-// The caller sends the turn again, and heard the same error from every entry for a minute: the
-// ended attempt was read again in place of the committed answer. What showed it: the decisions of
-// all entries end with `fenced`; no placement, failure or refusal follows it.
+// One entry alone is cut off from the store for longer than its lease while it finishes a turn. It
+// aborts the turn with `keeper_lost`, since another entry may keep the program by now. But no entry took the
+// program over; when the store is back the entry keeps it again, with the turn committed. A retry of
+// the turn used to get the same error from every entry for a minute, because the ended attempt was
+// read in place of the committed answer. Seen in the decisions of all entries, which ended with
+// `fenced` and had no placement, failure or refusal after it.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_turn_broken_off_is_answered_again() {
@@ -231,7 +233,7 @@
         .store
         .faults(0, |faults| faults.outage = Some(store::Outage::Hang));
     rig::wait_committed(&system, 0, "cut-off").await;
-    // No second holder: the answer may not be given out before the store has it.
+    // Without a second copy at the side, the answer may not be given out before the store has it.
     system.kill_side(engine);
     let broken = task.await.unwrap();
     expect_that!(broken.kind, some(eq(error::Kind::KeeperLost)));
@@ -243,10 +245,10 @@
     }
 }
 
-// An entry starts while the store does not answer it, and callers or other entries reach it all the
-// same. It has no operators' records, refused turns for good as `unknown_model`, plain requests as
-// `unknown_route`, and took callers of any key for the team without one. It must say that the call
-// has not run and may be sent again; the program goes on at the next entry.
+// An entry starts while it cannot reach the store, yet callers and other entries can reach it. Without
+// the operators' records it used to refuse turns permanently as `unknown_model` and plain requests as
+// `unknown_route`, and assigned callers with any key to the team without one. Its errors must state
+// that the call has not run and may be retried, so that the program continues at the next entry.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_without_records_refuses_only_for_now() {
