--- a/fw-local/examples/capacity/keeper.rs
+++ b/fw-local/examples/capacity/keeper.rs
@@ -18,7 +18,7 @@
 /// Bytes of text to a token.
 const BYTES_PER_TOKEN: f64 = 4.0;
 /// Tokens of a history in the middle of its life: half of the longest.
-const HALF_HISTORY: f64 = 375_000.0;
+const HALF_HISTORY_TOKENS: f64 = 375_000.0;
 
 /// The rows of this role.
 pub fn measure() -> Vec<slope::Row> {
@@ -59,7 +59,7 @@
         what: "memory for each token of history",
         unit: "B",
         points: sizes.into_iter().map(point).collect(),
-        target: HALF_HISTORY * PROGRAMS_PER_ENTRY,
+        target: HALF_HISTORY_TOKENS * PROGRAMS_PER_ENTRY,
         target_note: "368 programs of 375,000 tokens",
     }
 }
@@ -68,13 +68,13 @@
     let sizes = [500, 1_000, 2_000, 4_000];
     let point = |turns: usize| {
         let mut shard = shard::Shard::new(0);
-        let busy = process::busy(|| {
+        let cpu_time = process::cpu_time(|| {
             for n in 0..turns {
                 run_turn(&mut shard, &name(n), 2_000);
             }
             std::hint::black_box(shard.take_batch());
         });
-        (turns as f64, busy.as_secs_f64() * 1e6)
+        (turns as f64, cpu_time.as_secs_f64() * 1e6)
     };
     slope::Row {
         role: "keeper",
--- a/fw-local/examples/capacity/process.rs
+++ b/fw-local/examples/capacity/process.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 /// Bytes of a page, on the machines that this is measured on.
-const PAGE: f64 = 4096.0;
+const PAGE_BYTES: f64 = 4096.0;
 
 /// Resident memory, in bytes.
 pub fn resident() -> f64 {
@@ -13,7 +13,7 @@
         .split_whitespace()
         .nth(1)
         .and_then(|pages| pages.parse::<f64>().ok());
-    pages.unwrap_or(0.0) * PAGE
+    pages.unwrap_or(0.0) * PAGE_BYTES
 }
 
 /// Keeps `value` for good: memory that were freed would be taken again by the next measurement,
@@ -23,8 +23,8 @@
 }
 
 /// Time that `work` takes on the only thread that is busy: its processor time.
-pub fn busy(work: impl FnOnce()) -> Duration {
+pub fn cpu_time(task: impl FnOnce()) -> Duration {
     let started = Instant::now();
-    work();
+    task();
     started.elapsed()
 }
--- a/fw-local/examples/capacity/records.rs
+++ b/fw-local/examples/capacity/records.rs
@@ -10,7 +10,7 @@
 use crate::slope;
 
 /// Records at the size to design for: teams, and a few hundred of the other kinds.
-const RECORDS: f64 = 2_000.0;
+const RECORD_COUNT: f64 = 2_000.0;
 
 /// The rows of this role.
 pub fn measure() -> Vec<slope::Row> {
@@ -27,25 +27,25 @@
         row(
             "bytes of the set as shipped, for each record",
             "B",
-            RECORDS,
+            RECORD_COUNT,
             "2,000 records",
             |n| set_of(n).to_json().len() as f64,
         ),
         row(
             "processor time of one change, for each record",
             "us",
-            RECORDS,
+            RECORD_COUNT,
             "2,000 records: us for each of 21,000 changes a day",
             change_time,
         ),
         row(
             "processor time to read a shipped set, for each record",
             "us",
-            RECORDS,
+            RECORD_COUNT,
             "2,000 records",
             |n| {
                 let text = set_of(n).to_json();
-                process::busy(|| {
+                process::cpu_time(|| {
                     std::hint::black_box(set::Set::from_json(&text).is_ok());
                 })
                 .as_secs_f64()
@@ -56,10 +56,10 @@
 }
 
 fn change_time(records: usize) -> f64 {
-    const CHANGES: u32 = 20;
+    const CHANGE_COUNT: u32 = 20;
     let set = set_of(records);
-    let busy = process::busy(|| {
-        for n in 0..CHANGES {
+    let cpu_time = process::cpu_time(|| {
+        for n in 0..CHANGE_COUNT {
             let event = watch::Event {
                 kind: watch::EventKind::Put,
                 kv: kv::Kv {
@@ -72,7 +72,7 @@
             std::hint::black_box(set.changed(1_000_000 + i64::from(n), &[event]));
         }
     });
-    busy.as_secs_f64() * 1e6 / f64::from(CHANGES)
+    cpu_time.as_secs_f64() * 1e6 / f64::from(CHANGE_COUNT)
 }
 
 fn set_of(records: usize) -> set::Set {
--- a/fw-local/examples/capacity/upstreams.rs
+++ b/fw-local/examples/capacity/upstreams.rs
@@ -70,11 +70,12 @@
     let me: id::EntryId = "entry-7".into();
     let point = |count: usize| {
         let upstreams: Vec<_> = (0..count).map(|n| member("worker", n)).collect();
-        let busy = process::busy(|| {
-            let mine = subset::watched_by(&me, &entries, &upstreams, &subset::Options::default());
-            std::hint::black_box(mine);
+        let cpu_time = process::cpu_time(|| {
+            let watched =
+                subset::watched_by(&me, &entries, &upstreams, &subset::Options::default());
+            std::hint::black_box(watched);
         });
-        (count as f64, busy.as_secs_f64() * 1e6)
+        (count as f64, cpu_time.as_secs_f64() * 1e6)
     };
     slope::Row {
         role: "entry",
--- a/fw-local/examples/capacity/wire.rs
+++ b/fw-local/examples/capacity/wire.rs
@@ -9,11 +9,11 @@
 use crate::slope;
 
 /// Heartbeats a second: what the settings allow, reached with more than 14 sides.
-const HEARTBEATS: f64 = 28.0;
+const HEARTBEATS_PER_SECOND: f64 = 28.0;
 /// Statuses a second: two asked and, on average, two answered, twice a second.
-const STATUSES: f64 = 8.0;
+const STATUSES_PER_SECOND: f64 = 8.0;
 /// Shards renewed in a heartbeat: those of this entry with sessions at that side.
-const RENEWED: usize = 2;
+const RENEWED_SHARDS: usize = 2;
 
 /// The rows of this role.
 pub fn measure() -> Vec<slope::Row> {
@@ -22,14 +22,14 @@
             "entry",
             "bytes of a heartbeat and its answer",
             heartbeat_bytes,
-            HEARTBEATS,
+            HEARTBEATS_PER_SECOND,
             "28 heartbeats a second: B/s",
         ),
         bytes(
             "entry",
             "bytes of a status between entries",
             status_bytes,
-            STATUSES,
+            STATUSES_PER_SECOND,
             "8 statuses a second: B/s",
         ),
         heartbeat_time(),
@@ -61,7 +61,9 @@
     let req = side::Heartbeat {
         from: "entry-0123456789abcdef".into(),
         revision: 1_234_567,
-        shards: (0..RENEWED).map(|n| (n as u16 + 1000, 1_234_567)).collect(),
+        shards: (0..RENEWED_SHARDS)
+            .map(|n| (n as u16 + 1000, 1_234_567))
+            .collect(),
         cache_seen: 123_456,
         known: u64::MAX,
         ..side::Heartbeat::default()
@@ -116,14 +118,14 @@
 
 fn heartbeat_time() -> slope::Row {
     let point = |count: usize| {
-        let busy = process::busy(|| {
+        let cpu_time = process::cpu_time(|| {
             for _ in 0..count {
                 let (_, reply) = heartbeat();
                 let read = serde_json::from_str::<side::HeartbeatReply>(&reply);
                 std::hint::black_box(read.is_ok());
             }
         });
-        (count as f64, busy.as_secs_f64() * 1e6)
+        (count as f64, cpu_time.as_secs_f64() * 1e6)
     };
     slope::Row {
         role: "entry",
@@ -133,7 +135,7 @@
             .into_iter()
             .map(point)
             .collect(),
-        target: HEARTBEATS,
+        target: HEARTBEATS_PER_SECOND,
         target_note: "28 heartbeats a second: us of each second",
     }
 }
--- a/fw-local/examples/load/closed.rs
+++ b/fw-local/examples/load/closed.rs
@@ -12,13 +12,13 @@
 use tokio::task::JoinSet;
 
 /// Longest time that is told apart, in microseconds.
-const LONGEST: u64 = 600_000_000;
+const MAX_MICROS: u64 = 600_000_000;
 /// Decimal digits that a histogram keeps.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// What is sent.
 #[derive(Clone, Copy, Debug)]
-pub enum Work {
+pub enum Workload {
     /// GET requests to a plain service.
     Plain,
     /// Programs of so many turns, answers streamed, each turn with the whole history.
@@ -65,7 +65,7 @@
         self.error = self.error.take().or_else(|| other.error.clone());
     }
 
-    fn fail(&mut self, why: String) {
+    fn record_failure(&mut self, why: String) {
         self.failed += 1;
         self.error.get_or_insert(why);
     }
@@ -75,7 +75,7 @@
 /// programs begin with `name`.
 pub async fn run(
     addrs: &[SocketAddr],
-    work: Work,
+    workload: Workload,
     concurrency: usize,
     calls: usize,
     name: &str,
@@ -96,10 +96,17 @@
                     return outcome;
                 }
                 let addr = addrs[call % addrs.len()];
-                match work {
-                    Work::Plain => plain(&caller, addr, &mut outcome).await,
-                    Work::Programs { .. } => {
-                        program(&caller, addr, work, format!("{name}-{call}"), &mut outcome).await;
+                match workload {
+                    Workload::Plain => plain(&caller, addr, &mut outcome).await,
+                    Workload::Programs { .. } => {
+                        program(
+                            &caller,
+                            addr,
+                            workload,
+                            format!("{name}-{call}"),
+                            &mut outcome,
+                        )
+                        .await;
                     }
                 }
             }
@@ -119,22 +126,22 @@
     if answer.status == 200 && answer.whole {
         record(&mut outcome.took, answer.took);
     } else {
-        outcome.fail(format!("{} {}", answer.status, answer.text));
+        outcome.record_failure(format!("{} {}", answer.status, answer.text));
     }
 }
 
 async fn program(
     caller: &caller::Caller,
     addr: SocketAddr,
-    work: Work,
+    workload: Workload,
     program: String,
     outcome: &mut Outcome,
 ) {
-    let Work::Programs {
+    let Workload::Programs {
         turns,
         words,
         answer,
-    } = work
+    } = workload
     else {
         return;
     };
@@ -155,15 +162,15 @@
     if ran.finished {
         record(&mut outcome.took, ran.took);
     } else {
-        outcome.fail(format!("after {} turns: {:?}", ran.turns, ran.errors));
+        outcome.record_failure(format!("after {} turns: {:?}", ran.turns, ran.errors));
     }
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, DIGITS).expect("the bounds are valid")
+    Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS).expect("the bounds are valid")
 }
 
 fn record(histogram: &mut Histogram<u64>, time: Duration) {
-    let micros = u64::try_from(time.as_micros()).unwrap_or(LONGEST);
+    let micros = u64::try_from(time.as_micros()).unwrap_or(MAX_MICROS);
     histogram.saturating_record(micros);
 }
--- a/fw-local/examples/load/large.rs
+++ b/fw-local/examples/load/large.rs
@@ -12,9 +12,9 @@
 /// Bytes of text that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
 /// Messages that the history is divided into.
-const MESSAGES: usize = 100;
+const MESSAGE_COUNT: usize = 100;
 /// Tokens of each answer.
-const ANSWER: u64 = 8;
+const MAX_ANSWER_TOKENS: u64 = 8;
 
 /// Sends a program whose first turn has a history of `tokens`, then a turn that repeats it whole,
 /// then one that sends only its new message; each also straight to `straight`.
@@ -28,7 +28,7 @@
     let program = format!("large-{}", std::process::id());
     let mut history = messages(tokens);
     let bytes = Value::from(history.clone()).to_string().len();
-    println!("\nlarge history: {tokens} tokens, {bytes} bytes in {MESSAGES} messages");
+    println!("\nlarge history: {tokens} tokens, {bytes} bytes in {MESSAGE_COUNT} messages");
     for (turn, what) in [(1, "whole"), (2, "whole"), (3, "delta")] {
         let is_delta = what == "delta";
         let message = json!({ "role": "user", "content": format!("turn {turn}") });
@@ -85,14 +85,14 @@
     caller::Chat {
         messages,
         stream: true,
-        max_tokens: Some(ANSWER),
+        max_tokens: Some(MAX_ANSWER_TOKENS),
         headers,
         ..caller::Chat::default()
     }
 }
 
 fn messages(tokens: usize) -> Vec<Value> {
-    let bytes = tokens * BYTES_PER_TOKEN / MESSAGES;
+    let bytes = tokens * BYTES_PER_TOKEN / MESSAGE_COUNT;
     let message = |n: usize| {
         let role = if n.is_multiple_of(2) {
             "user"
@@ -105,5 +105,5 @@
         }
         json!({ "role": role, "content": content })
     };
-    (0..MESSAGES).map(message).collect()
+    (0..MESSAGE_COUNT).map(message).collect()
 }
--- a/fw-local/examples/load/main.rs
+++ b/fw-local/examples/load/main.rs
@@ -10,7 +10,7 @@
 
 use hdrhistogram::Histogram;
 
-const BRIEF: &str = "Usage: load --url ADDR [options]
+const USAGE: &str = "Usage: load --url ADDR [options]
 
 Sends plain requests and streamed chat completions through the entry at --url and straight to the
 upstreams, in alternating rounds, and prints times, their ratios, processor time and memory.";
@@ -18,7 +18,7 @@
 /// Rounds that the calls are divided into, so that both ways see the same other load.
 const ROUNDS: usize = 4;
 /// How long the processes are watched without load.
-const IDLE: Duration = Duration::from_secs(2);
+const IDLE_PERIOD: Duration = Duration::from_secs(2);
 
 struct Args {
     url: SocketAddr,
@@ -69,7 +69,7 @@
     if matches.opt_present("help") {
         return Ok(None);
     }
-    let wrong = |err: std::num::ParseIntError| err.to_string();
+    let invalid = |err: std::num::ParseIntError| err.to_string();
     let concurrency = list(&matches, "concurrency")?;
     let args = Args {
         url: list(&matches, "url")?
@@ -83,11 +83,11 @@
             true => vec![1, 32, 256],
             false => concurrency,
         },
-        calls: matches.opt_get_default("calls", 2000).map_err(wrong)?,
-        turns: matches.opt_get_default("turns", 4).map_err(wrong)?,
-        words: matches.opt_get_default("words", 200).map_err(wrong)?,
-        answer: matches.opt_get_default("answer", 24).map_err(wrong)?,
-        history_tokens: matches.opt_get("history-tokens").map_err(wrong)?,
+        calls: matches.opt_get_default("calls", 2000).map_err(invalid)?,
+        turns: matches.opt_get_default("turns", 4).map_err(invalid)?,
+        words: matches.opt_get_default("words", 200).map_err(invalid)?,
+        answer: matches.opt_get_default("answer", 24).map_err(invalid)?,
+        history_tokens: matches.opt_get("history-tokens").map_err(invalid)?,
     };
     if args.concurrency.contains(&0) {
         return Err("--concurrency: each must be 1 or more".to_owned());
@@ -105,9 +105,9 @@
 async fn main() -> ExitCode {
     match parse() {
         Ok(Some(args)) => run(&args).await,
-        Ok(None) => println!("{}", options().usage(BRIEF)),
-        Err(why) => {
-            eprintln!("{why}\n\n{}", options().usage(BRIEF));
+        Ok(None) => println!("{}", options().usage(USAGE)),
+        Err(message) => {
+            eprintln!("{message}\n\n{}", options().usage(USAGE));
             return ExitCode::from(2);
         }
     }
@@ -122,10 +122,10 @@
     }
     for &concurrency in &args.concurrency {
         if !args.plain.is_empty() {
-            compare(args, "plain", closed::Work::Plain, concurrency).await;
+            compare(args, "plain", closed::Workload::Plain, concurrency).await;
         }
         if !args.straight.is_empty() {
-            let programs = |turns| closed::Work::Programs {
+            let programs = |turns| closed::Workload::Programs {
                 turns,
                 words: args.words,
                 answer: args.answer,
@@ -138,10 +138,10 @@
 
 async fn idle(processes: &[process::Process]) {
     let before: Vec<_> = processes.iter().map(process::Process::cpu).collect();
-    tokio::time::sleep(IDLE).await;
-    println!("idle, {IDLE:?}:");
+    tokio::time::sleep(IDLE_PERIOD).await;
+    println!("idle, {IDLE_PERIOD:?}:");
     for (process, before) in processes.iter().zip(before) {
-        let share = (process.cpu() - before).as_secs_f64() / IDLE.as_secs_f64();
+        let share = (process.cpu() - before).as_secs_f64() / IDLE_PERIOD.as_secs_f64();
         let resident = process.resident();
         println!(
             "  {:<12} {:6.2}% of a core  {resident:7.1} MiB resident",
@@ -151,22 +151,22 @@
     }
 }
 
-async fn compare(args: &Args, what: &str, work: closed::Work, concurrency: usize) {
-    let (upstreams, turns) = match work {
-        closed::Work::Plain => (&args.plain, 1),
-        closed::Work::Programs { turns, .. } => (&args.straight, turns as usize),
+async fn compare(args: &Args, what: &str, workload: closed::Workload, concurrency: usize) {
+    let (upstreams, turns) = match workload {
+        closed::Workload::Plain => (&args.plain, 1),
+        closed::Workload::Programs { turns, .. } => (&args.straight, turns as usize),
     };
     let calls = (args.calls / turns / ROUNDS).max(1);
     let mut straight = closed::Outcome::default();
     let mut through = closed::Outcome::default();
-    let mut spent = vec![Duration::ZERO; args.processes.len()];
+    let mut cpu_time = vec![Duration::ZERO; args.processes.len()];
     for round in 0..ROUNDS {
         let name = format!("{what}-{concurrency}-{round}-{}", std::process::id());
-        straight.add(&closed::run(upstreams, work, concurrency, calls, &name).await);
+        straight.add(&closed::run(upstreams, workload, concurrency, calls, &name).await);
         let before: Vec<_> = args.processes.iter().map(process::Process::cpu).collect();
-        through.add(&closed::run(&[args.url], work, concurrency, calls, &name).await);
+        through.add(&closed::run(&[args.url], workload, concurrency, calls, &name).await);
         for (n, process) in args.processes.iter().enumerate() {
-            spent[n] += process.cpu() - before[n];
+            cpu_time[n] += process.cpu() - before[n];
         }
     }
     println!(
@@ -174,7 +174,7 @@
         calls * ROUNDS
     );
     row("took", &through.took, &straight.took);
-    if !matches!(work, closed::Work::Plain) {
+    if !matches!(workload, closed::Workload::Plain) {
         row("first token", &through.first, &straight.first);
     }
     for (way, outcome) in [("through", &through), ("straight", &straight)] {
@@ -182,12 +182,12 @@
             println!("  {way}: {} failed, first: {error}", outcome.failed);
         }
     }
-    for (process, spent) in args.processes.iter().zip(spent) {
+    for (process, cpu_time) in args.processes.iter().zip(cpu_time) {
         let calls = calls * ROUNDS * turns;
         println!(
             "  {:<12} {:7.0} us of processor a call  {:7.1} MiB resident",
             process.name,
-            spent.as_secs_f64() * 1e6 / calls as f64,
+            cpu_time.as_secs_f64() * 1e6 / calls as f64,
             process.resident()
         );
     }
--- a/fw-local/examples/load/process.rs
+++ b/fw-local/examples/load/process.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 /// Clock ticks in a second, in which `/proc` counts processor time on Linux.
-const TICKS: u64 = 100;
+const TICKS_PER_SECOND: u64 = 100;
 /// Fields of `/proc/PID/stat` between the name and the user time.
-const FIELDS_BEFORE_TIMES: usize = 11;
+const FIELDS_BEFORE_CPU_TIMES: usize = 11;
 /// Written to `clear_refs`: the peak of resident memory starts anew.
 const RESET_PEAK: &str = "5";
 
@@ -52,10 +52,10 @@
         let after_name = stat.rsplit(')').next().unwrap_or_default();
         let times = after_name
             .split_whitespace()
-            .skip(FIELDS_BEFORE_TIMES)
+            .skip(FIELDS_BEFORE_CPU_TIMES)
             .take(2);
         let ticks: u64 = times.filter_map(|ticks| ticks.parse::<u64>().ok()).sum();
-        Duration::from_millis(ticks * 1000 / TICKS)
+        Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
     }
 
     /// Resident memory, in MiB.
--- a/fw-local/examples/soak/main.rs
+++ b/fw-local/examples/soak/main.rs
@@ -16,10 +16,10 @@
 use tokio::task::JoinSet;
 
 /// Systems that run at a time, if the command line does not say.
-const AT_ONCE: usize = 2;
+const DEFAULT_CONCURRENCY: usize = 2;
 
 /// What the command line asks for.
-struct Asked {
+struct Args {
     first: u64,
     last: u64,
     at_once: usize,
@@ -42,18 +42,18 @@
 }
 
 fn main() -> ExitCode {
-    let asked = match parse() {
-        Ok(asked) => asked,
+    let args = match parse() {
+        Ok(args) => args,
         Err(message) => {
             eprintln!("{message}");
             return ExitCode::from(2);
         }
     };
-    if let Some(folder) = &asked.record {
+    if let Some(folder) = &args.record {
         log_into(folder);
     }
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    let totals = runtime.block_on(soak(&asked));
+    let totals = runtime.block_on(soak(&args));
     print_totals(&totals);
     match totals.bad.is_empty() && totals.failed == 0 {
         true => ExitCode::SUCCESS,
@@ -81,7 +81,7 @@
     opts
 }
 
-fn parse() -> Result<Asked, String> {
+fn parse() -> Result<Args, String> {
     let opts = options();
     let usage = opts.usage("soak --seeds FROM..TO");
     let matches = opts.parse(std::env::args().skip(1));
@@ -89,8 +89,8 @@
     let seeds = matches.opt_str("seeds").unwrap_or_default();
     let (first, last) = seeds.split_once("..").ok_or_else(|| usage.clone())?;
     let number = |text: &str| text.parse().map_err(|err| format!("seed {text}: {err}"));
-    let at_once = matches.opt_get_default("at-once", AT_ONCE);
-    Ok(Asked {
+    let at_once = matches.opt_get_default("at-once", DEFAULT_CONCURRENCY);
+    Ok(Args {
         first: number(first)?,
         last: number(last)?,
         at_once: at_once.map_err(|err| format!("at-once: {err}"))?,
@@ -98,13 +98,13 @@
     })
 }
 
-async fn soak(asked: &Asked) -> Totals {
-    let places = Arc::new(Semaphore::new(asked.at_once));
+async fn soak(args: &Args) -> Totals {
+    let slots = Arc::new(Semaphore::new(args.at_once));
     let mut runs = JoinSet::new();
-    for seed in asked.first..=asked.last {
-        let places = Arc::clone(&places);
+    for seed in args.first..=args.last {
+        let slots = Arc::clone(&slots);
         runs.spawn(async move {
-            let _place = places.acquire_owned().await;
+            let _slot = slots.acquire_owned().await;
             let opts = history::Options {
                 seed,
                 ..history::Options::default()
@@ -115,7 +115,7 @@
     let mut totals = Totals::default();
     while let Some(run) = runs.join_next().await {
         match run {
-            Ok((seed, Ok(outcome))) => totals.add(seed, &outcome, asked.record.as_deref()),
+            Ok((seed, Ok(outcome))) => totals.add(seed, &outcome, args.record.as_deref()),
             Ok((seed, Err(err))) => {
                 println!("seed {seed}: did not start: {err}");
                 totals.failed += 1;
@@ -152,13 +152,13 @@
             println!(
                 "repeat: cargo run --release -p fw-local --example soak -- --seeds {seed}..{seed}"
             );
-            keep(seed, outcome, record);
+            save_record(seed, outcome, record);
         }
     }
 }
 
 /// Writes the record of a bad run into the folder `record`.
-fn keep(seed: u64, outcome: &history::Outcome, record: Option<&str>) {
+fn save_record(seed: u64, outcome: &history::Outcome, record: Option<&str>) {
     let Some(folder) = record else { return };
     let path = Path::new(folder).join(format!("seed-{seed}.jsonl"));
     let written = fs::File::create(&path)
--- a/fw-local/examples/standins/main.rs
+++ b/fw-local/examples/standins/main.rs
@@ -16,7 +16,7 @@
 use fw_local::system;
 use tokio::signal::unix;
 
-const BRIEF: &str = "Usage: standins --out FOLDER [options]
+const USAGE: &str = "Usage: standins --out FOLDER [options]
 
 Starts stand-ins on loopback, writes settings files of an entry and of a side for each upstream
 into FOLDER, stores the first records once the entry is up, and runs until SIGTERM or SIGINT.";
@@ -51,7 +51,7 @@
     }
     let number = |name, default| matches.opt_get_default(name, default);
     let number = |name, default| number(name, default).map_err(|err| format!("--{name}: {err}"));
-    let usual = engine::Options::default();
+    let defaults = engine::Options::default();
     let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
     let nanos = |time: Duration| u64::try_from(time.as_nanos()).unwrap_or(u64::MAX);
     let count = |name, default: usize| {
@@ -66,12 +66,12 @@
         engines: count("engines", 3)?,
         tools: count("tools", 1)?,
         engine: engine::Options {
-            batch: count("batch", usual.batch)?,
-            step: Duration::from_micros(number("step-us", micros(usual.step))?),
-            prefill: Duration::from_nanos(number("prefill-ns", nanos(usual.prefill))?),
-            chunk: number("chunk", usual.chunk)?,
-            cache: number("cache", usual.cache)?,
-            ..usual
+            batch: count("batch", defaults.batch)?,
+            step: Duration::from_micros(number("step-us", micros(defaults.step))?),
+            prefill: Duration::from_nanos(number("prefill-ns", nanos(defaults.prefill))?),
+            chunk: number("chunk", defaults.chunk)?,
+            cache: number("cache", defaults.cache)?,
+            ..defaults
         },
     }))
 }
@@ -81,11 +81,11 @@
     let args = match parse() {
         Ok(Some(args)) => args,
         Ok(None) => {
-            println!("{}", options().usage(BRIEF));
+            println!("{}", options().usage(USAGE));
             return ExitCode::SUCCESS;
         }
-        Err(why) => {
-            eprintln!("{why}\n\n{}", options().usage(BRIEF));
+        Err(message) => {
+            eprintln!("{message}\n\n{}", options().usage(USAGE));
             return ExitCode::from(2);
         }
     };
@@ -121,7 +121,7 @@
             addr: engine.addr(),
             batch: args.engine.batch,
         };
-        announce(&instances, &files::side(&args.out, &upstream)?, &upstream);
+        register(&instances, &files::side(&args.out, &upstream)?, &upstream);
     }
     for (n, tool) in tools.iter().enumerate() {
         let upstream = files::Upstream {
@@ -131,7 +131,7 @@
             addr: tool.addr(),
             batch: 0,
         };
-        announce(&instances, &files::side(&args.out, &upstream)?, &upstream);
+        register(&instances, &files::side(&args.out, &upstream)?, &upstream);
     }
     let stored = tokio::spawn(records::put_first(entry.admin));
     tokio::select! {
@@ -142,7 +142,7 @@
     Ok(())
 }
 
-fn announce(instances: &instances::Instances, side: &files::Side, upstream: &files::Upstream) {
+fn register(instances: &instances::Instances, side: &files::Side, upstream: &files::Upstream) {
     println!("side     {} beside {}", side.file.display(), upstream.addr);
     instances.put(instances::Instance {
         id: upstream.id.as_str().into(),
--- a/fw-local/examples/standins/records.rs
+++ b/fw-local/examples/standins/records.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 /// Time between two tries.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Stores records that offer the engines and the plain services, as soon as the entry whose admin
 /// address is `admin` takes them.
@@ -31,7 +31,7 @@
                 println!("record   {name} stored");
                 break;
             }
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
     println!("ready");
