--- a/fw-local/examples/capacity/keeper.rs
+++ b/fw-local/examples/capacity/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper: programs in memory, and turns begun, finished and journalled.
+//! Costs of the keeper: programs in memory, and turns that are begun, finished and journalled.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 use crate::process;
 use crate::slope;
 
-/// Programs under way at the size to design for, over the entries that keep them.
+/// Concurrent programs per entry at the design size.
 const PROGRAMS_PER_ENTRY: f64 = 140_000.0 / 380.0;
-/// Turns a second at the size to design for, if every request is one, over the entries.
+/// Turns a second per entry at the design size, if every request is a turn.
 const TURNS_PER_ENTRY: f64 = 16_000.0 / 380.0;
-/// Bytes of text to a token.
+/// Bytes of text per token.
 const BYTES_PER_TOKEN: f64 = 4.0;
-/// Tokens of a history in the middle of its life: half of the longest.
+/// Tokens of a history halfway through its program: half of the longest.
 const HALF_HISTORY_TOKENS: f64 = 375_000.0;
 
-/// The rows of this role.
+/// Measures the rows of this role.
 pub fn measure() -> Vec<slope::Row> {
     vec![memory_per_program(), memory_per_token(), time_per_turn()]
 }
@@ -90,7 +90,7 @@
     let mut shard = shard::Shard::new(0);
     for n in 0..programs {
         run_turn(&mut shard, &name(n), bytes);
-        // As when the store took them: otherwise the pending journal entries count twice.
+        // Drains the journal as a flush to the store would: otherwise pending entries count twice.
         shard.take_batch();
     }
     shard
--- a/fw-local/examples/capacity/main.rs
+++ b/fw-local/examples/capacity/main.rs
@@ -1,5 +1,5 @@
 //! Measures the slopes behind `docs/CAPACITY.md`: each role's memory, processor time and bytes on
-//! the wire at four sizes or more, and what they come to at the size to design for.
+//! the wire at four sizes or more, extrapolated to the design size.
 //!
 //!     cargo run --release -p fw-local --example capacity
 
--- a/fw-local/examples/capacity/process.rs
+++ b/fw-local/examples/capacity/process.rs
@@ -1,9 +1,9 @@
-//! What the system says of this process.
+//! Memory and processor time of this process.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Bytes of a page, on the machines that this is measured on.
+/// Page size of the machines that this is measured on.
 const PAGE_BYTES: f64 = 4096.0;
 
 /// Resident memory, in bytes.
@@ -16,13 +16,13 @@
     pages.unwrap_or(0.0) * PAGE_BYTES
 }
 
-/// Keeps `value` for good: memory that were freed would be taken again by the next measurement,
-/// without showing as resident.
+/// Leaks `value`: freed memory would be reused by the next measurement without adding to the
+/// resident size.
 pub fn leak<T>(value: T) {
     std::mem::forget(value);
 }
 
-/// Time that `work` takes on the only thread that is busy: its processor time.
+/// Processor time of `task`, measured as elapsed time since no other thread is busy.
 pub fn cpu_time(task: impl FnOnce()) -> Duration {
     let started = Instant::now();
     task();
--- a/fw-local/examples/capacity/records.rs
+++ b/fw-local/examples/capacity/records.rs
@@ -1,4 +1,4 @@
-//! The operators' records: their size, and the cost of a change.
+//! Costs of the operators' records: their size, and the processor time of a change.
 
 use fw_record::document;
 use fw_record::key;
@@ -9,10 +9,10 @@
 use crate::process;
 use crate::slope;
 
-/// Records at the size to design for: teams, and a few hundred of the other kinds.
+/// Records at the design size: teams, and a few hundred of the other kinds.
 const RECORD_COUNT: f64 = 2_000.0;
 
-/// The rows of this role.
+/// Measures the rows of this role.
 pub fn measure() -> Vec<slope::Row> {
     let sizes = [500, 1_000, 2_000, 4_000];
     let row = |what, unit, target, target_note, of: fn(usize) -> f64| slope::Row {
--- a/fw-local/examples/capacity/slope.rs
+++ b/fw-local/examples/capacity/slope.rs
@@ -1,25 +1,25 @@
-//! A straight line through measured points.
+//! Linear regression over measured points.
 
 use std::fmt;
 
-/// One measured relation and what it comes to at a size of interest.
+/// A measured cost by size, extrapolated to a target size.
 pub struct Row {
-    /// The role that bears the cost.
+    /// The role that has the cost.
     pub role: &'static str,
-    /// What is counted, for each what.
+    /// The cost, and the unit of size that it is counted for.
     pub what: &'static str,
     /// Unit of the slope.
     pub unit: &'static str,
-    /// Size and cost, as measured.
+    /// Measured pairs of size and cost.
     pub points: Vec<(f64, f64)>,
-    /// The size at which the cost is wanted.
+    /// The size to extrapolate to.
     pub target: f64,
-    /// How the size at which it is wanted comes about.
+    /// How the target size is derived.
     pub target_note: &'static str,
 }
 
 impl Row {
-    /// Cost for each further unit of size, by least squares.
+    /// Cost per unit of size, by least squares.
     pub fn slope(&self) -> f64 {
         let count = self.points.len() as f64;
         let mean_x = self.points.iter().map(|(x, _)| x).sum::<f64>() / count;
--- a/fw-local/examples/capacity/upstreams.rs
+++ b/fw-local/examples/capacity/upstreams.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of upstreams: placement and health.
+//! Costs of an entry's view of upstreams: placement state and watched subset.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::process;
 use crate::slope;
 
-/// Workers times their watchers, over the entries.
+/// Watched upstreams per entry: workers times watchers each, divided by the entries.
 const WATCHED_PER_ENTRY: f64 = 12_000.0 * 4.0 / 380.0;
-/// Programs whose caches an entry knows of.
+/// Programs per entry whose cached prefixes are tracked.
 const PROGRAMS_PER_ENTRY: f64 = 140_000.0 / 380.0;
 
-/// The rows of this role.
+/// Measures the rows of this role.
 pub fn measure() -> Vec<slope::Row> {
     vec![memory_per_upstream(), memory_per_cache(), time_per_subset()]
 }
--- a/fw-local/examples/capacity/wire.rs
+++ b/fw-local/examples/capacity/wire.rs
@@ -1,4 +1,4 @@
-//! Control messages: heartbeats to sides, statuses between entries.
+//! Costs of control messages: heartbeats to sides and statuses between entries.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use crate::process;
 use crate::slope;
 
-/// Heartbeats a second: what the settings allow, reached with more than 14 sides.
+/// Heartbeats a second: the limit of the settings, reached with more than 14 sides.
 const HEARTBEATS_PER_SECOND: f64 = 28.0;
-/// Statuses a second: two asked and, on average, two answered, twice a second.
+/// Statuses a second: two requested and, on average, two answered, twice a second.
 const STATUSES_PER_SECOND: f64 = 8.0;
-/// Shards renewed in a heartbeat: those of this entry with sessions at that side.
+/// Shards renewed by a heartbeat: those kept by the entry that have sessions at the side.
 const RENEWED_SHARDS: usize = 2;
 
-/// The rows of this role.
+/// Measures the rows of this role.
 pub fn measure() -> Vec<slope::Row> {
     vec![
         bytes(
--- a/fw-local/examples/load/closed.rs
+++ b/fw-local/examples/load/closed.rs
@@ -1,4 +1,5 @@
-//! A closed loop: a fixed number of callers, each of which sends its next call after the last.
+//! Closed-loop load generator: a fixed number of callers, each of which sends its next call once
+//! the last one has ended.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,37 +12,37 @@
 use hdrhistogram::Histogram;
 use tokio::task::JoinSet;
 
-/// Longest time that is told apart, in microseconds.
+/// Upper bound of the histograms, in microseconds.
 const MAX_MICROS: u64 = 600_000_000;
-/// Decimal digits that a histogram keeps.
+/// Significant decimal digits of the histograms.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What is sent.
+/// The load that is sent.
 #[derive(Clone, Copy, Debug)]
 pub enum Workload {
     /// GET requests to a plain service.
     Plain,
-    /// Programs of so many turns, answers streamed, each turn with the whole history.
+    /// Programs with streamed answers, whose turns each send the whole history.
     Programs {
-        /// Turns of each program.
+        /// Number of turns of each program.
         turns: u32,
-        /// Words of the first message.
+        /// Number of words in the first message.
         words: usize,
-        /// Tokens of each answer.
+        /// Most tokens of each answer.
         answer: u64,
     },
 }
 
-/// What came of it.
+/// Measurements of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// Time of a plain request or a whole program, in microseconds.
     pub took: Histogram<u64>,
     /// Time to the first token of each turn, in microseconds.
     pub first: Histogram<u64>,
-    /// Calls, or programs, that failed; they count in no histogram.
+    /// Number of calls or programs that failed; they are in no histogram.
     pub failed: usize,
-    /// The first error seen.
+    /// The first error.
     pub error: Option<String>,
 }
 
@@ -57,7 +58,7 @@
 }
 
 impl Outcome {
-    /// Adds what `other` saw.
+    /// Merges the measurements of `other`.
     pub fn add(&mut self, other: &Self) {
         self.took += &other.took;
         self.first += &other.first;
@@ -71,8 +72,8 @@
     }
 }
 
-/// Sends `calls` pieces of `work`, `concurrency` at a time, spread over `addrs` in turn. Names of
-/// programs begin with `name`.
+/// Sends `calls` requests or programs of `workload`, `concurrency` at a time, round-robin over
+/// `addrs`. Names of programs begin with `name`.
 pub async fn run(
     addrs: &[SocketAddr],
     workload: Workload,
--- a/fw-local/examples/load/large.rs
+++ b/fw-local/examples/load/large.rs
@@ -1,4 +1,4 @@
-//! One program with a very long history: time of its turns, and memory of each process.
+//! One program with a very long history: latency of its turns, and memory of each process.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -9,15 +9,16 @@
 
 use crate::process;
 
-/// Bytes of text that count as one token.
+/// Bytes of text per token.
 const BYTES_PER_TOKEN: usize = 4;
-/// Messages that the history is divided into.
+/// Number of messages of the history.
 const MESSAGE_COUNT: usize = 100;
-/// Tokens of each answer.
+/// Most tokens of each answer.
 const MAX_ANSWER_TOKENS: u64 = 8;
 
-/// Sends a program whose first turn has a history of `tokens`, then a turn that repeats it whole,
-/// then one that sends only its new message; each also straight to `straight`.
+/// Sends a program whose first turn has a history of `tokens`, then a turn that repeats the whole
+/// history, then one that sends only its new message; each also directly to the engine at
+/// `straight`.
 pub async fn run(
     url: SocketAddr,
     straight: SocketAddr,
--- a/fw-local/examples/load/main.rs
+++ b/fw-local/examples/load/main.rs
@@ -1,4 +1,5 @@
-//! Sends calls through a running system and straight to the upstreams behind it, and compares.
+//! Load generator that sends calls through a running system and directly to the upstreams behind
+//! it, and compares both.
 
 mod closed;
 mod large;
@@ -15,9 +16,10 @@
 Sends plain requests and streamed chat completions through the entry at --url and straight to the
 upstreams, in alternating rounds, and prints times, their ratios, processor time and memory.";
 
-/// Rounds that the calls are divided into, so that both ways see the same other load.
+/// Number of alternating rounds that the calls are divided into, so that both ways are measured
+/// under the same background load.
 const ROUNDS: usize = 4;
-/// How long the processes are watched without load.
+/// Time over which the processes are measured without load.
 const IDLE_PERIOD: Duration = Duration::from_secs(2);
 
 struct Args {
--- a/fw-local/examples/load/process.rs
+++ b/fw-local/examples/load/process.rs
@@ -1,29 +1,29 @@
-//! What the system says of a process.
+//! Memory and processor time of another process, read from `/proc`.
 
 use std::time::Duration;
 
-/// Clock ticks in a second, in which `/proc` counts processor time on Linux.
+/// Clock ticks a second, the unit of processor time in `/proc` on Linux.
 const TICKS_PER_SECOND: u64 = 100;
 /// Fields of `/proc/PID/stat` between the name and the user time.
 const FIELDS_BEFORE_CPU_TIMES: usize = 11;
-/// Written to `clear_refs`: the peak of resident memory starts anew.
+/// Value that resets the peak of resident memory when written to `clear_refs`.
 const RESET_PEAK: &str = "5";
 
-/// A process that is watched.
+/// A process to measure.
 #[derive(Clone, Debug)]
 pub struct Process {
-    /// The name that the table shows.
+    /// Its name in the table.
     pub name: String,
     /// Its id.
     pub pid: u32,
 }
 
 impl Process {
-    /// Reads `name=pid,…`.
+    /// Parses `name=pid,…`.
     ///
     /// # Errors
     ///
-    /// When a part has another form, or there is no such process.
+    /// When a part is not of that form, or there is no such process.
     pub fn parse_all(text: &str) -> Result<Vec<Self>, String> {
         let parts = text.split(',').filter(|part| !part.is_empty());
         parts.map(Self::parse).collect()
@@ -45,10 +45,10 @@
         }
     }
 
-    /// Processor time spent so far, in user and kernel mode.
+    /// Processor time used so far, in user and kernel mode.
     pub fn cpu(&self) -> Duration {
         let stat = self.read("stat").unwrap_or_default();
-        // The name, in parentheses, may hold spaces.
+        // The name, in parentheses, may contain spaces.
         let after_name = stat.rsplit(')').next().unwrap_or_default();
         let times = after_name
             .split_whitespace()
@@ -63,12 +63,12 @@
         mib(self.status_kib("VmRSS:"))
     }
 
-    /// Most resident memory since the start or the last reset, in MiB.
+    /// Peak of resident memory since the start or the last reset, in MiB.
     pub fn peak(&self) -> f64 {
         mib(self.status_kib("VmHWM:"))
     }
 
-    /// Starts the peak of resident memory anew; false if the system does not allow it.
+    /// Resets the peak of resident memory; false if the system does not permit it.
     pub fn reset_peak(&self) -> bool {
         std::fs::write(format!("/proc/{}/clear_refs", self.pid), RESET_PEAK).is_ok()
     }
--- a/fw-local/examples/soak/main.rs
+++ b/fw-local/examples/soak/main.rs
@@ -1,5 +1,5 @@
-//! Runs callers, operators and faults against whole systems, one seed after another, and checks
-//! every promise on the record of each run.
+//! Soak test: runs callers, operators and faults against whole systems for a range of seeds, and
+//! checks every promise against the record of each run.
 //!
 //!     cargo run --release -p fw-local --example soak -- --seeds 1..500
 
@@ -15,10 +15,10 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-/// Systems that run at a time, if the command line does not say.
+/// Default number of systems that run concurrently.
 const DEFAULT_CONCURRENCY: usize = 2;
 
-/// What the command line asks for.
+/// Parsed command line.
 struct Args {
     first: u64,
     last: u64,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Writes what the processes log into `folder`, beside the records.
+/// Writes the log into `folder`, beside the records.
 fn log_into(folder: &str) {
     let path = Path::new(folder).join("log.txt");
     match fs::File::create(&path) {
--- a/fw-local/examples/standins/files.rs
+++ b/fw-local/examples/standins/files.rs
@@ -1,4 +1,4 @@
-//! Settings files for processes that are started by hand.
+//! Settings files for processes that are started manually.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,30 +9,30 @@
 use ini::EscapePolicy;
 use ini::Ini;
 
-/// The place that all processes stand in.
+/// The place of all processes.
 pub const PLACE: &str = "hall-a";
 
-/// An entry's settings file, and where the entry will listen.
+/// An entry's settings file and listen addresses.
 pub struct Entry {
     /// The file.
     pub file: PathBuf,
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub admin: SocketAddr,
 }
 
-/// A side's settings file, and where the side will listen.
+/// A side's settings file and listen addresses.
 pub struct Side {
     /// The file.
     pub file: PathBuf,
-    /// For entries.
+    /// Address for entries.
     pub calls: SocketAddr,
-    /// For plain HTTP requests.
+    /// Address for plain HTTP requests.
     pub http: SocketAddr,
 }
 
-/// What a side stands beside.
+/// The upstream of a side.
 pub struct Upstream {
     /// Its name.
     pub id: String,
@@ -40,9 +40,9 @@
     pub service: &'static str,
     /// `llm` or `plain`.
     pub kind: &'static str,
-    /// Where it listens.
+    /// Its listen address.
     pub addr: SocketAddr,
-    /// Calls that it runs together; 0 if that is not known.
+    /// Most calls that it runs in one batch; 0 if unknown.
     pub batch: usize,
 }
 
@@ -95,13 +95,13 @@
 
 fn write(ini: &Ini, folder: &Path, name: &str) -> io::Result<PathBuf> {
     let file = folder.join(format!("{name}.ini"));
-    // The programs take a value as it stands: an escaped `:` would be part of an address.
+    // The binaries read values without unescaping: an escaped `:` would become part of an address.
     ini.write_to_file_policy(&file, EscapePolicy::Nothing)?;
     Ok(file)
 }
 
-/// Ports that are free now. Another process could take one before its owner starts, which that
-/// owner then reports.
+/// Returns addresses with free ports. Another process could bind one before the process meant for
+/// it starts, which then reports the error.
 fn free_addrs<const N: usize>() -> io::Result<[SocketAddr; N]> {
     let mut listeners = Vec::with_capacity(N);
     for _ in 0..N {
--- a/fw-local/examples/standins/main.rs
+++ b/fw-local/examples/standins/main.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the platform, model engines and plain services, for entries and sides that run as
-//! processes of their own. Writes a settings file for each of them.
+//! Stand-ins for the platform, model engines and plain services, used by entries and sides that run
+//! as separate processes. Writes a settings file for each entry and side.
 
 mod files;
 mod records;
--- a/fw-local/examples/standins/records.rs
+++ b/fw-local/examples/standins/records.rs
@@ -1,4 +1,4 @@
-//! The first records, stored as an operator would.
+//! The first records, stored through the entry's admin address as an operator would.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use fw_local::system;
 use serde_json::json;
 
-/// Time between two tries.
+/// Interval between attempts to store a record.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Stores records that offer the engines and the plain services, as soon as the entry whose admin
-/// address is `admin` takes them.
+/// Stores records that offer the engines and the plain services, retrying until the entry whose
+/// admin address is `admin` accepts them.
 pub async fn put_first(admin: SocketAddr) {
     let agents = json!({ "schema": 2, "kind": "llm", "models": [system::MODEL] });
     let tools = json!({ "schema": 2, "kind": "plain" });
--- a/fw-local/src/agent.rs
+++ b/fw-local/src/agent.rs
@@ -197,8 +197,8 @@
         false
     }
 
-    /// Records an error and moves to the next entry. Returns whether the call may be sent again, after
-    /// waiting as long as the error requires.
+    /// Records an error and moves to the next entry. Returns whether the call may be sent again,
+    /// after waiting as long as the error requires.
     async fn prepare_retry(&mut self, answer: &caller::Answer) -> bool {
         self.outcome.errors.extend(answer.kind);
         self.next += 1;
--- a/fw-local/src/history/calls.rs
+++ b/fw-local/src/history/calls.rs
@@ -90,7 +90,8 @@
         if !is_reachable(endpoint).await {
             return self.lost(call, false, false);
         }
-        // A new connection for each call: a pooled one could turn out closed as the call is written.
+        // A new connection for each call: a pooled one could turn out closed as the call is
+        // written.
         let caller = caller::Caller::new();
         let answer = caller.chat(endpoint.callers, &turn.chat);
         let Ok(answer) = tokio::time::timeout(turn.timeout, answer).await else {
--- a/fw-local/src/history/mod.rs
+++ b/fw-local/src/history/mod.rs
@@ -1,5 +1,5 @@
-//! Randomized runs of callers, operators and faults against a whole system. Each run is recorded and
-//! its record verified by the checker of the promises.
+//! Randomized runs of callers, operators and faults against a whole system. Each run is recorded
+//! and its record verified by the checker of the promises.
 //!
 //! The workload and the faults are drawn from the run's seed; the interleaving of threads is not
 //! reproducible.
@@ -37,9 +37,9 @@
 const TOOL_RESTART: Duration = Duration::from_millis(100);
 /// Longest time to read the histories at the end of a run.
 const READ_TIMEOUT: Duration = Duration::from_secs(15);
-/// Longest that an engine may hold memory of a program that was ended. A side that was down when the
-/// program ended queries its keeper only once the program has been idle for 30 s (`ask_after` of the
-/// side).
+/// Longest that an engine may hold memory of a program that was ended. A side that was down when
+/// the program ended queries its keeper only once the program has been idle for 30 s (`ask_after`
+/// of the side).
 const FREE_TIMEOUT: Duration = Duration::from_secs(40);
 /// Interval at which the engines' memory is polled.
 const MEMORY_POLL: Duration = Duration::from_millis(50);
@@ -107,8 +107,8 @@
         finished.count()
     }
 
-    /// Number of programs of which the system has lost turns that were answered to their callers: the
-    /// next turn was refused because of it, or the history could not be read.
+    /// Number of programs of which the system has lost turns that were answered to their callers:
+    /// the next turn was refused because of it, or the history could not be read.
     pub fn lost(&self) -> usize {
         let is_lost = |p: &&program::Outcome| {
             let is_refused = p.answered > 0 && p.refused.is_some_and(indicates_loss);
--- a/fw-local/src/history/operate.rs
+++ b/fw-local/src/history/operate.rs
@@ -1,4 +1,5 @@
-//! Operators that race on a record, readers of plain services, and sampling of the records in force.
+//! Operators that race on a record, readers of plain services, and sampling of the records in
+//! force.
 
 use std::time::Duration;
 use std::time::Instant;
--- a/fw-local/src/history/program.rs
+++ b/fw-local/src/history/program.rs
@@ -1,5 +1,5 @@
-//! Recorded agents: programs with pauses, tool calls, retries, concurrent duplicates and callers that
-//! disconnect.
+//! Recorded agents: programs with pauses, tool calls, retries, concurrent duplicates and callers
+//! that disconnect.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -268,8 +268,8 @@
     }
 }
 
-/// Whether a call may be sent again after this error. Turns and keyed calls are idempotent, so only a
-/// final error forbids it.
+/// Whether a call may be sent again after this error. Turns and keyed calls are idempotent, so only
+/// a final error forbids it.
 fn is_retryable(kind: error::Kind) -> bool {
     kind.row().retry || kind == error::Kind::Cancelled
 }
--- a/fw-local/tests/history/fixed_seeds.rs
+++ b/fw-local/tests/history/fixed_seeds.rs
@@ -29,8 +29,8 @@
     };
     let outcome = run(opts).await;
     expect_true!(outcome.is_good());
-    // Guards against a vacuous pass: a promise for which nothing was recorded is never violated, so each
-    // of these must have been observed.
+    // Guards against a vacuous pass: a promise for which nothing was recorded is never violated, so
+    // each of these must have been observed.
     let observed = [
         Promise::Order,
         Promise::History,
--- a/fw-local/tests/history/main.rs
+++ b/fw-local/tests/history/main.rs
@@ -1,3 +1,4 @@
-//! Randomized runs of callers, operators and faults against whole systems, checked for every promise.
+//! Randomized runs of callers, operators and faults against whole systems, checked for every
+//! promise.
 
 mod fixed_seeds;
--- a/fw-local/tests/local/chat_calls.rs
+++ b/fw-local/tests/local/chat_calls.rs
@@ -52,8 +52,8 @@
     expect_that!(state.body["history"].as_array().map(Vec::len), some(eq(6)));
 }
 
-// An answer is lost on the way, so the client library sends the same turn again to another entry. It
-// must get the same answer, and the engine must not run the turn twice.
+// An answer is lost on the way, so the client library sends the same turn again to another entry.
+// It must get the same answer, and the engine must not run the turn twice.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_turn_is_replayed() {
--- a/fw-local/tests/local/crashed_parts.rs
+++ b/fw-local/tests/local/crashed_parts.rs
@@ -29,8 +29,8 @@
     }
 }
 
-// An engine crashes while it streams an answer. The turn runs again on another engine; the stream must
-// continue where it stopped, with the same text as in an undisturbed run.
+// An engine crashes while it streams an answer. The turn runs again on another engine; the stream
+// must continue where it stopped, with the same text as in an undisturbed run.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_its_engine() {
@@ -62,8 +62,8 @@
     expect_true!(answer.is_ok());
 }
 
-// The entry that keeps a program crashes after two turns, and the load balancer sends the third turn to
-// another entry. It must be answered with the whole history in place.
+// The entry that keeps a program crashes after two turns, and the load balancer sends the third
+// turn to another entry. It must be answered with the whole history in place.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_program_survives_its_keeper() {
@@ -105,8 +105,8 @@
     }
 }
 
-// The keeper crashes while it runs a turn that was received by another entry. The caller's connection
-// is to the live entry, so it must get its whole answer once the lease has lapsed.
+// The keeper crashes while it runs a turn that was received by another entry. The caller's
+// connection is to the live entry, so it must get its whole answer once the lease has lapsed.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_turn_survives_its_keeper() {
@@ -129,8 +129,9 @@
     expect_true!(answer.is_ok());
 }
 
-// A request crashes each engine that runs it, and its caller keeps sending it. It is retried once, alone
-// on an engine, and then quarantined, so that the third engine survives to answer other requests.
+// A request crashes each engine that runs it, and its caller keeps sending it. It is retried once,
+// alone on an engine, and then quarantined, so that the third engine survives to answer other
+// requests.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_poison_request_is_quarantined() {
--- a/fw-local/tests/local/graceful_stops.rs
+++ b/fw-local/tests/local/graceful_stops.rs
@@ -9,8 +9,8 @@
 
 use super::rig;
 
-// An entry is stopped while it streams answers. Every stream must be completed, and the programs that it
-// kept must continue at the other entry at once, without waiting for a lease to lapse.
+// An entry is stopped while it streams answers. Every stream must be completed, and the programs
+// that it kept must continue at the other entry at once, without waiting for a lease to lapse.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopped_entry_interrupts_no_stream() {
--- a/fw-local/tests/local/plain_calls.rs
+++ b/fw-local/tests/local/plain_calls.rs
@@ -27,8 +27,8 @@
     expect_that!(system.tools[0].upstream.runs().len(), eq(1));
 }
 
-// The answer to a publish request is lost, so the caller sends it again through another entry. The page
-// must not be published twice, and the caller must get the first answer.
+// The answer to a publish request is lost, so the caller sends it again through another entry. The
+// page must not be published twice, and the caller must get the first answer.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keyed_call_runs_once() {
@@ -110,9 +110,9 @@
     stuck.iter().for_each(tokio::task::JoinHandle::abort);
 }
 
-// The only upstream of a lookup crashes while running it, and the retry finds no upstream. The error
-// must state that the call may have run: "not run" would lead an operator to look for the cause
-// elsewhere.
+// The only upstream of a lookup crashes while running it, and the retry finds no upstream. The
+// error must state that the call may have run: "not run" would lead an operator to look for the
+// cause elsewhere.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lookup_that_ran_is_not_reported_as_not_run() {
--- a/fw-local/tests/local/record_changes.rs
+++ b/fw-local/tests/local/record_changes.rs
@@ -41,8 +41,8 @@
     }
 }
 
-// Two operators read the same version of a record and both change it. The second must get a conflict
-// that shows both versions, and the first change must stay.
+// Two operators read the same version of a record and both change it. The second must get a
+// conflict that shows both versions, and the first change must stay.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_operators_get_a_conflict() {
@@ -62,8 +62,8 @@
     expect_that!(lost.body.to_string(), contains_substring("2.0"));
 }
 
-// A record is accepted before a store outage. The running entries must keep it in force throughout, and
-// an entry that is started afterwards must load it: no entry may revert to an older revision.
+// A record is accepted before a store outage. The running entries must keep it in force throughout,
+// and an entry that is started afterwards must load it: no entry may revert to an older revision.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outage_reverts_no_record() {
--- a/fw-local/tests/local/rig.rs
+++ b/fw-local/tests/local/rig.rs
@@ -46,8 +46,8 @@
     start(system::Options::default()).await
 }
 
-/// Prints the system's log lines as selected by `RUST_LOG`. The system's tasks run on threads of their
-/// own, whose output the test runner does not capture: run one test at a time.
+/// Prints the system's log lines as selected by `RUST_LOG`. The system's tasks run on threads of
+/// their own, whose output the test runner does not capture: run one test at a time.
 fn log() {
     let off = tracing_subscriber::filter::LevelFilter::OFF.into();
     let filter = tracing_subscriber::EnvFilter::builder().with_default_directive(off);
--- a/fw-local/tests/local/store_outages.rs
+++ b/fw-local/tests/local/store_outages.rs
@@ -16,9 +16,9 @@
 /// Duration of an outage, longer than every lease of the test's system.
 const OUTAGE: Duration = Duration::from_millis(3500);
 
-// The store is unavailable for longer than the keepers' leases. Programs must continue meanwhile, and
-// every turn answered in the outage must be in the journal once the store is back, so that another
-// entry has it after a takeover.
+// The store is unavailable for longer than the keepers' leases. Programs must continue meanwhile,
+// and every turn answered in the outage must be in the journal once the store is back, so that
+// another entry has it after a takeover.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn programs_continue_and_are_stored() {
@@ -56,10 +56,10 @@
     expect_that!(state.body["history"].as_array(), some(eq(&outcome.history)));
 }
 
-// The store is unavailable while a program makes two turns, so only its keeper and the side hold their
-// answers. The keeper crashes before the store is back. Its successor finds a journal without these
-// turns and must recover them from the sides; otherwise the caller's next turn would continue a
-// history that the system has lost.
+// The store is unavailable while a program makes two turns, so only its keeper and the side hold
+// their answers. The keeper crashes before the store is back. Its successor finds a journal without
+// these turns and must recover them from the sides; otherwise the caller's next turn would continue
+// a history that the system has lost.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_survive_their_keeper_in_an_outage() {
@@ -124,8 +124,8 @@
 }
 
 // One entry alone is cut off from the store while it keeps a program, and another entry takes the
-// program over once the lease has lapsed. The cut-off entry must stop giving out answers: they would
-// be missing from the history that the next turn continues.
+// program over once the lease has lapsed. The cut-off entry must stop giving out answers: they
+// would be missing from the history that the next turn continues.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_cut_off_alone_gives_out_nothing_new() {
@@ -159,12 +159,12 @@
 }
 
 // A takeover must recover turns from the previous keeper too, not only from the sides. The store is
-// unavailable to all while a program makes a turn, so only its keeper and the engine's side hold the
-// answer. The side crashes, and the store is back for the other entry but not for the keeper, whose
-// lease lapses. The other entry loads the program from the journal, which lacks the turn. It used to
-// query only the live sides and not the previous keeper, which was alive and had the answer, and
-// refused the next turn as `unknown_program` or `wrong_turn`. Seen in the log as `shards taken` by
-// others 0.9 s before the keeper's `lease lapsed`, then `shard lost`.
+// unavailable to all while a program makes a turn, so only its keeper and the engine's side hold
+// the answer. The side crashes, and the store is back for the other entry but not for the keeper,
+// whose lease lapses. The other entry loads the program from the journal, which lacks the turn. It
+// used to query only the live sides and not the previous keeper, which was alive and had the
+// answer, and refused the next turn as `unknown_program` or `wrong_turn`. Seen in the log as
+// `shards taken` by others 0.9 s before the keeper's `lease lapsed`, then `shard lost`.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_survive_their_side_and_a_lapsed_lease() {
@@ -205,11 +205,11 @@
 }
 
 // One entry alone is cut off from the store for longer than its lease while it finishes a turn. It
-// aborts the turn with `keeper_lost`, since another entry may keep the program by now. But no entry took the
-// program over; when the store is back the entry keeps it again, with the turn committed. A retry of
-// the turn used to get the same error from every entry for a minute, because the ended attempt was
-// read in place of the committed answer. Seen in the decisions of all entries, which ended with
-// `fenced` and had no placement, failure or refusal after it.
+// aborts the turn with `keeper_lost`, since another entry may keep the program by now. But no entry
+// took the program over; when the store is back the entry keeps it again, with the turn committed.
+// A retry of the turn used to get the same error from every entry for a minute, because the ended
+// attempt was read in place of the committed answer. Seen in the decisions of all entries, which
+// ended with `fenced` and had no placement, failure or refusal after it.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_turn_broken_off_is_answered_again() {
@@ -245,10 +245,11 @@
     }
 }
 
-// An entry starts while it cannot reach the store, yet callers and other entries can reach it. Without
-// the operators' records it used to refuse turns permanently as `unknown_model` and plain requests as
-// `unknown_route`, and assigned callers with any key to the team without one. Its errors must state
-// that the call has not run and may be retried, so that the program continues at the next entry.
+// An entry starts while it cannot reach the store, yet callers and other entries can reach it.
+// Without the operators' records it used to refuse turns permanently as `unknown_model` and plain
+// requests as `unknown_route`, and assigned callers with any key to the team without one. Its
+// errors must state that the call has not run and may be retried, so that the program continues at
+// the next entry.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_without_records_refuses_only_for_now() {
