--- a/fw-record/src/field.rs
+++ b/fw-record/src/field.rs
@@ -1,4 +1,4 @@
-//! Reading of single fields with their bounds.
+//! Reads single fields of a record and checks their types and bounds.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 use smol_str::SmolStr;
 use snafu::Snafu;
 
+use crate::schema::Encoding;
 use crate::schema::Field;
-use crate::schema::Form;
+use crate::schema::NEUTRAL_WEIGHT;
 use crate::schema::Schema;
-use crate::schema::USUAL_WEIGHT;
 
-/// Most bytes of a refused value that a message repeats.
-const SHOWN: usize = 60;
+/// Longest excerpt of an invalid value in an error message, in bytes.
+const MAX_EXCERPT_BYTES: usize = 60;
 
-/// Why a record is refused.
+/// An invalid field of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("field `{field}` must be {expected}, not {found}"))]
 pub struct Error {
-    /// The field, with the groups that it is in.
+    /// The field's path, with the groups that contain it.
     pub field: String,
-    /// What is accepted.
+    /// The accepted values.
     pub expected: String,
-    /// What was found.
+    /// The value found.
     pub found: String,
 }
 
 impl Error {
-    /// An error about `field`.
+    /// An error about `field`; `found` is `None` for a missing field.
     pub fn new(
         field: impl Into<String>,
         expected: impl Into<String>,
@@ -38,7 +38,7 @@
     ) -> Self {
         let found = match found {
             None => "missing".to_owned(),
-            Some(value) => shorten(value.to_string()),
+            Some(value) => excerpt(value.to_string()),
         };
         Self {
             field: field.into(),
@@ -54,27 +54,27 @@
     }
 }
 
-/// What reading a field returns.
+/// Result of reading a field.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// The fields of one record, read as one schema version.
+/// Reads the fields of one record in one schema version.
 #[derive(Clone, Copy, Debug)]
 pub struct Reader<'a> {
-    /// The record.
+    /// The record's raw fields.
     pub map: &'a Map<String, Value>,
-    /// The version whose fields prevail.
+    /// The schema version whose fields take precedence.
     pub schema: Schema,
 }
 
 impl<'a> Reader<'a> {
-    /// A value, its version, and the error to give if it is refused.
+    /// The field's value, if it is there and not null, and the schema version it is written in.
     fn find(&self, field: &Field) -> (Schema, Option<&'a Value>) {
         let (schema, value) = field.find(self.map, self.schema);
         (schema, value.filter(|value| !value.is_null()))
     }
 
-    /// The error that `field` is not as `expected`.
-    pub fn refuse(&self, field: &Field, expected: impl Into<String>) -> Error {
+    /// An error that the value of `field` is not as `expected`.
+    pub fn invalid(&self, field: &Field, expected: impl Into<String>) -> Error {
         Error::new(field.name(self.schema), expected, self.find(field).1)
     }
 
@@ -83,7 +83,7 @@
         self.find(field).1.is_some()
     }
 
-    /// A text of at most `max` bytes, not empty.
+    /// A non-empty string of at most `max` bytes.
     pub fn text(&self, field: &Field, max: usize) -> Result<Option<SmolStr>> {
         let Some(value) = self.find(field).1 else {
             return Ok(None);
@@ -91,11 +91,12 @@
         let fits = |text: &&str| (1..=max).contains(&text.len());
         match value.as_str().filter(fits) {
             Some(text) => Ok(Some(text.into())),
-            None => Err(self.refuse(field, format!("a text of 1 to {max} bytes"))),
+            None => Err(self.invalid(field, format!("a string of 1 to {max} bytes"))),
         }
     }
 
-    /// Texts of at most `max_len` bytes, at most `max` of them; none if the field is missing.
+    /// An array of at most `max` non-empty strings of at most `max_len` bytes each; empty if the
+    /// field is missing.
     pub fn texts(&self, field: &Field, max: usize, max_len: usize) -> Result<Vec<SmolStr>> {
         let Some(value) = self.find(field).1 else {
             return Ok(Vec::new());
@@ -108,21 +109,21 @@
             texts.collect::<Option<Vec<_>>>()
         });
         texts.ok_or_else(|| {
-            let expected = format!("an array of at most {max} texts of 1 to {max_len} bytes");
-            self.refuse(field, expected)
+            let expected = format!("an array of at most {max} strings of 1 to {max_len} bytes");
+            self.invalid(field, expected)
         })
     }
 
-    /// A truth value.
+    /// A boolean.
     pub fn flag(&self, field: &Field, default: bool) -> Result<bool> {
         match self.find(field).1 {
             None => Ok(default),
             Some(Value::Bool(flag)) => Ok(*flag),
-            Some(_) => Err(self.refuse(field, "true or false")),
+            Some(_) => Err(self.invalid(field, "true or false")),
         }
     }
 
-    /// One of several words.
+    /// One of several keywords.
     pub fn choice<T: Copy>(&self, field: &Field, choices: &[(&str, T)]) -> Result<Option<T>> {
         let Some(value) = self.find(field).1 else {
             return Ok(None);
@@ -135,12 +136,12 @@
                     .iter()
                     .map(|(word, _)| format!("`{word}`"))
                     .collect();
-                Err(self.refuse(field, words.join(" or ")))
+                Err(self.invalid(field, words.join(" or ")))
             }
         }
     }
 
-    /// A whole number.
+    /// An unsigned integer.
     pub fn count(&self, field: &Field, bounds: RangeInclusive<u64>) -> Result<Option<u64>> {
         let Some(value) = self.find(field).1 else {
             return Ok(None);
@@ -149,19 +150,19 @@
             Some(count) => Ok(Some(count)),
             None => {
                 let (low, high) = bounds.into_inner();
-                Err(self.refuse(field, format!("a whole number from {low} to {high}")))
+                Err(self.invalid(field, format!("a whole number from {low} to {high}")))
             }
         }
     }
 
-    /// A share relative to the usual one, 1.0.
+    /// A share as a factor of the neutral one, 1.0.
     pub fn share(&self, field: &Field, bounds: RangeInclusive<f64>) -> Result<Option<f64>> {
         let (schema, value) = self.find(field);
         let Some(value) = value else {
             return Ok(None);
         };
         let unit = match schema {
-            Schema::V1 => USUAL_WEIGHT,
+            Schema::V1 => NEUTRAL_WEIGHT,
             Schema::V2 => 1.0,
         };
         let share = value.as_f64().map(|number| number / unit);
@@ -169,12 +170,12 @@
             Some(share) => Ok(Some(share)),
             None => {
                 let (low, high) = (bounds.start() * unit, bounds.end() * unit);
-                Err(self.refuse(field, format!("a number from {low} to {high}")))
+                Err(self.invalid(field, format!("a number from {low} to {high}")))
             }
         }
     }
 
-    /// A duration.
+    /// A duration, in the encoding of the schema version that the value is written in.
     pub fn duration(
         &self,
         field: &Field,
@@ -184,27 +185,31 @@
         let Some(value) = value else {
             return Ok(None);
         };
-        let time = match (schema, field.form) {
-            (Schema::V1, Form::Seconds) => value.as_u64().map(Duration::from_secs),
+        let time = match (schema, field.encoding) {
+            (Schema::V1, Encoding::Seconds) => value.as_u64().map(Duration::from_secs),
             (Schema::V1, _) => value.as_u64().map(Duration::from_millis),
-            (Schema::V2, _) => duration_of_text(value),
+            (Schema::V2, _) => parse_duration(value),
         };
         match time.filter(|time| bounds.contains(time)) {
             Some(time) => Ok(Some(time)),
-            None => Err(self.refuse(field, expected_duration(schema, field.form, &bounds))),
+            None => Err(self.invalid(field, expected_duration(schema, field.encoding, &bounds))),
         }
     }
 }
 
-/// A duration such as `30s` or `1h 30m`.
-pub fn duration_of_text(value: &Value) -> Option<Duration> {
+/// Parses a duration such as `30s` or `1h 30m`.
+pub fn parse_duration(value: &Value) -> Option<Duration> {
     humantime::parse_duration(value.as_str()?).ok()
 }
 
-fn expected_duration(schema: Schema, form: Form, bounds: &RangeInclusive<Duration>) -> String {
+fn expected_duration(
+    schema: Schema,
+    encoding: Encoding,
+    bounds: &RangeInclusive<Duration>,
+) -> String {
     let (low, high) = (*bounds.start(), *bounds.end());
-    match (schema, form) {
-        (Schema::V1, Form::Seconds) => {
+    match (schema, encoding) {
+        (Schema::V1, Encoding::Seconds) => {
             let (low, high) = (low.as_secs(), high.as_secs());
             format!("a whole number of seconds from {low} to {high}")
         }
@@ -220,9 +225,9 @@
     }
 }
 
-fn shorten(mut text: String) -> String {
-    if text.len() > SHOWN {
-        let end = text.floor_char_boundary(SHOWN);
+fn excerpt(mut text: String) -> String {
+    if text.len() > MAX_EXCERPT_BYTES {
+        let end = text.floor_char_boundary(MAX_EXCERPT_BYTES);
         text.truncate(end);
         text.push_str("...");
     }
--- a/fw-record/src/load.rs
+++ b/fw-record/src/load.rs
@@ -1,4 +1,4 @@
-//! Reads all records from the store, and follows their changes.
+//! Reads all records from the store and watches them for changes.
 
 use fw_store::client;
 use fw_store::error::Error;
@@ -11,15 +11,16 @@
 use crate::key;
 use crate::set;
 
-/// All records as they stand in the store.
+/// Reads all records from the store.
 ///
-/// Of a record that cannot be read, the version in `previous` stays in force, or else, in a
-/// process that has just started, the newest version in the record's history that can be read.
+/// For a record that cannot be parsed, the version in `previous` stays in force. If `previous` has
+/// none, as in a process that has just started, the newest valid version in the record's history
+/// comes into force.
 ///
 /// # Errors
 ///
 /// When the store does not answer.
-pub async fn all(client: &client::Client, previous: &set::Set) -> Result<set::Set> {
+pub async fn read_all(client: &client::Client, previous: &set::Set) -> Result<set::Set> {
     let found = client.range(&kv::Range::prefix(key::RECORDS)).await?;
     from_kvs(client, previous, &found.kvs).await
 }
@@ -29,7 +30,7 @@
     previous: &set::Set,
     kvs: &[kv::Kv],
 ) -> Result<set::Set> {
-    let mut set = previous.replaced(set::revision_of(kvs), kvs);
+    let mut set = previous.with_records(set::revision_of(kvs), kvs);
     for problem in set.problems().to_vec() {
         if set.version(&problem.name).is_none()
             && let Some(version) = last_good(client, &problem.name).await?
@@ -40,7 +41,7 @@
     Ok(set)
 }
 
-/// The newest version in a record's history that can be read.
+/// The newest valid version in a record's history.
 async fn last_good(client: &client::Client, name: &key::Name) -> Result<Option<set::Version>> {
     let found = client.range(&kv::Range::prefix(name.history())).await?;
     let newest_first = found.kvs.iter().rev();
@@ -52,44 +53,45 @@
     Ok(versions.next())
 }
 
-/// Keeps `holder` at the newest records, for ever: one read, then a watch.
+/// Keeps `holder` up to date with the store, without end: one full read, then a watch.
 ///
-/// One process of each place runs this; the others learn from it and from the revision that each
-/// message carries. A store outage leaves the records in force as they are.
+/// One process of each place runs this; the others poll it for a newer set, and fetch one at once
+/// when a message carries a newer revision. During a store outage the records in force stay
+/// unchanged.
 pub async fn follow(client: &client::Client, holder: &holder::Holder) {
     loop {
         if let Err(err) = follow_once(client, holder).await {
-            tracing::debug!(%err, "the watch of the records starts again");
+            tracing::debug!(%err, "restarting the watch of the records");
         }
         tokio::time::sleep(client.options().watch_backoff).await;
     }
 }
 
-/// Reads everything and follows the changes until the watch cannot go on.
+/// Reads all records and applies their changes until the watch fails for good.
 async fn follow_once(client: &client::Client, holder: &holder::Holder) -> Result<()> {
     let found = client.range(&kv::Range::prefix(key::RECORDS)).await?;
     holder.offer(from_kvs(client, &holder.current(), &found.kvs).await?);
     let mut watch = client.watch(key::RECORDS, found.revision + 1);
     loop {
         match watch.next().await {
-            Ok(batch) => take(holder, &batch),
+            Ok(batch) => apply(holder, &batch),
             Err(err @ Error::Compacted { .. }) => return Err(err),
             Err(err) if watch.age() > client.options().watch_idle_timeout => {
-                tracing::warn!(%err, age = ?watch.age(), "the watch of the records fails; they are read anew");
+                tracing::warn!(%err, age = ?watch.age(), "watch of the records keeps failing; reading all records");
                 return Err(err);
             }
-            // The watch goes on by itself, once the store answers again.
-            Err(err) => tracing::debug!(%err, "the watch of the records broke"),
+            // The watch resumes by itself once the store answers again.
+            Err(err) => tracing::debug!(%err, "watch of the records failed; retrying"),
         }
     }
 }
 
-fn take(holder: &holder::Holder, batch: &watch::Batch) {
+fn apply(holder: &holder::Holder, batch: &watch::Batch) {
     if batch.events.is_empty() {
         return;
     }
     let current = holder.current();
     if batch.revision > current.revision() {
-        holder.offer(current.changed(batch.revision, &batch.events));
+        holder.offer(current.with_events(batch.revision, &batch.events));
     }
 }
--- a/fw-record/src/write.rs
+++ b/fw-record/src/write.rs
@@ -1,9 +1,9 @@
-//! Changes of records by compare-and-swap, safe against lost answers and racing writers.
+//! Changes records by compare-and-swap, safe against lost responses and concurrent writers.
 //!
-//! A change is accepted when its transaction is. The transaction compares the revision that the
-//! writer saw, writes the record and [`key::HEAD`], and moves the replaced version into the
-//! history, with the writer's nonce. After a lost answer the nonce tells whether the change took
-//! effect, even if somebody else has replaced it since.
+//! A change is accepted when its transaction commits. The transaction compares the revision that
+//! the writer expects, writes the record and [`key::HEAD`], and moves the replaced version into the
+//! history together with the writer's nonce. After a lost response the nonce shows whether the
+//! change took effect, even if another writer has replaced it since.
 
 use std::time::Duration;
 
@@ -22,23 +22,23 @@
 use crate::envelope;
 use crate::key;
 
-/// How changes are made.
+/// Options of a change.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Versions kept in a record's history.
-    pub keep: usize,
-    /// Most tries to find out what became of a change whose answer was lost.
-    pub tries: u32,
-    /// Pause before each of them.
-    pub pause: Duration,
+    /// Most versions kept in a record's history.
+    pub max_versions: usize,
+    /// Most attempts to resolve a change whose response was lost or whose comparison failed.
+    pub max_attempts: u32,
+    /// Delay before an attempt that follows a failed call to the store.
+    pub retry_delay: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            keep: 10,
-            tries: 20,
-            pause: Duration::from_millis(250),
+            max_versions: 10,
+            max_attempts: 20,
+            retry_delay: Duration::from_millis(250),
         }
     }
 }
@@ -46,15 +46,15 @@
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The store revision of the change: it is in force wherever the records' revision is not
-    /// lower.
+    /// The store revision of the change. It is in force in every process whose record set has this
+    /// revision or a higher one.
     pub revision: id::Revision,
-    /// Names of fields that no version knows. They are kept, and may be spelling mistakes.
+    /// Names of fields that no schema version defines. They are preserved, and may be misspelled.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub unknown: Vec<String>,
 }
 
-/// A record with the revision to compare with in the next change.
+/// A stored record, with the revision to compare with in the next change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Stored {
     /// Kind and name.
@@ -64,7 +64,7 @@
     pub revision: id::Revision,
     /// Its fields, as operators edit them.
     pub record: Map<String, Value>,
-    /// What is wrong with it, if it cannot be read.
+    /// Why it cannot be parsed, if so.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub problem: Option<String>,
 }
@@ -72,38 +72,41 @@
 /// Why a change or a read failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The record is malformed.
+    /// The record is invalid.
     #[snafu(transparent)]
-    Bad {
-        /// How.
+    Invalid {
+        /// The reason.
         source: document::Error,
     },
     /// There is no such record.
     #[snafu(display("there is no record {name}"))]
-    Unknown {
+    NotFound {
         /// Its name.
         name: key::Name,
     },
-    /// Someone else changed the record.
-    #[snafu(display("record {name} was changed by someone else{}", at(theirs.as_deref())))]
+    /// Another writer changed the record.
+    #[snafu(display(
+        "record {name} was changed by someone else{}",
+        revision_suffix(theirs.as_deref())
+    ))]
     Conflict {
         /// The record.
         name: key::Name,
-        /// What was to be stored; `None` for a deletion.
+        /// The version to store; `None` for a deletion.
         yours: Option<Map<String, Value>>,
-        /// What is stored; `None` if it was deleted or never there.
+        /// The stored version; `None` if it was deleted or never existed.
         theirs: Option<Box<Stored>>,
     },
-    /// The store did not answer; nothing has changed.
+    /// The call to the store failed and changed nothing.
     #[snafu(display("{source}"))]
     Store {
-        /// What it gave.
+        /// The store's error.
         source: fw_store::error::Error,
     },
-    /// The store's answer was lost, and it could not be found out what became of the change.
+    /// The store's response was lost, and reading back did not show whether the change took effect.
     #[snafu(display(
-        "the change of {name} may have taken effect: its answer was lost ({source}); \
-         get the record and compare before you repeat it"
+        "the change of {name} may have taken effect: the store's response was lost ({source}); \
+         read the record and compare before repeating the change"
     ))]
     InDoubt {
         /// The record.
@@ -111,29 +114,30 @@
         /// The last failure.
         source: fw_store::error::Error,
     },
-    /// The record was changed so often meanwhile that its history does not tell any more.
+    /// The record has since been replaced so often that its history no longer shows whether the
+    /// change took effect, or each attempt to commit it lost to another writer.
     #[snafu(display(
-        "the change of {name} may have taken effect: its answer was lost and the record was \
-         replaced often since; see its history"
+        "the change of {name} may have taken effect: the store's response was lost and the record \
+         has been replaced many times since; check its history"
     ))]
-    Buried {
+    HistoryTruncated {
         /// The record.
         name: key::Name,
     },
 }
 
-/// What this module returns.
+/// Result of this module's functions.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// The kind told to operators.
+    /// The error kind reported to operators.
     pub fn kind(&self) -> error::Kind {
         match self {
-            Self::Bad { .. } => error::Kind::BadRecord,
-            Self::Unknown { .. } => error::Kind::UnknownRecord,
+            Self::Invalid { .. } => error::Kind::BadRecord,
+            Self::NotFound { .. } => error::Kind::UnknownRecord,
             Self::Conflict { .. } => error::Kind::RecordConflict,
             Self::Store { source } => source.kind(),
-            Self::InDoubt { .. } | Self::Buried { .. } => error::Kind::MayHaveRun,
+            Self::InDoubt { .. } | Self::HistoryTruncated { .. } => error::Kind::MayHaveRun,
         }
     }
 }
@@ -144,19 +148,19 @@
     }
 }
 
-fn at(theirs: Option<&Stored>) -> String {
+fn revision_suffix(theirs: Option<&Stored>) -> String {
     match theirs {
         Some(theirs) => format!(", at revision {}", theirs.revision),
-        None => ": it is not there".to_owned(),
+        None => ": it does not exist".to_owned(),
     }
 }
 
-/// Stores a record. `expected` is the revision of the version that it replaces, or 0 if there
-/// must be none yet.
+/// Stores a record. `expected` is the revision of the version that it replaces, or 0 if the record
+/// must not exist yet.
 ///
 /// # Errors
 ///
-/// When the record is malformed, someone else changed it, or the store does not answer.
+/// When the record is invalid, another writer changed it, or the store does not answer.
 pub async fn put(
     client: &Client,
     name: &key::Name,
@@ -165,7 +169,7 @@
     opts: &Options,
 ) -> Result<Accepted> {
     let doc = document::Document::from_operator(name.clone(), json)?;
-    let unknown = doc.unknown();
+    let unknown = doc.unknown_fields();
     let change = Change::new(name, Some(doc), expected);
     let revision = change.run(client, opts).await?;
     Ok(Accepted { revision, unknown })
@@ -175,7 +179,7 @@
 ///
 /// # Errors
 ///
-/// When there is no such record, someone else changed it, or the store does not answer.
+/// When there is no such record, another writer changed it, or the store does not answer.
 pub async fn delete(
     client: &Client,
     name: &key::Name,
@@ -198,11 +202,11 @@
 pub async fn get(client: &Client, name: &key::Name) -> Result<Stored> {
     let found = client.range(&kv::Range::one(name.key())).await;
     let found = found.context(StoreSnafu)?.kvs.pop();
-    let kv = found.ok_or_else(|| Error::Unknown { name: name.clone() })?;
+    let kv = found.ok_or_else(|| Error::NotFound { name: name.clone() })?;
     Ok(stored(name, kv.mod_revision, &kv.value))
 }
 
-/// Reads all records, by kind and name.
+/// Reads all records, ordered by kind and name.
 ///
 /// # Errors
 ///
@@ -217,7 +221,7 @@
     Ok(records.collect())
 }
 
-/// Reads the replaced versions of a record, oldest first. A deleted record has a history too.
+/// Reads the replaced versions of a record, oldest first. A deleted record keeps its history.
 ///
 /// # Errors
 ///
@@ -234,7 +238,7 @@
 
 fn stored(name: &key::Name, revision: id::Revision, value: &[u8]) -> Stored {
     let (record, problem) = match envelope::Envelope::document(name.clone(), value) {
-        Ok(doc) => (doc.shown(), None),
+        Ok(doc) => (doc.operator_fields(), None),
         Err(err) => {
             let raw = envelope::Envelope::parse(value).unwrap_or_default();
             (raw.record, Some(err.to_string()))
@@ -248,31 +252,31 @@
     }
 }
 
-/// One change under way.
+/// A change in progress.
 struct Change<'a> {
     name: &'a key::Name,
-    /// The new version, or `None` to delete.
+    /// The new version; `None` to delete the record.
     doc: Option<document::Document>,
     expected: id::Revision,
     nonce: envelope::Nonce,
 }
 
-/// The record's key and history at one revision of the store.
-struct Seen {
+/// The record's current version and history at one revision of the store.
+struct StoreState {
     current: Option<kv::Kv>,
     history: Vec<kv::Kv>,
 }
 
-/// What one look at the store says about a change.
-enum Fate {
-    /// It took effect, at this revision.
+/// Status of a change, as shown by one read of the store.
+enum Status {
+    /// It took effect at this revision.
     Applied(id::Revision),
-    /// It did not, and still can.
-    Open(Seen),
-    /// It did not, and cannot any more.
-    Overtaken(Seen),
-    /// The history does not reach back far enough.
-    Buried,
+    /// It has not taken effect, but still can.
+    Pending(StoreState),
+    /// It has not taken effect and no longer can: another version is in place.
+    Superseded(StoreState),
+    /// Unknown: the history does not reach back to the expected revision.
+    HistoryTruncated,
 }
 
 impl<'a> Change<'a> {
@@ -286,63 +290,63 @@
     }
 
     async fn run(&self, client: &Client, opts: &Options) -> Result<id::Revision> {
-        let seen = self.look(client).await.context(StoreSnafu)?;
-        if !self.fits(&seen) {
-            return Err(self.conflict(seen));
+        let state = self.read_state(client).await.context(StoreSnafu)?;
+        if !self.is_current(&state) {
+            return Err(self.conflict(state));
         }
-        match self.swap(client, seen, opts).await {
+        match self.submit(client, state, opts).await {
             Ok(Some(revision)) => Ok(revision),
-            Ok(None) => self.find_out(client, opts, None).await,
-            Err(err) if err.may_have_applied() => self.find_out(client, opts, Some(err)).await,
+            Ok(None) => self.resolve(client, opts, None).await,
+            Err(err) if err.may_have_applied() => self.resolve(client, opts, Some(err)).await,
             Err(source) => Err(Error::Store { source }),
         }
     }
 
-    /// Reads back until it is known what became of the change, and repeats it only if it has not
-    /// taken effect.
+    /// Reads the store until the status of the change is clear, and repeats the transaction only if
+    /// it has not taken effect.
     ///
-    /// The transaction may also be slow rather than lost, and apply after a look that did not
-    /// find it. Repeating is safe even then: both compare the same revision, so that at most one
-    /// of the two applies, and both carry the same nonce, so that either counts.
-    async fn find_out(
+    /// The first transaction may be delayed rather than lost, and commit after a read that did not
+    /// find it. Repeating it is safe even then: both compare the same revision, so at most one of
+    /// them commits, and both carry the same nonce, so either one counts as this change.
+    async fn resolve(
         &self,
         client: &Client,
         opts: &Options,
-        doubt: Option<fw_store::error::Error>,
+        lost_answer: Option<fw_store::error::Error>,
     ) -> Result<id::Revision> {
-        let is_doubtful = doubt.is_some();
-        let mut last = doubt;
-        for _ in 0..opts.tries {
-            if last.is_some() {
-                tokio::time::sleep(opts.pause).await;
+        let answer_was_lost = lost_answer.is_some();
+        let mut last_error = lost_answer;
+        for _ in 0..opts.max_attempts {
+            if last_error.is_some() {
+                tokio::time::sleep(opts.retry_delay).await;
             }
-            let step = match self.look(client).await {
-                Ok(seen) => match self.fate(seen, opts, is_doubtful) {
-                    Fate::Applied(revision) => return Ok(revision),
-                    Fate::Overtaken(seen) => return Err(self.conflict(seen)),
-                    Fate::Buried => {
+            let outcome = match self.read_state(client).await {
+                Ok(state) => match self.status(state, opts, answer_was_lost) {
+                    Status::Applied(revision) => return Ok(revision),
+                    Status::Superseded(state) => return Err(self.conflict(state)),
+                    Status::HistoryTruncated => {
                         let name = self.name.clone();
-                        return Err(Error::Buried { name });
+                        return Err(Error::HistoryTruncated { name });
                     }
-                    Fate::Open(seen) => self.swap(client, seen, opts).await,
+                    Status::Pending(state) => self.submit(client, state, opts).await,
                 },
                 Err(err) => Err(err),
             };
-            match step {
+            match outcome {
                 Ok(Some(revision)) => return Ok(revision),
-                Ok(None) => last = None,
-                Err(err) => last = Some(err),
+                Ok(None) => last_error = None,
+                Err(err) => last_error = Some(err),
             }
         }
         let name = self.name.clone();
-        match last {
+        match last_error {
             Some(source) => Err(Error::InDoubt { name, source }),
-            None => Err(Error::Buried { name }),
+            None => Err(Error::HistoryTruncated { name }),
         }
     }
 
-    /// Reads record and history together.
-    async fn look(&self, client: &Client) -> fw_store::error::Result<Seen> {
+    /// Reads the record and its history in one transaction.
+    async fn read_state(&self, client: &Client) -> fw_store::error::Result<StoreState> {
         let read = kv::Txn {
             then: vec![
                 kv::Op::get(self.name.key()),
@@ -353,51 +357,51 @@
         let kvs = client.txn(&read).await?.into_kvs();
         let key = self.name.key();
         let (current, history): (Vec<_>, Vec<_>) = kvs.into_iter().partition(|kv| kv.key == key);
-        Ok(Seen {
+        Ok(StoreState {
             current: current.into_iter().next(),
             history,
         })
     }
 
-    /// Whether the record is still the version that the change replaces.
-    fn fits(&self, seen: &Seen) -> bool {
-        let current = seen.current.as_ref();
+    /// Whether the stored version is still the one that the change replaces.
+    fn is_current(&self, state: &StoreState) -> bool {
+        let current = state.current.as_ref();
         current.map_or(0, |kv| kv.mod_revision) == self.expected
     }
 
-    /// Sends the transaction; `None` if its comparison failed.
-    async fn swap(
+    /// Submits the transaction and returns its revision; `None` if the comparison failed.
+    async fn submit(
         &self,
         client: &Client,
-        seen: Seen,
+        state: StoreState,
         opts: &Options,
     ) -> fw_store::error::Result<Option<id::Revision>> {
         let compare = kv::Compare::ModRevision(self.name.key(), self.expected);
         let txn = kv::Txn {
             compares: vec![compare],
-            then: self.steps(&seen, opts),
+            then: self.operations(&state, opts),
             ..kv::Txn::default()
         };
         let outcome = client.txn(&txn).await?;
         Ok(outcome.succeeded.then_some(outcome.revision))
     }
 
-    fn steps(&self, seen: &Seen, opts: &Options) -> Vec<kv::Op> {
-        let mut steps = vec![
-            self.record_step(),
+    fn operations(&self, state: &StoreState, opts: &Options) -> Vec<kv::Op> {
+        let mut operations = vec![
+            self.record_operation(),
             kv::Op::put(key::HEAD, self.nonce.as_str()),
         ];
-        if let Some(current) = &seen.current {
-            steps.push(self.archive_step(current));
+        if let Some(current) = &state.current {
+            operations.push(self.archive_operation(current));
         }
-        let archived = usize::from(seen.current.is_some());
-        let excess = (seen.history.len() + archived).saturating_sub(opts.keep);
-        let oldest = seen.history.iter().take(excess);
-        steps.extend(oldest.map(|kv| kv::Op::delete(kv.key.as_str())));
-        steps
+        let archived = usize::from(state.current.is_some());
+        let excess = (state.history.len() + archived).saturating_sub(opts.max_versions);
+        let oldest = state.history.iter().take(excess);
+        operations.extend(oldest.map(|kv| kv::Op::delete(kv.key.as_str())));
+        operations
     }
 
-    fn record_step(&self) -> kv::Op {
+    fn record_operation(&self) -> kv::Op {
         let key = self.name.key();
         match &self.doc {
             None => kv::Op::delete(key),
@@ -412,7 +416,7 @@
         }
     }
 
-    fn archive_step(&self, current: &kv::Kv) -> kv::Op {
+    fn archive_operation(&self, current: &kv::Kv) -> kv::Op {
         let key = self.name.history_at(self.expected);
         let envelope = envelope::Envelope::parse(&current.value).unwrap_or_default();
         let archived = envelope::Envelope {
@@ -422,58 +426,58 @@
         kv::Op::put(key, archived.to_bytes())
     }
 
-    fn fate(&self, seen: Seen, opts: &Options, is_doubtful: bool) -> Fate {
-        if let Some(revision) = self.applied_at(&seen) {
-            return Fate::Applied(revision);
+    fn status(&self, state: StoreState, opts: &Options, answer_was_lost: bool) -> Status {
+        if let Some(revision) = self.applied_at(&state) {
+            return Status::Applied(revision);
         }
-        if self.fits(&seen) {
-            return Fate::Open(seen);
+        if self.is_current(&state) {
+            return Status::Pending(state);
         }
-        let mut revisions = seen
+        let mut revisions = state
             .history
             .iter()
             .filter_map(|kv| self.name.history_revision(&kv.key));
-        let reaches_back = revisions
+        let reaches_expected = revisions
             .next()
             .is_none_or(|oldest| oldest <= self.expected);
-        if is_doubtful && seen.history.len() >= opts.keep && !reaches_back {
-            return Fate::Buried;
+        if answer_was_lost && state.history.len() >= opts.max_versions && !reaches_expected {
+            return Status::HistoryTruncated;
         }
-        Fate::Overtaken(seen)
+        Status::Superseded(state)
     }
 
-    /// The revision of this change, if the record or its history bears its nonce.
-    fn applied_at(&self, seen: &Seen) -> Option<id::Revision> {
-        let current = seen.current.as_ref();
+    /// The revision of this change, if the record or its history carries its nonce.
+    fn applied_at(&self, state: &StoreState) -> Option<id::Revision> {
+        let current = state.current.as_ref();
         if let Some(kv) = current.filter(|kv| nonces(kv).0 == self.nonce) {
             return Some(kv.mod_revision);
         }
-        seen.history.iter().find_map(|kv| {
+        state.history.iter().find_map(|kv| {
             let (stored_by, replaced_by) = nonces(kv);
             if stored_by == self.nonce {
                 return self.name.history_revision(&kv.key);
             }
-            // The replaced version was archived by the same transaction.
+            // The same transaction archived the replaced version, so the revisions are equal.
             (replaced_by == self.nonce).then_some(kv.mod_revision)
         })
     }
 
-    fn conflict(&self, seen: Seen) -> Error {
+    fn conflict(&self, state: StoreState) -> Error {
         let name = self.name.clone();
-        let theirs = seen.current;
+        let theirs = state.current;
         if theirs.is_none() && self.doc.is_none() {
-            return Error::Unknown { name };
+            return Error::NotFound { name };
         }
         let theirs = theirs.map(|kv| Box::new(stored(&name, kv.mod_revision, &kv.value)));
         Error::Conflict {
-            yours: self.doc.as_ref().map(document::Document::shown),
+            yours: self.doc.as_ref().map(document::Document::operator_fields),
             theirs,
             name,
         }
     }
 }
 
-/// Nonces of the writes that stored and that replaced a version.
+/// Nonces of the write that stored a version and of the one that replaced it.
 fn nonces(kv: &kv::Kv) -> (envelope::Nonce, envelope::Nonce) {
     let envelope = envelope::Envelope::parse(&kv.value).unwrap_or_default();
     (envelope.nonce, envelope.replaced_by)
