--- a/foxtailweir/src/demo/programs.rs
+++ b/foxtailweir/src/demo/programs.rs
@@ -136,8 +136,8 @@
         stream: true,
         pause: Duration::ZERO,
         tools: Vec::new(),
-        doubled: for_every(DOUBLED_EVERY, &[2, 4]),
-        left: for_every(LEFT_EVERY, &[3]),
+        duplicated: for_every(DOUBLED_EVERY, &[2, 4]),
+        abandoned: for_every(LEFT_EVERY, &[3]),
         end: n % KEPT_EVERY != 1,
         limit: Duration::ZERO,
     }
--- a/foxtailweir/src/demo/script.rs
+++ b/foxtailweir/src/demo/script.rs
@@ -92,9 +92,9 @@
     let system = system::System::start(shape).await?;
     let cx = calls::Context {
         recorder,
-        doors: Arc::default(),
+        endpoints: Arc::default(),
     };
-    let driver = faults::Driver::new(system, cx.recorder.clone(), Arc::clone(&cx.doors));
+    let driver = faults::Driver::new(system, cx.recorder.clone(), Arc::clone(&cx.endpoints));
     let mut script = Script {
         opts,
         io,
@@ -160,9 +160,14 @@
         let mut background = JoinSet::new();
         for (n, name) in ["reader-a", "reader-b"].into_iter().enumerate() {
             let rng = Pcg64::seed_from_u64(SEED + n as u64);
-            background.spawn(operate::look_up(self.cx.clone(), name, rng, stop.clone()));
+            background.spawn(operate::run_reader(
+                self.cx.clone(),
+                name,
+                rng,
+                stop.clone(),
+            ));
         }
-        background.spawn(operate::watch(self.cx.clone(), stop.clone()));
+        background.spawn(operate::sample_until_stopped(self.cx.clone(), stop.clone()));
         background
     }
 
@@ -178,7 +183,12 @@
         self.progress("the side has restarted");
         for (n, name) in ["operator-a", "operator-b"].into_iter().enumerate() {
             let rng = Pcg64::new(SEED.into(), n as u128);
-            background.spawn(operate::change(self.cx.clone(), name, rng, stop.clone()));
+            background.spawn(operate::run_operator(
+                self.cx.clone(),
+                name,
+                rng,
+                stop.clone(),
+            ));
         }
         self.progress("two operators start to change the same record repeatedly");
         tokio::time::sleep(STEP_INTERVAL).await;
@@ -250,10 +260,10 @@
         let Self {
             opts, cx, driver, ..
         } = self;
-        operate::settle(&cx, opts.check.in_force_within).await;
+        operate::wait_in_force(&cx, opts.check.in_force_within).await;
         let unread = read_unended(&cx, &programs).await;
         wait_released(&driver.system, &programs).await;
-        operate::look(&cx);
+        operate::sample(&cx);
         let counts = driver.system.engines.iter();
         let counts: Vec<_> = counts.map(|worker| worker.upstream.counts()).collect();
         let entries = cx.recorder.entries();
--- a/fw-local/examples/capacity/keeper.rs
+++ b/fw-local/examples/capacity/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper: programs in memory, and turns begun, finished and journalled.
+//! Costs of the keeper: programs in memory, and turns that are begun, finished and journalled.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 use crate::process;
 use crate::slope;
 
-/// Programs under way at the size to design for, over the entries that keep them.
+/// Concurrent programs per entry at the design size.
 const PROGRAMS_PER_ENTRY: f64 = 140_000.0 / 380.0;
-/// Turns a second at the size to design for, if every request is one, over the entries.
+/// Turns a second per entry at the design size, if every request is a turn.
 const TURNS_PER_ENTRY: f64 = 16_000.0 / 380.0;
-/// Bytes of text to a token.
+/// Bytes of text per token.
 const BYTES_PER_TOKEN: f64 = 4.0;
-/// Tokens of a history in the middle of its life: half of the longest.
-const HALF_HISTORY: f64 = 375_000.0;
+/// Tokens of a history halfway through its program: half of the longest.
+const HALF_HISTORY_TOKENS: f64 = 375_000.0;
 
-/// The rows of this role.
+/// Measures the rows of this role.
 pub fn measure() -> Vec<slope::Row> {
     vec![memory_per_program(), memory_per_token(), time_per_turn()]
 }
@@ -59,7 +59,7 @@
         what: "memory for each token of history",
         unit: "B",
         points: sizes.into_iter().map(point).collect(),
-        target: HALF_HISTORY * PROGRAMS_PER_ENTRY,
+        target: HALF_HISTORY_TOKENS * PROGRAMS_PER_ENTRY,
         target_note: "368 programs of 375,000 tokens",
     }
 }
@@ -68,13 +68,13 @@
     let sizes = [500, 1_000, 2_000, 4_000];
     let point = |turns: usize| {
         let mut shard = shard::Shard::new(0);
-        let busy = process::busy(|| {
+        let cpu_time = process::cpu_time(|| {
             for n in 0..turns {
                 run_turn(&mut shard, &name(n), 2_000);
             }
             std::hint::black_box(shard.take_batch());
         });
-        (turns as f64, busy.as_secs_f64() * 1e6)
+        (turns as f64, cpu_time.as_secs_f64() * 1e6)
     };
     slope::Row {
         role: "keeper",
@@ -90,7 +90,7 @@
     let mut shard = shard::Shard::new(0);
     for n in 0..programs {
         run_turn(&mut shard, &name(n), bytes);
-        // As when the store took them: otherwise the pending journal entries count twice.
+        // Drains the journal as a flush to the store would: otherwise pending entries count twice.
         shard.take_batch();
     }
     shard
--- a/fw-local/examples/capacity/process.rs
+++ b/fw-local/examples/capacity/process.rs
@@ -1,10 +1,10 @@
-//! What the system says of this process.
+//! Memory and processor time of this process.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Bytes of a page, on the machines that this is measured on.
-const PAGE: f64 = 4096.0;
+/// Page size of the machines that this is measured on.
+const PAGE_BYTES: f64 = 4096.0;
 
 /// Resident memory, in bytes.
 pub fn resident() -> f64 {
@@ -13,18 +13,18 @@
         .split_whitespace()
         .nth(1)
         .and_then(|pages| pages.parse::<f64>().ok());
-    pages.unwrap_or(0.0) * PAGE
+    pages.unwrap_or(0.0) * PAGE_BYTES
 }
 
-/// Keeps `value` for good: memory that were freed would be taken again by the next measurement,
-/// without showing as resident.
+/// Leaks `value`: freed memory would be reused by the next measurement without adding to the
+/// resident size.
 pub fn leak<T>(value: T) {
     std::mem::forget(value);
 }
 
-/// Time that `work` takes on the only thread that is busy: its processor time.
-pub fn busy(work: impl FnOnce()) -> Duration {
+/// Processor time of `task`, measured as elapsed time since no other thread is busy.
+pub fn cpu_time(task: impl FnOnce()) -> Duration {
     let started = Instant::now();
-    work();
+    task();
     started.elapsed()
 }
--- a/fw-local/examples/capacity/upstreams.rs
+++ b/fw-local/examples/capacity/upstreams.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of upstreams: placement and health.
+//! Costs of an entry's view of upstreams: placement state and watched subset.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::process;
 use crate::slope;
 
-/// Workers times their watchers, over the entries.
+/// Watched upstreams per entry: workers times watchers each, divided by the entries.
 const WATCHED_PER_ENTRY: f64 = 12_000.0 * 4.0 / 380.0;
-/// Programs whose caches an entry knows of.
+/// Programs per entry whose cached prefixes are tracked.
 const PROGRAMS_PER_ENTRY: f64 = 140_000.0 / 380.0;
 
-/// The rows of this role.
+/// Measures the rows of this role.
 pub fn measure() -> Vec<slope::Row> {
     vec![memory_per_upstream(), memory_per_cache(), time_per_subset()]
 }
@@ -70,11 +70,12 @@
     let me: id::EntryId = "entry-7".into();
     let point = |count: usize| {
         let upstreams: Vec<_> = (0..count).map(|n| member("worker", n)).collect();
-        let busy = process::busy(|| {
-            let mine = subset::watched_by(&me, &entries, &upstreams, &subset::Options::default());
-            std::hint::black_box(mine);
+        let cpu_time = process::cpu_time(|| {
+            let watched =
+                subset::watched_by(&me, &entries, &upstreams, &subset::Options::default());
+            std::hint::black_box(watched);
         });
-        (count as f64, busy.as_secs_f64() * 1e6)
+        (count as f64, cpu_time.as_secs_f64() * 1e6)
     };
     slope::Row {
         role: "entry",
--- a/fw-local/src/history/doors.rs
+++ b/fw-local/src/history/endpoints.rs
@@ -1,4 +1,4 @@
-//! The entries that callers and operators can reach, as a balancer would have them.
+//! The entries that callers and operators can reach, as a load balancer would list them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,49 +12,49 @@
 use fw_entry::process::serve;
 use parking_lot::Mutex;
 
-/// One entry that runs.
+/// A running entry.
 #[derive(Clone)]
-pub struct Door {
+pub struct Endpoint {
     /// Its name in the record.
     pub process: event::ProcessId,
     /// Address for callers.
     pub callers: SocketAddr,
     /// Address for operators.
     pub admin: SocketAddr,
-    /// The entry itself, to see which records are in force there.
+    /// The entry itself, to read the records in force there.
     pub entry: Weak<entry::Entry>,
     /// When the entry started.
     pub started: Instant,
-    /// Its decisions, which outlive it.
+    /// Log of its decisions; outlives the entry.
     pub decisions: Arc<explain::Log>,
 }
 
-/// Something that an entry decided.
+/// A decision of an entry.
 #[derive(Clone, Debug)]
 pub struct Decision {
-    /// When, since the begin of the run.
+    /// Time since the start of the run.
     pub at: Duration,
     /// The entry's name in the record.
     pub process: event::ProcessId,
-    /// What, and why.
+    /// The decision and its reason.
     pub event: explain::Event,
 }
 
-/// The entries that run. Callers are not sent to one that stops.
+/// The running entries. Calls are not sent to an entry that is stopping.
 #[derive(Default)]
-pub struct Doors {
-    open: Mutex<Vec<Door>>,
-    /// Those that were ever open.
-    known: Mutex<Vec<Door>>,
+pub struct Endpoints {
+    open: Mutex<Vec<Endpoint>>,
+    /// All entries that were ever open.
+    known: Mutex<Vec<Endpoint>>,
 }
 
-/// The name that the entry of this index has in the record.
+/// Name in the record of the entry with this index.
 pub fn name(entry: usize) -> event::ProcessId {
     smol_str::format_smolstr!("entry-{entry}")
 }
 
-impl Door {
-    /// The entry of index `entry`.
+impl Endpoint {
+    /// Endpoint of the entry with index `entry`.
     pub fn new(entry: usize, running: &serve::Running) -> Self {
         let addresses = running.addresses();
         Self {
@@ -68,22 +68,22 @@
     }
 }
 
-impl Doors {
+impl Endpoints {
     /// Adds an entry.
-    pub fn open(&self, door: Door) {
-        self.known.lock().push(door.clone());
-        self.open.lock().push(door);
+    pub fn open(&self, endpoint: Endpoint) {
+        self.known.lock().push(endpoint.clone());
+        self.open.lock().push(endpoint);
     }
 
-    /// What every entry that was ever open decided about `program`, in order of time since `begun`.
+    /// Decisions about `program` of all entries that were ever open, ordered by time since `begun`.
     pub fn decisions(&self, program: &str, begun: Instant) -> Vec<Decision> {
         let mut decisions = Vec::new();
-        for door in self.known.lock().iter() {
-            let started = door.started.saturating_duration_since(begun);
-            let events = door.decisions.events(program).into_iter();
+        for endpoint in self.known.lock().iter() {
+            let started = endpoint.started.saturating_duration_since(begun);
+            let events = endpoint.decisions.events(program).into_iter();
             decisions.extend(events.map(|event| Decision {
                 at: started + Duration::from_millis(event.at_ms),
-                process: door.process.clone(),
+                process: endpoint.process.clone(),
                 event,
             }));
         }
@@ -91,19 +91,21 @@
         decisions
     }
 
-    /// Takes an entry off.
+    /// Removes an entry.
     pub fn close(&self, entry: usize) {
         let process = name(entry);
-        self.open.lock().retain(|door| door.process != process);
+        self.open
+            .lock()
+            .retain(|endpoint| endpoint.process != process);
     }
 
-    /// All entries.
-    pub fn all(&self) -> Vec<Door> {
+    /// All open entries.
+    pub fn all(&self) -> Vec<Endpoint> {
         self.open.lock().clone()
     }
 
-    /// One of the entries: the `n`-th, round and round.
-    pub fn pick(&self, n: usize) -> Option<Door> {
+    /// The `n`-th open entry, modulo their number.
+    pub fn pick(&self, n: usize) -> Option<Endpoint> {
         let open = self.open.lock();
         let place = n.checked_rem(open.len())?;
         open.get(place).cloned()
--- a/fw-local/tests/local/crashed_parts.rs
+++ b/fw-local/tests/local/crashed_parts.rs
@@ -1,4 +1,4 @@
-//! Engines, sides and entries that die between and under turns.
+//! Crashes of engines, sides and entries during and between turns.
 
 use std::time::Duration;
 
@@ -25,16 +25,16 @@
 fn long(text: &str) -> caller::Chat {
     caller::Chat {
         max_tokens: Some(60),
-        ..rig::ask(text)
+        ..rig::request(text)
     }
 }
 
-// A shopkeeper watches a page being drafted when the engine behind it crashes. The turn runs again
-// on another engine; the text goes on where it stopped, and is what an undisturbed run gives.
+// An engine crashes while it streams an answer. The turn runs again on another engine; the stream
+// must continue where it stopped, with the same text as in an undisturbed run.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_its_engine() {
-    let system = rig::with(slow()).await;
+    let system = rig::start(slow()).await;
     let undisturbed = rig::chat(system.callers(0), &long("draft")).await;
     let addr = system.callers(0);
     let task = tokio::spawn(async move { rig::chat(addr, &long("draft")).await });
@@ -47,11 +47,11 @@
     expect_that!(answer.text, eq(&undisturbed.text));
 }
 
-// The same, but the side beside the engine dies, so that nobody says what became of the turn.
+// The side crashes instead of the engine, so that the outcome of the turn is not reported.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_its_side() {
-    let mut system = rig::with(slow()).await;
+    let mut system = rig::start(slow()).await;
     let addr = system.callers(0);
     let task = tokio::spawn(async move { rig::chat(addr, &long("draft")).await });
     let engine = rig::busy_engine(&system).await;
@@ -62,8 +62,8 @@
     expect_true!(answer.is_ok());
 }
 
-// A case officer's program has two turns behind it when the entry that keeps it dies. The balancer
-// sends the third turn to another entry. It must be answered with the whole history in place.
+// The entry that keeps a program crashes after two turns, and the load balancer sends the third
+// turn to another entry. It must be answered with the whole history in place.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_program_survives_its_keeper() {
@@ -92,25 +92,25 @@
                 ("x-turn", "3".to_owned()),
                 ("x-history", "delta".to_owned()),
             ],
-            ..rig::ask("offer")
+            ..rig::request("offer")
         };
         let answer = rig::chat(system.callers(1), &chat).await;
         expect_that!(answer.kind, none());
         expect_that!(answer.turn, some(eq(3)));
         let path = format!("/v1/programs/{program}");
-        let known = caller
+        let state = caller
             .plain(system.callers(1), "GET", &path, &[], "".into())
             .await;
-        expect_that!(known.body["history"].as_array().map(Vec::len), some(eq(6)));
+        expect_that!(state.body["history"].as_array().map(Vec::len), some(eq(6)));
     }
 }
 
-// The keeper dies while it runs a turn that came in through another entry. The caller's connection
-// is not with the dead one: it must get its whole answer, a lease later.
+// The keeper crashes while it runs a turn that was received by another entry. The caller's
+// connection is to the live entry, so it must get its whole answer once the lease has lapsed.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_turn_survives_its_keeper() {
-    let mut system = rig::with(slow()).await;
+    let mut system = rig::start(slow()).await;
     let other = system.entries[1].as_ref().unwrap().entry().clone();
     let mut names = (0..).map(|n| format!("turn-{n}"));
     let kept_by_0 = |name: &String| other.keeper.fence(other.keeper.shard_of(name)).is_none();
@@ -129,8 +129,9 @@
     expect_true!(answer.is_ok());
 }
 
-// One request crashes each engine that runs it, and its caller sends it again. It is tried once
-// more, alone; then it is quarantined, and the third engine lives to answer the others.
+// A request crashes each engine that runs it, and its caller keeps sending it. It is retried once,
+// alone on an engine, and then quarantined, so that the third engine survives to answer other
+// requests.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_poison_request_is_quarantined() {
@@ -140,13 +141,13 @@
     }
     let poison = caller::Chat {
         headers: vec![("x-program", "bad".to_owned())],
-        ..rig::ask("poison")
+        ..rig::request("poison")
     };
     let mut kinds = Vec::new();
     for _ in 0..4 {
         kinds.extend(rig::chat(system.callers(0), &poison).await.kind);
     }
     expect_that!(kinds.last(), some(eq(&error::Kind::Quarantined)));
-    let good = rig::chat(system.callers(0), &rig::ask("good")).await;
+    let good = rig::chat(system.callers(0), &rig::request("good")).await;
     expect_that!(good.kind, none());
 }
