--- a/foxtailweir/src/demo/script.rs
+++ b/foxtailweir/src/demo/script.rs
@@ -92,9 +92,9 @@
     let system = system::System::start(shape).await?;
     let cx = calls::Context {
         recorder,
-        doors: Arc::default(),
+        endpoints: Arc::default(),
     };
-    let driver = faults::Driver::new(system, cx.recorder.clone(), Arc::clone(&cx.doors));
+    let driver = faults::Driver::new(system, cx.recorder.clone(), Arc::clone(&cx.endpoints));
     let mut script = Script {
         opts,
         io,
@@ -160,9 +160,14 @@
         let mut background = JoinSet::new();
         for (n, name) in ["reader-a", "reader-b"].into_iter().enumerate() {
             let rng = Pcg64::seed_from_u64(SEED + n as u64);
-            background.spawn(operate::look_up(self.cx.clone(), name, rng, stop.clone()));
+            background.spawn(operate::run_reader(
+                self.cx.clone(),
+                name,
+                rng,
+                stop.clone(),
+            ));
         }
-        background.spawn(operate::watch(self.cx.clone(), stop.clone()));
+        background.spawn(operate::sample_until_stopped(self.cx.clone(), stop.clone()));
         background
     }
 
@@ -170,7 +175,7 @@
     async fn run_scenario(&mut self, background: &mut JoinSet<()>, stop: &CancellationToken) {
         tokio::time::sleep(STEP_INTERVAL).await;
         let engine = self.busiest_engine().await;
-        let under_way = self.driver.system.engines[engine].upstream.under_way();
+        let under_way = self.driver.system.engines[engine].upstream.in_flight();
         self.progress(format_args!(
             "the side of engine {engine} crashes with {under_way} turns under way"
         ));
@@ -178,7 +183,12 @@
         self.progress("the side has restarted");
         for (n, name) in ["operator-a", "operator-b"].into_iter().enumerate() {
             let rng = Pcg64::new(SEED.into(), n as u128);
-            background.spawn(operate::change(self.cx.clone(), name, rng, stop.clone()));
+            background.spawn(operate::run_operator(
+                self.cx.clone(),
+                name,
+                rng,
+                stop.clone(),
+            ));
         }
         self.progress("two operators start to change the same record repeatedly");
         tokio::time::sleep(STEP_INTERVAL).await;
@@ -206,7 +216,7 @@
         let engines = &self.driver.system.engines;
         let until = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let loads = engines.iter().map(|worker| worker.upstream.under_way());
+            let loads = engines.iter().map(|worker| worker.upstream.in_flight());
             let most = loads.enumerate().max_by_key(|(_, load)| *load);
             let (engine, load) = most.unwrap_or_default();
             if load > 0 || Instant::now() > until {
@@ -250,10 +260,10 @@
         let Self {
             opts, cx, driver, ..
         } = self;
-        operate::settle(&cx, opts.check.in_force_within).await;
+        operate::wait_in_force(&cx, opts.check.in_force_within).await;
         let unread = read_unended(&cx, &programs).await;
         wait_released(&driver.system, &programs).await;
-        operate::look(&cx);
+        operate::sample(&cx);
         let counts = driver.system.engines.iter();
         let counts: Vec<_> = counts.map(|worker| worker.upstream.counts()).collect();
         let entries = cx.recorder.entries();
@@ -291,7 +301,7 @@
     let ended: Vec<_> = outcomes.filter(|outcome| outcome.ended).collect();
     let holds_any = || {
         system.engines.iter().any(|worker| {
-            let held = worker.upstream.held();
+            let held = worker.upstream.cached();
             ended.iter().any(|p| held.contains_key(&p.program))
         })
     };
--- a/fw-fake/src/engine/cache.rs
+++ b/fw-fake/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of a stand-in engine: whole programs in, least recently used out.
+//! Prefix cache of a stand-in engine: an LRU cache with one entry per program.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,34 +11,34 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::notes;
+use crate::recording;
 
-/// Most cache events kept for readers.
+/// Maximum number of cache events retained for readers.
 const MAX_EVENTS: usize = 10_000;
 
-/// The end of one message within a prompt: the digest up to there and the tokens up to there.
+/// End of one message within a prompt, with digest and token count of the prefix up to it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct Mark {
-    /// Digest of the prompt up to here.
+    /// Digest of the prefix.
     pub digest: digest::Digest,
-    /// Tokens of the prompt up to here.
+    /// Tokens in the prefix.
     pub tokens: id::Tokens,
 }
 
-/// A published change.
+/// A published change of the cache.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Event {
-    /// Position in the log; 1 is the first.
+    /// Sequence number in the event log, from 1.
     pub seq: u64,
-    /// The program.
+    /// Program whose entry changed.
     pub program: id::ProgramId,
-    /// Tokens held from now on.
+    /// Tokens cached after the change; 0 after an eviction.
     pub tokens: id::Tokens,
     #[serde(skip)]
     at: Instant,
 }
 
-/// What a cache holds, and the log of its changes.
+/// Cached prefixes by program, and the log of their changes.
 #[derive(Debug, Default)]
 pub(super) struct Cache {
     size: id::Tokens,
@@ -49,7 +49,7 @@
     programs: HashMap<id::ProgramId, Entry>,
     order: BTreeMap<u64, id::ProgramId>,
     events: VecDeque<Event>,
-    notes: Option<notes::Notes>,
+    recording: Option<recording::Recording>,
 }
 
 #[derive(Debug)]
@@ -65,11 +65,11 @@
 }
 
 impl Cache {
-    pub(super) fn new(size: id::Tokens, gap: u64, notes: Option<notes::Notes>) -> Self {
+    pub(super) fn new(size: id::Tokens, gap: u64, recording: Option<recording::Recording>) -> Self {
         Self {
             size,
             gap,
-            notes,
+            recording,
             ..Self::default()
         }
     }
@@ -78,19 +78,19 @@
         self.used
     }
 
-    /// Tokens at the head of `prompt` that are cached for `program`.
+    /// Tokens of the longest prefix of `prompt` that is cached for `program`.
     pub(super) fn cached(&self, program: &str, prompt: &[Mark]) -> id::Tokens {
         let Some(entry) = self.programs.get(program) else {
             return 0;
         };
         let pairs = entry.marks.iter().zip(prompt);
-        let common = pairs.take_while(|(held, asked)| held.digest == asked.digest);
-        common.last().map_or(0, |(held, _)| held.tokens)
+        let common = pairs.take_while(|(cached, requested)| cached.digest == requested.digest);
+        common.last().map_or(0, |(cached, _)| cached.tokens)
     }
 
-    /// Holds `marks` for `program`, and evicts others for it.
+    /// Caches `marks` for `program`, evicting least recently used programs to make room.
     pub(super) fn put(&mut self, program: &id::ProgramId, marks: Vec<Mark>) {
-        let was_held = self.forget(program);
+        let was_cached = self.take_out(program);
         let entry = Entry {
             marks,
             used_at: self.clock,
@@ -98,8 +98,8 @@
         let tokens = entry.tokens();
         if tokens > self.size {
             self.publish(program, 0);
-            if let Some(notes) = self.notes.as_ref().filter(|_| was_held) {
-                notes.memory_freed(program);
+            if let Some(recording) = self.recording.as_ref().filter(|_| was_cached) {
+                recording.record_memory_freed(program);
             }
             return;
         }
@@ -113,42 +113,42 @@
         self.order.insert(self.clock, program.clone());
         self.clock += 1;
         self.programs.insert(program.clone(), entry);
-        if let Some(notes) = self.notes.as_ref().filter(|_| !was_held) {
-            notes.memory_held(program);
+        if let Some(recording) = self.recording.as_ref().filter(|_| !was_cached) {
+            recording.record_memory_held(program);
         }
         self.publish(program, tokens);
     }
 
-    /// Frees what is held for `program`; false if nothing was.
+    /// Evicts the entry of `program`; returns false if there was none.
     pub(super) fn remove(&mut self, program: &id::ProgramId) -> bool {
-        let held = self.forget(program);
-        if held {
+        let was_cached = self.take_out(program);
+        if was_cached {
             self.publish(program, 0);
-            if let Some(notes) = &self.notes {
-                notes.memory_freed(program);
+            if let Some(recording) = &self.recording {
+                recording.record_memory_freed(program);
             }
         }
-        held
+        was_cached
     }
 
     pub(super) fn marks(&self, program: &str) -> Option<&[Mark]> {
         Some(&self.programs.get(program)?.marks)
     }
 
-    pub(super) fn held(&self) -> BTreeMap<id::ProgramId, id::Tokens> {
+    pub(super) fn contents(&self) -> BTreeMap<id::ProgramId, id::Tokens> {
         let entries = self.programs.iter();
         entries
             .map(|(program, entry)| (program.clone(), entry.tokens()))
             .collect()
     }
 
-    /// Events after `from` that are at least `lag` old.
+    /// Events with a sequence number above `from` that are at least `lag` old.
     pub(super) fn events(&self, from: u64, lag: Duration) -> Vec<Event> {
         let due = |event: &&Event| event.seq > from && event.at.elapsed() >= lag;
         self.events.iter().filter(due).cloned().collect()
     }
 
-    fn forget(&mut self, program: &id::ProgramId) -> bool {
+    fn take_out(&mut self, program: &id::ProgramId) -> bool {
         let Some(entry) = self.programs.remove(program) else {
             return false;
         };
--- a/fw-fake/src/engine/life.rs
+++ b/fw-fake/src/engine/incarnation.rs
@@ -1,4 +1,4 @@
-//! One life of a stand-in engine: its batch, its streams and the loop of steps.
+//! One incarnation of a stand-in engine: batch scheduler, streams and step loop.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -24,17 +24,17 @@
 use super::answer;
 use super::cache;
 use super::http;
-use crate::notes;
+use crate::recording;
 
-/// Finished streams kept for resumption.
-const MAX_STREAMS: usize = 4_096;
+/// Maximum number of finished streams retained for resumption.
+const MAX_FINISHED_STREAMS: usize = 4_096;
 
-/// Oldest load reports kept.
+/// Maximum number of past load reports retained.
 const MAX_REPORTS: usize = 1_024;
 
-/// What one life shares between its connections and its steps.
+/// State of one incarnation, shared by its connections and its step loop.
 #[derive(Debug)]
-pub(super) struct Life {
+pub(super) struct Incarnation {
     pub(super) shared: Arc<Shared>,
     pub(super) state: Mutex<State>,
     pub(super) work: Notify,
@@ -46,13 +46,13 @@
     waiting: VecDeque<Sequence>,
     running: Vec<Sequence>,
     pub(super) streams: HashMap<SmolStr, Arc<Stream>>,
-    ended: VecDeque<SmolStr>,
+    finished: VecDeque<SmolStr>,
     pub(super) cache: cache::Cache,
     reports: VecDeque<(Instant, Report)>,
     pub(super) fence: id::Fence,
 }
 
-/// What `GET /load` says.
+/// Response body of `GET /load`.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct Report {
     pub(super) incarnation: u64,
@@ -66,7 +66,7 @@
     pub(super) leaving: bool,
 }
 
-/// The chunks of one answer so far.
+/// Chunks of one answer that have been generated so far.
 #[derive(Debug)]
 pub(super) struct Stream {
     chunks: Mutex<Vec<Arc<str>>>,
@@ -95,18 +95,18 @@
         self.progress.send_modify(|count| *count += 1);
     }
 
-    /// The chunk at `offset`, if it is there.
+    /// The chunk at `offset`, if it has been generated.
     pub(super) fn chunk(&self, offset: usize) -> Option<Arc<str>> {
         self.chunks.lock().get(offset).cloned()
     }
 
-    /// Whether no further chunk will come.
+    /// Whether the stream is complete or cancelled.
     pub(super) fn is_ended(&self) -> bool {
         self.ended.load(Ordering::SeqCst)
     }
 }
 
-/// A request to run.
+/// An accepted chat request.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) id: SmolStr,
@@ -114,7 +114,7 @@
     pub(super) model: String,
     pub(super) marks: Vec<cache::Mark>,
     pub(super) tokens: u32,
-    /// What to note of the run, if it is recorded.
+    /// The work to record for the run; `None` if runs are not recorded.
     pub(super) work: Option<event::Work>,
 }
 
@@ -125,12 +125,12 @@
     digest: digest::Digest,
     prompt: id::Tokens,
     cached: id::Tokens,
-    to_prefill: id::Tokens,
-    made: u32,
-    message_digest: digest::Digest,
-    /// Digest of the answer as the record of a run has it.
+    left_to_prefill: id::Tokens,
+    generated: u32,
+    digest_after: digest::Digest,
+    /// Digest of the answer message, as recorded at the end of the run.
     answer: digest::Digest,
-    /// The run in the record, if there is one.
+    /// Identifier of the recorded run, if runs are recorded.
     run: Option<event::RunId>,
 }
 
@@ -146,9 +146,9 @@
             digest,
             prompt,
             cached,
-            to_prefill: prompt - cached,
-            made: 0,
-            message_digest: digest.extend(&message),
+            left_to_prefill: prompt - cached,
+            generated: 0,
+            digest_after: digest.extend(&message),
             answer: event::message_digest(&message),
             run: None,
             req,
@@ -165,17 +165,17 @@
         })
     }
 
-    /// Adds one token; true when the answer is whole.
+    /// Generates one token; returns true when the answer is complete.
     fn step(&mut self) -> bool {
-        if self.made == 0 {
+        if self.generated == 0 {
             let first = json!({ "role": "assistant", "content": "" });
             self.stream.push(&self.chunk(first, None));
         }
-        let text = answer::word(self.digest, self.made);
+        let text = answer::word(self.digest, self.generated);
         self.stream
             .push(&self.chunk(json!({ "content": text }), None));
-        self.made += 1;
-        self.made >= self.req.tokens
+        self.generated += 1;
+        self.generated >= self.req.tokens
     }
 
     fn finish(&self) {
@@ -188,51 +188,51 @@
             "choices": [],
             "usage": {
                 "prompt_tokens": self.prompt,
-                "completion_tokens": self.made,
-                "total_tokens": self.prompt + id::Tokens::from(self.made),
+                "completion_tokens": self.generated,
+                "total_tokens": self.prompt + id::Tokens::from(self.generated),
                 "prompt_tokens_details": { "cached_tokens": self.cached },
             },
         }));
     }
 
-    /// What the cache holds once the answer is whole.
+    /// Cache entry of the program once the answer is complete.
     fn marks_after(&self) -> Vec<cache::Mark> {
         let mut marks = self.req.marks.clone();
         marks.push(cache::Mark {
-            digest: self.message_digest,
-            tokens: self.prompt + id::Tokens::from(self.made),
+            digest: self.digest_after,
+            tokens: self.prompt + id::Tokens::from(self.generated),
         });
         marks
     }
 }
 
-/// Runs one life, until it is dropped.
+/// Runs one incarnation until the future is dropped.
 pub(super) async fn run(listener: TcpListener, shared: Arc<Shared>) {
-    shared.lives.fetch_add(1, Ordering::SeqCst);
-    shared.held.lock().clear();
-    shared.under_way.store(0, Ordering::SeqCst);
-    let _noted = notes::Life(shared.opts.notes.clone());
-    let life = Arc::new(Life::new(shared));
+    shared.incarnations.fetch_add(1, Ordering::SeqCst);
+    shared.cached.lock().clear();
+    shared.in_flight.store(0, Ordering::SeqCst);
+    let _crash_guard = recording::CrashGuard(shared.opts.recording.clone());
+    let engine = Arc::new(Incarnation::new(shared));
     tokio::select! {
-        () = http::serve(listener, life.clone()) => {}
-        () = steps(&life) => {}
-        () = samples(&life) => {}
+        () = http::serve(listener, engine.clone()) => {}
+        () = run_steps(&engine) => {}
+        () = sample_load(&engine) => {}
     }
 }
 
-impl Life {
+impl Incarnation {
     fn new(shared: Arc<Shared>) -> Self {
         let cache = cache::Cache::new(
             shared.opts.cache,
             shared.opts.cache_gap,
-            shared.opts.notes.clone(),
+            shared.opts.recording.clone(),
         );
         Self {
             state: Mutex::new(State {
                 waiting: VecDeque::new(),
                 running: Vec::new(),
                 streams: HashMap::new(),
-                ended: VecDeque::new(),
+                finished: VecDeque::new(),
                 cache,
                 reports: VecDeque::new(),
                 fence: 0,
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Accepts a request; the same id again gives the stream that it has already.
+    /// Enqueues a request. A repeated request id returns the existing stream.
     pub(super) fn submit(&self, req: Request) -> Arc<Stream> {
         let mut state = self.state.lock();
         if let Some(stream) = state.streams.get(&req.id) {
@@ -253,41 +253,41 @@
         let mut sequence = Sequence::new(req, 0);
         let stream = sequence.stream.clone();
         self.count_run(sequence.digest);
-        sequence.run = self.note_start(sequence.req.work.take());
+        sequence.run = self.record_start(sequence.req.work.take());
         state.streams.insert(id, stream.clone());
         state.waiting.push_back(sequence);
-        self.shared.under_way.fetch_add(1, Ordering::SeqCst);
+        self.shared.in_flight.fetch_add(1, Ordering::SeqCst);
         self.work.notify_one();
         stream
     }
 
-    /// Notes that a run begins, if runs are recorded.
-    pub(super) fn note_start(&self, work: Option<event::Work>) -> Option<event::RunId> {
-        let notes = self.shared.opts.notes.as_ref()?;
-        Some(notes.run_started(work?))
+    /// Records the start of a run, if runs are recorded.
+    pub(super) fn record_start(&self, work: Option<event::Work>) -> Option<event::RunId> {
+        let recording = self.shared.opts.recording.as_ref()?;
+        Some(recording.record_run_start(work?))
     }
 
-    fn note_end(&self, sequence: &Sequence, answer: Option<digest::Digest>) {
-        if let (Some(notes), Some(run)) = (&self.shared.opts.notes, sequence.run) {
-            notes.run_ended(run, answer);
+    fn record_end(&self, sequence: &Sequence, answer: Option<digest::Digest>) {
+        if let (Some(recording), Some(run)) = (&self.shared.opts.recording, sequence.run) {
+            recording.record_run_end(run, answer);
         }
     }
 
-    /// Counts a run of the prompt with this digest.
+    /// Counts a run of the prompt that has this digest.
     pub(super) fn count_run(&self, digest: digest::Digest) {
         let mut counts = self.shared.counts.lock();
         *counts.runs.entry(String::from(digest)).or_default() += 1;
     }
 
-    /// The state as it is now.
+    /// Current load.
     fn report(&self) -> Report {
         let state = self.state.lock();
         let sequences = state.waiting.iter().chain(&state.running);
         Report {
-            incarnation: self.shared.lives.load(Ordering::SeqCst),
+            incarnation: self.shared.incarnations.load(Ordering::SeqCst),
             queued: state.waiting.len(),
             running: state.running.len(),
-            prefill_tokens: sequences.map(|seq| seq.to_prefill).sum(),
+            prefill_tokens: sequences.map(|seq| seq.left_to_prefill).sum(),
             cache_used: state.cache.used(),
             cache_size: self.shared.opts.cache,
             batch: self.shared.opts.batch,
@@ -305,7 +305,7 @@
         state.reports.push_back((Instant::now(), report));
     }
 
-    /// The state as it was `load_lag` ago.
+    /// Load as of `load_lag` ago; the incarnation number and the leaving flag are current.
     pub(super) fn lagged_report(&self) -> Report {
         let lag = self.shared.opts.load_lag;
         if lag.is_zero() {
@@ -318,29 +318,29 @@
             age_ms: at.elapsed().as_millis() as u64,
             ..report.clone()
         });
-        report.incarnation = self.shared.lives.load(Ordering::SeqCst);
+        report.incarnation = self.shared.incarnations.load(Ordering::SeqCst);
         report.leaving = self.shared.leaving.load(Ordering::SeqCst);
         report
     }
 
-    /// Publishes what the cache holds to the test.
-    pub(super) fn show_cache(&self) {
-        let held = self.state.lock().cache.held();
-        *self.shared.held.lock() = held;
+    /// Copies the cache contents to where the test reads them.
+    pub(super) fn publish_cache(&self) {
+        let cached = self.state.lock().cache.contents();
+        *self.shared.cached.lock() = cached;
     }
 
-    /// One step of the batch. Returns how long it takes.
+    /// Runs one step of the batch. Returns the duration of the step.
     fn step(&self) -> Duration {
         let mut state = self.state.lock();
-        self.drop_cancelled(&mut state);
+        self.remove_cancelled(&mut state);
         self.admit(&mut state);
-        let taken_in = self.prefill(&mut state);
+        let prefilled = self.prefill(&mut state);
         self.decode(&mut state);
         drop(state);
-        self.show_cache();
+        self.publish_cache();
         let opts = &self.shared.opts;
-        let usual = opts.step + opts.prefill * u32::try_from(taken_in).unwrap_or(u32::MAX);
-        usual * self.shared.slow_percent.load(Ordering::SeqCst) / 100
+        let normal = opts.step + opts.prefill * u32::try_from(prefilled).unwrap_or(u32::MAX);
+        normal * self.shared.slow_percent.load(Ordering::SeqCst) / 100
     }
 
     fn admit(&self, state: &mut State) {
@@ -350,33 +350,33 @@
             };
             let program = sequence.req.program.as_deref().unwrap_or_default();
             sequence.cached = state.cache.cached(program, &sequence.req.marks);
-            sequence.to_prefill = sequence.prompt - sequence.cached;
+            sequence.left_to_prefill = sequence.prompt - sequence.cached;
             self.shared.counts.lock().cached += sequence.cached;
             state.running.push(sequence);
         }
         let mut counts = self.shared.counts.lock();
-        counts.widest = counts.widest.max(state.running.len());
+        counts.peak_batch = counts.peak_batch.max(state.running.len());
     }
 
     fn prefill(&self, state: &mut State) -> id::Tokens {
         let mut left = self.shared.opts.chunk;
         for sequence in &mut state.running {
-            let part = sequence.to_prefill.min(left);
-            sequence.to_prefill -= part;
+            let part = sequence.left_to_prefill.min(left);
+            sequence.left_to_prefill -= part;
             left -= part;
         }
-        let taken_in = self.shared.opts.chunk - left;
-        self.shared.counts.lock().prefilled += taken_in;
-        taken_in
+        let prefilled = self.shared.opts.chunk - left;
+        self.shared.counts.lock().prefilled += prefilled;
+        prefilled
     }
 
     fn decode(&self, state: &mut State) {
         let mut running = std::mem::take(&mut state.running);
         running.retain_mut(|sequence| {
-            if sequence.to_prefill > 0 || !sequence.step() {
+            if sequence.left_to_prefill > 0 || !sequence.step() {
                 return true;
             }
-            self.note_end(sequence, Some(sequence.answer));
+            self.record_end(sequence, Some(sequence.answer));
             sequence.finish();
             if let Some(program) = &sequence.req.program {
                 state.cache.put(program, sequence.marks_after());
@@ -388,14 +388,14 @@
         state.running = running;
     }
 
-    fn drop_cancelled(&self, state: &mut State) {
+    fn remove_cancelled(&self, state: &mut State) {
         let all = state.waiting.drain(..).map(|sequence| (false, sequence));
         let all: Vec<_> = all
             .chain(state.running.drain(..).map(|sequence| (true, sequence)))
             .collect();
         for (was_running, sequence) in all {
             if sequence.stream.cancelled.load(Ordering::SeqCst) {
-                self.note_end(&sequence, None);
+                self.record_end(&sequence, None);
                 self.end(state, &sequence);
             } else if was_running {
                 state.running.push(sequence);
@@ -407,10 +407,10 @@
 
     fn end(&self, state: &mut State, sequence: &Sequence) {
         sequence.stream.end();
-        self.shared.under_way.fetch_sub(1, Ordering::SeqCst);
-        state.ended.push_back(sequence.req.id.clone());
-        if state.ended.len() > MAX_STREAMS
-            && let Some(oldest) = state.ended.pop_front()
+        self.shared.in_flight.fetch_sub(1, Ordering::SeqCst);
+        state.finished.push_back(sequence.req.id.clone());
+        if state.finished.len() > MAX_FINISHED_STREAMS
+            && let Some(oldest) = state.finished.pop_front()
         {
             state.streams.remove(&oldest);
         }
@@ -422,35 +422,35 @@
     }
 }
 
-/// Runs steps for as long as there is work; the times of steps add up without drift.
-async fn steps(life: &Life) {
+/// Runs steps while there is work, each scheduled from the previous deadline to avoid drift.
+async fn run_steps(engine: &Incarnation) {
     let mut next = tokio::time::Instant::now();
     loop {
-        if life.is_idle() {
-            life.work.notified().await;
+        if engine.is_idle() {
+            engine.work.notified().await;
             next = tokio::time::Instant::now();
             continue;
         }
-        if life.shared.frozen.load(Ordering::SeqCst) {
+        if engine.shared.frozen.load(Ordering::SeqCst) {
             tokio::time::sleep(Duration::from_millis(1)).await;
             next = tokio::time::Instant::now();
             continue;
         }
-        let took = life.step();
-        if took.is_zero() {
+        let step_time = engine.step();
+        if step_time.is_zero() {
             tokio::task::yield_now().await;
             continue;
         }
-        next += took;
+        next += step_time;
         tokio::time::sleep_until(next).await;
     }
 }
 
-/// Samples the load, so that a late report can be given.
-async fn samples(life: &Life) {
-    const EVERY: Duration = Duration::from_millis(5);
+/// Samples the load periodically, so that reports can lag by `load_lag`.
+async fn sample_load(engine: &Incarnation) {
+    const INTERVAL: Duration = Duration::from_millis(5);
     loop {
-        life.sample();
-        tokio::time::sleep(EVERY).await;
+        engine.sample();
+        tokio::time::sleep(INTERVAL).await;
     }
 }
--- a/fw-fake/src/lib.rs
+++ b/fw-fake/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins of the platform and of upstreams, with faults to inject.
+//! Small stand-ins for the platform and for upstreams, with fault injection.
 
 pub mod engine;
 pub mod instances;
-pub mod notes;
 pub mod plain;
+pub mod recording;
 pub mod relay;
 pub mod store;
--- a/fw-fake/src/plain.rs
+++ b/fw-fake/src/plain.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service or a tool: records each request that it ran, and fails on demand.
+//! Stand-in for a plain service or a tool: records each request that it ran, and injects faults.
 
 use std::io;
 use std::net::SocketAddr;
@@ -24,36 +24,36 @@
 use smol_str::SmolStr;
 
 use crate::engine::process;
-use crate::notes;
+use crate::recording;
 
-/// Header with the caller's idempotency key.
-const KEY: &str = "idempotency-key";
+/// Header with the idempotency key of the caller.
+const KEY_HEADER: &str = "idempotency-key";
 
-/// Largest body that is kept of a request, in bytes.
-const KEPT_BODY: usize = 64 << 10;
+/// Maximum number of body bytes recorded per request.
+const MAX_RECORDED_BODY: usize = 64 << 10;
 
-/// How a stand-in service behaves.
+/// Behaviour of a stand-in service.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Time that each request takes.
+    /// Processing time of each request.
     pub delay: Duration,
-    /// How long a crashed service stays down; for good if absent.
+    /// Delay before a crashed service restarts; `None` disables automatic restarts.
     pub restart_after: Option<Duration>,
-    /// Where runs and crashes are noted; nowhere if absent.
-    pub notes: Option<notes::Notes>,
+    /// Where runs and crashes are recorded; `None` records nothing.
+    pub recording: Option<recording::Recording>,
 }
 
-/// What goes wrong with the next requests.
+/// Fault injected into subsequent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The request runs and is never answered.
+    /// The request runs but is never answered.
     Hang,
     /// The service crashes before the request runs.
     CrashBefore,
-    /// The service crashes after the request ran, before it is answered.
+    /// The service crashes after the request has run and before it is answered.
     CrashAfter,
     /// The request does not run and is answered with this status.
     Status(u16),
@@ -62,13 +62,13 @@
 /// A request that ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// The method.
+    /// HTTP method.
     pub method: SmolStr,
     /// Path and query.
     pub path: String,
-    /// The `Idempotency-Key`, if the request had one.
+    /// Value of the `Idempotency-Key` header, if present.
     pub key: Option<String>,
-    /// The body's first bytes, 64 KiB at most.
+    /// First 64 KiB of the body.
     pub body: Bytes,
 }
 
@@ -78,10 +78,10 @@
     delay: Mutex<Duration>,
     fault: Mutex<Fault>,
     runs: Mutex<Vec<Run>>,
-    notes: Option<notes::Notes>,
+    recording: Option<recording::Recording>,
 }
 
-/// A running stand-in service; dropped, it crashes for good.
+/// A running stand-in service. Dropping it stops the service as a crash does.
 #[derive(Debug)]
 pub struct Service {
     shared: Arc<Shared>,
@@ -98,50 +98,50 @@
         let shared = Arc::new(Shared {
             control: process::Control::new(opts.restart_after),
             delay: Mutex::new(opts.delay),
-            notes: opts.notes.map(notes::Notes::named),
+            recording: opts.recording.map(recording::Recording::with_unique_name),
             ..Shared::default()
         });
-        let lives = shared.clone();
-        let serve = move |listener| serve(listener, lives.clone()).boxed_local();
+        let state = shared.clone();
+        let serve = move |listener| serve(listener, state.clone()).boxed_local();
         let process = process::Process::spawn(shared.control.clone(), serve)?;
         Ok(Self { shared, process })
     }
 
-    /// Where the service listens, also after a restart.
+    /// Listen address, which a restart keeps.
     pub fn addr(&self) -> SocketAddr {
         self.process.addr()
     }
 
-    /// Sets what goes wrong from now on.
+    /// Sets the fault for subsequent requests.
     pub fn fault(&self, fault: Fault) {
         *self.shared.fault.lock() = fault;
     }
 
-    /// Sets how long each request takes from now on.
+    /// Sets the processing time of subsequent requests.
     pub fn slow(&self, delay: Duration) {
         *self.shared.delay.lock() = delay;
     }
 
-    /// Drops all connections and refuses new ones. What ran stays recorded.
+    /// Crashes the service: drops all connections and refuses new ones. The recorded runs are kept.
     pub fn crash(&self) {
         self.process.crash();
     }
 
-    /// Starts a crashed service again on its old port.
+    /// Restarts a crashed service on its previous port.
     ///
     /// # Errors
     ///
-    /// When the port cannot be bound again.
+    /// When the port cannot be rebound.
     pub fn restart(&self) -> io::Result<()> {
         self.process.restart()
     }
 
-    /// Every request that ran, in order.
+    /// All requests that ran, in order.
     pub fn runs(&self) -> Vec<Run> {
         self.shared.runs.lock().clone()
     }
 
-    /// How many requests ran under this idempotency key.
+    /// Number of requests that ran with this idempotency key.
     pub fn runs_of(&self, key: &str) -> usize {
         let runs = self.shared.runs.lock();
         let same = |run: &&Run| run.key.as_deref() == Some(key);
@@ -150,15 +150,15 @@
 }
 
 async fn serve(listener: TcpListener, shared: Arc<Shared>) {
-    let _noted = notes::Life(shared.notes.clone());
+    let _crash_guard = recording::CrashGuard(shared.recording.clone());
     let router = Router::new()
-        .fallback(answer)
+        .fallback(handle)
         .layer(DefaultBodyLimit::disable())
         .with_state(shared);
     process::serve_http(listener, router).await;
 }
 
-async fn answer(
+async fn handle(
     State(shared): State<Arc<Shared>>,
     method: Method,
     uri: Uri,
@@ -177,13 +177,13 @@
     let run = Run {
         method: method.as_str().into(),
         path: uri.to_string(),
-        key: key_of(&headers),
-        body: body.slice(..body.len().min(KEPT_BODY)),
+        key: idempotency_key(&headers),
+        body: body.slice(..body.len().min(MAX_RECORDED_BODY)),
     };
     shared.runs.lock().push(run);
-    let noted = shared.notes.as_ref().map(|notes| {
+    let recorded = shared.recording.as_ref().map(|log| {
         let request = event::request_digest(method.as_str(), &uri.to_string(), &body);
-        (notes, notes.run_started(event::Work::Plain(request)))
+        (log, log.record_run_start(event::Work::Plain(request)))
     });
     let delay = *shared.delay.lock();
     if !delay.is_zero() {
@@ -193,26 +193,26 @@
         Fault::Hang => std::future::pending().await,
         Fault::CrashAfter => crash(&shared).await,
         _ => {
-            if let Some((notes, run)) = noted {
-                notes.run_ended(run, Some(digest::Digest::of_bytes(&body)));
+            if let Some((recording, run)) = recorded {
+                recording.record_run_end(run, Some(digest::Digest::of_bytes(&body)));
             }
             echo(&headers, body)
         }
     }
 }
 
-/// Ends this life, and with it the connection that waits here.
+/// Crashes the service, which also closes the connection of the pending request.
 async fn crash(shared: &Shared) -> Response {
     shared.control.crash();
     std::future::pending().await
 }
 
-fn key_of(headers: &HeaderMap) -> Option<String> {
-    let key = headers.get(KEY)?.to_str().ok()?;
+fn idempotency_key(headers: &HeaderMap) -> Option<String> {
+    let key = headers.get(KEY_HEADER)?.to_str().ok()?;
     Some(key.to_owned())
 }
 
-/// Answers with the request's own body, so that a test can tell whose answer it is.
+/// Echoes the request body, so that a test can match an answer to its request.
 fn echo(headers: &HeaderMap, body: Bytes) -> Response {
     let plain = header::HeaderValue::from_static("text/plain");
     let content_type = headers.get(header::CONTENT_TYPE).cloned().unwrap_or(plain);
--- a/fw-fake/src/relay.rs
+++ b/fw-fake/src/relay.rs
@@ -1,5 +1,7 @@
-//! A TCP relay whose open connections can fall silent for good while new ones work, as when a
-//! firewall or address translator between the two ends forgets them.
+//! TCP relay that can blackhole its open connections while new ones work.
+//!
+//! This simulates a firewall or NAT that drops its connection state: neither end is notified, and
+//! packets of the old connections are discarded.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,10 +16,10 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::task::JoinSet;
 
-/// Bytes passed on at a time.
+/// Size of the forwarding buffer, in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// A running relay. Clones share it; it stops when the last one is dropped.
+/// Handle to a running relay, which stops when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct Relay {
     running: Arc<Running>,
@@ -33,14 +35,14 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    /// Connections of an earlier epoch are silent.
+    /// Connections opened in an earlier epoch are blackholed.
     epoch: AtomicU64,
     accepted: AtomicU64,
-    swallowed: AtomicU64,
+    blackholed_with_data: AtomicU64,
 }
 
 impl Relay {
-    /// Starts a relay to `target` on a loopback port that the system chooses.
+    /// Starts a relay to `target` on a free loopback port.
     ///
     /// # Errors
     ///
@@ -59,24 +61,27 @@
         Ok(Self { running })
     }
 
-    /// Its address.
+    /// Listen address.
     pub fn addr(&self) -> SocketAddr {
         self.running.addr
     }
 
-    /// Silences for good all connections that are open now.
-    pub fn silence(&self) {
+    /// Blackholes all currently open connections permanently.
+    pub fn blackhole(&self) {
         self.running.shared.epoch.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub fn accepted(&self) -> u64 {
         self.running.shared.accepted.load(Ordering::Relaxed)
     }
 
-    /// Silent connections on which the caller has sent something, counted once each.
-    pub fn swallowed(&self) -> u64 {
-        self.running.shared.swallowed.load(Ordering::Relaxed)
+    /// Number of blackholed connections on which the caller has sent data.
+    pub fn blackholed_with_data(&self) -> u64 {
+        self.running
+            .shared
+            .blackholed_with_data
+            .load(Ordering::Relaxed)
     }
 }
 
@@ -96,31 +101,31 @@
     let epoch = shared.epoch.load(Ordering::Relaxed);
     let (from_caller, to_caller) = caller.into_split();
     let (from_server, to_server) = server.into_split();
-    let there = pass(from_caller, to_server, epoch, &shared, true);
-    let back = pass(from_server, to_caller, epoch, &shared, false);
-    tokio::join!(there, back);
+    let upload = forward(from_caller, to_server, epoch, &shared, true);
+    let download = forward(from_server, to_caller, epoch, &shared, false);
+    tokio::join!(upload, download);
 }
 
-/// Passes bytes on until the end, or swallows them once the connection is silent. A silent
-/// connection also hides that the other end has closed.
-async fn pass(
+/// Forwards bytes until end of stream, or discards them once the connection is blackholed. A
+/// blackholed connection does not pass on to the caller that the server has closed it.
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     epoch: u64,
     shared: &Shared,
-    counts: bool,
+    is_upload: bool,
 ) {
     let mut buf = vec![0; CHUNK];
-    let mut has_swallowed = false;
+    let mut is_counted = false;
     loop {
         let read = from.read(&mut buf).await.unwrap_or(0);
-        let is_silent = shared.epoch.load(Ordering::Relaxed) != epoch;
-        if is_silent && read > 0 && counts && !has_swallowed {
-            shared.swallowed.fetch_add(1, Ordering::Relaxed);
-            has_swallowed = true;
+        let is_blackholed = shared.epoch.load(Ordering::Relaxed) != epoch;
+        if is_blackholed && read > 0 && is_upload && !is_counted {
+            shared.blackholed_with_data.fetch_add(1, Ordering::Relaxed);
+            is_counted = true;
         }
-        match (read, is_silent) {
-            (0, true) if !counts => return std::future::pending().await,
+        match (read, is_blackholed) {
+            (0, true) if !is_upload => return std::future::pending().await,
             (0, _) => return,
             (_, true) => (),
             (_, false) => {
--- a/fw-fake/tests/fake/engine_faults.rs
+++ b/fw-fake/tests/fake/engine_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the stand-in engine.
+//! Fault injection of the stand-in engine.
 
 use fw_base::chat;
 use fw_base::digest;
@@ -7,10 +7,10 @@
 use http_body_util::BodyExt;
 use serde_json::json;
 
-use crate::engine_stream::quick;
 use crate::engine_stream::url;
+use crate::engine_stream::without_delays;
 
-/// A streaming request named `id`.
+/// A streaming request with the request id `id`.
 fn request(
     engine: &engine::Engine,
     id: &str,
@@ -48,7 +48,7 @@
 #[gtest]
 #[tokio::test]
 async fn poison_crashes_the_engine() {
-    let engine = engine::Engine::spawn(quick()).unwrap();
+    let engine = engine::Engine::spawn(without_delays()).unwrap();
     engine.poison(Some("venom"));
     let client = fw_http::Client::default();
     let healthy = client.call(request(&engine, "r", "hello")).await;
@@ -59,11 +59,11 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_silenced_stream_can_be_resumed_whole() {
+async fn a_stalled_stream_can_be_resumed_completely() {
     let engine = engine::Engine::spawn(engine::Options::default()).unwrap();
     let client = fw_http::Client::default();
-    let _silent = client.stream(request(&engine, "r", "hello")).await.unwrap();
-    engine.silence();
+    let _stalled = client.stream(request(&engine, "r", "hello")).await.unwrap();
+    engine.stall_streams();
     let uri = url(&engine, "/streams/r?offset=0");
     let resumed = client.get(&uri).await.unwrap();
     let text = String::from_utf8(resumed.body.to_vec()).unwrap();
--- a/fw-fake/tests/fake/store_state.rs
+++ b/fw-fake/tests/fake/store_state.rs
@@ -1,4 +1,4 @@
-//! Revisions, transactions and leases of the store's state.
+//! Revisions, transactions, compaction and leases of the store's state.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn reads_see_the_revision_asked_for() {
+fn reads_see_the_requested_revision() {
     let mut state = mvcc::Mvcc::default();
     let at = state
         .txn(&[], vec![put("a", "1", 0)], vec![])
@@ -45,8 +45,8 @@
         revision: at,
         limit: 0,
     };
-    let mvcc::Reply::Got { kvs, .. } = state.read(&read).unwrap() else {
-        panic!("a read brings keys");
+    let mvcc::Reply::Range { kvs, .. } = state.read(&read).unwrap() else {
+        panic!("a read returns keys");
     };
     expect_eq!(kvs[0].value, b"1");
 }
@@ -58,8 +58,8 @@
     state.txn(&[], vec![put("b", "2", 0)], vec![]).unwrap();
     let newest = state.revision();
     state.compact(newest);
-    let gone = mvcc::Refusal::Compacted(newest + 1);
-    expect_that!(state.changes(&everything(), newest), err(eq(&gone)));
+    let compacted = mvcc::Refusal::Compacted(newest + 1);
+    expect_that!(state.changes(&everything(), newest), err(eq(&compacted)));
     let read = mvcc::Read {
         span: everything(),
         ..mvcc::Read::default()
@@ -67,7 +67,7 @@
     let got = state.read(&read).unwrap();
     expect_that!(
         got,
-        matches_pattern!(mvcc::Reply::Got {
+        matches_pattern!(mvcc::Reply::Range {
             kvs: len(eq(2)),
             ..
         })
@@ -75,7 +75,7 @@
 }
 
 #[gtest]
-fn lapsed_lease_takes_its_keys_along() {
+fn an_expired_lease_deletes_its_keys() {
     let mut state = mvcc::Mvcc::default();
     let start = Instant::now();
     let lease = state.grant(Duration::from_secs(1), start);
--- a/fw-local/examples/load/closed.rs
+++ b/fw-local/examples/load/closed.rs
@@ -1,4 +1,5 @@
-//! A closed loop: a fixed number of callers, each of which sends its next call after the last.
+//! Closed-loop load generator: a fixed number of callers, each of which sends its next call once
+//! the last one has ended.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,37 +12,37 @@
 use hdrhistogram::Histogram;
 use tokio::task::JoinSet;
 
-/// Longest time that is told apart, in microseconds.
-const LONGEST: u64 = 600_000_000;
-/// Decimal digits that a histogram keeps.
-const DIGITS: u8 = 3;
+/// Upper bound of the histograms, in microseconds.
+const MAX_MICROS: u64 = 600_000_000;
+/// Significant decimal digits of the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What is sent.
+/// The load that is sent.
 #[derive(Clone, Copy, Debug)]
-pub enum Work {
+pub enum Workload {
     /// GET requests to a plain service.
     Plain,
-    /// Programs of so many turns, answers streamed, each turn with the whole history.
+    /// Programs with streamed answers, whose turns each send the whole history.
     Programs {
-        /// Turns of each program.
+        /// Number of turns of each program.
         turns: u32,
-        /// Words of the first message.
+        /// Number of words in the first message.
         words: usize,
-        /// Tokens of each answer.
+        /// Most tokens of each answer.
         answer: u64,
     },
 }
 
-/// What came of it.
+/// Measurements of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// Time of a plain request or a whole program, in microseconds.
     pub took: Histogram<u64>,
     /// Time to the first token of each turn, in microseconds.
     pub first: Histogram<u64>,
-    /// Calls, or programs, that failed; they count in no histogram.
+    /// Number of calls or programs that failed; they are in no histogram.
     pub failed: usize,
-    /// The first error seen.
+    /// The first error.
     pub error: Option<String>,
 }
 
@@ -57,7 +58,7 @@
 }
 
 impl Outcome {
-    /// Adds what `other` saw.
+    /// Merges the measurements of `other`.
     pub fn add(&mut self, other: &Self) {
         self.took += &other.took;
         self.first += &other.first;
@@ -65,17 +66,17 @@
         self.error = self.error.take().or_else(|| other.error.clone());
     }
 
-    fn fail(&mut self, why: String) {
+    fn record_failure(&mut self, why: String) {
         self.failed += 1;
         self.error.get_or_insert(why);
     }
 }
 
-/// Sends `calls` pieces of `work`, `concurrency` at a time, spread over `addrs` in turn. Names of
-/// programs begin with `name`.
+/// Sends `calls` requests or programs of `workload`, `concurrency` at a time, round-robin over
+/// `addrs`. Names of programs begin with `name`.
 pub async fn run(
     addrs: &[SocketAddr],
-    work: Work,
+    workload: Workload,
     concurrency: usize,
     calls: usize,
     name: &str,
@@ -96,10 +97,17 @@
                     return outcome;
                 }
                 let addr = addrs[call % addrs.len()];
-                match work {
-                    Work::Plain => plain(&caller, addr, &mut outcome).await,
-                    Work::Programs { .. } => {
-                        program(&caller, addr, work, format!("{name}-{call}"), &mut outcome).await;
+                match workload {
+                    Workload::Plain => plain(&caller, addr, &mut outcome).await,
+                    Workload::Programs { .. } => {
+                        program(
+                            &caller,
+                            addr,
+                            workload,
+                            format!("{name}-{call}"),
+                            &mut outcome,
+                        )
+                        .await;
                     }
                 }
             }
@@ -119,22 +127,22 @@
     if answer.status == 200 && answer.whole {
         record(&mut outcome.took, answer.took);
     } else {
-        outcome.fail(format!("{} {}", answer.status, answer.text));
+        outcome.record_failure(format!("{} {}", answer.status, answer.text));
     }
 }
 
 async fn program(
     caller: &caller::Caller,
     addr: SocketAddr,
-    work: Work,
+    workload: Workload,
     program: String,
     outcome: &mut Outcome,
 ) {
-    let Work::Programs {
+    let Workload::Programs {
         turns,
         words,
         answer,
-    } = work
+    } = workload
     else {
         return;
     };
@@ -155,15 +163,15 @@
     if ran.finished {
         record(&mut outcome.took, ran.took);
     } else {
-        outcome.fail(format!("after {} turns: {:?}", ran.turns, ran.errors));
+        outcome.record_failure(format!("after {} turns: {:?}", ran.turns, ran.errors));
     }
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, DIGITS).expect("the bounds are valid")
+    Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS).expect("the bounds are valid")
 }
 
 fn record(histogram: &mut Histogram<u64>, time: Duration) {
-    let micros = u64::try_from(time.as_micros()).unwrap_or(LONGEST);
+    let micros = u64::try_from(time.as_micros()).unwrap_or(MAX_MICROS);
     histogram.saturating_record(micros);
 }
--- a/fw-local/src/caller.rs
+++ b/fw-local/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: speaks OpenAI's API to an entry and takes down what it gets.
+//! A client of OpenAI's API that calls an entry and collects the answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Longest that a caller waits for the head of an answer.
+/// Longest wait for the head of an answer.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Longest that a caller waits for a further piece of a streamed answer.
-const PIECE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Longest wait for the next chunk of a streamed answer.
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A caller. Clones share its connections.
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
     pub stream: bool,
     /// Most tokens to generate, if set.
     pub max_tokens: Option<u64>,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
 }
 
@@ -53,53 +53,53 @@
     }
 }
 
-/// What a caller got.
+/// The answer to a call, as far as it was received.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// HTTP status; 0 if no answer came.
+    /// HTTP status; 0 if no answer was received.
     pub status: u16,
-    /// The answer's text, as far as it came.
+    /// The answer's text, as far as it was received.
     pub text: String,
-    /// Whether the answer came to its end: the whole body, or `[DONE]`.
+    /// Whether the answer was received completely: the whole body, or a stream up to `[DONE]`.
     pub whole: bool,
-    /// The error's kind, if one was told.
+    /// Kind of the error, if one was received.
     pub kind: Option<error::Kind>,
-    /// Whether the call ran, as an error told it.
+    /// Whether the call ran, as stated by the error.
     pub ran: Option<error::Ran>,
-    /// When to send the call again, as an error told it.
+    /// Delay before a retry, as stated by the error.
     pub retry_after: Option<Duration>,
-    /// The program, as the answer named it.
+    /// The program, from the answer's headers.
     pub program: Option<String>,
-    /// The turn, as the answer named it.
+    /// The turn, from the answer's headers.
     pub turn: Option<u32>,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt: u64,
-    /// Prompt tokens that came from a cache.
+    /// Number of prompt tokens served from a cache.
     pub cached: u64,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub completion: u64,
-    /// Time to the first piece of text.
+    /// Time to the first chunk of text.
     pub first: Duration,
-    /// Time to the end.
+    /// Time to the end of the answer.
     pub took: Duration,
-    /// The body as JSON, where it was that.
+    /// The body of an answer that was not streamed, if it is JSON.
     pub body: Value,
 }
 
 impl Answer {
-    /// Whether the whole answer came.
+    /// Whether the answer was received completely and without an error.
     pub fn is_ok(&self) -> bool {
         self.status == 200 && self.whole && self.kind.is_none()
     }
 
-    /// The answer as the next turn's history holds it.
+    /// The answer as a message of the next turn's history.
     pub fn message(&self) -> Value {
         json!({ "role": "assistant", "content": self.text })
     }
 }
 
 impl Caller {
-    /// A caller without a key.
+    /// Creates a caller without a key.
     pub fn new() -> Self {
         let http = fw_http::Client::new(fw_http::Options {
             head_timeout: HEAD_TIMEOUT,
@@ -109,7 +109,7 @@
         Self { http, key: None }
     }
 
-    /// The same caller with a bearer key.
+    /// Sets the bearer key.
     pub fn with_key(self, key: &str) -> Self {
         Self {
             key: Some(key.to_owned()),
@@ -140,16 +140,16 @@
             return Answer::default();
         };
         let streamed = chat.stream && answer.status() == http::StatusCode::OK;
-        let mut got = head(&answer);
+        let mut result = head(&answer);
         match streamed {
-            true => read_stream(answer.into_body(), started, &mut got).await,
-            false => read_whole(answer.into_body(), started, &mut got).await,
+            true => read_stream(answer.into_body(), started, &mut result).await,
+            false => read_whole(answer.into_body(), started, &mut result).await,
         }
-        got.took = started.elapsed();
-        got
+        result.took = started.elapsed();
+        result
     }
 
-    /// Sends any other request and collects its answer.
+    /// Sends any other request and collects the answer.
     pub async fn plain(
         &self,
         addr: SocketAddr,
@@ -162,10 +162,10 @@
         let Some(answer) = self.send(addr, method, path, headers, body).await else {
             return Answer::default();
         };
-        let mut got = head(&answer);
-        read_whole(answer.into_body(), started, &mut got).await;
-        got.took = started.elapsed();
-        got
+        let mut result = head(&answer);
+        read_whole(answer.into_body(), started, &mut result).await;
+        result.took = started.elapsed();
+        result
     }
 
     async fn send(
@@ -210,80 +210,80 @@
     }
 }
 
-async fn read_whole(body: Incoming, started: Instant, got: &mut Answer) {
-    let collected = tokio::time::timeout(PIECE_TIMEOUT, body.collect()).await;
+async fn read_whole(body: Incoming, started: Instant, result: &mut Answer) {
+    let collected = tokio::time::timeout(CHUNK_TIMEOUT, body.collect()).await;
     let Ok(Ok(collected)) = collected else {
         return;
     };
     let bytes = collected.to_bytes();
-    got.first = started.elapsed();
-    got.whole = true;
-    got.text = String::from_utf8_lossy(&bytes).into_owned();
+    result.first = started.elapsed();
+    result.whole = true;
+    result.text = String::from_utf8_lossy(&bytes).into_owned();
     let Ok(value) = serde_json::from_slice::<Value>(&bytes) else {
         return;
     };
-    note_error(&value, got);
-    note_usage(&value, got);
+    parse_error(&value, result);
+    parse_usage(&value, result);
     let content = value.pointer("/choices/0/message/content");
     if let Some(content) = content.and_then(Value::as_str) {
-        got.text = content.to_owned();
+        result.text = content.to_owned();
     }
-    got.body = value;
+    result.body = value;
 }
 
-async fn read_stream(mut body: Incoming, started: Instant, got: &mut Answer) {
+async fn read_stream(mut body: Incoming, started: Instant, result: &mut Answer) {
     let mut rest = String::new();
-    while let Ok(Some(Ok(frame))) = tokio::time::timeout(PIECE_TIMEOUT, body.frame()).await {
+    while let Ok(Some(Ok(frame))) = tokio::time::timeout(CHUNK_TIMEOUT, body.frame()).await {
         let Some(data) = frame.data_ref() else {
             continue;
         };
         rest.push_str(&String::from_utf8_lossy(data));
         while let Some(end) = rest.find("\n\n") {
             let line: String = rest.drain(..end + 2).collect();
-            take_event(line.trim(), started, got);
+            handle_event(line.trim(), started, result);
         }
     }
 }
 
-fn take_event(line: &str, started: Instant, got: &mut Answer) {
+fn handle_event(line: &str, started: Instant, result: &mut Answer) {
     let Some(data) = line.strip_prefix("data: ") else {
         return;
     };
     if data == "[DONE]" {
-        got.whole = true;
+        result.whole = true;
         return;
     }
     let Ok(value) = serde_json::from_str::<Value>(data) else {
         return;
     };
-    note_error(&value, got);
-    note_usage(&value, got);
+    parse_error(&value, result);
+    parse_usage(&value, result);
     let content = value.pointer("/choices/0/delta/content");
     if let Some(content) = content.and_then(Value::as_str) {
-        if got.text.is_empty() {
-            got.first = started.elapsed();
+        if result.text.is_empty() {
+            result.first = started.elapsed();
         }
-        got.text.push_str(content);
+        result.text.push_str(content);
     }
 }
 
-fn note_error(value: &Value, got: &mut Answer) {
+fn parse_error(value: &Value, result: &mut Answer) {
     let Some(err) = value.get("error") else {
         return;
     };
     let field = |name: &str| err.get(name).cloned().unwrap_or_default();
-    got.kind = serde_json::from_value(field("kind")).ok();
-    got.ran = serde_json::from_value(field("ran")).ok();
+    result.kind = serde_json::from_value(field("kind")).ok();
+    result.ran = serde_json::from_value(field("ran")).ok();
     let after = field("retry_after").as_f64();
-    got.retry_after = after.and_then(|secs| Duration::try_from_secs_f64(secs).ok());
+    result.retry_after = after.and_then(|secs| Duration::try_from_secs_f64(secs).ok());
 }
 
-fn note_usage(value: &Value, got: &mut Answer) {
+fn parse_usage(value: &Value, result: &mut Answer) {
     let Some(usage) = value.get("usage").filter(|usage| usage.is_object()) else {
         return;
     };
     let count = |path: &str| usage.pointer(path).and_then(Value::as_u64).unwrap_or(0);
-    got.prompt = count("/prompt_tokens");
-    got.completion = count("/completion_tokens");
-    got.cached = count("/prompt_tokens_details/cached_tokens");
+    result.prompt = count("/prompt_tokens");
+    result.completion = count("/completion_tokens");
+    result.cached = count("/prompt_tokens_details/cached_tokens");
 }
--- a/fw-local/src/faults.rs
+++ b/fw-local/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed, brought about in a running system and healed again.
+//! Fault injection: faults drawn from a seed, injected into a running system and healed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,27 +12,27 @@
 use tokio::task::JoinSet;
 
 use crate::caller;
-use crate::history::doors;
+use crate::history::endpoints;
 use crate::system;
 
-/// Most faults of a schedule.
-const MOST: usize = 3;
-/// When the first faults begin, and the last, in milliseconds.
-const BEGIN_MS: std::ops::Range<u64> = 300..2_500;
-/// How long a fault lasts, in milliseconds.
-const LAST_MS: std::ops::Range<u64> = 300..2_500;
-/// Delay of a slow store.
+/// Most faults in a schedule.
+const MAX_FAULTS: usize = 3;
+/// Range of the times at which faults begin, in milliseconds.
+const START_MS: std::ops::Range<u64> = 300..2_500;
+/// Range of the durations of faults, in milliseconds.
+const DURATION_MS: std::ops::Range<u64> = 300..2_500;
+/// Delay added to each call of a slow store.
 const STORE_DELAY: Duration = Duration::from_millis(150);
-/// How much slower a slow engine is.
+/// Factor by which a slow engine is slower.
 const ENGINE_FACTOR: f32 = 8.0;
-/// How far a lagging instance list is behind.
+/// Age of a lagging instance list.
 const LIST_LAG: Duration = Duration::from_secs(2);
-/// Time between two looks whether a new entry is ready.
+/// Interval at which a new entry's readiness is polled.
 const READY_POLL: Duration = Duration::from_millis(50);
-/// Most such looks.
-const READY_LOOKS: usize = 400;
+/// Most polls of a new entry's readiness.
+const MAX_READY_POLLS: usize = 400;
 
-/// Something that goes wrong. Numbers are indices into the system.
+/// A kind of fault. Numbers are indices into the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// An entry crashes; another one is started later.
@@ -43,60 +43,60 @@
     KillSide(usize),
     /// An engine crashes and starts again.
     CrashEngine(usize),
-    /// An engine takes requests and does nothing.
+    /// An engine accepts requests and makes no progress.
     FreezeEngine(usize),
-    /// The streams that an engine has open fall silent.
+    /// The open streams of an engine stop sending.
     SilenceEngine(usize),
     /// An engine is slow.
     SlowEngine(usize),
-    /// An engine loses orders to free memory.
+    /// An engine loses the requests to release memory.
     LoseReleases(usize),
     /// An engine leaves for good.
     LeaveEngine(usize),
-    /// The store is away, for one entry or for all.
+    /// The store is unavailable to one entry or to all.
     StoreAway(Option<usize>, store::Outage),
-    /// The store loses each other answer to a change.
+    /// The store loses every answer to a change with a probability of one half.
     LoseAnswers,
     /// The store is slow.
     SlowStore,
-    /// A plain service crashes on each request, before or after it ran.
+    /// A plain service crashes on each request, before or after running it.
     CrashTool(usize, plain::Fault),
-    /// The instance list lags.
+    /// The instance list is out of date.
     LagList,
 }
 
-/// A fault with its time.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timed {
-    /// When it begins.
+    /// Time at which it is injected.
     pub at: Duration,
-    /// When it is healed, after that.
+    /// Time from injection until it is healed.
     pub lasts: Duration,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
 /// Sizes of the system that faults are drawn for.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Entries at the start.
+    /// Number of entries at the start.
     pub entries: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Plain services.
+    /// Number of plain services.
     pub tools: usize,
 }
 
 /// Draws one to three faults.
 pub fn draw(rng: &mut Pcg64, opts: &Options) -> Vec<Timed> {
-    let count = rng.random_range(1..=MOST);
+    let count = rng.random_range(1..=MAX_FAULTS);
     let timed = |_| Timed {
-        at: Duration::from_millis(rng.random_range(BEGIN_MS)),
-        lasts: Duration::from_millis(rng.random_range(LAST_MS)),
+        at: Duration::from_millis(rng.random_range(START_MS)),
+        lasts: Duration::from_millis(rng.random_range(DURATION_MS)),
         fault: draw_one(rng, opts),
     };
     let mut drawn: Vec<_> = (0..count).map(timed).collect();
-    // One engine at most leaves: the others are to go on.
+    // At most one engine leaves, so that the others can take over its work.
     let mut leaves = false;
     drawn.retain(|timed| match timed.fault {
         Fault::LeaveEngine(_) => !std::mem::replace(&mut leaves, true),
@@ -133,71 +133,71 @@
     }
 }
 
-/// Brings faults about in one system.
+/// Injects faults into one system.
 pub struct Driver {
     /// The system.
     pub system: system::System,
     recorder: recorder::Recorder,
-    doors: Arc<doors::Doors>,
-    /// Entries that stop, and entries that are not ready yet.
+    endpoints: Arc<endpoints::Endpoints>,
+    /// Tasks of entries that are stopping or not ready yet.
     tasks: JoinSet<()>,
 }
 
 enum Step {
-    Begin,
+    Inject,
     Heal,
 }
 
 impl Driver {
-    /// A driver of `system`, whose entries are open to callers from now on.
+    /// Creates a driver of `system` and opens its entries to callers.
     pub fn new(
         system: system::System,
         recorder: recorder::Recorder,
-        doors: Arc<doors::Doors>,
+        endpoints: Arc<endpoints::Endpoints>,
     ) -> Self {
         for (index, entry) in system.entries.iter().enumerate() {
             if let Some(running) = entry {
-                doors.open(doors::Door::new(index, running));
+                endpoints.open(endpoints::Endpoint::new(index, running));
             }
         }
         Self {
             system,
             recorder,
-            doors,
+            endpoints,
             tasks: JoinSet::new(),
         }
     }
 
-    /// Brings `faults` about, each at its time from now on, and heals them.
+    /// Injects each fault at its time, counted from now, and heals it.
     pub async fn run(&mut self, faults: &[Timed]) {
         let begun = tokio::time::Instant::now();
-        let begins = faults.iter().map(|f| (f.at, Step::Begin, f.fault));
+        let begins = faults.iter().map(|f| (f.at, Step::Inject, f.fault));
         let heals = faults.iter().map(|f| (f.at + f.lasts, Step::Heal, f.fault));
         let mut steps: Vec<_> = begins.chain(heals).collect();
         steps.sort_by_key(|(at, ..)| *at);
         for (at, step, fault) in steps {
             tokio::time::sleep_until(begun + at).await;
             match step {
-                Step::Begin => self.begin(fault),
+                Step::Inject => self.inject(fault),
                 Step::Heal => self.heal(fault).await,
             }
         }
     }
 
-    /// Waits until entries that stop have ended and new ones are open.
+    /// Waits until stopping entries have stopped and new ones are open.
     pub async fn settle(&mut self) {
         while self.tasks.join_next().await.is_some() {}
     }
 
-    /// Ends the system at once.
+    /// Kills all entries of the system.
     pub fn end(mut self) {
         for entry in 0..self.system.entries.len() {
-            self.doors.close(entry);
+            self.endpoints.close(entry);
             self.system.kill_entry(entry);
         }
     }
 
-    fn begin(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         let engines = &self.system.engines;
         let store = &self.system.store;
         match fault {
@@ -210,7 +210,7 @@
             }
             Fault::CrashEngine(engine) => engines[engine].upstream.crash(),
             Fault::FreezeEngine(engine) => engines[engine].upstream.freeze(true),
-            Fault::SilenceEngine(engine) => engines[engine].upstream.silence(),
+            Fault::SilenceEngine(engine) => engines[engine].upstream.stall_streams(),
             Fault::SlowEngine(engine) => engines[engine].upstream.slow(ENGINE_FACTOR),
             Fault::LoseReleases(engine) => engines[engine].upstream.lose_releases(true),
             Fault::LeaveEngine(engine) => self.leave_engine(engine),
@@ -257,8 +257,8 @@
         if self.system.entries[entry].is_none() {
             return;
         }
-        self.doors.close(entry);
-        let process = doors::name(entry);
+        self.endpoints.close(entry);
+        let process = endpoints::name(entry);
         self.recorder.record(Event::Crashed { process });
         self.system.kill_entry(entry);
     }
@@ -267,9 +267,9 @@
         let Some(running) = self.system.entries[entry].take() else {
             return;
         };
-        self.doors.close(entry);
+        self.endpoints.close(entry);
         let recorder = self.recorder.clone();
-        let process = doors::name(entry);
+        let process = endpoints::name(entry);
         recorder.record(Event::ShutdownBegun {
             process: process.clone(),
         });
@@ -282,28 +282,28 @@
 
     fn leave_engine(&mut self, engine: usize) {
         let upstream = &self.system.engines[engine].upstream;
-        if let Some(name) = upstream.noted_as() {
+        if let Some(name) = upstream.recorded_name() {
             let upstream = name.clone();
             self.recorder.record(Event::UpstreamLeaving { upstream });
         }
         upstream.leave(true);
     }
 
-    /// Starts an entry, which is open to callers as soon as it says that it is ready.
+    /// Starts an entry and opens it to callers once it reports readiness.
     async fn add_entry(&mut self) {
         let added = self.system.add_entry("hall-a").await;
         let index = added.expect("a port on loopback is free");
         let Some(running) = &self.system.entries[index] else {
             return;
         };
-        let door = doors::Door::new(index, running);
-        let doors = Arc::clone(&self.doors);
+        let endpoint = endpoints::Endpoint::new(index, running);
+        let endpoints = Arc::clone(&self.endpoints);
         self.tasks.spawn(async move {
-            for _ in 0..READY_LOOKS {
+            for _ in 0..MAX_READY_POLLS {
                 let caller = caller::Caller::new();
-                let ready = caller.plain(door.callers, "GET", "/readyz", &[], "".into());
+                let ready = caller.plain(endpoint.callers, "GET", "/readyz", &[], "".into());
                 if ready.await.status == 200 {
-                    doors.open(door);
+                    endpoints.open(endpoint);
                     return;
                 }
                 tokio::time::sleep(READY_POLL).await;
--- a/fw-local/src/history/mod.rs
+++ b/fw-local/src/history/mod.rs
@@ -1,10 +1,11 @@
-//! Runs of callers, operators and faults against a whole system, each recorded and judged by the
-//! checker of the promises.
+//! Randomized runs of callers, operators and faults against a whole system. Each run is recorded
+//! and its record verified by the checker of the promises.
 //!
-//! What a run does is drawn from its seed; how its threads interleave is not.
+//! The workload and the faults are drawn from the run's seed; the interleaving of threads is not
+//! reproducible.
 
 pub mod calls;
-pub mod doors;
+pub mod endpoints;
 pub mod operate;
 pub mod program;
 
@@ -20,8 +21,8 @@
 use fw_check::event;
 use fw_check::recorder;
 use fw_fake::engine;
-use fw_fake::notes;
 use fw_fake::plain;
+use fw_fake::recording;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use tokio::task::JoinSet;
@@ -30,26 +31,27 @@
 use crate::faults;
 use crate::system;
 
-/// Ports of the store for entries that are started during a run.
+/// Store ports reserved for entries that are started during a run.
 const SPARE_PORTS: usize = 4;
-/// Time after which a crashed plain service is back.
+/// Time after which a crashed plain service restarts.
 const TOOL_RESTART: Duration = Duration::from_millis(100);
-/// Longest wait for histories at the end of a run.
-const READ_LIMIT: Duration = Duration::from_secs(15);
-/// Longest that an engine may hold memory of a program that was ended. A side that was crashed as the
-/// program ended asks its keeper only once the program was idle for 30 s (`ask_after` of the side).
-const FREE_WITHIN: Duration = Duration::from_secs(40);
-/// Time between two looks at the engines' memory.
+/// Longest time to read the histories at the end of a run.
+const READ_TIMEOUT: Duration = Duration::from_secs(15);
+/// Longest that an engine may hold memory of a program that was ended. A side that was down when
+/// the program ended queries its keeper only once the program has been idle for 30 s (`ask_after`
+/// of the side).
+const FREE_TIMEOUT: Duration = Duration::from_secs(40);
+/// Interval at which the engines' memory is polled.
 const MEMORY_POLL: Duration = Duration::from_millis(50);
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// What programs and faults are drawn from.
+    /// Seed of the generator that programs and faults are drawn from.
     pub seed: u64,
-    /// Programs.
+    /// Number of programs.
     pub programs: usize,
-    /// Whether anything goes wrong.
+    /// Whether faults are injected.
     pub faults: bool,
     /// Time after which the caller of a program gives up.
     pub limit: Duration,
@@ -65,7 +67,7 @@
             faults: true,
             limit: Duration::from_secs(40),
             check: check::Options {
-                free_within: FREE_WITHIN,
+                free_within: FREE_TIMEOUT,
                 leave_within: Duration::from_secs(4),
                 in_force_within: Duration::from_secs(8),
             },
@@ -73,49 +75,49 @@
     }
 }
 
-/// What became of a run.
+/// Result of a run.
 pub struct Outcome {
-    /// The record.
+    /// The recorded events.
     pub entries: Vec<event::Entry>,
     /// The checker's verdicts.
     pub report: check::Report,
-    /// What went wrong, as drawn.
+    /// The injected faults.
     pub faults: Vec<faults::Timed>,
-    /// How the programs went.
+    /// Outcome of each program.
     pub programs: Vec<program::Outcome>,
     /// Programs whose history could not be read at the end.
     pub unread: Vec<id::ProgramId>,
-    /// What the entries decided about programs that went wrong: the record tells what callers saw,
-    /// these tell why.
-    pub decisions: Vec<(id::ProgramId, Vec<doors::Decision>)>,
-    /// Time that the run took.
+    /// Decisions of the entries about programs that failed or violated a promise. The record holds
+    /// only the results that callers saw; these explain them.
+    pub decisions: Vec<(id::ProgramId, Vec<endpoints::Decision>)>,
+    /// Duration of the run.
     pub took: Duration,
 }
 
 impl Outcome {
-    /// Whether every promise held and every program was finished.
+    /// Whether every promise held, every program was finished and every history could be read.
     pub fn is_good(&self) -> bool {
         let all_finished = self.programs.iter().all(|program| program.finished);
         !self.report.is_violated() && all_finished && self.unread.is_empty()
     }
 
-    /// Programs finished.
+    /// Number of programs finished.
     pub fn finished(&self) -> usize {
         let finished = self.programs.iter().filter(|program| program.finished);
         finished.count()
     }
 
-    /// Programs that the system does not know as far as their callers were answered: a next turn
-    /// was refused for it, or the history could not be read.
+    /// Number of programs of which the system has lost turns that were answered to their callers:
+    /// the next turn was refused because of it, or the history could not be read.
     pub fn lost(&self) -> usize {
         let is_lost = |p: &&program::Outcome| {
-            let is_refused = p.answered > 0 && p.refused.is_some_and(tells_loss);
+            let is_refused = p.answered > 0 && p.refused.is_some_and(indicates_loss);
             is_refused || self.unread.contains(&p.program)
         };
         self.programs.iter().filter(is_lost).count()
     }
 
-    /// How often `promise` was violated.
+    /// Number of violations of `promise`.
     pub fn violations(&self, promise: check::Promise) -> usize {
         match self.report.verdict(promise) {
             check::Verdict::Violated { evidence } => evidence.len(),
@@ -136,7 +138,7 @@
             writeln!(f, "unread     {program}")?;
         }
         for (program, decisions) in &self.decisions {
-            for doors::Decision { at, process, event } in decisions {
+            for endpoints::Decision { at, process, event } in decisions {
                 let (what, why) = (&event.what, &event.why);
                 writeln!(f, "{program} at {at:?}, {process}: {what}: {why}")?;
             }
@@ -145,15 +147,15 @@
     }
 }
 
-/// Whether an error to the next turn says that the turns before it are not known.
-fn tells_loss(kind: error::Kind) -> bool {
+/// Whether an error to a turn shows that the entry lacks the turns before it.
+fn indicates_loss(kind: error::Kind) -> bool {
     use error::Kind::HistoryMismatch;
     use error::Kind::UnknownProgram;
     use error::Kind::WrongTurn;
     matches!(kind, HistoryMismatch | UnknownProgram | WrongTurn)
 }
 
-/// Runs callers, operators and faults against a system of their own, and judges the record.
+/// Runs callers, operators and faults against a system of their own, and checks the record.
 ///
 /// # Errors
 ///
@@ -161,11 +163,11 @@
 pub async fn run(opts: &Options) -> io::Result<Outcome> {
     let begun = Instant::now();
     let recorder = recorder::Recorder::new();
-    let shape = shape(&recorder);
+    let system_opts = system_opts(&recorder);
     let sizes = faults::Options {
-        entries: shape.entries.len(),
-        engines: shape.engines.len(),
-        tools: shape.tools.len(),
+        entries: system_opts.entries.len(),
+        engines: system_opts.engines.len(),
+        tools: system_opts.tools.len(),
     };
     let mut rng = Pcg64::seed_from_u64(opts.seed);
     let faults = match opts.faults {
@@ -175,12 +177,12 @@
     let plans = plans(&mut rng, opts);
     let cx = calls::Context {
         recorder,
-        doors: Arc::default(),
+        endpoints: Arc::default(),
     };
-    let system = system::System::start(shape).await?;
-    let mut driver = faults::Driver::new(system, cx.recorder.clone(), Arc::clone(&cx.doors));
+    let system = system::System::start(system_opts).await?;
+    let mut driver = faults::Driver::new(system, cx.recorder.clone(), Arc::clone(&cx.endpoints));
     let stop = CancellationToken::new();
-    let mut others = others(&cx, opts.seed, &stop);
+    let mut background = start_background(&cx, opts.seed, &stop);
     let mut agents = JoinSet::new();
     for plan in plans {
         agents.spawn(program::run(cx.clone(), plan));
@@ -189,17 +191,17 @@
     let programs = agents.join_all().await;
     stop.cancel();
     driver.settle().await;
-    while others.join_next().await.is_some() {}
-    operate::settle(&cx, opts.check.in_force_within + Duration::from_secs(1)).await;
-    let unread = read_all(&cx, &programs).await;
+    while background.join_next().await.is_some() {}
+    operate::wait_in_force(&cx, opts.check.in_force_within + Duration::from_secs(1)).await;
+    let unread = read_histories(&cx, &programs).await;
     let limit = opts.check.free_within + Duration::from_secs(1);
     wait_freed(&driver.system, &programs, limit).await;
-    operate::look(&cx);
+    operate::sample(&cx);
     let entries = cx.recorder.entries();
     let report = check::verify(&entries, &opts.check);
     let suspects = suspects(&programs, &unread, &report);
     let decided = |program: id::ProgramId| {
-        let decisions = cx.doors.decisions(&program, begun);
+        let decisions = cx.endpoints.decisions(&program, begun);
         (program, decisions)
     };
     let decisions = suspects.into_iter().map(decided).collect();
@@ -215,9 +217,9 @@
     })
 }
 
-fn shape(recorder: &recorder::Recorder) -> system::Options {
+fn system_opts(recorder: &recorder::Recorder) -> system::Options {
     let notes = |upstream: &str| {
-        Some(notes::Notes {
+        Some(recording::Recording {
             recorder: recorder.clone(),
             upstream: upstream.into(),
         })
@@ -227,12 +229,12 @@
         engines: vec!["hall-a", "hall-b", "hall-c"],
         tools: vec!["hall-a", "hall-b"],
         engine: engine::Options {
-            notes: notes(system::AGENTS),
+            recording: notes(system::AGENTS),
             ..engine::Options::default()
         },
         tool: plain::Options {
             restart_after: Some(TOOL_RESTART),
-            notes: notes(system::TOOLS),
+            recording: notes(system::TOOLS),
             ..plain::Options::default()
         },
         spare_ports: SPARE_PORTS,
@@ -247,27 +249,27 @@
         .collect()
 }
 
-/// Starts operators, readers and the look at records in force.
-fn others(cx: &calls::Context, seed: u64, stop: &CancellationToken) -> JoinSet<()> {
-    let mut others = JoinSet::new();
+/// Starts the operators, the readers and the sampling of the records in force.
+fn start_background(cx: &calls::Context, seed: u64, stop: &CancellationToken) -> JoinSet<()> {
+    let mut background = JoinSet::new();
     for (n, name) in ["operator-a", "operator-b"].into_iter().enumerate() {
         let rng = Pcg64::new(seed.into(), n as u128);
-        others.spawn(operate::change(cx.clone(), name, rng, stop.clone()));
+        background.spawn(operate::run_operator(cx.clone(), name, rng, stop.clone()));
     }
     for (n, name) in ["reader-a", "reader-b"].into_iter().enumerate() {
         let rng = Pcg64::new(seed.into(), 2 + n as u128);
-        others.spawn(operate::look_up(cx.clone(), name, rng, stop.clone()));
+        background.spawn(operate::run_reader(cx.clone(), name, rng, stop.clone()));
     }
-    others.spawn(operate::watch(cx.clone(), stop.clone()));
-    others
+    background.spawn(operate::sample_until_stopped(cx.clone(), stop.clone()));
+    background
 }
 
 /// Reads the histories of all programs that were not ended; returns those that could not be read.
-async fn read_all(cx: &calls::Context, programs: &[program::Outcome]) -> Vec<id::ProgramId> {
-    let until = Instant::now() + READ_LIMIT;
+async fn read_histories(cx: &calls::Context, programs: &[program::Outcome]) -> Vec<id::ProgramId> {
+    let until = Instant::now() + READ_TIMEOUT;
     let mut unread = Vec::new();
-    let kept = programs.iter().filter(|p| !p.ended && p.answered > 0);
-    for program in kept {
+    let remaining = programs.iter().filter(|p| !p.ended && p.answered > 0);
+    for program in remaining {
         if !program::read(cx, &program.program, until).await {
             unread.push(program.program.clone());
         }
@@ -275,7 +277,7 @@
     unread
 }
 
-/// Programs that were not finished or not read, or that a violation names.
+/// Programs that were not finished, whose history was not read, or that a violation names.
 fn suspects(
     programs: &[program::Outcome],
     unread: &[id::ProgramId],
@@ -295,7 +297,7 @@
     let until = Instant::now() + limit;
     let ended: Vec<_> = programs.iter().filter(|p| p.ended).collect();
     let holds_any = || {
-        let held = system.engines.iter().map(|worker| worker.upstream.held());
+        let held = system.engines.iter().map(|worker| worker.upstream.cached());
         held.into_iter()
             .any(|held| ended.iter().any(|p| held.contains_key(&p.program)))
     };
--- a/fw-local/tests/local/record_changes.rs
+++ b/fw-local/tests/local/record_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the operators' records, in force everywhere.
+//! Propagation of changes to the operators' records.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 
 use super::rig;
 
-/// Longest wait for a change to be in force: the promise is three seconds.
-const POLLS: u32 = 150;
+/// Most polls, 20 ms apart, until a change must be in force: the promise is three seconds.
+const MAX_POLLS: u32 = 150;
 
 async fn in_force(system: &system::System, revision: i64) -> bool {
-    for _ in 0..POLLS {
+    for _ in 0..MAX_POLLS {
         if system.revision_in_force() >= revision {
             return true;
         }
@@ -35,14 +35,14 @@
     for entry in 0..2 {
         let chat = caller::Chat {
             model: "extra".to_owned(),
-            ..rig::ask("hello")
+            ..rig::request("hello")
         };
         expect_true!(rig::chat(system.callers(entry), &chat).await.is_ok());
     }
 }
 
-// Two operators read the same version of a record and both change it. The second must be told, and
-// shown both versions; the first's change stays.
+// Two operators read the same version of a record and both change it. The second must get a
+// conflict that shows both versions, and the first change must stay.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_operators_get_a_conflict() {
@@ -62,11 +62,11 @@
     expect_that!(lost.body.to_string(), contains_substring("2.0"));
 }
 
-// An accepted record, a store outage, and an entry that starts while the store is away: the others
-// still act on the record, and the new one takes it from them or waits; nobody goes back.
+// A record is accepted before a store outage. The running entries must keep it in force throughout,
+// and an entry that is started afterwards must load it: no entry may revert to an older revision.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_takes_nothing_back() {
+async fn an_outage_reverts_no_record() {
     let mut system = rig::system().await;
     let put = system
         .put_record("team", "officers", 0, &json!({ "schema": 2, "share": 2.0 }))
--- a/fw-side/tests/side/engine_memory.rs
+++ b/fw-side/tests/side/engine_memory.rs
@@ -24,16 +24,16 @@
     let rig = rig::Rig::with(rig::fast_engine(), short_sessions()).await;
     rig.engine.lose_releases(true);
     rig.run_turn(&rig::first_turn("p", 1, "hello")).await;
-    expect_that!(rig.engine.held().len(), eq(1));
+    expect_that!(rig.engine.cached().len(), eq(1));
     let core = rig.side.core().clone();
     rig::wait_until("a release is lost", || {
         core.sessions.unconfirmed_releases() == 1
     })
     .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
-    expect_that!(rig.engine.held().len(), eq(1));
+    expect_that!(rig.engine.cached().len(), eq(1));
     rig.engine.lose_releases(false);
-    rig::wait_until("the cache is released", || rig.engine.held().is_empty()).await;
+    rig::wait_until("the cache is released", || rig.engine.cached().is_empty()).await;
     rig::wait_until("the release is confirmed", || {
         core.sessions.unconfirmed_releases() == 0
     })
@@ -51,7 +51,7 @@
         rig.heartbeat(rig::renewal("p", rig::FENCE)).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    expect_that!(rig.engine.held().len(), eq(1));
+    expect_that!(rig.engine.cached().len(), eq(1));
 }
 
 // The keeper's release of a program was lost. Once the program is idle, the side asks its keeper
@@ -73,7 +73,7 @@
         ..rig::renewal("p", rig::FENCE)
     };
     rig.heartbeat(gone).await;
-    rig::wait_until("the cache is released", || rig.engine.held().is_empty()).await;
+    rig::wait_until("the cache is released", || rig.engine.cached().is_empty()).await;
 }
 
 // The side restarts without sessions, while the engine still caches a program that has ended. The
@@ -88,8 +88,8 @@
     let mut opts = short_sessions();
     opts.settings.engine.address = rig.engine.addr();
     let _side = fw_side::Side::spawn(opts).await.unwrap();
-    expect_that!(rig.engine.held().len(), eq(1));
-    rig::wait_until("the cache is released", || rig.engine.held().is_empty()).await;
+    expect_that!(rig.engine.cached().len(), eq(1));
+    rig::wait_until("the cache is released", || rig.engine.cached().is_empty()).await;
 }
 
 // The engine's cache events arrive late and with gaps. An entry must not keep relying on cache
--- a/fw-side/tests/side/plain_lane.rs
+++ b/fw-side/tests/side/plain_lane.rs
@@ -236,7 +236,7 @@
         .await
         .unwrap();
     expect_that!(error_header(&answer), some(eq("unknown_route")));
-    expect_that!(rig.engine.held().len(), eq(1));
+    expect_that!(rig.engine.cached().len(), eq(1));
 }
 
 #[gtest]
