--- a/fw-local/src/history/mod.rs
+++ b/fw-local/src/history/mod.rs
@@ -38,8 +38,8 @@
 /// Longest time to read the histories at the end of a run.
 const READ_TIMEOUT: Duration = Duration::from_secs(15);
 /// Longest that an engine may hold memory of a program that was ended. A side that was down when
-/// the program ended queries its keeper only once the program has been idle for 30 s (`ask_after`
-/// of the side).
+/// the program ended queries its keeper only once the program has been idle for 30 s
+/// (`verify_idle_after` of the side).
 const FREE_TIMEOUT: Duration = Duration::from_secs(40);
 /// Interval at which the engines' memory is polled.
 const MEMORY_POLL: Duration = Duration::from_millis(50);
--- a/fw-plan/src/retry.rs
+++ b/fw-plan/src/retry.rs
@@ -59,7 +59,7 @@
     pub kind: error::Kind,
     /// Number of the attempt that failed; the first is 1.
     pub attempt: u32,
-    /// Whether the call is idempotent.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
     /// Time left until the caller's deadline.
     pub time_left: Duration,
